--- a/router/src/fleet/stored/tests.rs
+++ b/router/src/fleet/stored/tests.rs
@@ -13,3 +13,44 @@
         assert!(decode("nord", &bytes[..k]).is_err(), "cut at {k}");
     }
 }
+
+/// Bytes of a file that a router of today has stored: it is written so, and read so, whole or not.
+#[test]
+fn a_recorded_file_is_written_and_read_as_it_was() {
+    let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/fleet");
+    let (path, told) = (recorded.join("folder/stored"), recorded.join("stored.txt"));
+    let bytes = std::fs::read(&path).unwrap();
+    let body = &bytes[bytes.iter().position(|b| *b == b'\n').unwrap() + 1..];
+    let stored: Stored = serde_json::from_slice(body).unwrap();
+    let written = encode(&stored.fleet, &stored.document).unwrap();
+    let signed = |body: &str| [files::digest(body.as_bytes()).as_bytes(), b"\n", body.as_bytes()].concat();
+    let text = std::str::from_utf8(body).unwrap();
+    let dir = tempfile::tempdir().unwrap();
+    let mut got = String::new();
+    for (case, fleet, bytes) in [
+        ("whole", "test", written.clone()),
+        ("of another fleet", "nord", written.clone()),
+        ("half", "test", written[..written.len() / 2].to_vec()),
+        ("half of the digest", "test", written[..30].to_vec()),
+        ("a byte short", "test", written[..written.len() - 1].to_vec()),
+        ("empty", "test", vec![]),
+        ("another text", "test", b"not that".to_vec()),
+        ("of a later version", "test", signed(&text.replace("\"v\":1", "\"v\":2"))),
+        ("without a document", "test", signed("{\"v\":1,\"fleet\":\"test\"}")),
+        ("with a field of later", "test", signed(&text.replace("\"v\":1", "\"v\":1,\"later\":1"))),
+    ] {
+        let path = dir.path().join("stored");
+        std::fs::write(&path, bytes).unwrap();
+        let read = read(&path, fleet).map(|d| serde_json::to_string(&d).unwrap());
+        got += &format!("{case}: {}\n", read.unwrap_or_else(|why| format!("can't be read: {why}")));
+    }
+    got += &format!("nowhere: {:?}\n", read(&dir.path().join("nowhere"), "test"));
+    write(&dir.path().join("again"), "test", &stored.document).unwrap();
+    assert_eq!(std::fs::read(dir.path().join("again")).unwrap(), written);
+    if std::env::var_os("RECORD").is_some() {
+        std::fs::write(&path, &written).unwrap();
+        std::fs::write(&told, &got).unwrap();
+    }
+    assert_eq!(std::fs::read(&path).unwrap(), written);
+    assert_eq!(got, std::fs::read_to_string(&told).unwrap());
+}
