--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -15,7 +15,7 @@
 use played::{Deployment, Play};
 use tallypin::api::*;
 
-const NAMES: [&str; 8] = [
+const NAMES: [&str; 10] = [
     "alone",
     "three_gateways",
     "asked_list",
@@ -24,6 +24,8 @@
     "many_gateways",
     "large_fleet",
     "cold_fleet",
+    "small_fleet",
+    "few_requests",
 ];
 
 fn folder() -> PathBuf {
@@ -124,6 +126,18 @@
             let settings = Settings { cold, fall, fall_multiple, cold_share: 0.3, max_retry_after: 0, ..set };
             Deployment { settings, replicas: 24, trouble_ms: 250, per_10_s: 200, seed: 56, ..usual }
         }
+        // Hardly a home for a beginning, and more faults than further attempts are saved for.
+        "small_fleet" => {
+            let settings = Settings { cross_zone_price: 0.2, try_limit: 5, ..set };
+            let d = Deployment { settings, replicas: 3, zones: 2, kinds: 1, per_10_s: 60, seed: 57, ..usual };
+            Deployment { faults: 60, trouble_ms: 6000, ..d }
+        }
+        // So few that nearly all of what is saved for replicas that have just started is lost unused.
+        "few_requests" => {
+            let settings = Settings { fall: SECOND / 2, fall_multiple: 8.0, cold: 30 * SECOND, ..set };
+            let d = Deployment { settings, replicas: 4, per_10_s: 3, seed: 58, ..usual };
+            Deployment { trouble_ms: 4000, events: 8000, ..d }
+        }
         other => panic!("no deployment is named {other}"),
     }
 }
@@ -155,7 +169,7 @@
     };
 }
 
-plays!(alone three_gateways asked_list no_cancel no_peers_no_tenants many_gateways large_fleet cold_fleet);
+plays!(alone three_gateways asked_list no_cancel no_peers_no_tenants many_gateways large_fleet cold_fleet small_fleet few_requests);
 
 #[test]
 fn two_plays_of_one_deployment_are_the_same() {
