--- /dev/null
+++ b/router/tests/recorded_wire.rs
@@ -0,0 +1,527 @@
+//! The bytes on the wire, compared with recordings under `recorded/wire`: answers of both fronts, requests to model nodes and
+//! to the node list, datagrams between routers. `RECORD=1 cargo test --test recorded_wire` writes the recordings anew.
+#![allow(missing_docs)]
+
+mod common;
+mod recording;
+
+use std::time::Duration;
+
+use common::*;
+use recording::{path, raw_answer, Mask, Recording};
+use tallypin::api::{Effect, ListMode, PeerId, RequestId};
+use tallypin_router::config::PeerAddresses;
+use tallypin_router::dialect::Dialect::{self, Chat, Messages};
+use tallypin_router::limits::Limits;
+use tallypin_router::node;
+use tallypin_router::peers::Peers;
+use tallypin_router::reload::{self, Running};
+use tallypin_router::shutdown::Stage;
+use tokio::io::AsyncReadExt;
+use tokio::net::UdpSocket;
+
+const MS: Duration = Duration::from_millis(1);
+
+/// Every recording; one that is missing fails the test that compares it, one too many the last test.
+const RECORDINGS: [&str; 11] = [
+    "datagrams",
+    "health",
+    "messages-answers",
+    "messages-bad-input",
+    "messages-streams",
+    "node-list-calls",
+    "node-requests",
+    "platform-answers",
+    "platform-bad-input",
+    "platform-streams",
+    "shutdown",
+];
+
+/// Sends a request, gives its answer, and says whether the connection takes another request.
+async fn exchange(addr: std::net::SocketAddr, request: &str) -> Vec<u8> {
+    let mut client = Client::to(addr).await;
+    client.send(request).await;
+    let mut raw = raw_answer(&mut client).await;
+    if raw.ends_with(b"<closed>") {
+        return raw;
+    }
+    client.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n").await;
+    raw.extend_from_slice(match client.answer().await.0 {
+        0 => b"<then closed>",
+        _ => b"<stays open>",
+    });
+    raw
+}
+
+async fn router(dialect: Dialect, faults: &[Fault], change: impl FnOnce(&mut Limits)) -> (Router, Node) {
+    let node = Node::new(dialect).await;
+    node.plan(faults);
+    let router = Router::new(dialect, &[&node], change).await;
+    (router, node)
+}
+
+/// A router whose settings say that a request must not be repeated once it may have run.
+async fn with_side_effects(node: &Node) -> Router {
+    let mut config = config();
+    config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::SideEffect);
+    Router::by(config, Chat, &[node], None).await
+}
+
+const CHAT_BODY: &str = r#"{"model":"m","stream":true,"temperature":0.5,"stop":["x"],"messages":[
+{"role":"system","content":"Be kind."},{"role":"user","content":"Grüß Gott"}]}"#;
+
+/// A platform request with nothing that varies.
+fn plain(id: &str, fields: &str, body: &str) -> String {
+    format!(
+        "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nReq-Id: {id}\r\nReq-Kind: chat\r\n\
+         Req-Owner: haendlerbund\r\n{fields}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+}
+
+fn whole_message() -> String {
+    MESSAGE.replace("\"stream\":true,", "")
+}
+
+#[test]
+fn streams_of_the_platform_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("platform-streams");
+        for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
+            for (title, fault) in [
+                ("served", Fault::None),
+                ("with an unknown event", Fault::UnknownEvent),
+                ("broken", Fault::Break),
+            ] {
+                let (router, _node) = router(dialect, &[fault], |_| {}).await;
+                recording.case(
+                    &format!("{nodes}, {title}"),
+                    exchange(router.addr, &plain("a", "", CHAT_BODY)).await,
+                );
+            }
+            let (router, _node) = router(dialect, &[], |_| {}).await;
+            let last = plain("a", "Connection: close\r\n", CHAT_BODY);
+            recording.case(&format!("{nodes}, asked to close"), exchange(router.addr, &last).await);
+        }
+        recording.check();
+    });
+}
+
+#[test]
+fn streams_and_whole_answers_of_the_messages_api_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("messages-streams");
+        for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
+            for (title, fault) in [
+                ("served", Fault::None),
+                ("with an unknown event", Fault::UnknownEvent),
+                ("broken", Fault::Break),
+            ] {
+                for (form, body) in [("stream", MESSAGE.to_string()), ("whole", whole_message())] {
+                    let (router, _node) = router(dialect, &[fault], |_| {}).await;
+                    let raw = exchange(router.messages, &messages("", &body)).await;
+                    recording.case(&format!("{nodes}, {form}, {title}"), raw);
+                }
+            }
+            let (router, _node) = router(dialect, &[], |_| {}).await;
+            let last = messages("Connection: close\r\n", MESSAGE);
+            recording.case(&format!("{nodes}, asked to close"), exchange(router.messages, &last).await);
+            let mut client = Client::to(router.messages).await;
+            for title in ["second", "third"] {
+                client.send(&messages("", &whole_message())).await;
+                recording.case(&format!("{nodes}, {title} answer"), raw_answer(&mut client).await);
+            }
+        }
+        let (router, _node) = router(Chat, &[], |l| l.whole_answer = 4).await;
+        let raw = exchange(router.messages, &messages("", &whole_message())).await;
+        recording.case("too long to be given whole", raw);
+        recording.check();
+    });
+}
+
+/// Answers that are the same at both fronts but for their form.
+async fn answers(recording: &mut Recording, front: usize) {
+    let at = |router: &Router| if front == 0 { router.addr } else { router.messages };
+    let ask = |fields: &str| match front {
+        0 => plain("a", fields, "{}"),
+        _ => messages(fields, MESSAGE),
+    };
+    let wait = ["Req-Deadline-Ms: 40\r\n", "x-deadline-ms: 40\r\n"][front];
+    let (none, _node) = (Router::new(Chat, &[], |_| {}).await, ());
+    recording.case("no capacity", exchange(at(&none), &ask("")).await);
+    let faults = [("error", Fault::Error), ("reset", Fault::Reset), ("declined", Fault::Decline)];
+    for (title, fault) in faults {
+        let (router, _node) = router(Chat, &[fault; 8], |_| {}).await;
+        recording.masked(title, Mask::RetryAfterDigits, exchange(at(&router), &ask(wait)).await);
+    }
+    let (pure, _node) = router(Chat, &[Fault::Mute; 8], |_| {}).await;
+    let raw = exchange(at(&pure), &ask(wait)).await;
+    recording.masked("late, may be repeated", Mask::RetryAfterDigits, raw);
+    let node = Node::new(Chat).await;
+    node.plan(&[Fault::Mute; 8]);
+    let effects = with_side_effects(&node).await;
+    recording.case("late, must not be repeated", exchange(at(&effects), &ask(wait)).await);
+    let node = Node::new(Chat).await;
+    node.plan(&[Fault::Reset; 8]);
+    let effects = with_side_effects(&node).await;
+    recording.case("failed, must not be repeated", exchange(at(&effects), &ask("")).await);
+    let (shared, _node) = router(Chat, &[], |_| {}).await;
+    let other = ask("").replace("haendlerbund", "grenzstellen");
+    let used_up = loop {
+        let raw = exchange(at(&shared), &other).await;
+        if !raw.starts_with(b"HTTP/1.1 200") {
+            break raw;
+        }
+    };
+    recording.masked("share used up", Mask::RetryAfterDigits, used_up);
+    let (full, _node) = router(Chat, &[], |l| l.open = 0).await;
+    recording.case("too many open requests", exchange(at(&full), &ask("")).await);
+    let (small, _node) = router(Chat, &[], |l| l.bodies = 1).await;
+    recording.case("no room for the body", exchange(at(&small), &ask("")).await);
+    let (crowd, _node) = router(Chat, &[Fault::Mute; 2], |l| l.clients = 1).await;
+    let mut first = Client::to(at(&crowd)).await;
+    first
+        .send(&match front {
+            0 => plain("first", "", "{}"),
+            _ => messages("", MESSAGE),
+        })
+        .await;
+    until(|| crowd.open() == 1).await;
+    let up = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n";
+    recording.case("too many connections", exchange(at(&crowd), &ask("")).await);
+    recording.case("too many connections, asks for the state", exchange(at(&crowd), up).await);
+}
+
+#[test]
+fn answers_of_the_platform_other_than_streams_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("platform-answers");
+        answers(&mut recording, 0).await;
+        let (router, node) = router(Chat, &[Fault::Mute], |_| {}).await;
+        let mut first = Client::to(router.addr).await;
+        first.send(&plain("twice", "", "{}")).await;
+        node.next_request().await;
+        recording.case("the name of another", exchange(router.addr, &plain("twice", "", "{}")).await);
+        drop(first);
+        // The node's answer to the platform's front breaks before anything of it was passed on.
+        until(|| router.open() == 0).await;
+        let (cut, node) = self::router(Chat, &[Fault::Mute], |_| {}).await;
+        let mut client = Client::to(cut.addr).await;
+        client.send(&plain("cut", "", "{}")).await;
+        node.next_request().await;
+        cut.host.with(|core, now| assert!(core.started(now, RequestId(1), 0)));
+        cut.host.with(|core, now| core.answer_before_end(now, Some(0)));
+        recording.case("cut before it was passed on", raw_answer(&mut client).await);
+        recording.check();
+    });
+}
+
+#[test]
+fn answers_of_the_messages_api_other_than_streams_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("messages-answers");
+        answers(&mut recording, 1).await;
+        recording.check();
+    });
+}
+
+/// What no front takes, whatever it is.
+async fn bad_input(recording: &mut Recording, front: usize, good: &str) {
+    let (router, _node) = router(Chat, &[], |l| (l.body, l.head, l.fields) = (1024, 2048, 16)).await;
+    let at = if front == 0 { router.addr } else { router.messages };
+    let (head, _) = good.split_once("\r\n\r\n").unwrap();
+    let unframed = head[..head.rfind("\r\n").unwrap()].to_string();
+    let (first_line, rest) = good.split_once("\r\n").unwrap();
+    for (title, text) in [
+        ("no request line", "nonsense\r\n\r\n".to_string()),
+        ("an answer", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_string()),
+        ("a folded field", format!("{unframed}\r\n more\r\n\r\n")),
+        ("HTTP/1.0", good.replace("HTTP/1.1", "HTTP/1.0")),
+        ("HTTP/2", good.replace("HTTP/1.1", "HTTP/2.0")),
+        ("no host", format!("{first_line}\r\n{}", rest.split_once("\r\n").unwrap().1)),
+        ("two hosts", format!("{first_line}\r\nHost: c\r\n{rest}")),
+        ("two lengths", format!("{unframed}\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n{{}}")),
+        ("a length with a sign", format!("{unframed}\r\nContent-Length: +2\r\n\r\n{{}}")),
+        (
+            "length and chunks",
+            format!("{unframed}\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n{{}}"),
+        ),
+        ("an unknown coding", format!("{unframed}\r\nTransfer-Encoding: gzip\r\n\r\n")),
+        ("a malformed chunk", format!("{unframed}\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n")),
+        ("a large body", format!("{unframed}\r\nContent-Length: 1025\r\n\r\n")),
+        ("a large chunk", format!("{unframed}\r\nTransfer-Encoding: chunked\r\n\r\n401\r\n")),
+        ("a large head", format!("{first_line}\r\nX-Long: {}\r\n{rest}", "x".repeat(2048))),
+        ("many fields", format!("{first_line}\r\n{}{rest}", "X-More: 1\r\n".repeat(16))),
+        ("another path", good.replacen("/v1/", "/v2/", 1)),
+        ("another method", good.replacen("POST", "PUT", 1)),
+        ("livez", "GET /livez HTTP/1.1\r\nHost: b\r\n\r\n".to_string()),
+        ("readyz", "GET /readyz HTTP/1.1\r\nHost: b\r\n\r\n".to_string()),
+    ] {
+        recording.case(title, exchange(at, &text).await);
+    }
+    let (slow, _node) = self::router(Chat, &[], |l| l.read = 30 * MS).await;
+    let at = if front == 0 { slow.addr } else { slow.messages };
+    recording.case("half a request", exchange(at, &good[..good.len() - 1]).await);
+    let (body, length) = (good.split_once("\r\n\r\n").unwrap().1, good.len() - head.len() - 4);
+    let (router, _node) = self::router(Chat, &[], |_| {}).await;
+    let at = if front == 0 { router.addr } else { router.messages };
+    let mut client = Client::to(at).await;
+    client.send(&format!("{head}\r\nExpect: 100-continue\r\n\r\n")).await;
+    let mut raw = raw_answer(&mut client).await;
+    client.send(body).await;
+    raw.append(&mut raw_answer(&mut client).await);
+    recording.case("waits for a word before the body", raw);
+    let chunks = format!("{unframed}\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n");
+    recording.case("a body in chunks", exchange(at, &chunks.replace(": a\r\n", ": b\r\n")).await);
+}
+
+#[test]
+fn bad_input_gets_the_same_answer_of_the_platform_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("platform-bad-input");
+        let good = plain("a", "", "{}");
+        bad_input(&mut recording, 0, &good).await;
+        let (router, _node) = router(Chat, &[], |_| {}).await;
+        for (title, from, to) in [
+            ("no name", "Req-Id: a\r\n", ""),
+            ("an empty name", "Req-Id: a\r\n", "Req-Id: \r\n"),
+            ("a name with a space", "Req-Id: a", "Req-Id: a b"),
+            ("two names", "Req-Id: a\r\n", "Req-Id: a\r\nReq-Id: b\r\n"),
+            ("no kind", "Req-Kind: chat\r\n", ""),
+            ("an unknown kind", "Req-Kind: chat", "Req-Kind: poem"),
+            ("no owner", "Req-Owner: haendlerbund\r\n", ""),
+            ("an unknown owner", "haendlerbund", "nobody"),
+            ("a bad wait", "Host: b\r\n", "Host: b\r\nReq-Deadline-Ms: soon\r\n"),
+            ("an absurd wait", "Host: b\r\n", "Host: b\r\nReq-Deadline-Ms: 86400001\r\n"),
+            ("no pair", "Host: b\r\n", "Host: b\r\nReq-Extra: prefix\r\n"),
+            ("a bad count", "Host: b\r\n", "Host: b\r\nReq-Extra: prompt_len=-1\r\n"),
+            ("two keys", "Host: b\r\n", "Host: b\r\nIdempotency-Key: a\r\nIdempotency-Key: b\r\n"),
+        ] {
+            recording.case(title, exchange(router.addr, &good.replace(from, to)).await);
+        }
+        let long = good.replace("Req-Id: a", &format!("Req-Id: {}", "a".repeat(129)));
+        recording.case("a long name", exchange(router.addr, &long).await);
+        let (messages, _node) = self::router(Messages, &[], |_| {}).await;
+        recording.case("no body for a messages node", exchange(messages.addr, &good).await);
+        recording.check();
+    });
+}
+
+#[test]
+fn bad_input_gets_the_same_answer_of_the_messages_api_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("messages-bad-input");
+        bad_input(&mut recording, 1, &messages("", MESSAGE)).await;
+        let (router, _node) = router(Chat, &[], |_| {}).await;
+        let picture = MESSAGE.replace("\"type\":\"text\"", "\"type\":\"image\"");
+        for (title, text) in [
+            ("no JSON", messages("", "{")),
+            ("no body", messages("", "")),
+            ("no bound", messages("", &MESSAGE.replace("\"max_tokens\":64,", ""))),
+            ("a bound of none", messages("", &MESSAGE.replace("64", "0"))),
+            ("a picture", messages("", &picture)),
+            ("another role", messages("", &MESSAGE.replace("\"user\"", "\"system\""))),
+            ("a field of another type", messages("", &MESSAGE.replace("64", "\"64\""))),
+            ("no message", messages("", r#"{"model":"refund-chat","max_tokens":1,"messages":[]}"#)),
+            ("an unknown model", messages("", &MESSAGE.replace("refund-chat", "poet"))),
+            ("an unknown partner", messages("", MESSAGE).replace("haendlerbund", "nobody")),
+            ("no partner", messages("", MESSAGE).replace("x-partner", "x-other")),
+            ("a bad wait", messages("x-deadline-ms: soon\r\n", MESSAGE)),
+            ("no wait", messages("x-deadline-ms: 0\r\n", MESSAGE)),
+            ("two keys", messages("Idempotency-Key: a\r\nIdempotency-Key: b\r\n", MESSAGE)),
+        ] {
+            recording.case(title, exchange(router.messages, &text).await);
+        }
+        recording.check();
+    });
+}
+
+#[test]
+fn answers_for_the_state_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("health");
+        for (stage, nodes) in [(Stage::Serving, 1), (Stage::Serving, 0), (Stage::Grace, 1)] {
+            let node = Node::new(Chat).await;
+            let router = Router::new(Chat, &[&node][..nodes], |_| {}).await;
+            router.host.drain.enter(stage);
+            for (front, at) in [("platform", router.addr), ("messages", router.messages)] {
+                for path in ["/up", "/healthz", "/up?query"] {
+                    for method in ["GET", "HEAD", "POST"] {
+                        let title = format!(
+                            "{front}, drain {}, {nodes} nodes, {method} {path}",
+                            stage != Stage::Serving
+                        );
+                        let mut client = Client::to(at).await;
+                        client
+                            .send(&format!(
+                                "{method} {path} HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n"
+                            ))
+                            .await;
+                        let mut raw = Vec::new();
+                        client.stream.read_to_end(&mut raw).await.unwrap();
+                        recording.case(&title, raw);
+                        drop(client);
+                        until(|| router.host.clients.open() == 0).await;
+                    }
+                }
+            }
+        }
+        recording.check();
+    });
+}
+
+#[test]
+fn answers_while_the_router_ends_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("shutdown");
+        for (title, stage) in
+            [("grace", Stage::Grace), ("parting", Stage::Parting), ("refusing", Stage::Refusing)]
+        {
+            for front in [0, 1] {
+                let (router, _node) = router(Chat, &[], |l| l.last_look = 300 * MS).await;
+                let (at, request) = match front {
+                    0 => (router.addr, plain("a", "", "{}")),
+                    _ => (router.messages, messages("", MESSAGE)),
+                };
+                let mut client = Client::to(at).await;
+                let (first, rest) = request.split_at(20);
+                client.send(first).await;
+                until(|| router.host.clients.open() == 1).await;
+                router.host.drain.enter(stage);
+                client.send(rest).await;
+                let mut raw = raw_answer(&mut client).await;
+                if stage > Stage::Grace && !raw.ends_with(b"<closed>") {
+                    raw.append(&mut raw_answer(&mut client).await);
+                }
+                recording.case(&format!("{title}, front {front}"), raw);
+                drop(client);
+                let bad = request.replacen("POST", "PUT", 1);
+                let mut client = Client::to(at).await;
+                client.send(&bad).await;
+                recording.case(&format!("{title}, front {front}, bad input"), raw_answer(&mut client).await);
+            }
+        }
+        recording.check();
+    });
+}
+
+#[test]
+fn requests_to_model_nodes_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("node-requests");
+        for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
+            let (router, node) = router(dialect, &[], |_| {}).await;
+            let resumed = MESSAGE.replace("}]}]}", "}]},{\"role\":\"assistant\",\"content\":\"Your\"}]}");
+            for (title, at, request) in [
+                ("platform", router.addr, plain("a", "", CHAT_BODY)),
+                (
+                    "platform, with query",
+                    router.addr,
+                    plain("b", "", CHAT_BODY).replacen("completions", "completions?x=1", 1),
+                ),
+                ("platform, resumed", router.addr, plain("c", "Req-Retry: again\r\n", CHAT_BODY)),
+                ("platform, repeated", router.addr, plain("d", "Req-Retry: 1\r\n", CHAT_BODY)),
+                ("platform, with a key", router.addr, plain("e", "Idempotency-Key: k-1\r\n", CHAT_BODY)),
+                ("messages", router.messages, messages("", MESSAGE)),
+                ("messages, whole", router.messages, messages("", &whole_message())),
+                ("messages, resumed", router.messages, messages("x-resume-of: msg_1\r\n", &resumed)),
+                ("messages, with a key", router.messages, messages("Idempotency-Key: k-1\r\n", MESSAGE)),
+            ] {
+                let raw = exchange(at, &request).await;
+                assert!(raw.starts_with(b"HTTP/1.1 200"), "{title}: {}", String::from_utf8_lossy(&raw));
+                let (head, body) = node.next_request().await;
+                let sent = [head.as_bytes(), &body].concat();
+                recording.masked(&format!("{nodes}, {title}"), Mask::DeadlineOfFourDigits, sent);
+            }
+        }
+        for (title, names) in [("with load reports", true), ("without load reports", false)] {
+            let mut config = config();
+            if !names {
+                config.deployment.report.clear();
+            }
+            let node = Node::new(Chat).await;
+            let router = Router::by(config, Chat, &[&node], None).await;
+            tokio::task::spawn_local(node::probe(router.host.clone(), tallypin::names::node("s-0")));
+            recording.case(&format!("probe {title}"), node.next_request().await.0);
+        }
+        recording.check();
+    });
+}
+
+#[test]
+fn calls_of_the_node_list_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("node-list-calls");
+        for (title, mode) in [("asked", config().deployment.decisions.list), ("pushed", ListMode::Pushed)] {
+            let node = Node::new(Chat).await;
+            let ports = [(); 2].map(|()| ReservedPort::new());
+            let (old, new) = (ports[0].listen().await, ports[1].listen().await);
+            let mut config = config();
+            (config.deployment.decisions.list, config.node_list) = (mode, ports[0].addr());
+            config.limits.list_again = 10 * MS;
+            let (running, mut moved) = (Running::of(&config), config.clone());
+            let router = Router::by(config, Chat, &[], None).await;
+            let (mut call, head) = next_call(&old).await;
+            recording.case(&format!("{title}, the first call"), head);
+            call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
+            until(|| router.host.nodes.ready() == 1).await;
+            drop(call);
+            let (_call, head) = next_call(&old).await;
+            recording.case(&format!("{title}, after a loss"), head);
+            moved.node_list = ports[1].addr();
+            reload::take(&router.host, &running, &moved);
+            let (_call, head) = next_call(&new).await;
+            recording.case(&format!("{title}, at a new place"), head);
+        }
+        recording.check();
+    });
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+#[test]
+fn datagrams_to_other_routers_stay_byte_for_byte() {
+    run(async {
+        let mut recording = Recording::new("datagrams");
+        let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let mine = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let mut config = config();
+        config.deployment.decisions.gateways = 2;
+        let digest = config.deployment.decisions.digest;
+        let each = vec![mine, other.local_addr().unwrap()];
+        let addresses = PeerAddresses { listen: mine, each, all: None };
+        let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
+        let mut buf = [0; 512];
+        for counts in [&[(3, 0), (200, 1), (70_000, 130)][..], &[(1, 0)], &[]] {
+            for message in tallypin::report::encode(digest, 500, counts) {
+                peers.tell(&message);
+                let (length, from) = other.recv_from(&mut buf).await.unwrap();
+                assert_eq!(from, mine);
+                recording.case(&format!("{counts:?}"), hex(&buf[..length]));
+            }
+        }
+        // From a running router: the span that the report covers depends on the clock.
+        let node = Node::new(Chat).await;
+        let router = Router::by(config, Chat, &[&node], Some(peers)).await;
+        let mut client = Client::to(router.addr).await;
+        assert_eq!(client.ask("").await.0, 200);
+        let (length, _) = other.recv_from(&mut buf).await.unwrap();
+        let message = &buf[..length];
+        let span = message[3..].iter().position(|b| *b < 0x80).unwrap() + 1;
+        assert!(span <= 2, "at most 16 s: {}", hex(message));
+        let text = format!("{} <span> {}", hex(&message[..3]), hex(&message[3 + span..]));
+        recording.case("of a router", text);
+        recording.check();
+    });
+}
+
+#[test]
+fn no_recording_lacks_its_case_and_no_case_its_recording() {
+    let entries = std::fs::read_dir(path("")).unwrap();
+    let mut names: Vec<String> =
+        entries.map(|entry| entry.unwrap().file_name().into_string().unwrap()).collect();
+    names.sort();
+    assert_eq!(names, RECORDINGS);
+}
--- /dev/null
+++ b/router/tests/recording/mod.rs
@@ -0,0 +1,129 @@
+//! Recordings: bytes as they came, by case, compared with a file byte for byte; and what of them varies from run to run.
+
+use std::path::PathBuf;
+
+use tokio::io::AsyncReadExt;
+
+use crate::common::{field, Client};
+
+pub fn path(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/wire").join(name)
+}
+
+/// Parts of a text that vary from run to run.
+#[derive(Clone, Copy)]
+pub enum Mask {
+    /// The number of milliseconds that are left of a wait of four digits.
+    DeadlineOfFourDigits,
+    /// The least significant part of a Retry-After, which depends on the clock: the number of its digits stays.
+    RetryAfterDigits,
+}
+
+impl Mask {
+    /// The field whose value is masked, and the value that stands for it, if it has the form.
+    fn apply(self, text: &str) -> String {
+        let fields: &[&str] = match self {
+            Mask::DeadlineOfFourDigits => &["Req-Deadline-Ms: "],
+            Mask::RetryAfterDigits => &["Retry-After: ", "Retry-After-Ms: "],
+        };
+        let line = |line: &str| match fields.iter().find_map(|f| Some((f, line.strip_prefix(f)?))) {
+            Some((field, value)) => {
+                let form = |c: char| if c.is_ascii_digit() { '#' } else { c };
+                let form: String = value.chars().map(form).collect();
+                if let Mask::DeadlineOfFourDigits = self {
+                    assert_eq!(form.trim_end(), "####", "{line}");
+                    assert!(value.trim_end().parse::<u32>().unwrap() <= 4000, "{line}");
+                }
+                format!("{field}{form}")
+            }
+            None => line.to_string(),
+        };
+        text.split('\n').map(line).collect::<Vec<_>>().join("\n")
+    }
+}
+
+/// One recording: cases with a title each, and their bytes as they came.
+pub struct Recording {
+    name: &'static str,
+    cases: Vec<u8>,
+}
+
+impl Recording {
+    pub fn new(name: &'static str) -> Recording {
+        assert!(super::RECORDINGS.contains(&name), "{name} is not in the list of recordings");
+        Recording { name, cases: Vec::new() }
+    }
+
+    pub fn case(&mut self, title: &str, bytes: impl AsRef<[u8]>) {
+        for part in [b"=== ", title.as_bytes(), b"\n", bytes.as_ref(), b"\n"] {
+            self.cases.extend_from_slice(part);
+        }
+    }
+
+    pub fn masked(&mut self, title: &str, mask: Mask, bytes: impl AsRef<[u8]>) {
+        let text = std::str::from_utf8(bytes.as_ref()).unwrap();
+        self.case(title, mask.apply(text));
+    }
+
+    /// Compares it with the recording byte for byte.
+    pub fn check(self) {
+        let path = path(self.name);
+        if std::env::var_os("RECORD").is_some() {
+            return std::fs::write(path, self.cases).unwrap();
+        }
+        let recorded = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+        if recorded == self.cases {
+            return;
+        }
+        let split = |bytes: &[u8]| -> Vec<String> {
+            String::from_utf8_lossy(bytes).split("=== ").map(|case| case.escape_debug().to_string()).collect()
+        };
+        let (before, now) = (split(&recorded), split(&self.cases));
+        for (before, now) in before.iter().zip(&now) {
+            assert_eq!(before, now, "{}", self.name);
+        }
+        panic!("{}: {} cases were recorded, {} came", self.name, before.len(), now.len());
+    }
+}
+
+/// Reads one answer as it stands on the wire; what is missing at the end of the connection is named.
+pub async fn raw_answer(client: &mut Client) -> Vec<u8> {
+    let mut raw = Vec::new();
+    loop {
+        if let Some(length) = whole_answer(&client.buf) {
+            let rest = client.buf.split_off(length);
+            raw.append(&mut std::mem::replace(&mut client.buf, rest));
+            return raw;
+        }
+        if client.stream.read_buf(&mut client.buf).await.unwrap() == 0 {
+            raw.append(&mut client.buf);
+            raw.extend_from_slice(b"<closed>");
+            return raw;
+        }
+    }
+}
+
+/// The length of the answer at the front, once it is whole.
+fn whole_answer(buf: &[u8]) -> Option<usize> {
+    let head_length = buf.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
+    let head = std::str::from_utf8(&buf[..head_length]).unwrap();
+    if head.starts_with("HTTP/1.1 100") {
+        return Some(head_length);
+    }
+    if field(head, "transfer-encoding").is_none() {
+        let length: usize = field(head, "content-length").map_or(0, |l| l.parse().unwrap());
+        return (buf.len() >= head_length + length).then_some(head_length + length);
+    }
+    let mut at = head_length;
+    loop {
+        let line = buf[at..].windows(2).position(|w| w == b"\r\n")?;
+        let size = usize::from_str_radix(std::str::from_utf8(&buf[at..at + line]).unwrap(), 16).unwrap();
+        at += line + 2 + size + 2;
+        if buf.len() < at {
+            return None;
+        }
+        if size == 0 {
+            return Some(at);
+        }
+    }
+}
