--- a/accord/src/document.rs
+++ b/consensus/src/document.rs
@@ -13,7 +13,7 @@
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
-use tallypin_members::Place;
+use tallypin_membership::Place;
 
 use crate::nodes::{self, NodeBounds, NodeEntry, NodeSeen, NodeStage, NodesFull, UnixMs};
 use crate::register::Member;
--- a/accord/src/leave.rs
+++ b/consensus/src/leave.rs
@@ -3,7 +3,7 @@
 //! nothing. Nobody else needs the lease to end for the bounds to hold: an entry counts until its router ends it. It is
 //! what a halt waits for, before it is answered, where the router can't be asked.
 
-use tallypin_members::{Nanos, Place};
+use tallypin_membership::{Nanos, Place};
 
 use crate::document::{Act, Document, Stage};
 
--- a/accord/src/nodes.rs
+++ b/consensus/src/nodes.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use tallypin_members::Place;
+use tallypin_membership::Place;
 
 /// Model nodes that may be out by order, or are to come back, at once. Bounds the document.
 pub const MOST_NODES: usize = 128;
--- a/accord/src/release.rs
+++ b/consensus/src/release.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use tallypin_members::Place;
+use tallypin_membership::Place;
 
 /// The most waves of a release.
 pub const MOST_WAVES: usize = 64;
--- a/accord/src/watch.rs
+++ b/consensus/src/watch.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use tallypin_members::{Nanos, Place};
+use tallypin_membership::{Nanos, Place};
 
 use crate::document::{Act, Bounds, Document, Stage};
 use crate::release::{Phase, Plan, Release};
--- a/accord/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -7,18 +7,18 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use fastrand::Rng;
-use tallypin_accord::document::{Act, Bounds, Document, View};
-use tallypin_accord::leave::{halt_holds, Figures, Leaver, Next, Own};
-use tallypin_accord::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step};
-use tallypin_accord::release::{Phase, Plan};
-use tallypin_accord::watch::{Counts, Heard, Watch};
-use tallypin_members::{Nanos, Place, Presence, Says};
+use tallypin_consensus::document::{Act, Bounds, Document, View};
+use tallypin_consensus::leave::{halt_holds, Figures, Leaver, Next, Own};
+use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step};
+use tallypin_consensus::release::{Phase, Plan};
+use tallypin_consensus::watch::{Counts, Heard, Watch};
+use tallypin_membership::{Nanos, Place, Presence, Says};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 const BEAT: Nanos = 500 * MS;
 const FIGURES: Figures = Figures { lease: 5 * S, drift: 20, again: BEAT };
-const MEMBERS: tallypin_members::Figures = tallypin_members::Figures { every: BEAT, silent: 3 * S };
+const MEMBERS: tallypin_membership::Figures = tallypin_membership::Figures { every: BEAT, silent: 3 * S };
 const COUNCIL: usize = 5;
 /// A round that has not ended within this is given up.
 const ROUND: Nanos = 2 * S;
--- a/accord/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use stateright::{Checker, Model, Property};
-use tallypin_accord::register::{first, Answer, Ask, Ballot, Defect, Keeper, Round, Step, Value};
+use tallypin_consensus::register::{first, Answer, Ask, Ballot, Defect, Keeper, Round, Step, Value};
 
 const MEMBERS: usize = 3;
 /// What is agreed on: the marks of all changes, in their order.
--- a/accord/tests/net.rs
+++ b/consensus/tests/net.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs)]
 
 use fastrand::Rng;
-use tallypin_accord::register::{agreed, first, Answer, Ask, Ballot, Defect, Keeper, Round, Step, Value};
+use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Defect, Keeper, Round, Step, Value};
 
 /// All that was ever agreed on, oldest first: each change adds its own mark.
 type History = Vec<u32>;
--- a/accord/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -11,13 +11,13 @@
 
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{from_str, from_value, json, to_string, Value as Json};
-use tallypin_accord::document::{Act, Bounds, Document, Entry, No, Stage, View};
-use tallypin_accord::leave::{halt_holds, Figures, Leaver, Next, Own};
-use tallypin_accord::nodes::{unclear, Follows, Most, NodeBounds, NodeSeen, NodesFull};
-use tallypin_accord::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step, Value};
-use tallypin_accord::release::Plan;
-use tallypin_accord::watch::{Counts, Heard, Watch};
-use tallypin_members::{Figures as BeatFigures, Presence, Says, Standing};
+use tallypin_consensus::document::{Act, Bounds, Document, Entry, No, Stage, View};
+use tallypin_consensus::leave::{halt_holds, Figures, Leaver, Next, Own};
+use tallypin_consensus::nodes::{unclear, Follows, Most, NodeBounds, NodeSeen, NodesFull};
+use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step, Value};
+use tallypin_consensus::release::Plan;
+use tallypin_consensus::watch::{Counts, Heard, Watch};
+use tallypin_membership::{Figures as BeatFigures, Presence, Says, Standing};
 
 fn file(name: &str) -> std::path::PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded").join(name)
--- a/members/src/lib.rs
+++ b/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //! and is monotonic, ns.
 //!
 //! Each router sends a beat to each member of the council, which is of fixed size: a router's cost does not grow with
-//! the fleet, and what counts is decided where agreement is (`tallypin-accord` asks a majority of the council what
+//! the fleet, and what counts is decided where agreement is (`tallypin-consensus` asks a majority of the council what
 //! each has heard). `docs/FLEET-DESIGN.md` has the options weighed.
 //!
 //! A life is one start of a router's process. A later life ends the earlier one at once; a beat of an earlier life
--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use lexopt::prelude::*;
-use tallypin_conf::{nearest, Kind, Value as Read};
 use tallypin_health::exit::Style;
 use tallypin_router::fleet::plan;
+use tallypin_settings_schema::{nearest, Kind, Value as Read};
 
 /// How to ask a router for its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -156,7 +156,7 @@
         .into(),
         Some("settings") => format!(
             "What may stand in the settings file (see docs/SETTINGS.md for its form):\n\n{}",
-            tallypin_conf::describe(&tallypin_router::installation::FILE)
+            tallypin_settings_schema::describe(&tallypin_router::installation::FILE)
         ),
         Some("version") => "tallypin version\n\nPrints the version.\n".into(),
         Some("help") => "tallypin help [COMMAND]\n\nPrints help, `help settings` what may stand in the settings file.\n".into(),
--- a/router/src/duty.rs
+++ b/router/src/duty.rs
@@ -8,11 +8,11 @@
 use rustc_hash::FxHashMap;
 use tallypin::api::{Nanos, ReplicaState};
 use tallypin::names;
-use tallypin_accord::nodes::{NodeSeen, UnixMs};
-use tallypin_accord::watch::Counts;
+use tallypin_consensus::nodes::{NodeSeen, UnixMs};
+use tallypin_consensus::watch::Counts;
 use tallypin_health::plan::{Phase, Wish};
 use tallypin_health::state::{Order, State};
-use tallypin_members::Says;
+use tallypin_membership::Says;
 
 use crate::checks::{signals, Board};
 use crate::config::Config;
--- a/router/src/fleet/conduct.rs
+++ b/router/src/fleet/conduct.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use tallypin_accord::document::{Act, Document};
-use tallypin_accord::nodes::NodeStage;
-use tallypin_accord::watch::{Heard, Watch};
-use tallypin_members::{Nanos, Place};
+use tallypin_consensus::document::{Act, Document};
+use tallypin_consensus::nodes::NodeStage;
+use tallypin_consensus::watch::{Heard, Watch};
+use tallypin_membership::{Nanos, Place};
 use tokio::time::sleep;
 
 use super::{now_ms, Failed, Fleet};
--- a/router/src/fleet/file_faults.rs
+++ b/router/src/fleet/file_faults.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitStatus};
 
-use tallypin_accord::document::Document;
-use tallypin_standin::shim::Library;
+use tallypin_consensus::document::Document;
+use tallypin_test_support::shim::Library;
 
 use super::files::{self, Released};
 use super::stored;
--- a/router/src/fleet/lives.rs
+++ b/router/src/fleet/lives.rs
@@ -5,7 +5,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use tallypin_members::Place;
+use tallypin_membership::Place;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! A router's part in what its fleet agrees on: it beats, answers for the register if it is of the council, follows the
-//! document, and goes out of service by its leave alone. All decisions are `tallypin_members`' and `tallypin_accord`'s;
+//! document, and goes out of service by its leave alone. All decisions are `tallypin_membership`' and `tallypin_consensus`'s;
 //! here are connections, time and tasks. Nothing of it is on a request's way, and it runs only where the settings say so.
 
 mod conduct;
@@ -21,12 +21,12 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use tallypin_accord::document::{Act, Document, No, View};
-use tallypin_accord::leave::{Leaver, Next, Own};
-use tallypin_accord::nodes::{unclear, Follows, NodeSeen, NodeStage, UnixMs};
-use tallypin_accord::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step};
-use tallypin_accord::watch::Counts;
-use tallypin_members::{Nanos, Place, Presence, Says};
+use tallypin_consensus::document::{Act, Document, No, View};
+use tallypin_consensus::leave::{Leaver, Next, Own};
+use tallypin_consensus::nodes::{unclear, Follows, NodeSeen, NodeStage, UnixMs};
+use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step};
+use tallypin_consensus::watch::Counts;
+use tallypin_membership::{Nanos, Place, Presence, Says};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, Notify, Semaphore};
 use tokio::time::{sleep, timeout_at};
@@ -337,7 +337,7 @@
     }
 
     fn tell(&self, from: Place, life: u64, mut tells: Tells) {
-        tells.follows.open.truncate(tallypin_accord::nodes::MOST_NODES);
+        tells.follows.open.truncate(tallypin_consensus::nodes::MOST_NODES);
         if let Some(told) = self.told.borrow_mut().get_mut(usize::from(from)) {
             *told = Some((life, tells));
         }
--- a/router/src/fleet/orders.rs
+++ b/router/src/fleet/orders.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use tallypin_accord::document::{Act, Document, No, Stage};
-use tallypin_accord::leave::halt_holds;
-use tallypin_accord::nodes::{NodeStage, MOST_NODES};
-use tallypin_accord::release::Phase;
-use tallypin_members::Place;
+use tallypin_consensus::document::{Act, Document, No, Stage};
+use tallypin_consensus::leave::halt_holds;
+use tallypin_consensus::nodes::{NodeStage, MOST_NODES};
+use tallypin_consensus::release::Phase;
+use tallypin_membership::Place;
 use tokio::time::sleep;
 
 use super::{now_ms, plan, Failed, Fleet};
@@ -76,9 +76,9 @@
 
 /// `90s`, `30m`, `2h`.
 fn duration(word: &str) -> Result<Duration, String> {
-    let kind = tallypin_conf::Kind::Duration(1000, 7 * 24 * 3_600_000);
+    let kind = tallypin_settings_schema::Kind::Duration(1000, 7 * 24 * 3_600_000);
     match kind.read(word) {
-        Some(tallypin_conf::Value::Duration(d)) => Ok(d),
+        Some(tallypin_settings_schema::Value::Duration(d)) => Ok(d),
         _ => Err(format!("`{word}` is no time from 1s to 168h")),
     }
 }
@@ -207,7 +207,7 @@
             "council": self.reached(), "spoilt": self.spoilt.get(),
         });
         let unclear = self.unclear.borrow();
-        let node = |(id, e): (&String, &tallypin_accord::nodes::NodeEntry)| {
+        let node = |(id, e): (&String, &tallypin_consensus::nodes::NodeEntry)| {
             let mut said = json!({"node": id, "order": e.order, "until_ms": e.until});
             match e.stage {
                 NodeStage::Wanted => said["stage"] = "wanted".into(),
--- a/router/src/fleet/plan.rs
+++ b/router/src/fleet/plan.rs
@@ -4,9 +4,11 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use tallypin_accord::release::{Plan, MOST_WAVES};
-use tallypin_conf::{check, load, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section};
-use tallypin_members::Place;
+use tallypin_consensus::release::{Plan, MOST_WAVES};
+use tallypin_membership::Place;
+use tallypin_settings_schema::{
+    check, load, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
+};
 
 use super::files;
 use super::settings::FleetSettings;
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -5,12 +5,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use tallypin_accord::document::Bounds;
-use tallypin_accord::leave;
-use tallypin_accord::nodes::{Most, NodeBounds};
-use tallypin_accord::register::MOST_MEMBERS;
-use tallypin_conf::{nearest, Checked, Directive, Entry, Kind, Problem, Section};
-use tallypin_members::Place;
+use tallypin_consensus::document::Bounds;
+use tallypin_consensus::leave;
+use tallypin_consensus::nodes::{Most, NodeBounds};
+use tallypin_consensus::register::MOST_MEMBERS;
+use tallypin_membership::Place;
+use tallypin_settings_schema::{nearest, Checked, Directive, Entry, Kind, Problem, Section};
 
 use super::files::Released;
 
@@ -110,7 +110,7 @@
     /// What a release may change.
     pub released: Vec<Released>,
     /// Beats, and when silence is believed.
-    pub members: tallypin_members::Figures,
+    pub members: tallypin_membership::Figures,
     /// The figures of a leave.
     pub leave: leave::Figures,
     /// A member answers within this.
@@ -167,7 +167,7 @@
         let (all, zone) = (most("out-most", routers.len(), false), most("out-zone", smallest, true));
         let nodes = node_bounds(s, problems);
         let path = |e: &Entry, at: usize| match e.values.get(at) {
-            Some(tallypin_conf::Value::Path(path)) => PathBuf::from(path),
+            Some(tallypin_settings_schema::Value::Path(path)) => PathBuf::from(path),
             _ => PathBuf::new(),
         };
         let released =
@@ -201,7 +201,7 @@
             released,
             routers,
             council,
-            members: tallypin_members::Figures { every: nanos(beat), silent: nanos(silent) },
+            members: tallypin_membership::Figures { every: nanos(beat), silent: nanos(silent) },
             leave: leave::Figures { lease: nanos(s.duration("lease")), drift: 20, again: nanos(beat) },
             answer: s.duration("answer"),
             within: s.duration("within"),
@@ -223,7 +223,7 @@
 
 fn router(e: &Entry) -> Router {
     let at = match e.values.get(1) {
-        Some(tallypin_conf::Value::Address(at)) => *at,
+        Some(tallypin_settings_schema::Value::Address(at)) => *at,
         _ => ([127, 0, 0, 1], 0).into(),
     };
     Router { name: e.text(0).into(), at, zone: e.text(2).into() }
--- a/router/src/fleet/stored.rs
+++ b/router/src/fleet/stored.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use tallypin_accord::document::Document;
+use tallypin_consensus::document::Document;
 
 use super::files;
 
--- a/router/src/fleet/wire.rs
+++ b/router/src/fleet/wire.rs
@@ -4,11 +4,11 @@
 use std::io;
 
 use serde::{Deserialize, Serialize};
-use tallypin_accord::document::{Act, Document, No};
-use tallypin_accord::nodes::Follows;
-use tallypin_accord::register::{Answer, Ask};
-use tallypin_accord::watch::Counts;
-use tallypin_members::{Place, Says};
+use tallypin_consensus::document::{Act, Document, No};
+use tallypin_consensus::nodes::Follows;
+use tallypin_consensus::register::{Answer, Ask};
+use tallypin_consensus::watch::Counts;
+use tallypin_membership::{Place, Says};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// This version of the messages. Fields that are not known are passed over; another version is not read.
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -1,5 +1,5 @@
 //! The settings file of an installation, `--settings FILE`: everything that the platform does not have. Its
-//! form is `tallypin_conf`'s; here stand the table of what may be in it and the types that it becomes.
+//! form is `tallypin_settings_schema`'s; here stand the table of what may be in it and the types that it becomes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -9,13 +9,13 @@
 
 use tallypin::api::{ClassId, TenantId};
 use tallypin::settings::Deployment;
-use tallypin_conf::{
-    check, load, nearest, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
-};
 use tallypin_health::http::{Policy, Statuses};
 use tallypin_health::orca::Form;
 use tallypin_health::preface::Senders;
 use tallypin_health::{askers, plan, state};
+use tallypin_settings_schema::{
+    check, load, nearest, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
+};
 
 use crate::dialect::Dialect;
 use crate::fleet::{self, settings::FleetSettings};
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -47,7 +47,9 @@
                 Err(why) => return unusable(&why),
             };
             match installation {
-                Some(installation) if print => print!("{}", tallypin_conf::print(&installation.checked)),
+                Some(installation) if print => {
+                    print!("{}", tallypin_settings_schema::print(&installation.checked))
+                }
                 installation => told(&config, installation.as_ref()),
             }
         }
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use tallypin::settings::Deployment;
-use tallypin_conf::{changes, Checked, Takes};
+use tallypin_settings_schema::{changes, Checked, Takes};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use crate::checks::Board;
--- a/router/tests/fleet.rs
+++ b/router/tests/fleet.rs
@@ -10,9 +10,9 @@
 
 use fleet_rig::{answer, config, row, send, Fleet, ONE, THREE};
 use serde_json::Value;
-use tallypin_standin::park::{Does, List, Node};
-use tallypin_standin::relay::Link;
-use tallypin_standin::shim::Library;
+use tallypin_test_support::park::{Does, List, Node};
+use tallypin_test_support::relay::Link;
+use tallypin_test_support::shim::Library;
 
 /// Two operators at two routers want two of different zones out: one after the other goes, and never both.
 #[test]
--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use fleet_rig::{answer, config, row, send, Fleet};
-use tallypin_standin::park::{List, Node};
-use tallypin_standin::relay::Link;
+use tallypin_test_support::park::{List, Node};
+use tallypin_test_support::relay::Link;
 
 const COUNCIL: usize = 5;
 
--- a/router/tests/fleet_rig/mod.rs
+++ b/router/tests/fleet_rig/mod.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use tallypin_standin::park::{List, Node, Reserved};
-use tallypin_standin::relay::{Link, Relay};
+use tallypin_test_support::park::{List, Node, Reserved};
+use tallypin_test_support::relay::{Link, Relay};
 
 /// What is awaited comes within this, or the test fails: far more than any of it takes.
 const PATIENCE: Duration = Duration::from_secs(30);
--- a/router/tests/growth.rs
+++ b/router/tests/growth.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use tallypin_standin::growth::{self, Fleet, Usage};
+use tallypin_test_support::growth::{self, Fleet, Usage};
 
 /// Another build of the program may be measured, at this path.
 const PROGRAM: &str = "TALLYPIN_PROGRAM";
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -315,8 +315,12 @@
     insta::assert_snapshot!(said.join("\n"));
     let read = |text: &str| Installation::read_by("t.conf".as_ref(), &of, &|_| Ok(text.to_string())).unwrap();
     let first = read(&file);
-    let again = read(&tallypin_conf::print(&first.checked));
-    assert_eq!(tallypin_conf::changes(&first.checked, &again.checked), [], "what is printed reads back");
+    let again = read(&tallypin_settings_schema::print(&first.checked));
+    assert_eq!(
+        tallypin_settings_schema::changes(&first.checked, &again.checked),
+        [],
+        "what is printed reads back"
+    );
     let all = |i: &Installation| (i.messages.clone(), i.checks.clone(), i.health.clone());
     assert_eq!(all(&first), all(&again));
     // The table's defaults are the decisions' own.
--- a/router/tests/soak.rs
+++ b/router/tests/soak.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use tallypin_standin::shim::Library;
-use tallypin_standin::trial::{self, Plan, Report, Shim};
+use tallypin_test_support::shim::Library;
+use tallypin_test_support::trial::{self, Plan, Report, Shim};
 
 /// Another build of the program may be played, at this path.
 const PROGRAM: &str = "TALLYPIN_PROGRAM";
--- a/conf/tests/cases.rs
+++ b/settings-schema/tests/cases.rs
@@ -6,8 +6,8 @@
 use std::path::Path;
 
 use proptest::prelude::*;
-use tallypin_conf::lines::{words, Torn};
-use tallypin_conf::*;
+use tallypin_settings_schema::lines::{words, Torn};
+use tallypin_settings_schema::*;
 
 const INNER: Section = Section {
     name: "agent",
--- a/lab/src/file.rs
+++ b/simulator/src/file.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::Path;
 use tallypin::api::{Class, Effect, Tenant};
-use tallypin_conf::{
+use tallypin_settings_schema::{
     check, load, nearest, Bounds, Checked, Directive, Kind, Problem, Problems, Section, Value,
 };
 
@@ -223,7 +223,7 @@
     };
     let (deploy, slow) = (spell("deploy"), spell("slow"));
     let kinds = kinds(file.within("kinds")?, problems);
-    let mut class = |e: &tallypin_conf::Entry| {
+    let mut class = |e: &tallypin_settings_schema::Entry| {
         let (aim, deadline) = (ns(e.values.get(1)), ns(e.values.get(2)));
         if deadline < aim {
             problems.push(Problem::new(e.place(3), "a client gives up before the aim"));
@@ -246,7 +246,7 @@
     if classes_of.is_empty() {
         problems.push(Problem::new(classes.place, "section `classes` lacks `class`"));
     }
-    let quota = |e: &tallypin_conf::Entry| Tenant { quota_per_s: number(e.values.get(1)) as f64 };
+    let quota = |e: &tallypin_settings_schema::Entry| Tenant { quota_per_s: number(e.values.get(1)) as f64 };
     Some(Plan {
         seed,
         routers: fleet.number("routers") as u32,
--- a/lab/src/main.rs
+++ b/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `tallypin-lab run`: a day of a fleet in virtual time, by policy; `compare`: many days, with intervals.
+//! `tallypin-simulator run`: a day of a fleet in virtual time, by policy; `compare`: many days, with intervals.
 
 use lexopt::prelude::*;
 use std::cell::Cell;
@@ -6,13 +6,13 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use tallypin_lab::policy::{self, Policy, Timed};
-use tallypin_lab::world::{Plan, World};
-use tallypin_lab::{compare, file, plans};
+use tallypin_simulator::policy::{self, Policy, Timed};
+use tallypin_simulator::world::{Plan, World};
+use tallypin_simulator::{compare, file, plans};
 
-const USAGE: &str = "tallypin-lab run [--fleet FILE | --nodes N --routers N --load SHARE --seconds N --rough]
+const USAGE: &str = "tallypin-simulator run [--fleet FILE | --nodes N --routers N --load SHARE --seconds N --rough]
                  [--seed N] [--policy NAME] ...
-tallypin-lab compare ... --seeds FIRST..LAST [--threads N]
+tallypin-simulator compare ... --seeds FIRST..LAST [--threads N]
 Plays a day of a fleet in virtual time for each policy named, or for all, on the same draws; `compare` plays one for each
 seed, and sets each policy beside the first.
 --load is the share of what the fleet can about bear; --rough adds a rolling deploy and slow nodes.
@@ -155,7 +155,7 @@
             return ExitCode::SUCCESS;
         }
         Err(why) => {
-            eprintln!("tallypin-lab: {why}\n{USAGE}");
+            eprintln!("tallypin-simulator: {why}\n{USAGE}");
             return ExitCode::from(2);
         }
     };
--- a/lab/tests/days.rs
+++ b/simulator/tests/days.rs
@@ -1,10 +1,10 @@
 //! Whole days of small fleets.
 #![allow(missing_docs)]
 
-use tallypin_lab::world::{Figures, World};
-use tallypin_lab::{plans, policy};
+use tallypin_simulator::world::{Figures, World};
+use tallypin_simulator::{plans, policy};
 
-fn play(plan: &tallypin_lab::world::Plan, name: &str) -> Figures {
+fn play(plan: &tallypin_simulator::world::Plan, name: &str) -> Figures {
     World::new(plan, policy::by_name(name).expect("a policy")).play()
 }
 
--- a/lab/tests/theory.rs
+++ b/simulator/tests/theory.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 use rand_distr::{Distribution, Exp};
-use tallypin_lab::draw;
-use tallypin_lab::engine::{Engine, Job, Kind, Told};
+use tallypin_simulator::draw;
+use tallypin_simulator::engine::{Engine, Job, Kind, Told};
 
 const MS: f64 = 1e6;
 
--- a/standin/tests/shim.rs
+++ b/test-support/tests/shim.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use tallypin_standin::shim::Library;
+use tallypin_test_support::shim::Library;
 
 /// Connections that the part opens, one after the other: fewer than wait at a listener.
 const CONNECTIONS: usize = 100;
