--- a/consensus/src/document.rs
+++ b/consensus/src/fleet_state.rs
@@ -13,11 +13,13 @@
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
-use tallypin_membership::Place;
+use tallypin_membership::RouterIndex;
 
-use crate::nodes::{self, NodeBounds, NodeEntry, NodeSeen, NodeStage, NodesFull, UnixMs};
-use crate::register::Member;
-use crate::release::{Phase, Plan, Release, MOST_TRIES, MOST_WAVES};
+use crate::register::MemberIndex;
+use crate::release::{Release, ReleasePhase, ReleasePlan, MOST_TRIES, MOST_WAVES};
+use crate::replica_drains::{
+    self, ReplicaEntry, ReplicaLimitExceeded, ReplicaLimits, ReplicaStage, ReplicaView, UnixMs,
+};
 
 /// Orders that are remembered, so that one that is sent again does not run again.
 pub const MOST_ORDERS: usize = 64;
@@ -34,22 +36,26 @@
 /// How far a router has come on its way out and back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stage {
+pub enum DrainStage {
     /// It is to go out when there is room.
-    Wanted,
+    #[serde(rename = "wanted")]
+    Requested,
     /// It has leave to go, in this life, and has not said that it does.
-    Leave(u64),
+    #[serde(rename = "leave")]
+    Leased(u64),
     /// It is out, or on its way, by this life's word.
-    Out(u64),
+    #[serde(rename = "out")]
+    OutOfService(u64),
     /// It is to come back, and counts as out until it has said that it serves.
-    Back(u64),
+    #[serde(rename = "back")]
+    Returning(u64),
 }
 
 /// A router's entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct DrainEntry {
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: DrainStage,
     /// The order that it goes by.
     pub order: String,
     /// The digest of what it is to run when it comes back, in a release.
@@ -60,26 +66,26 @@
     pub tries: u8,
 }
 
-impl Entry {
-    fn wanted(order: &str, to: Option<&String>) -> Entry {
-        Entry { stage: Stage::Wanted, order: order.into(), to: to.cloned(), tries: 0 }
+impl DrainEntry {
+    fn wanted(order: &str, to: Option<&String>) -> DrainEntry {
+        DrainEntry { stage: DrainStage::Requested, order: order.into(), to: to.cloned(), tries: 0 }
     }
 }
 
 /// What is agreed on.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Document {
+pub struct FleetState {
     /// One more with each change.
     pub version: u64,
     /// Why nothing may begin to go out; `None`: it may.
     pub halted: Option<String>,
     /// Routers that are out by order, or are to go. At most one entry each.
-    pub entries: BTreeMap<Place, Entry>,
+    pub entries: BTreeMap<RouterIndex, DrainEntry>,
     /// The latest orders.
     pub orders: VecDeque<String>,
     /// Model nodes that are out by order, are to go, or were put back of late, by id.
     #[serde(default)]
-    pub nodes: nodes::Entries,
+    pub nodes: replica_drains::ReplicaEntries,
     /// The release that is on, or the last one.
     #[serde(default)]
     pub release: Option<Box<Release>>,
@@ -87,7 +93,7 @@
 
 /// How many may be out at once.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Bounds {
+pub struct DrainLimits {
     /// The name of each router, by place; for causes.
     pub names: Vec<String>,
     /// The zone of each router, by place.
@@ -97,29 +103,29 @@
     /// In each zone.
     pub zone: usize,
     /// The members of the council. A planned out never takes away the majority of those that remember.
-    pub council: Vec<Place>,
+    pub council: Vec<RouterIndex>,
     /// Of model nodes; `None`: none by order.
-    pub nodes: Option<NodeBounds>,
+    pub nodes: Option<ReplicaLimits>,
 }
 
-impl Bounds {
+impl DrainLimits {
     /// What a router is called.
-    pub fn name(&self, place: Place) -> String {
+    pub fn name(&self, place: RouterIndex) -> String {
         self.names.get(usize::from(place)).cloned().unwrap_or_else(|| format!("router {place}"))
     }
 }
 
 /// What a majority of the council has heard.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct View {
+pub struct CouncilView {
     /// Members that answered and know who is silent.
     pub knowing: usize,
     /// As many are wanted: a majority.
     pub wanted: usize,
     /// Routers that any of them takes to be out.
-    pub out: BTreeSet<Place>,
+    pub out: BTreeSet<RouterIndex>,
     /// The model nodes, by a list that was heard of late; `None`: the one that asks has none.
-    pub nodes: Option<BTreeMap<String, NodeSeen>>,
+    pub nodes: Option<BTreeMap<String, ReplicaView>>,
     /// The time.
     pub now_ms: UnixMs,
 }
@@ -127,24 +133,27 @@
 /// A change that is wanted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Act {
+pub enum Command {
     /// None: to see what is agreed on.
-    Look,
+    #[serde(rename = "look")]
+    Read,
     /// None to the document: a member of the council that has restarted takes part again in this life.
-    Join(Member, u64),
+    #[serde(rename = "join")]
+    JoinCouncil(MemberIndex, u64),
     /// An operator wants these to go out.
     Drain {
         /// The order's id.
         order: String,
         /// Which.
-        routers: Vec<Place>,
+        routers: Vec<RouterIndex>,
     },
     /// An operator wants these back.
-    PutBack {
+    #[serde(rename = "putback")]
+    Restore {
         /// The order's id.
         order: String,
         /// Which.
-        routers: Vec<Place>,
+        routers: Vec<RouterIndex>,
     },
     /// An operator wants nothing to begin.
     Halt {
@@ -159,7 +168,8 @@
         order: String,
     },
     /// An operator wants these model nodes out, until then at the latest.
-    TakeOut {
+    #[serde(rename = "takeout")]
+    DrainReplicas {
         /// The order's id.
         order: String,
         /// Which.
@@ -168,16 +178,19 @@
         until: Option<UnixMs>,
     },
     /// An operator wants these model nodes back.
-    PutBackNodes {
+    #[serde(rename = "putbacknodes")]
+    RestoreReplicas {
         /// The order's id.
         order: String,
         /// Which.
         nodes: Vec<String>,
     },
     /// A model node goes out if there is room, or comes back as its time has come.
-    Node(String),
+    #[serde(rename = "node")]
+    AdvanceReplica(String),
     /// An operator releases a file, by its digest.
-    Release {
+    #[serde(rename = "release")]
+    BeginRelease {
         /// The order's id.
         order: String,
         /// Which of a router's files.
@@ -185,52 +198,63 @@
         /// Its digest.
         digest: String,
         /// Routers by wave.
-        waves: Vec<Vec<Place>>,
+        waves: Vec<Vec<RouterIndex>>,
         /// What must hold.
-        plan: Plan,
+        plan: ReleasePlan,
     },
     /// An operator wants the release undone.
-    Undo {
+    #[serde(rename = "undo")]
+    RollBack {
         /// The order's id.
         order: String,
         /// Why.
         cause: String,
     },
     /// All of a wave are back and what was watched holds: the next one.
-    Wave(usize),
+    #[serde(rename = "wave")]
+    CompleteWave(usize),
     /// What was watched does not hold, at this wave.
-    Fail(usize, String),
+    #[serde(rename = "fail")]
+    FailWave(usize, String),
     /// A router of a wave runs what is agreed on, without going out.
-    Has(Place),
+    #[serde(rename = "has")]
+    ReportUpToDate(RouterIndex),
     /// A router can't run what is released, and says why.
-    Unfit(Place, String),
+    #[serde(rename = "unfit")]
+    ReportUnfit(RouterIndex, String),
     /// A router has come back, in a new life, and runs something else.
-    Again(Place, u64),
+    #[serde(rename = "again")]
+    RetryRelease(RouterIndex, u64),
     /// A router asks for leave to go out in a release; it runs this.
-    LeaveFrom(Place, u64, String),
+    #[serde(rename = "leavefrom")]
+    AcquireReleaseLease(RouterIndex, u64, String),
     /// A router asks for leave to go out.
-    Leave(Place, u64),
+    #[serde(rename = "leave")]
+    AcquireLease(RouterIndex, u64),
     /// A router says that it has begun to go, by its leave.
-    Going(Place, u64),
+    #[serde(rename = "going")]
+    UseLease(RouterIndex, u64),
     /// A router has not used its leave, and will not.
-    GiveUp(Place, u64),
+    #[serde(rename = "giveup")]
+    ReturnLease(RouterIndex, u64),
     /// A router that was out serves again.
-    Serves(Place, u64),
+    #[serde(rename = "serves")]
+    ReportServing(RouterIndex, u64),
 }
 
-impl Act {
+impl Command {
     /// Whether an operator wants it.
     pub fn is_order(&self) -> bool {
         matches!(
             self,
-            Act::Drain { .. }
-                | Act::PutBack { .. }
-                | Act::Halt { .. }
-                | Act::Resume { .. }
-                | Act::TakeOut { .. }
-                | Act::PutBackNodes { .. }
-                | Act::Release { .. }
-                | Act::Undo { .. }
+            Command::Drain { .. }
+                | Command::Restore { .. }
+                | Command::Halt { .. }
+                | Command::Resume { .. }
+                | Command::DrainReplicas { .. }
+                | Command::RestoreReplicas { .. }
+                | Command::BeginRelease { .. }
+                | Command::RollBack { .. }
         )
     }
 }
@@ -238,55 +262,75 @@
 /// Why a change is not made.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum No {
+pub enum Rejection {
     /// It is halted, for this cause.
     Halted(String),
     /// As many are out as may be, in all.
-    Full(usize),
+    #[serde(rename = "full")]
+    FleetLimitReached(usize),
     /// As many are out as may be in the router's zone.
-    ZoneFull(usize),
+    #[serde(rename = "zone-full")]
+    ZoneLimitReached(usize),
     /// As many of the council are out as may be.
-    CouncilFull(usize),
+    #[serde(rename = "council-full")]
+    CouncilLimitReached(usize),
     /// Too few members of the council know who is out.
-    Unseen,
+    #[serde(rename = "unseen")]
+    ViewIncomplete,
     /// No such router in the fleet.
-    Unknown(Place),
+    #[serde(rename = "unknown")]
+    UnknownRouter(RouterIndex),
     /// There is nothing to change: no entry, or of another life or stage.
-    Nothing,
+    #[serde(rename = "nothing")]
+    NothingToChange,
     /// An id or a cause that is empty or too long.
-    Words,
+    #[serde(rename = "words")]
+    InvalidText,
     /// As many model nodes are out as may be.
-    NodesFull(NodesFull),
+    #[serde(rename = "nodes-full")]
+    ReplicaLimitReached(ReplicaLimitExceeded),
     /// The settings let no model node out by order.
-    NoNodes,
+    #[serde(rename = "no-nodes")]
+    ReplicaOrdersDisabled,
     /// No list of model nodes was heard of late.
-    NoList,
+    #[serde(rename = "no-list")]
+    EndpointListStale,
     /// The list has no such model node, or it is not out by order.
-    UnknownNode(String),
+    #[serde(rename = "unknown-node")]
+    UnknownReplica(String),
     /// More model nodes than one document holds.
-    TooMany,
+    #[serde(rename = "too-many")]
+    TooManyReplicas,
     /// Another release is on.
-    Busy(String),
+    #[serde(rename = "busy")]
+    ReleaseInProgress(String),
     /// A router is out, or to go, by another order.
-    Taken(String, String),
+    #[serde(rename = "taken")]
+    HeldByOtherOrder(String, String),
     /// A plan that names a router twice, or no wave, an empty one or too many.
-    Waves,
+    #[serde(rename = "waves")]
+    InvalidWaves,
     /// A majority of the council has not seen it serve.
-    NotSeen,
+    #[serde(rename = "not-seen")]
+    NotSeenServing,
 }
 
-impl fmt::Display for No {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            No::Halted(cause) => write!(f, "halted: {cause}"),
-            No::Full(most) => write!(f, "{most} may be out at once, and as many are"),
-            No::ZoneFull(most) => write!(f, "{most} of a zone may be out at once, and as many are"),
-            No::CouncilFull(most) => write!(f, "{most} of the council may be out at once, and as many are"),
-            No::Unseen => f.write_str("too few of the council know yet who is out"),
-            No::Unknown(place) => write!(f, "no router {place} in this fleet"),
-            No::Nothing => f.write_str("there is nothing to change"),
-            No::Words => write!(f, "an id or a cause has 1 to {LONGEST_WORD} bytes"),
-            No::NodesFull(full) => write!(
+            Rejection::Halted(cause) => write!(f, "halted: {cause}"),
+            Rejection::FleetLimitReached(most) => write!(f, "{most} may be out at once, and as many are"),
+            Rejection::ZoneLimitReached(most) => {
+                write!(f, "{most} of a zone may be out at once, and as many are")
+            }
+            Rejection::CouncilLimitReached(most) => {
+                write!(f, "{most} of the council may be out at once, and as many are")
+            }
+            Rejection::ViewIncomplete => f.write_str("too few of the council know yet who is out"),
+            Rejection::UnknownRouter(place) => write!(f, "no router {place} in this fleet"),
+            Rejection::NothingToChange => f.write_str("there is nothing to change"),
+            Rejection::InvalidText => write!(f, "an id or a cause has 1 to {LONGEST_WORD} bytes"),
+            Rejection::ReplicaLimitReached(full) => write!(
                 f,
                 "{} of {} model nodes of {} may be out at once; {}",
                 full.most,
@@ -297,24 +341,28 @@
                     false => format!("out are {}", full.out.join(", ")),
                 }
             ),
-            No::NoNodes => {
+            Rejection::ReplicaOrdersDisabled => {
                 f.write_str("the settings let no model node out by order: `nodes-out-most` is not set")
             }
-            No::NoList => f.write_str("this router has not heard the node list of late"),
-            No::UnknownNode(id) => write!(f, "no model node `{id}` is listed, or out by order"),
-            No::TooMany => write!(f, "more than {} model nodes", nodes::MOST_NODES),
-            No::Busy(order) => write!(f, "release {order} is on"),
-            No::Taken(place, order) => write!(f, "{place} is out, or to go, by order {order}"),
-            No::Waves => write!(f, "a release has 1 to {MOST_WAVES} waves, none empty, each router once"),
-            No::NotSeen => f.write_str("a majority of the council has not seen it serve yet"),
+            Rejection::EndpointListStale => f.write_str("this router has not heard the node list of late"),
+            Rejection::UnknownReplica(id) => write!(f, "no model node `{id}` is listed, or out by order"),
+            Rejection::TooManyReplicas => write!(f, "more than {} model nodes", replica_drains::MOST_NODES),
+            Rejection::ReleaseInProgress(order) => write!(f, "release {order} is on"),
+            Rejection::HeldByOtherOrder(place, order) => {
+                write!(f, "{place} is out, or to go, by order {order}")
+            }
+            Rejection::InvalidWaves => {
+                write!(f, "a release has 1 to {MOST_WAVES} waves, none empty, each router once")
+            }
+            Rejection::NotSeenServing => f.write_str("a majority of the council has not seen it serve yet"),
         }
     }
 }
 
-impl Document {
+impl FleetState {
     /// The first, on what is still known of the one before, if anything: what was agreed on since may be lost, so nothing
     /// may begin until an operator says so.
-    pub fn first(known: Option<&Document>) -> Document {
+    pub fn first(known: Option<&FleetState>) -> FleetState {
         let anew = "the council's memory begins anew";
         let cause = match known {
             None => anew,
@@ -325,40 +373,46 @@
         let known = known.cloned().unwrap_or_default();
         // Above what may be lost: routers go by the newest version that they have heard of.
         let version = known.version.saturating_add(LOST);
-        Document { version, halted: Some(cause.into()), ..known }
+        FleetState { version, halted: Some(cause.into()), ..known }
     }
 
     /// Who counts as out: by order, or by what the council has heard.
-    pub fn out(&self, view: &View) -> BTreeSet<Place> {
-        let ordered = self.entries.iter().filter(|(_, e)| e.stage != Stage::Wanted).map(|(&place, _)| place);
+    pub fn out(&self, view: &CouncilView) -> BTreeSet<RouterIndex> {
+        let ordered =
+            self.entries.iter().filter(|(_, e)| e.stage != DrainStage::Requested).map(|(&place, _)| place);
         ordered.chain(view.out.iter().copied()).collect()
     }
 
     /// The document after a change, or why there is none. One that is there already gives the same document.
-    pub fn changed(&self, act: &Act, bounds: &Bounds, view: &View) -> Result<Document, No> {
+    pub fn changed(
+        &self,
+        act: &Command,
+        bounds: &DrainLimits,
+        view: &CouncilView,
+    ) -> Result<FleetState, Rejection> {
         let mut new = self.clone();
-        let known = |place: Place| match usize::from(place) < bounds.zones.len() {
+        let known = |place: RouterIndex| match usize::from(place) < bounds.zones.len() {
             true => Ok(()),
-            false => Err(No::Unknown(place)),
+            false => Err(Rejection::UnknownRouter(place)),
         };
         match act {
-            Act::Look | Act::Join(..) => return Ok(new),
-            Act::Drain { order, .. }
-            | Act::PutBack { order, .. }
-            | Act::Halt { order, .. }
-            | Act::TakeOut { order, .. }
-            | Act::PutBackNodes { order, .. }
-            | Act::Release { order, .. }
-            | Act::Undo { order, .. }
-            | Act::Resume { order } => {
+            Command::Read | Command::JoinCouncil(..) => return Ok(new),
+            Command::Drain { order, .. }
+            | Command::Restore { order, .. }
+            | Command::Halt { order, .. }
+            | Command::DrainReplicas { order, .. }
+            | Command::RestoreReplicas { order, .. }
+            | Command::BeginRelease { order, .. }
+            | Command::RollBack { order, .. }
+            | Command::Resume { order } => {
                 let fits = |word: &str| !word.is_empty() && word.len() <= LONGEST_WORD;
                 let more = match act {
-                    Act::Halt { cause, .. } | Act::Undo { cause, .. } => fits(cause),
-                    Act::Release { what, digest, .. } => fits(what) && fits(digest),
+                    Command::Halt { cause, .. } | Command::RollBack { cause, .. } => fits(cause),
+                    Command::BeginRelease { what, digest, .. } => fits(what) && fits(digest),
                     _ => true,
                 };
                 if !fits(order) || !more {
-                    return Err(No::Words);
+                    return Err(Rejection::InvalidText);
                 }
                 // Sent again, by whomever: it has run.
                 if self.orders.contains(order) {
@@ -372,114 +426,137 @@
             _ => {}
         }
         match act {
-            Act::Look | Act::Join(..) => {}
-            Act::Drain { order, routers } => {
+            Command::Read | Command::JoinCouncil(..) => {}
+            Command::Drain { order, routers } => {
                 for &place in routers {
                     known(place)?;
                     let entry = new.entries.entry(place);
-                    let wanted = Entry::wanted(order, None);
+                    let wanted = DrainEntry::wanted(order, None);
                     // One that is out stays so; one that was to come back goes out again by a leave of its own.
                     entry.or_insert(wanted);
                 }
             }
-            Act::PutBack { routers, .. } => {
+            Command::Restore { routers, .. } => {
                 for &place in routers {
                     known(place)?;
                     match new.entries.get(&place).map(|e| e.stage) {
-                        Some(Stage::Wanted) => drop(new.entries.remove(&place)),
-                        Some(Stage::Leave(life) | Stage::Out(life)) => {
-                            new.entries.get_mut(&place).into_iter().for_each(|e| e.stage = Stage::Back(life));
+                        Some(DrainStage::Requested) => drop(new.entries.remove(&place)),
+                        Some(DrainStage::Leased(life) | DrainStage::OutOfService(life)) => {
+                            new.entries
+                                .get_mut(&place)
+                                .into_iter()
+                                .for_each(|e| e.stage = DrainStage::Returning(life));
                         }
-                        Some(Stage::Back(_)) | None => {}
+                        Some(DrainStage::Returning(_)) | None => {}
                     }
                 }
             }
-            Act::Halt { cause, .. } => new.halted = Some(cause.clone()),
-            Act::Resume { .. } => new.halted = None,
-            Act::Leave(place, life) => new.leave(*place, *life, bounds, view)?,
-            Act::LeaveFrom(place, life, runs) => {
+            Command::Halt { cause, .. } => new.halted = Some(cause.clone()),
+            Command::Resume { .. } => new.halted = None,
+            Command::AcquireLease(place, life) => new.leave(*place, *life, bounds, view)?,
+            Command::AcquireReleaseLease(place, life, runs) => {
                 new.leave(*place, *life, bounds, view)?;
                 if let Some(r) = &mut new.release {
                     r.before.entry(*place).or_insert_with(|| runs.clone());
                 }
             }
-            Act::TakeOut { order, nodes, until } => {
-                let seen = view.nodes.as_ref().ok_or(No::NoList)?;
-                bounds.nodes.ok_or(No::NoNodes)?;
+            Command::DrainReplicas { order, nodes, until } => {
+                let seen = view.nodes.as_ref().ok_or(Rejection::EndpointListStale)?;
+                bounds.nodes.ok_or(Rejection::ReplicaOrdersDisabled)?;
                 for id in nodes {
-                    if id.len() > nodes::LONGEST_NODE || !seen.contains_key(id) {
-                        return Err(No::UnknownNode(id.chars().take(nodes::LONGEST_NODE).collect()));
+                    if id.len() > replica_drains::LONGEST_NODE || !seen.contains_key(id) {
+                        return Err(Rejection::UnknownReplica(
+                            id.chars().take(replica_drains::LONGEST_NODE).collect(),
+                        ));
                     }
                     let (order, until) = (order.clone(), *until);
                     match new.nodes.get_mut(id) {
                         // One that is out stays so, for the time that was stated last.
-                        Some(e) if !matches!(e.stage, NodeStage::Back(_)) => e.until = until,
+                        Some(e) if !matches!(e.stage, ReplicaStage::Restored(_)) => e.until = until,
                         _ => {
-                            let entry = NodeEntry { stage: NodeStage::Wanted, order, until };
+                            let entry = ReplicaEntry { stage: ReplicaStage::Requested, order, until };
                             new.nodes.insert(id.clone(), entry);
                         }
                     }
                 }
                 new.forget(view.now_ms);
-                if new.nodes.len() > nodes::MOST_NODES {
-                    return Err(No::TooMany);
+                if new.nodes.len() > replica_drains::MOST_NODES {
+                    return Err(Rejection::TooManyReplicas);
                 }
             }
-            Act::PutBackNodes { nodes, .. } => {
+            Command::RestoreReplicas { nodes, .. } => {
                 for id in nodes {
-                    new.put_back(id, view.now_ms).map_err(|_| No::UnknownNode(id.clone()))?;
+                    new.put_back(id, view.now_ms).map_err(|_| Rejection::UnknownReplica(id.clone()))?;
                 }
             }
-            Act::Node(id) => {
-                let entry = self.nodes.get(id).ok_or(No::Nothing)?;
+            Command::AdvanceReplica(id) => {
+                let entry = self.nodes.get(id).ok_or(Rejection::NothingToChange)?;
                 let over = entry.until.is_some_and(|until| view.now_ms >= until);
                 match entry.stage {
-                    NodeStage::Wanted | NodeStage::Out(_) if over => new.put_back(id, view.now_ms)?,
-                    NodeStage::Wanted => {
+                    ReplicaStage::Requested | ReplicaStage::OutOfService(_) if over => {
+                        new.put_back(id, view.now_ms)?
+                    }
+                    ReplicaStage::Requested => {
                         self.may_begin(view)?;
-                        let seen = view.nodes.as_ref().ok_or(No::NoList)?;
-                        let bounds = bounds.nodes.as_ref().ok_or(No::NoNodes)?;
-                        nodes::room(id, &self.nodes, bounds, seen).map_err(No::NodesFull)?;
-                        let out = NodeStage::Out(self.version.saturating_add(1));
+                        let seen = view.nodes.as_ref().ok_or(Rejection::EndpointListStale)?;
+                        let bounds = bounds.nodes.as_ref().ok_or(Rejection::ReplicaOrdersDisabled)?;
+                        replica_drains::check_limits(id, &self.nodes, bounds, seen)
+                            .map_err(Rejection::ReplicaLimitReached)?;
+                        let out = ReplicaStage::OutOfService(self.version.saturating_add(1));
                         new.nodes.entry(id.clone()).and_modify(|e| e.stage = out);
                     }
-                    _ => return Err(No::Nothing),
+                    _ => return Err(Rejection::NothingToChange),
                 }
             }
-            Act::Release { order, what, digest, waves, plan } => {
+            Command::BeginRelease { order, what, digest, waves, plan } => {
                 new.release_begins(order, what, digest, waves, plan, bounds)?;
             }
-            Act::Undo { cause, .. } => new.undo(cause)?,
-            Act::Wave(at) => new.next_wave(*at)?,
-            Act::Fail(at, why) => {
+            Command::RollBack { cause, .. } => new.undo(cause)?,
+            Command::CompleteWave(at) => new.next_wave(*at)?,
+            Command::FailWave(at, why) => {
                 let running =
-                    self.release.as_ref().is_some_and(|r| r.wave == *at && r.phase == Phase::Running);
-                running.then_some(()).ok_or(No::Nothing)?;
+                    self.release.as_ref().is_some_and(|r| r.wave == *at && r.phase == ReleasePhase::Running);
+                running.then_some(()).ok_or(Rejection::NothingToChange)?;
                 new.fail(why)?;
             }
-            Act::Has(place) => {
-                let entry = new.entries.get(place).filter(|e| e.stage == Stage::Wanted && e.to.is_some());
-                entry.ok_or(No::Nothing)?;
+            Command::ReportUpToDate(place) => {
+                let entry =
+                    new.entries.get(place).filter(|e| e.stage == DrainStage::Requested && e.to.is_some());
+                entry.ok_or(Rejection::NothingToChange)?;
                 new.entries.remove(place);
             }
-            Act::Unfit(place, why) => {
-                let entry = new.entries.get(place).filter(|e| e.to.is_some()).ok_or(No::Nothing)?.clone();
+            Command::ReportUnfit(place, why) => {
+                let entry = new
+                    .entries
+                    .get(place)
+                    .filter(|e| e.to.is_some())
+                    .ok_or(Rejection::NothingToChange)?
+                    .clone();
                 new.fail(&format!("{}: {why}", bounds.name(*place)))?;
                 match entry.stage {
                     // In a release that is being undone it can do no more; it serves as it is.
-                    Stage::Wanted => drop(new.entries.remove(place)),
-                    Stage::Leave(life) | Stage::Out(life) => {
+                    DrainStage::Requested => drop(new.entries.remove(place)),
+                    DrainStage::Leased(life) | DrainStage::OutOfService(life) => {
                         let tries = entry.tries.saturating_add(1);
-                        new.entries.insert(*place, Entry { stage: Stage::Back(life), tries, ..entry });
+                        new.entries.insert(
+                            *place,
+                            DrainEntry { stage: DrainStage::Returning(life), tries, ..entry },
+                        );
                     }
-                    Stage::Back(_) => return Err(No::Nothing),
+                    DrainStage::Returning(_) => return Err(Rejection::NothingToChange),
                 }
             }
-            Act::Again(place, life) => {
-                let entry = new.entries.get_mut(place).filter(|e| e.to.is_some()).ok_or(No::Nothing)?;
+            Command::RetryRelease(place, life) => {
+                let entry = new
+                    .entries
+                    .get_mut(place)
+                    .filter(|e| e.to.is_some())
+                    .ok_or(Rejection::NothingToChange)?;
                 match entry.stage {
-                    Stage::Leave(of) | Stage::Out(of) if of != *life => entry.stage = Stage::Wanted,
-                    _ => return Err(No::Nothing),
+                    DrainStage::Leased(of) | DrainStage::OutOfService(of) if of != *life => {
+                        entry.stage = DrainStage::Requested
+                    }
+                    _ => return Err(Rejection::NothingToChange),
                 }
                 entry.tries = entry.tries.saturating_add(1);
                 if entry.tries >= MOST_TRIES {
@@ -488,30 +565,39 @@
                     new.entries.remove(place);
                 }
             }
-            Act::Going(place, life) => new.step(*place, Stage::Leave(*life), Some(Stage::Out(*life)))?,
-            Act::GiveUp(place, life) => new.step(*place, Stage::Leave(*life), Some(Stage::Wanted))?,
-            Act::Serves(place, life) => {
+            Command::UseLease(place, life) => {
+                new.step(*place, DrainStage::Leased(*life), Some(DrainStage::OutOfService(*life)))?
+            }
+            Command::ReturnLease(place, life) => {
+                new.step(*place, DrainStage::Leased(*life), Some(DrainStage::Requested))?
+            }
+            Command::ReportServing(place, life) => {
                 // Its own word ends its entry: told to come back, or started anew since it went.
                 let ends = |stage| match stage {
-                    Stage::Back(_) => true,
-                    Stage::Leave(of) | Stage::Out(of) => of != *life,
-                    Stage::Wanted => false,
+                    DrainStage::Returning(_) => true,
+                    DrainStage::Leased(of) | DrainStage::OutOfService(of) => of != *life,
+                    DrainStage::Requested => false,
                 };
-                let entry = new.entries.get(place).filter(|e| ends(e.stage)).ok_or(No::Nothing)?.clone();
+                let entry = new
+                    .entries
+                    .get(place)
+                    .filter(|e| ends(e.stage))
+                    .ok_or(Rejection::NothingToChange)?
+                    .clone();
                 // One that comes back from a release is seen ready by others before the next one goes.
                 if entry.to.is_some() && view.knowing < view.wanted {
-                    return Err(No::Unseen);
+                    return Err(Rejection::ViewIncomplete);
                 }
                 if entry.to.is_some() && view.out.contains(place) {
-                    return Err(No::NotSeen);
+                    return Err(Rejection::NotSeenServing);
                 }
                 new.step(*place, entry.stage, None)?;
                 // It may have come back with what is being undone.
-                if let Some((r, Stage::Back(_))) = new.release.as_ref().zip(Some(entry.stage)) {
-                    let undone = matches!(r.phase, Phase::Back(_)) && r.order == entry.order;
+                if let Some((r, DrainStage::Returning(_))) = new.release.as_ref().zip(Some(entry.stage)) {
+                    let undone = matches!(r.phase, ReleasePhase::RollingBack(_)) && r.order == entry.order;
                     if let (true, Some(before)) = (undone && entry.tries < MOST_TRIES, r.before.get(place)) {
-                        let wanted = Entry::wanted(&entry.order, Some(before));
-                        new.entries.insert(*place, Entry { tries: entry.tries, ..wanted });
+                        let wanted = DrainEntry::wanted(&entry.order, Some(before));
+                        new.entries.insert(*place, DrainEntry { tries: entry.tries, ..wanted });
                     }
                 }
             }
@@ -521,8 +607,14 @@
         Ok(new)
     }
 
-    fn step(&mut self, place: Place, from: Stage, to: Option<Stage>) -> Result<(), No> {
-        let entry = self.entries.get_mut(&place).filter(|e| e.stage == from).ok_or(No::Nothing)?;
+    fn step(
+        &mut self,
+        place: RouterIndex,
+        from: DrainStage,
+        to: Option<DrainStage>,
+    ) -> Result<(), Rejection> {
+        let entry =
+            self.entries.get_mut(&place).filter(|e| e.stage == from).ok_or(Rejection::NothingToChange)?;
         match to {
             Some(to) => entry.stage = to,
             None => drop(self.entries.remove(&place)),
@@ -530,38 +622,46 @@
         Ok(())
     }
 
-    fn leave(&mut self, place: Place, life: u64, bounds: &Bounds, view: &View) -> Result<(), No> {
+    fn leave(
+        &mut self,
+        place: RouterIndex,
+        life: u64,
+        bounds: &DrainLimits,
+        view: &CouncilView,
+    ) -> Result<(), Rejection> {
         if usize::from(place) >= bounds.zones.len() {
-            return Err(No::Unknown(place));
+            return Err(Rejection::UnknownRouter(place));
         }
         self.room_for(place, bounds, view)?;
-        self.step(place, Stage::Wanted, Some(Stage::Leave(life)))
+        self.step(place, DrainStage::Requested, Some(DrainStage::Leased(life)))
     }
 
     /// Whether anything may begin to go out.
-    fn may_begin(&self, view: &View) -> Result<(), No> {
+    fn may_begin(&self, view: &CouncilView) -> Result<(), Rejection> {
         match &self.halted {
-            Some(cause) => Err(No::Halted(cause.clone())),
-            None if view.knowing < view.wanted => Err(No::Unseen),
+            Some(cause) => Err(Rejection::Halted(cause.clone())),
+            None if view.knowing < view.wanted => Err(Rejection::ViewIncomplete),
             None => Ok(()),
         }
     }
 
     /// A model node is back: at once where it has not gone, else as one that is cold.
-    fn put_back(&mut self, id: &str, now_ms: UnixMs) -> Result<(), No> {
-        let entry = self.nodes.get_mut(id).ok_or(No::Nothing)?;
+    fn put_back(&mut self, id: &str, now_ms: UnixMs) -> Result<(), Rejection> {
+        let entry = self.nodes.get_mut(id).ok_or(Rejection::NothingToChange)?;
         match entry.stage {
-            NodeStage::Wanted => drop(self.nodes.remove(id)),
-            NodeStage::Out(_) => (entry.stage, entry.until) = (NodeStage::Back(now_ms), None),
-            NodeStage::Back(_) => return Err(No::Nothing),
+            ReplicaStage::Requested => drop(self.nodes.remove(id)),
+            ReplicaStage::OutOfService(_) => {
+                (entry.stage, entry.until) = (ReplicaStage::Restored(now_ms), None)
+            }
+            ReplicaStage::Restored(_) => return Err(Rejection::NothingToChange),
         }
         Ok(())
     }
 
     /// Model nodes that were put back long ago are like any other.
     fn forget(&mut self, now_ms: UnixMs) {
-        let old = |at: UnixMs| now_ms.saturating_sub(at) > nodes::REMEMBERED_MS;
-        self.nodes.retain(|_, e| !matches!(e.stage, NodeStage::Back(at) if old(at)));
+        let old = |at: UnixMs| now_ms.saturating_sub(at) > replica_drains::REMEMBERED_MS;
+        self.nodes.retain(|_, e| !matches!(e.stage, ReplicaStage::Restored(at) if old(at)));
     }
 
     fn release_begins(
@@ -569,25 +669,25 @@
         order: &str,
         what: &str,
         digest: &str,
-        waves: &[Vec<Place>],
-        plan: &Plan,
-        bounds: &Bounds,
-    ) -> Result<(), No> {
+        waves: &[Vec<RouterIndex>],
+        plan: &ReleasePlan,
+        bounds: &DrainLimits,
+    ) -> Result<(), Rejection> {
         if let Some(on) = self.release.as_ref().filter(|r| r.moves()) {
-            return Err(No::Busy(on.order.clone()));
+            return Err(Rejection::ReleaseInProgress(on.order.clone()));
         }
-        let all: Vec<Place> = waves.iter().flatten().copied().collect();
-        let apart: BTreeSet<Place> = all.iter().copied().collect();
+        let all: Vec<RouterIndex> = waves.iter().flatten().copied().collect();
+        let apart: BTreeSet<RouterIndex> = all.iter().copied().collect();
         let whole = (1..=MOST_WAVES).contains(&waves.len()) && waves.iter().all(|w| !w.is_empty());
         if !whole || apart.len() < all.len() {
-            return Err(No::Waves);
+            return Err(Rejection::InvalidWaves);
         }
         if let Some(&place) = all.iter().find(|p| usize::from(**p) >= bounds.zones.len()) {
-            return Err(No::Unknown(place));
+            return Err(Rejection::UnknownRouter(place));
         }
         // Whoever is out by hand is somebody's business, and would come back by this.
         if let Some((place, e)) = self.entries.iter().find(|(p, _)| apart.contains(p)) {
-            return Err(No::Taken(bounds.name(*place), e.order.clone()));
+            return Err(Rejection::HeldByOtherOrder(bounds.name(*place), e.order.clone()));
         }
         self.release = Some(Box::new(Release {
             order: order.into(),
@@ -596,7 +696,7 @@
             waves: waves.to_vec(),
             wave: 0,
             told: 0,
-            phase: Phase::Running,
+            phase: ReleasePhase::Running,
             before: BTreeMap::new(),
             plan: plan.clone(),
         }));
@@ -605,68 +705,70 @@
 
     /// The routers of the present wave are to go out, for what is released or for what they ran before: a few more than
     /// may at once. Guards against a wave of hundreds that all ask for leave, and a document that is sent with all of them.
-    fn want_wave(&mut self, bounds: &Bounds) {
+    fn want_wave(&mut self, bounds: &DrainLimits) {
         let Some(r) = self.release.as_mut().filter(|r| r.moves()) else { return };
         let wave = r.waves.get(r.wave).map_or(&[][..], Vec::as_slice);
         let mut open = self.entries.values().filter(|e| e.order == r.order).count();
         while let Some(place) = wave.get(r.told).filter(|_| open < (2 * bounds.all).max(LEAST_TOLD)) {
             r.told += 1;
             let to = match r.phase {
-                Phase::Back(_) => r.before.get(place),
+                ReleasePhase::RollingBack(_) => r.before.get(place),
                 _ => Some(&r.digest),
             };
             if to.is_some() {
-                self.entries.entry(*place).or_insert_with(|| Entry::wanted(&r.order, to));
+                self.entries.entry(*place).or_insert_with(|| DrainEntry::wanted(&r.order, to));
                 open += 1;
             }
         }
     }
 
     /// All routers of the present wave are back.
-    fn next_wave(&mut self, at: usize) -> Result<(), No> {
+    fn next_wave(&mut self, at: usize) -> Result<(), Rejection> {
         let Some(r) = self.release.as_mut().filter(|r| r.wave == at && r.moves()) else {
-            return Err(No::Nothing);
+            return Err(Rejection::NothingToChange);
         };
         if self.entries.values().any(|e| e.order == r.order) {
-            return Err(No::Nothing);
+            return Err(Rejection::NothingToChange);
         }
         r.told = 0;
         match (&r.phase, r.wave) {
-            (Phase::Back(why), 0) => r.phase = Phase::Undone(why.clone()),
-            (Phase::Back(_), _) => r.wave -= 1,
-            _ if r.wave + 1 == r.waves.len() => r.phase = Phase::Done,
+            (ReleasePhase::RollingBack(why), 0) => r.phase = ReleasePhase::RolledBack(why.clone()),
+            (ReleasePhase::RollingBack(_), _) => r.wave -= 1,
+            _ if r.wave + 1 == r.waves.len() => r.phase = ReleasePhase::Done,
             _ => r.wave += 1,
         }
         Ok(())
     }
 
     /// A check has failed: halted, or back, as the plan says. A release that is being undone goes on.
-    fn fail(&mut self, why: &str) -> Result<(), No> {
+    fn fail(&mut self, why: &str) -> Result<(), Rejection> {
         let why: String = why.chars().take(LONGEST_CAUSE).collect();
-        let Some(r) = self.release.as_mut().filter(|r| r.phase == Phase::Running) else { return Ok(()) };
+        let Some(r) = self.release.as_mut().filter(|r| r.phase == ReleasePhase::Running) else {
+            return Ok(());
+        };
         if r.plan.back {
             return self.undo(&why);
         }
-        r.phase = Phase::Failed(why.clone());
+        r.phase = ReleasePhase::Failed(why.clone());
         self.halted = Some(why);
         let order = r.order.clone();
-        self.entries.retain(|_, e| e.order != order || e.stage != Stage::Wanted);
+        self.entries.retain(|_, e| e.order != order || e.stage != DrainStage::Requested);
         Ok(())
     }
 
     /// The way back: whoever has not gone stays; who is out comes back as it is; then, wave by wave, last one first, all
     /// that ran what was released go for what they ran before.
-    fn undo(&mut self, why: &str) -> Result<(), No> {
-        let r = self.release.as_mut().ok_or(No::Nothing)?;
-        if matches!(r.phase, Phase::Back(_) | Phase::Undone(_)) {
-            return Err(No::Nothing);
+    fn undo(&mut self, why: &str) -> Result<(), Rejection> {
+        let r = self.release.as_mut().ok_or(Rejection::NothingToChange)?;
+        if matches!(r.phase, ReleasePhase::RollingBack(_) | ReleasePhase::RolledBack(_)) {
+            return Err(Rejection::NothingToChange);
         }
-        (r.phase, r.told) = (Phase::Back(why.into()), 0);
+        (r.phase, r.told) = (ReleasePhase::RollingBack(why.into()), 0);
         let order = r.order.clone();
-        self.entries.retain(|_, e| e.order != order || e.stage != Stage::Wanted);
+        self.entries.retain(|_, e| e.order != order || e.stage != DrainStage::Requested);
         for e in self.entries.values_mut().filter(|e| e.order == order) {
-            if let Stage::Leave(life) | Stage::Out(life) = e.stage {
-                e.stage = Stage::Back(life);
+            if let DrainStage::Leased(life) | DrainStage::OutOfService(life) = e.stage {
+                e.stage = DrainStage::Returning(life);
             }
         }
         Ok(())
@@ -674,23 +776,28 @@
 
     /// Whether one more may go out. What fails counts like what is planned: no new one begins while failures fill the
     /// bound.
-    fn room_for(&self, place: Place, bounds: &Bounds, view: &View) -> Result<(), No> {
+    fn room_for(
+        &self,
+        place: RouterIndex,
+        bounds: &DrainLimits,
+        view: &CouncilView,
+    ) -> Result<(), Rejection> {
         self.may_begin(view)?;
         let mut out = self.out(view);
         out.remove(&place);
         if out.len() + 1 > bounds.all {
-            return Err(No::Full(bounds.all));
+            return Err(Rejection::FleetLimitReached(bounds.all));
         }
-        let zone = |p: Place| bounds.zones.get(usize::from(p));
+        let zone = |p: RouterIndex| bounds.zones.get(usize::from(p));
         if out.iter().filter(|&&p| zone(p) == zone(place)).count() + 1 > bounds.zone {
-            return Err(No::ZoneFull(bounds.zone));
+            return Err(Rejection::ZoneLimitReached(bounds.zone));
         }
         // Members forget when they start anew, and are out until they take part again.
         let most = (bounds.council.len().saturating_sub(1) / 2).max(1);
         if bounds.council.contains(&place)
             && out.iter().filter(|p| bounds.council.contains(p)).count() >= most
         {
-            return Err(No::CouncilFull(most));
+            return Err(Rejection::CouncilLimitReached(most));
         }
         Ok(())
     }
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -3,14 +3,14 @@
 //!
 //! - [`register`]: a register that changes by compare-and-set, kept by a council of a few routers (CASPaxos: Rystsov,
 //!   *CASPaxos: Replicated State Machines without logs*, 2018), whose members forget everything when they restart.
-//! - [`document`]: what it holds, and which changes the bounds allow.
-//! - [`nodes`]: model nodes that are out by order. [`release`]: a release in waves, and the way back. [`watch`]: when a wave
+//! - [`fleet_state`]: what it holds, and which changes the bounds allow.
+//! - [`replica_drains`]: model nodes that are out by order. [`release`]: a release in waves, and the way back. [`release_monitor`]: when a wave
 //!   is done, and when it has failed.
-//! - [`leave`]: what one router does about its own entry, and until when it may.
+//! - [`drain_lease`]: what one router does about its own entry, and until when it may.
 
-pub mod document;
-pub mod leave;
-pub mod nodes;
+pub mod drain_lease;
+pub mod fleet_state;
 pub mod register;
 pub mod release;
-pub mod watch;
+pub mod release_monitor;
+pub mod replica_drains;
--- a/consensus/src/register.rs
+++ b/consensus/src/register.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A member of the council, by its place among them.
-pub type Member = u8;
+pub type MemberIndex = u8;
 
 /// The most members of a council.
 pub const MOST_MEMBERS: usize = 7;
@@ -36,7 +36,7 @@
 
 /// The value: what is agreed on, and the lives of the members that count.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Value<D> {
+pub struct RegisterValue<D> {
     /// By member.
     pub lives: Vec<u64>,
     /// What the routers agree on.
@@ -46,44 +46,51 @@
 /// What a member is asked.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ask<D> {
+pub enum AcceptorRequest<D> {
     /// What it took last; nothing is promised.
-    Look,
+    #[serde(rename = "look")]
+    Read,
     /// To promise.
     Prepare(Ballot),
     /// To take a value.
-    Take(Ballot, Value<D>),
+    #[serde(rename = "take")]
+    Accept(Ballot, RegisterValue<D>),
     /// To take the first of all values, if nothing was heard since it was asked with this number.
-    Found(Ballot, Value<D>),
+    #[serde(rename = "found")]
+    Bootstrap(Ballot, RegisterValue<D>),
 }
 
 /// What it answers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Answer<D> {
+pub enum AcceptorReply<D> {
     /// What it took last.
-    Has {
+    #[serde(rename = "has")]
+    Current {
         /// The life that tells it.
         life: u64,
         /// What it took last.
-        taken: Option<(Ballot, Value<D>)>,
+        taken: Option<(Ballot, RegisterValue<D>)>,
     },
     /// Promised; what it took last.
     Promised {
         /// The life that promises.
         life: u64,
         /// What it took last.
-        taken: Option<(Ballot, Value<D>)>,
+        taken: Option<(Ballot, RegisterValue<D>)>,
     },
     /// Taken.
-    Taken {
+    #[serde(rename = "taken")]
+    Accepted {
         /// The life that has taken it.
         life: u64,
     },
     /// It has promised something newer.
-    Newer(Ballot),
+    #[serde(rename = "newer")]
+    Superseded(Ballot),
     /// It has started and takes no part yet.
-    Blank {
+    #[serde(rename = "blank")]
+    Uninitialized {
         /// Its life.
         life: u64,
         /// What it had stored of what was agreed on, in an earlier life: perhaps old, and never counted.
@@ -133,31 +140,31 @@
 
 /// What a member of the council keeps.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Keeper<D> {
+pub struct Acceptor<D> {
     life: u64,
     joined: bool,
     promised: Ballot,
-    taken: Option<(Ballot, Value<D>)>,
+    taken: Option<(Ballot, RegisterValue<D>)>,
     stored: Option<D>,
     defect: Option<Defect>,
 }
 
-impl<D: Clone + PartialEq> Keeper<D> {
+impl<D: Clone + PartialEq> Acceptor<D> {
     /// A member that has just started and knows nothing.
-    pub fn blank(life: u64) -> Keeper<D> {
-        Keeper { life, joined: false, promised: Ballot::default(), taken: None, stored: None, defect: None }
+    pub fn new(life: u64) -> Acceptor<D> {
+        Acceptor { life, joined: false, promised: Ballot::default(), taken: None, stored: None, defect: None }
     }
 
     /// The same, with what it finds stored: it tells of it while it is blank.
-    pub fn storing(self, stored: Option<D>) -> Keeper<D> {
-        Keeper { stored, ..self }
+    pub fn with_stored(self, stored: Option<D>) -> Acceptor<D> {
+        Acceptor { stored, ..self }
     }
 
     /// The same with a mistake.
     #[cfg(feature = "defects")]
-    pub fn with(self, defect: Option<Defect>) -> Keeper<D> {
+    pub fn with(self, defect: Option<Defect>) -> Acceptor<D> {
         let joined = self.joined || defect == Some(Defect::NotBlank);
-        Keeper { defect, joined, ..self }
+        Acceptor { defect, joined, ..self }
     }
 
     /// Whether it takes part.
@@ -166,53 +173,53 @@
     }
 
     /// What it took last: at times newer than what is agreed on, at times older. A hint to look.
-    pub fn taken(&self) -> Option<&Value<D>> {
+    pub fn taken(&self) -> Option<&RegisterValue<D>> {
         self.taken.as_ref().map(|(_, value)| value)
     }
 
     /// Answers.
-    pub fn asked(&mut self, ask: Ask<D>) -> Answer<D> {
+    pub fn handle(&mut self, ask: AcceptorRequest<D>) -> AcceptorReply<D> {
         match ask {
-            Ask::Found(ballot, value) => {
+            AcceptorRequest::Bootstrap(ballot, value) => {
                 // It was decided by what all said when they were asked with this number: whoever has heard anything since,
                 // or is another life by now, does not take it.
                 if ballot == self.promised && value.lives.contains(&self.life) {
                     (self.joined, self.taken) = (true, Some((ballot, value)));
                 }
                 match self.taken.as_ref().is_some_and(|(b, _)| *b == ballot) {
-                    true => Answer::Taken { life: self.life },
-                    false => Answer::Newer(self.promised),
+                    true => AcceptorReply::Accepted { life: self.life },
+                    false => AcceptorReply::Superseded(self.promised),
                 }
             }
             // It promises as well, though that counts for nothing but `Found`.
-            Ask::Prepare(ballot) if !self.joined && ballot >= self.promised => {
+            AcceptorRequest::Prepare(ballot) if !self.joined && ballot >= self.promised => {
                 self.promised = ballot;
-                Answer::Blank { life: self.life, stored: self.stored.clone() }
+                AcceptorReply::Uninitialized { life: self.life, stored: self.stored.clone() }
             }
-            Ask::Prepare(_) if !self.joined => Answer::Newer(self.promised),
-            _ if !self.joined => Answer::Blank { life: self.life, stored: None },
-            Ask::Look => Answer::Has { life: self.life, taken: self.taken.clone() },
-            Ask::Prepare(ballot) => {
+            AcceptorRequest::Prepare(_) if !self.joined => AcceptorReply::Superseded(self.promised),
+            _ if !self.joined => AcceptorReply::Uninitialized { life: self.life, stored: None },
+            AcceptorRequest::Read => AcceptorReply::Current { life: self.life, taken: self.taken.clone() },
+            AcceptorRequest::Prepare(ballot) => {
                 if ballot < self.promised {
-                    return Answer::Newer(self.promised);
+                    return AcceptorReply::Superseded(self.promised);
                 }
                 if !defect!(self, ForgetsPromise) {
                     self.promised = ballot;
                 }
-                Answer::Promised { life: self.life, taken: self.taken.clone() }
+                AcceptorReply::Promised { life: self.life, taken: self.taken.clone() }
             }
-            Ask::Take(ballot, value) => {
+            AcceptorRequest::Accept(ballot, value) => {
                 if ballot < self.promised && !defect!(self, TakesOlder) {
-                    return Answer::Newer(self.promised);
+                    return AcceptorReply::Superseded(self.promised);
                 }
                 (self.promised, self.taken) = (self.promised.max(ballot), Some((ballot, value)));
-                Answer::Taken { life: self.life }
+                AcceptorReply::Accepted { life: self.life }
             }
         }
     }
 
     /// A round that named this life has been agreed on without it: from now on it takes part.
-    pub fn join(&mut self, ballot: Ballot, value: Value<D>) {
+    pub fn join(&mut self, ballot: Ballot, value: RegisterValue<D>) {
         if !self.joined && value.lives.contains(&self.life) {
             (self.joined, self.promised, self.taken) =
                 (true, self.promised.max(ballot), Some((ballot, value)));
@@ -222,49 +229,49 @@
 
 /// What a round wants next.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step<D> {
+pub enum RoundStep<D> {
     /// More answers.
     Wait,
     /// To change this value: `propose` goes on with the result.
-    Change(D),
+    Propose(D),
     /// This has been agreed on.
-    Agreed(Value<D>),
+    Chosen(RegisterValue<D>),
     /// It can't be agreed on any more; the newest round heard of.
-    Lost(Ballot),
+    Superseded(Ballot),
 }
 
 /// One round, at its proposer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Round<D> {
+pub struct Proposer<D> {
     ballot: Ballot,
     members: usize,
     /// The members that join by this round, and their new lives. They are blank, so they have no say in it.
-    joins: Vec<(Member, u64)>,
-    answers: Vec<Option<Said<D>>>,
-    value: Option<Value<D>>,
+    joins: Vec<(MemberIndex, u64)>,
+    answers: Vec<Option<MemberReport<D>>>,
+    value: Option<RegisterValue<D>>,
     extra: usize,
     defect: Option<Defect>,
 }
 
 /// What a member tells: the life that tells it, what it took last.
-pub type Said<D> = (u64, Option<(Ballot, Value<D>)>);
+pub type MemberReport<D> = (u64, Option<(Ballot, RegisterValue<D>)>);
 
-impl<D: Clone + PartialEq> Round<D> {
+impl<D: Clone + PartialEq> Proposer<D> {
     /// A round of this number before so many members.
-    pub fn new(ballot: Ballot, members: usize) -> Round<D> {
+    pub fn new(ballot: Ballot, members: usize) -> Proposer<D> {
         let answers = vec![None; members];
-        Round { ballot, members, joins: vec![], answers, value: None, extra: 0, defect: None }
+        Proposer { ballot, members, joins: vec![], answers, value: None, extra: 0, defect: None }
     }
 
     /// One by which members that have restarted join, in these lives.
-    pub fn joining(ballot: Ballot, members: usize, joins: Vec<(Member, u64)>) -> Round<D> {
-        Round { joins, ..Round::new(ballot, members) }
+    pub fn joining(ballot: Ballot, members: usize, joins: Vec<(MemberIndex, u64)>) -> Proposer<D> {
+        Proposer { joins, ..Proposer::new(ballot, members) }
     }
 
     /// The same with a mistake.
     #[cfg(feature = "defects")]
-    pub fn with(self, defect: Option<Defect>) -> Round<D> {
-        Round { defect, ..self }
+    pub fn with(self, defect: Option<Defect>) -> Proposer<D> {
+        Proposer { defect, ..self }
     }
 
     /// Its number.
@@ -273,10 +280,10 @@
     }
 
     /// What to ask of all members now.
-    pub fn ask(&self) -> Ask<D> {
+    pub fn request(&self) -> AcceptorRequest<D> {
         match &self.value {
-            None => Ask::Prepare(self.ballot),
-            Some(value) => Ask::Take(self.ballot, value.clone()),
+            None => AcceptorRequest::Prepare(self.ballot),
+            Some(value) => AcceptorRequest::Accept(self.ballot, value.clone()),
         }
     }
 
@@ -286,7 +293,7 @@
     }
 
     /// The newest value that any member has told, valid or not: what is there was taken by someone.
-    fn newest(&self) -> Option<&(Ballot, Value<D>)> {
+    fn newest(&self) -> Option<&(Ballot, RegisterValue<D>)> {
         let told = self.answers.iter().flatten().filter_map(|(_, taken)| taken.as_ref());
         match defect!(self, FirstHeard) {
             true => told.min_by_key(|(ballot, _)| *ballot),
@@ -295,36 +302,41 @@
     }
 
     /// An answer to `ask`, of a member. Answers to an earlier question of this round, and doubled ones, do no harm.
-    pub fn heard(&mut self, from: Member, to: &Ask<D>, answer: Answer<D>) -> Step<D> {
+    pub fn handle_reply(
+        &mut self,
+        from: MemberIndex,
+        to: &AcceptorRequest<D>,
+        answer: AcceptorReply<D>,
+    ) -> RoundStep<D> {
         let from = usize::from(from);
         if from >= self.members {
-            return Step::Wait;
+            return RoundStep::Wait;
         }
         let doubled = self.answers[from].is_some() && defect!(self, CountsTwice);
         match (to, answer) {
-            (_, Answer::Newer(seen)) if seen > self.ballot => Step::Lost(seen),
-            (Ask::Prepare(b), Answer::Promised { life, taken })
+            (_, AcceptorReply::Superseded(seen)) if seen > self.ballot => RoundStep::Superseded(seen),
+            (AcceptorRequest::Prepare(b), AcceptorReply::Promised { life, taken })
                 if *b == self.ballot && self.value.is_none() =>
             {
                 self.extra += usize::from(doubled);
                 self.answers[from] = Some((life, taken));
                 self.promised()
             }
-            (Ask::Take(b, value), Answer::Taken { life })
+            (AcceptorRequest::Accept(b, value), AcceptorReply::Accepted { life })
                 if *b == self.ballot && self.value.as_ref() == Some(value) =>
             {
                 self.extra += usize::from(doubled);
                 self.answers[from] = Some((life, None));
                 self.taken()
             }
-            _ => Step::Wait,
+            _ => RoundStep::Wait,
         }
     }
 
     /// Whether a majority has answered, in the lives that count. What a member promised in one that no longer counts, it
     /// may have forgotten.
     fn enough(&self, lives: &[u64]) -> bool {
-        let valid = |(i, said): &(usize, &Option<Said<D>>)| {
+        let valid = |(i, said): &(usize, &Option<MemberReport<D>>)| {
             said.as_ref().is_some_and(|(life, _)| {
                 lives.get(*i) == Some(life) || defect!(self, AnyLife) || defect!(self, NotBlank)
             })
@@ -332,21 +344,21 @@
         self.majority(self.answers.iter().enumerate().filter(valid).count())
     }
 
-    fn promised(&self) -> Step<D> {
+    fn promised(&self) -> RoundStep<D> {
         match self.newest() {
-            Some((_, newest)) if self.enough(&newest.lives) => Step::Change(newest.document.clone()),
-            _ => Step::Wait,
+            Some((_, newest)) if self.enough(&newest.lives) => RoundStep::Propose(newest.document.clone()),
+            _ => RoundStep::Wait,
         }
     }
 
-    fn taken(&self) -> Step<D> {
+    fn taken(&self) -> RoundStep<D> {
         match &self.value {
-            Some(value) if self.enough(&value.lives) => Step::Agreed(value.clone()),
-            _ => Step::Wait,
+            Some(value) if self.enough(&value.lives) => RoundStep::Chosen(value.clone()),
+            _ => RoundStep::Wait,
         }
     }
 
-    /// The changed document, after `Step::Change`: from now on members are asked to take it.
+    /// The changed document, after `RoundStep::Propose`: from now on members are asked to take it.
     pub fn propose(&mut self, document: D) {
         let Some((_, newest)) = self.newest() else { return };
         let mut lives = newest.lives.clone();
@@ -354,20 +366,20 @@
             // What was asked for in an earlier life, and comes late, undoes no later one.
             lives.get_mut(usize::from(*member)).into_iter().for_each(|of| *of = (*of).max(*life));
         }
-        self.value = Some(Value { lives, document });
+        self.value = Some(RegisterValue { lives, document });
         (self.answers, self.extra) = (vec![None; self.members], 0);
     }
 }
 
 /// What members have told that they took last, by member; `None`: not answered.
-pub type Told<D> = [Option<Said<D>>];
+pub type MemberReports<D> = [Option<MemberReport<D>>];
 
 /// What is agreed on by what members have told: what a majority, in the lives that count, took last. Whatever was agreed
 /// on before they were asked, one of them would have told. It promises nothing and so stops no round: guards against many
 /// that look, again and again, and let nobody change anything. `None`: not to be told by this, a round can tell.
-pub fn agreed<D: Clone>(told: &Told<D>) -> Option<(Ballot, Value<D>)> {
+pub fn chosen_value<D: Clone>(told: &MemberReports<D>) -> Option<(Ballot, RegisterValue<D>)> {
     told.iter().flatten().filter_map(|(_, taken)| taken.as_ref()).find_map(|(ballot, value)| {
-        let same = |(member, said): &(usize, &Option<Said<D>>)| {
+        let same = |(member, said): &(usize, &Option<MemberReport<D>>)| {
             said.as_ref().is_some_and(|(life, taken)| {
                 value.lives.get(*member) == Some(life) && taken.as_ref().is_some_and(|(b, _)| b == ballot)
             })
@@ -380,8 +392,11 @@
 /// again: `told` by member is its life, and what it took last if it is not blank. `None` while a majority remembers, or
 /// one has not answered. What is kept is the newest that any of them has: it may be older than what was agreed on last,
 /// so whoever calls this makes it one by which nothing begins.
-pub fn first<D: Clone>(told: &Told<D>, document: impl FnOnce(Option<&D>) -> D) -> Option<Value<D>> {
-    let told: Option<Vec<&Said<D>>> = told.iter().map(Option::as_ref).collect();
+pub fn bootstrap_value<D: Clone>(
+    told: &MemberReports<D>,
+    document: impl FnOnce(Option<&D>) -> D,
+) -> Option<RegisterValue<D>> {
+    let told: Option<Vec<&MemberReport<D>>> = told.iter().map(Option::as_ref).collect();
     let told = told?;
     let newest = told.iter().filter_map(|(_, taken)| taken.as_ref()).max_by_key(|(ballot, _)| *ballot);
     let remember =
@@ -390,7 +405,7 @@
         return None;
     }
     let lives = told.iter().map(|(life, _)| *life).collect();
-    Some(Value { lives, document: document(newest.map(|(_, value)| &value.document)) })
+    Some(RegisterValue { lives, document: document(newest.map(|(_, value)| &value.document)) })
 }
 
 #[cfg(test)]
--- a/consensus/src/register/tests.rs
+++ b/consensus/src/register/tests.rs
@@ -1,28 +1,31 @@
 use super::*;
 
-type Members = Vec<Keeper<u64>>;
+type Members = Vec<Acceptor<u64>>;
 
 fn founded(n: usize) -> Members {
-    let mut all: Members = (0..n as u64).map(Keeper::blank).collect();
+    let mut all: Members = (0..n as u64).map(Acceptor::new).collect();
     let blank: Vec<_> = (0..n as u64).map(|life| Some((life, None))).collect();
-    let value = first(&blank, |_| 0).expect("all are blank");
+    let value = bootstrap_value(&blank, |_| 0).expect("all are blank");
     let ballot = Ballot { number: 1, by: 0, life: 0 };
     for m in &mut all {
-        assert!(matches!(m.asked(Ask::Prepare(ballot)), Answer::Blank { .. }));
-        assert_eq!(m.asked(Ask::Found(ballot, value.clone())), Answer::Taken { life: m.life });
+        assert!(matches!(m.handle(AcceptorRequest::Prepare(ballot)), AcceptorReply::Uninitialized { .. }));
+        assert_eq!(
+            m.handle(AcceptorRequest::Bootstrap(ballot, value.clone())),
+            AcceptorReply::Accepted { life: m.life }
+        );
     }
     all
 }
 
 /// Plays a round before those members that `reach` says; what it ends with.
-fn play(all: &mut Members, mut round: Round<u64>, reach: &[usize]) -> Step<u64> {
+fn play(all: &mut Members, mut round: Proposer<u64>, reach: &[usize]) -> RoundStep<u64> {
     loop {
-        let ask = round.ask();
-        let mut last = Step::Wait;
+        let ask = round.request();
+        let mut last = RoundStep::Wait;
         for &m in reach {
-            let answer = all[m].asked(ask.clone());
-            match round.heard(m as Member, &ask, answer) {
-                Step::Wait => {}
+            let answer = all[m].handle(ask.clone());
+            match round.handle_reply(m as MemberIndex, &ask, answer) {
+                RoundStep::Wait => {}
                 step => {
                     last = step;
                     break;
@@ -30,7 +33,7 @@
             }
         }
         match last {
-            Step::Change(n) => round.propose(n + 1),
+            RoundStep::Propose(n) => round.propose(n + 1),
             other => return other,
         }
     }
@@ -43,66 +46,70 @@
 #[test]
 fn a_majority_changes_it_and_a_minority_does_not() {
     let mut all = founded(5);
-    let agreed = |step| matches!(step, Step::Agreed(Value { document, .. }) if document > 0);
-    assert!(agreed(play(&mut all, Round::new(ballot(2, 0), 5), &[0, 1, 2])));
-    let step = play(&mut all, Round::new(ballot(3, 1), 5), &[2, 3, 4]);
-    assert!(matches!(&step, Step::Agreed(v) if v.document == 2), "built on the first: {step:?}");
-    assert_eq!(play(&mut all, Round::new(ballot(4, 2), 5), &[0, 1]), Step::Wait);
-    let late = play(&mut all, Round::new(ballot(2, 3), 5), &[2, 3, 4]);
-    assert_eq!(late, Step::Lost(ballot(3, 1)), "an older round is told of the newer");
+    let agreed = |step| matches!(step, RoundStep::Chosen(RegisterValue { document, .. }) if document > 0);
+    assert!(agreed(play(&mut all, Proposer::new(ballot(2, 0), 5), &[0, 1, 2])));
+    let step = play(&mut all, Proposer::new(ballot(3, 1), 5), &[2, 3, 4]);
+    assert!(matches!(&step, RoundStep::Chosen(v) if v.document == 2), "built on the first: {step:?}");
+    assert_eq!(play(&mut all, Proposer::new(ballot(4, 2), 5), &[0, 1]), RoundStep::Wait);
+    let late = play(&mut all, Proposer::new(ballot(2, 3), 5), &[2, 3, 4]);
+    assert_eq!(late, RoundStep::Superseded(ballot(3, 1)), "an older round is told of the newer");
 }
 
 #[test]
 fn a_member_that_has_restarted_takes_part_only_after_a_majority_without_it_has_named_its_life() {
     let mut all = founded(3);
-    play(&mut all, Round::new(ballot(2, 0), 3), &[0, 1]);
-    all[0] = Keeper::blank(100);
-    assert_eq!(play(&mut all, Round::new(ballot(3, 1), 3), &[0, 2]), Step::Wait, "blank, and one");
-    let alone = Round::joining(ballot(4, 0), 3, vec![(0, 100)]);
-    assert_eq!(play(&mut all, alone, &[0, 1]), Step::Wait, "itself does not count");
-    let joined = play(&mut all, Round::joining(ballot(5, 0), 3, vec![(0, 100)]), &[1, 2]);
-    let Step::Agreed(value) = joined else { panic!("{joined:?}") };
+    play(&mut all, Proposer::new(ballot(2, 0), 3), &[0, 1]);
+    all[0] = Acceptor::new(100);
+    assert_eq!(play(&mut all, Proposer::new(ballot(3, 1), 3), &[0, 2]), RoundStep::Wait, "blank, and one");
+    let alone = Proposer::joining(ballot(4, 0), 3, vec![(0, 100)]);
+    assert_eq!(play(&mut all, alone, &[0, 1]), RoundStep::Wait, "itself does not count");
+    let joined = play(&mut all, Proposer::joining(ballot(5, 0), 3, vec![(0, 100)]), &[1, 2]);
+    let RoundStep::Chosen(value) = joined else { panic!("{joined:?}") };
     assert_eq!((value.lives[0], value.document), (100, 2), "what was agreed on before is kept");
     all[0].join(ballot(5, 0), value);
     assert!(
-        matches!(play(&mut all, Round::new(ballot(6, 2), 3), &[0, 2]), Step::Agreed(v) if v.document == 3)
+        matches!(play(&mut all, Proposer::new(ballot(6, 2), 3), &[0, 2]), RoundStep::Chosen(v) if v.document == 3)
     );
 }
 
 #[test]
 fn the_first_value_wants_all_members_and_no_majority_that_remembers() {
     assert_eq!(
-        first(&[Some((1, None)), None, Some((3, None))], |_| 0),
-        None::<Value<u64>>,
+        bootstrap_value(&[Some((1, None)), None, Some((3, None))], |_| 0),
+        None::<RegisterValue<u64>>,
         "one has not answered"
     );
     let mut all = founded(3);
-    let told = |all: &[Keeper<u64>]| -> Vec<Option<Said<u64>>> {
+    let told = |all: &[Acceptor<u64>]| -> Vec<Option<MemberReport<u64>>> {
         all.iter().map(|m| Some((m.life, m.taken.clone()))).collect()
     };
-    assert!(matches!(play(&mut all, Round::new(ballot(2, 1), 3), &[1, 2, 0]), Step::Agreed(_)));
-    all[0] = Keeper::blank(8);
-    assert_eq!(first(&told(&all), |_| 0), None, "two of three remember");
+    assert!(matches!(play(&mut all, Proposer::new(ballot(2, 1), 3), &[1, 2, 0]), RoundStep::Chosen(_)));
+    all[0] = Acceptor::new(8);
+    assert_eq!(bootstrap_value(&told(&all), |_| 0), None, "two of three remember");
     // Two have forgotten: the third's word is kept, and nothing is agreed on but by all.
-    all[1] = Keeper::blank(9);
-    assert_eq!(play(&mut all, Round::new(ballot(5, 2), 3), &[0, 1, 2]), Step::Wait);
-    let value = first(&told(&all), |held| held.copied().unwrap_or(0) + 100).expect("one of three remembers");
-    assert_eq!(value, Value { lives: vec![8, 9, 2], document: 101 });
-    let unasked = Ask::Found(ballot(6, 0), value.clone());
+    all[1] = Acceptor::new(9);
+    assert_eq!(play(&mut all, Proposer::new(ballot(5, 2), 3), &[0, 1, 2]), RoundStep::Wait);
+    let value = bootstrap_value(&told(&all), |held| held.copied().unwrap_or(0) + 100)
+        .expect("one of three remembers");
+    assert_eq!(value, RegisterValue { lives: vec![8, 9, 2], document: 101 });
+    let unasked = AcceptorRequest::Bootstrap(ballot(6, 0), value.clone());
     assert!(
-        all.iter_mut().all(|m| m.asked(unasked.clone()) == Answer::Newer(ballot(5, 2))),
+        all.iter_mut().all(|m| m.handle(unasked.clone()) == AcceptorReply::Superseded(ballot(5, 2))),
         "none was asked"
     );
-    all.iter_mut().for_each(|m| drop(m.asked(Ask::Prepare(ballot(6, 0)))));
+    all.iter_mut().for_each(|m| drop(m.handle(AcceptorRequest::Prepare(ballot(6, 0)))));
     // One hears another since: it does not take what was decided before, and the others have taken it in vain.
-    all[2].asked(Ask::Prepare(ballot(7, 1)));
-    let found = |n: u64, value: &Value<u64>| Ask::Found(ballot(n, 0), value.clone());
-    assert_eq!(all[2].asked(found(6, &value)), Answer::Newer(ballot(7, 1)));
-    all.iter_mut().for_each(|m| drop(m.asked(Ask::Prepare(ballot(8, 0)))));
-    assert!(all.iter_mut().all(|m| matches!(m.asked(found(8, &value)), Answer::Taken { .. })));
-    let Step::Agreed(now) = play(&mut all, Round::new(ballot(9, 1), 3), &[1, 2]) else { panic!() };
+    all[2].handle(AcceptorRequest::Prepare(ballot(7, 1)));
+    let found = |n: u64, value: &RegisterValue<u64>| AcceptorRequest::Bootstrap(ballot(n, 0), value.clone());
+    assert_eq!(all[2].handle(found(6, &value)), AcceptorReply::Superseded(ballot(7, 1)));
+    all.iter_mut().for_each(|m| drop(m.handle(AcceptorRequest::Prepare(ballot(8, 0)))));
+    assert!(all.iter_mut().all(|m| matches!(m.handle(found(8, &value)), AcceptorReply::Accepted { .. })));
+    let RoundStep::Chosen(now) = play(&mut all, Proposer::new(ballot(9, 1), 3), &[1, 2]) else { panic!() };
     assert_eq!(now.document, 102);
-    let late = Value { lives: vec![0, 9, 2], document: 77 };
-    let late = all[1].asked(found(99, &late));
-    assert_eq!((late, all[1].taken().map(|v| v.document)), (Answer::Newer(ballot(9, 1)), Some(102)));
+    let late = RegisterValue { lives: vec![0, 9, 2], document: 77 };
+    let late = all[1].handle(found(99, &late));
+    assert_eq!(
+        (late, all[1].taken().map(|v| v.document)),
+        (AcceptorReply::Superseded(ballot(9, 1)), Some(102))
+    );
 }
--- a/consensus/src/release.rs
+++ b/consensus/src/release.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use tallypin_membership::Place;
+use tallypin_membership::RouterIndex;
 
 /// The most waves of a release.
 pub const MOST_WAVES: usize = 64;
@@ -13,7 +13,7 @@
 
 /// What must hold, and for how long it is watched.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Plan {
+pub struct ReleasePlan {
     /// A wave that is back is watched for so long, ms.
     pub watch_ms: u64,
     /// A router is back and ready within this after its leave was used, ms: its drain included.
@@ -33,17 +33,19 @@
 /// How a release stands.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Phase {
+pub enum ReleasePhase {
     /// A wave is out, coming back, or watched.
     Running,
     /// A check failed, for this cause; nothing more is released.
     Failed(String),
     /// It is being undone, for this cause.
-    Back(String),
+    #[serde(rename = "back")]
+    RollingBack(String),
     /// All waves run it.
     Done,
     /// All that ran it run again what they ran before.
-    Undone(String),
+    #[serde(rename = "undone")]
+    RolledBack(String),
 }
 
 /// A release.
@@ -56,33 +58,33 @@
     /// The digest of the file that is released.
     pub digest: String,
     /// Routers by wave.
-    pub waves: Vec<Vec<Place>>,
+    pub waves: Vec<Vec<RouterIndex>>,
     /// The wave that it is at.
     pub wave: usize,
     /// How many of the wave have been told to go, or need not.
     #[serde(default)]
     pub told: usize,
     /// How it stands.
-    pub phase: Phase,
+    pub phase: ReleasePhase,
     /// What each that has gone out for it ran before.
-    pub before: BTreeMap<Place, String>,
+    pub before: BTreeMap<RouterIndex, String>,
     /// What must hold.
-    pub plan: Plan,
+    pub plan: ReleasePlan,
 }
 
 impl Release {
     /// Whether it still moves.
     pub fn moves(&self) -> bool {
-        matches!(self.phase, Phase::Running | Phase::Back(_))
+        matches!(self.phase, ReleasePhase::Running | ReleasePhase::RollingBack(_))
     }
 
     /// The wave of a router.
-    pub fn wave_of(&self, place: Place) -> Option<usize> {
+    pub fn wave_of(&self, place: RouterIndex) -> Option<usize> {
         self.waves.iter().position(|w| w.contains(&place))
     }
 
     /// The routers that have it: those of waves that are done, and of the present one.
-    pub fn released(&self) -> impl Iterator<Item = Place> + '_ {
+    pub fn released(&self) -> impl Iterator<Item = RouterIndex> + '_ {
         self.waves.iter().take(self.wave + 1).flatten().copied()
     }
 }
--- a/consensus/src/watch.rs
+++ b/consensus/src/release_monitor.rs
@@ -4,16 +4,16 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use tallypin_membership::{Nanos, Place};
+use tallypin_membership::{Nanos, RouterIndex};
 
-use crate::document::{Act, Bounds, Document, Stage};
-use crate::release::{Phase, Plan, Release};
+use crate::fleet_state::{Command, DrainLimits, DrainStage, FleetState};
+use crate::release::{Release, ReleasePhase, ReleasePlan};
 
 const MS: Nanos = 1_000_000;
 
 /// A router's final answers since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Counts {
+pub struct AnswerCounts {
     /// All.
     pub answered: u64,
     /// Failed, or broken after they had begun.
@@ -24,9 +24,9 @@
     pub refused: u64,
 }
 
-impl Counts {
-    fn since(self, before: Counts) -> Counts {
-        Counts {
+impl AnswerCounts {
+    fn since(self, before: AnswerCounts) -> AnswerCounts {
+        AnswerCounts {
             answered: self.answered.saturating_sub(before.answered),
             failed: self.failed.saturating_sub(before.failed),
             late: self.late.saturating_sub(before.late),
@@ -34,8 +34,8 @@
         }
     }
 
-    fn and(self, more: Counts) -> Counts {
-        Counts {
+    fn and(self, more: AnswerCounts) -> AnswerCounts {
+        AnswerCounts {
             answered: self.answered.saturating_add(more.answered),
             failed: self.failed.saturating_add(more.failed),
             late: self.late.saturating_add(more.late),
@@ -46,49 +46,52 @@
 
 /// What a member has heard of a router that is not silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Heard {
+pub struct RouterReport {
     /// Its life.
     pub life: u64,
     /// What it has answered.
-    pub counts: Counts,
+    pub counts: AnswerCounts,
 }
 
 /// A member's watch over the release that is on.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct ReleaseMonitor {
     /// What it watches: the order, its wave, whether it goes back.
     at: Option<(String, usize, bool)>,
     /// Since when a router of the wave is out.
-    gone: BTreeMap<Place, Nanos>,
+    gone: BTreeMap<RouterIndex, Nanos>,
     /// Since when all of the wave are back, and what had been heard then.
-    back: Option<(Nanos, Vec<Option<Heard>>)>,
+    back: Option<(Nanos, Vec<Option<RouterReport>>)>,
 }
 
-impl Watch {
+impl ReleaseMonitor {
     /// What is to be asked for, if anything. `heard` by router; `None`: silent.
     pub fn next(
         &mut self,
         now: Nanos,
-        document: &Document,
-        bounds: &Bounds,
-        heard: &[Option<Heard>],
-    ) -> Option<Act> {
+        document: &FleetState,
+        bounds: &DrainLimits,
+        heard: &[Option<RouterReport>],
+    ) -> Option<Command> {
         let r = document.release.as_ref().filter(|r| r.moves())?;
-        let undone = matches!(r.phase, Phase::Back(_));
+        let undone = matches!(r.phase, ReleasePhase::RollingBack(_));
         let at = Some((r.order.clone(), r.wave, undone));
         if self.at != at {
-            *self = Watch { at, ..Watch::default() };
+            *self = ReleaseMonitor { at, ..ReleaseMonitor::default() };
         }
-        let open: BTreeMap<Place, Stage> =
+        let open: BTreeMap<RouterIndex, DrainStage> =
             document.entries.iter().filter(|(_, e)| e.order == r.order).map(|(p, e)| (*p, e.stage)).collect();
         if undone {
-            return open.is_empty().then_some(Act::Wave(r.wave));
+            return open.is_empty().then_some(Command::CompleteWave(r.wave));
         }
-        self.gone.retain(|p, _| open.get(p).is_some_and(|s| *s != Stage::Wanted));
-        for (place, _) in open.iter().filter(|(_, s)| **s != Stage::Wanted) {
+        self.gone.retain(|p, _| open.get(p).is_some_and(|s| *s != DrainStage::Requested));
+        for (place, _) in open.iter().filter(|(_, s)| **s != DrainStage::Requested) {
             let since = *self.gone.entry(*place).or_insert(now);
             if now.saturating_sub(since) > r.plan.ready_ms.saturating_mul(MS) {
-                return Some(Act::Fail(r.wave, format!("{} is not back in time", bounds.name(*place))));
+                return Some(Command::FailWave(
+                    r.wave,
+                    format!("{} is not back in time", bounds.name(*place)),
+                ));
             }
         }
         if !open.is_empty() {
@@ -100,22 +103,22 @@
             crashed(r, document, base, heard).map(|p| format!("{} has crashed or is silent", bounds.name(p)));
         let (released, others) = shares(r, base, heard);
         if let Some(why) = failed.or_else(|| worse(&r.plan, released, others)) {
-            return Some(Act::Fail(r.wave, why));
+            return Some(Command::FailWave(r.wave, why));
         }
         // Too few to tell: it waits, however long.
         let over = now.saturating_sub(*since) >= r.plan.watch_ms.saturating_mul(MS);
-        (over && released.answered >= r.plan.enough).then_some(Act::Wave(r.wave))
+        (over && released.answered >= r.plan.enough).then_some(Command::CompleteWave(r.wave))
     }
 }
 
 /// A router that has been released and has started again since, or is not heard. Who is out by hand is not looked at.
 fn crashed(
     r: &Release,
-    document: &Document,
-    base: &[Option<Heard>],
-    heard: &[Option<Heard>],
-) -> Option<Place> {
-    let get = |of: &[Option<Heard>], p: Place| of.get(usize::from(p)).copied().flatten();
+    document: &FleetState,
+    base: &[Option<RouterReport>],
+    heard: &[Option<RouterReport>],
+) -> Option<RouterIndex> {
+    let get = |of: &[Option<RouterReport>], p: RouterIndex| of.get(usize::from(p)).copied().flatten();
     r.released().find(|p| {
         !document.entries.contains_key(p)
             && get(base, *p).is_some_and(|was| get(heard, *p).is_none_or(|is| is.life != was.life))
@@ -123,8 +126,12 @@
 }
 
 /// What was answered since, by those that run what is released, and by the others.
-fn shares(r: &Release, base: &[Option<Heard>], heard: &[Option<Heard>]) -> (Counts, Counts) {
-    let (mut released, mut others) = (Counts::default(), Counts::default());
+fn shares(
+    r: &Release,
+    base: &[Option<RouterReport>],
+    heard: &[Option<RouterReport>],
+) -> (AnswerCounts, AnswerCounts) {
+    let (mut released, mut others) = (AnswerCounts::default(), AnswerCounts::default());
     for ((place, was), is) in (0..).zip(base).zip(heard) {
         let (Some(was), Some(is)) = (was, is) else { continue };
         if was.life == is.life {
@@ -137,7 +144,7 @@
 }
 
 /// Whether the released do worse than the others by more than the plan lets them, once there is enough to tell.
-fn worse(plan: &Plan, released: Counts, others: Counts) -> Option<String> {
+fn worse(plan: &ReleasePlan, released: AnswerCounts, others: AnswerCounts) -> Option<String> {
     if released.answered < plan.enough.max(1) {
         return None;
     }
--- a/consensus/src/nodes.rs
+++ b/consensus/src/replica_drains.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use tallypin_membership::Place;
+use tallypin_membership::RouterIndex;
 
-/// Model nodes that may be out by order, or are to come back, at once. Bounds the document.
+/// Model nodes that may be out by order, or are to come back, at once. DrainLimits the document.
 pub const MOST_NODES: usize = 128;
 /// The longest id of a model node that is taken, bytes.
 pub const LONGEST_NODE: usize = 128;
@@ -21,20 +21,23 @@
 /// How far a model node has come on its way out and back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum NodeStage {
+pub enum ReplicaStage {
     /// It is to go out when there is room.
-    Wanted,
+    #[serde(rename = "wanted")]
+    Requested,
     /// Nothing new is sent there, since this version of the document.
-    Out(u64),
+    #[serde(rename = "out")]
+    OutOfService(u64),
     /// It was put back then, and is cold.
-    Back(UnixMs),
+    #[serde(rename = "back")]
+    Restored(UnixMs),
 }
 
 /// A model node's entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeEntry {
+pub struct ReplicaEntry {
     /// How far it has come.
-    pub stage: NodeStage,
+    pub stage: ReplicaStage,
     /// The order that it goes by.
     pub order: String,
     /// When it is put back without an order.
@@ -44,37 +47,37 @@
 
 /// How many, as a number or a share of those there are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Most {
+pub enum Limit {
     /// So many.
-    Number(usize),
+    Count(usize),
     /// So many of 100, rounded down: 10% of 5 is none.
-    Share(usize),
+    Percent(usize),
 }
 
-impl Most {
+impl Limit {
     /// How many of so many.
     pub fn of(self, all: usize) -> usize {
         match self {
-            Most::Number(n) => n,
-            Most::Share(share) => all * share / 100,
+            Limit::Count(n) => n,
+            Limit::Percent(share) => all * share / 100,
         }
     }
 }
 
 /// How many model nodes may be out at once; `None`: none may by order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NodeBounds {
+pub struct ReplicaLimits {
     /// In all.
-    pub all: Most,
+    pub all: Limit,
     /// In a zone.
-    pub zone: Most,
+    pub zone: Limit,
     /// Of a kind.
-    pub kind: Most,
+    pub kind: Limit,
 }
 
 /// A listed model node as a router sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeSeen {
+pub struct ReplicaView {
     /// Its zone.
     pub zone: String,
     /// Its kind of machine.
@@ -85,7 +88,7 @@
 
 /// Why a model node may not go out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodesFull {
+pub struct ReplicaLimitExceeded {
     /// Of which it would be one too many: of all, of a zone, of a kind.
     pub of: String,
     /// How many may be out.
@@ -97,32 +100,33 @@
 }
 
 /// The nodes of a document.
-pub type Entries = BTreeMap<String, NodeEntry>;
+pub type ReplicaEntries = BTreeMap<String, ReplicaEntry>;
 
 /// Whether one more may go out, by what is listed and by what is out by order.
-pub fn room(
+pub fn check_limits(
     node: &str,
-    entries: &Entries,
-    bounds: &NodeBounds,
-    seen: &BTreeMap<String, NodeSeen>,
-) -> Result<(), NodesFull> {
+    entries: &ReplicaEntries,
+    bounds: &ReplicaLimits,
+    seen: &BTreeMap<String, ReplicaView>,
+) -> Result<(), ReplicaLimitExceeded> {
     let Some(this) = seen.get(node) else {
-        return Err(NodesFull {
+        return Err(ReplicaLimitExceeded {
             of: "the list, which does not have it".into(),
             most: 0,
             all: 0,
             out: vec![],
         });
     };
-    let ordered = |id: &str| entries.get(id).is_some_and(|e| matches!(e.stage, NodeStage::Out(_)));
-    let of = |what: String, most: Most, like: &dyn Fn(&NodeSeen) -> bool| {
+    let ordered =
+        |id: &str| entries.get(id).is_some_and(|e| matches!(e.stage, ReplicaStage::OutOfService(_)));
+    let of = |what: String, most: Limit, like: &dyn Fn(&ReplicaView) -> bool| {
         let alike = seen.iter().filter(|(_, s)| like(s));
         let out = alike.clone().filter(|(id, s)| id.as_str() != node && (s.out || ordered(id)));
         let out: Vec<String> = out.map(|(id, _)| id.clone()).collect();
         let all = alike.count();
         match out.len() < most.of(all) {
             true => Ok(()),
-            false => Err(NodesFull { of: what, most: most.of(all), all, out }),
+            false => Err(ReplicaLimitExceeded { of: what, most: most.of(all), all, out }),
         }
     };
     of("all".into(), bounds.all, &|_| true)?;
@@ -132,7 +136,7 @@
 
 /// What one router says of the nodes that are out by order.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Follows {
+pub struct AppliedState {
     /// The version of the document that it goes by.
     pub version: u64,
     /// Nodes out by it where it has requests open.
@@ -141,8 +145,8 @@
 
 /// Who keeps a node that went out with `since` from being clear: those that have not said that they go by that version and
 /// have nothing open. By router: what it said last in its present life, and whether it is known to be gone.
-pub fn unclear(node: &str, since: u64, said: &[(Option<&Follows>, bool)]) -> Vec<Place> {
-    let holds = |(said, gone): &(Option<&Follows>, bool)| {
+pub fn routers_not_clear(node: &str, since: u64, said: &[(Option<&AppliedState>, bool)]) -> Vec<RouterIndex> {
+    let holds = |(said, gone): &(Option<&AppliedState>, bool)| {
         !gone && said.is_none_or(|f| f.version < since || f.open.iter().any(|id| id == node))
     };
     (0..).zip(said).filter(|(_, s)| holds(s)).map(|(place, _)| place).collect()
--- a/consensus/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -7,18 +7,21 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use fastrand::Rng;
-use tallypin_consensus::document::{Act, Bounds, Document, View};
-use tallypin_consensus::leave::{halt_holds, Figures, Leaver, Next, Own};
-use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step};
-use tallypin_consensus::release::{Phase, Plan};
-use tallypin_consensus::watch::{Counts, Heard, Watch};
-use tallypin_membership::{Nanos, Place, Presence, Says};
+use tallypin_consensus::drain_lease::{halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep};
+use tallypin_consensus::fleet_state::{Command, CouncilView, DrainLimits, FleetState};
+use tallypin_consensus::register::{
+    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Proposer, RoundStep,
+};
+use tallypin_consensus::release::{ReleasePhase, ReleasePlan};
+use tallypin_consensus::release_monitor::{AnswerCounts, ReleaseMonitor, RouterReport};
+use tallypin_membership::{AdvertisedStatus, FailureDetector, Nanos, RouterIndex};
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 const BEAT: Nanos = 500 * MS;
-const FIGURES: Figures = Figures { lease: 5 * S, drift: 20, again: BEAT };
-const MEMBERS: tallypin_membership::Figures = tallypin_membership::Figures { every: BEAT, silent: 3 * S };
+const FIGURES: LeaseTiming = LeaseTiming { lease: 5 * S, drift: 20, again: BEAT };
+const MEMBERS: tallypin_membership::HeartbeatTiming =
+    tallypin_membership::HeartbeatTiming { every: BEAT, silent: 3 * S };
 const COUNCIL: usize = 5;
 /// A round that has not ended within this is given up.
 const ROUND: Nanos = 2 * S;
@@ -26,25 +29,25 @@
 #[allow(clippy::large_enum_variant)] // Some hundreds at a time.
 enum Event {
     Beat(usize, u64),
-    Heard {
+    HeartbeatReceived {
         by: usize,
         from: usize,
         life: u64,
-        says: Says,
+        says: AdvertisedStatus,
     },
     Asked {
         by: usize,
         from: usize,
         life: u64,
-        ask: Ask<Document>,
+        ask: AcceptorRequest<FleetState>,
     },
     Answered {
         by: usize,
         life: u64,
         from: usize,
-        ask: Ask<Document>,
-        answer: Answer<Document>,
-        out: Option<Vec<Place>>,
+        ask: AcceptorRequest<FleetState>,
+        answer: AcceptorReply<FleetState>,
+        out: Option<Vec<RouterIndex>>,
     },
     GiveUp(usize, u64, Ballot),
     /// Something goes wrong, or is mended.
@@ -58,19 +61,19 @@
     /// Stopped until then: what is due comes after it.
     stopped: Nanos,
     life: u64,
-    leaver: Leaver,
-    own: Own,
-    keeper: Option<Keeper<Document>>,
-    presence: Presence,
-    known: Option<Document>,
+    leaver: LeaseHolder,
+    own: LocalPhase,
+    keeper: Option<Acceptor<FleetState>>,
+    presence: FailureDetector,
+    known: Option<FleetState>,
     seen: Ballot,
     /// The round it is in, its act, when it was begun, who is out by the promises.
-    round: Option<(Round<Document>, Act, Nanos, View)>,
+    round: Option<(Proposer<FleetState>, Command, Nanos, CouncilView)>,
     /// Acts of operators that it is to have agreed on.
-    orders: Vec<Act>,
+    orders: Vec<Command>,
     /// The file that it runs: outlasts its lives.
     runs: String,
-    watch: Watch,
+    watch: ReleaseMonitor,
 }
 
 struct World {
@@ -80,7 +83,7 @@
     events: std::collections::HashMap<u64, Event>,
     next: u64,
     routers: Vec<Router>,
-    bounds: Bounds,
+    bounds: DrainLimits,
     /// Whoever is in here is cut off from the rest.
     cut: BTreeSet<usize>,
     lost: u32,
@@ -103,7 +106,7 @@
 impl World {
     fn new(seed: u64, n: usize) -> World {
         let zones = (0..n).map(|r| (r % 3) as u16).collect();
-        let bounds = Bounds {
+        let bounds = DrainLimits {
             names: vec![],
             zones,
             all: (n / 5).max(1),
@@ -112,28 +115,29 @@
             nodes: None,
         };
         let ballot = Ballot { number: 1, by: 0, life: 0 };
-        let value = first(&vec![Some((0, None)); COUNCIL], |_| Document::default()).expect("all blank");
+        let value =
+            bootstrap_value(&vec![Some((0, None)); COUNCIL], |_| FleetState::default()).expect("all blank");
         let routers = (0..n).map(|r| {
             let keeper = (r < COUNCIL).then(|| {
-                let mut keeper = Keeper::blank(0);
-                keeper.asked(Ask::Prepare(ballot));
-                keeper.asked(Ask::Found(ballot, value.clone()));
+                let mut keeper = Acceptor::new(0);
+                keeper.handle(AcceptorRequest::Prepare(ballot));
+                keeper.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
                 keeper
             });
             Router {
                 alive: true,
                 stopped: 0,
                 life: 0,
-                leaver: Leaver::new(FIGURES, r as Place, 0),
-                own: Own::Serving,
+                leaver: LeaseHolder::new(FIGURES, r as RouterIndex, 0),
+                own: LocalPhase::Serving,
                 keeper,
-                presence: Presence::new(MEMBERS, n, 0),
-                known: Some(Document::default()),
+                presence: FailureDetector::new(MEMBERS, n, 0),
+                known: Some(FleetState::default()),
                 seen: ballot,
                 round: None,
                 orders: Vec::new(),
                 runs: "first".into(),
-                watch: Watch::default(),
+                watch: ReleaseMonitor::default(),
             }
         });
         let mut world = World {
@@ -185,20 +189,21 @@
 
     fn ask_all(&mut self, r: usize) {
         let Some((round, ..)) = &self.routers[r].round else { return };
-        let (ask, life) = (round.ask(), self.routers[r].life);
+        let (ask, life) = (round.request(), self.routers[r].life);
         (0..COUNCIL).for_each(|m| self.send(r, m, Event::Asked { by: r, from: m, life, ask: ask.clone() }));
     }
 
-    fn begin(&mut self, r: usize, act: Act) {
+    fn begin(&mut self, r: usize, act: Command) {
         let now = self.now;
         let router = &mut self.routers[r];
         let ballot = Ballot { number: 0, by: r as u16, life: router.life }.above(router.seen);
         router.seen = ballot;
         let round = match &router.keeper {
-            Some(k) if !k.joined() => Round::joining(ballot, COUNCIL, vec![(r as u8, router.life)]),
-            _ => Round::new(ballot, COUNCIL),
+            Some(k) if !k.joined() => Proposer::joining(ballot, COUNCIL, vec![(r as u8, router.life)]),
+            _ => Proposer::new(ballot, COUNCIL),
         };
-        router.round = Some((round, act, now, View { wanted: COUNCIL / 2 + 1, ..View::default() }));
+        router.round =
+            Some((round, act, now, CouncilView { wanted: COUNCIL / 2 + 1, ..CouncilView::default() }));
         let life = router.life;
         self.ask_all(r);
         self.at(now + ROUND, Event::GiveUp(r, life, ballot));
@@ -210,7 +215,7 @@
             return;
         }
         if self.routers[r].keeper.as_ref().is_some_and(|k| !k.joined()) {
-            return self.begin(r, Act::Look);
+            return self.begin(r, Command::Read);
         }
         if let Some(act) = self.routers[r].orders.first().cloned() {
             return self.begin(r, act);
@@ -229,35 +234,35 @@
             let known = self.routers[r].known.as_ref().map_or(0, |d| d.version);
             // Members that have not all taken the same tell nothing alike until a round ends it.
             if newer(self, known) && self.rng.u32(..8) == 0 {
-                return self.begin(r, Act::Look);
+                return self.begin(r, Command::Read);
             }
         }
         let Some(known) = self.routers[r].known.clone() else { return };
         let router = &self.routers[r];
         match router.leaver.next(self.now, &known, router.own, Some(&router.runs)) {
-            Next::Rest => self.conduct(r, &known),
+            NextStep::Wait => self.conduct(r, &known),
             // Drained, it ends, and is started with the file that it has put in place.
-            Next::Swap(digest) => {
+            NextStep::InstallAndRestart(digest) => {
                 self.routers[r].runs = digest;
                 self.swapped += 1;
                 self.revive(r);
             }
-            Next::GoOut => self.go_out(r, &known),
-            Next::Serve => self.routers[r].own = Own::Serving,
-            Next::Ask(act) => self.begin(r, act),
+            NextStep::BeginDrain => self.go_out(r, &known),
+            NextStep::ResumeService => self.routers[r].own = LocalPhase::Serving,
+            NextStep::Submit(act) => self.begin(r, act),
         }
     }
 
     /// What a member asks for on behalf of all.
-    fn conduct(&mut self, r: usize, known: &Document) {
-        let (now, n) = (self.now, self.routers.len() as Place);
+    fn conduct(&mut self, r: usize, known: &FleetState) {
+        let (now, n) = (self.now, self.routers.len() as RouterIndex);
         let router = &mut self.routers[r];
-        if !router.keeper.as_ref().is_some_and(Keeper::joined) || !router.presence.knows(now) {
+        if !router.keeper.as_ref().is_some_and(Acceptor::joined) || !router.presence.knows(now) {
             return;
         }
         let heard = |p| {
             let (life, _) = router.presence.here(now, p)?;
-            Some(Heard { life, counts: Counts::default() })
+            Some(RouterReport { life, counts: AnswerCounts::default() })
         };
         let heard: Vec<_> = (0..n).map(heard).collect();
         if let Some(act) = router.watch.next(now, known, &self.bounds, &heard) {
@@ -273,24 +278,24 @@
                 let reached = self.routers[m].alive
                     && self.cut.contains(&m) == here
                     && self.rng.u32(..100) >= self.lost;
-                match self.routers[m].keeper.as_mut().filter(|_| reached)?.asked(Ask::Look) {
-                    Answer::Has { life, taken } => Some((life, taken)),
+                match self.routers[m].keeper.as_mut().filter(|_| reached)?.handle(AcceptorRequest::Read) {
+                    AcceptorReply::Current { life, taken } => Some((life, taken)),
                     _ => None,
                 }
             })
             .collect();
-        if let Some((_, value)) = agreed(&told) {
+        if let Some((_, value)) = chosen_value(&told) {
             self.routers[r].known = Some(value.document);
         }
     }
 
-    fn go_out(&mut self, r: usize, known: &Document) {
+    fn go_out(&mut self, r: usize, known: &FleetState) {
         assert!(
             !self.halt.is_some_and(|h| h.2),
             "{r} goes out after a halt was answered, by {}",
             known.version
         );
-        self.routers[r].own = Own::Out;
+        self.routers[r].own = LocalPhase::OutOfService;
         self.went += 1;
         let out = self.out_by_order();
         assert!(out.len() <= self.bounds.all, "{out:?} are out by order, {} may be", self.bounds.all);
@@ -302,7 +307,7 @@
 
     fn out_by_order(&self) -> Vec<usize> {
         (0..self.routers.len())
-            .filter(|&r| self.routers[r].alive && self.routers[r].own == Own::Out)
+            .filter(|&r| self.routers[r].alive && self.routers[r].own == LocalPhase::OutOfService)
             .collect()
     }
 
@@ -314,7 +319,7 @@
         if router.orders.first() == Some(&act) {
             if done {
                 router.orders.remove(0);
-                if matches!(act, Act::Halt { .. }) {
+                if matches!(act, Command::Halt { .. }) {
                     self.halt = Some((r, at, false));
                     let known = self.routers[r].known.as_ref();
                     self.before = known.map_or(vec![], |d| d.orders.iter().cloned().collect());
@@ -333,33 +338,35 @@
         &mut self,
         r: usize,
         from: usize,
-        ask: &Ask<Document>,
-        answer: Answer<Document>,
-        out: Option<Vec<Place>>,
+        ask: &AcceptorRequest<FleetState>,
+        answer: AcceptorReply<FleetState>,
+        out: Option<Vec<RouterIndex>>,
     ) {
         let bounds = self.bounds.clone();
         let router = &mut self.routers[r];
-        if let Answer::Newer(seen) = &answer {
+        if let AcceptorReply::Superseded(seen) = &answer {
             router.seen = router.seen.max(*seen);
         }
         let Some((round, act, _, view)) = &mut router.round else { return };
-        if let (Answer::Promised { .. }, Some(out), Ask::Prepare(ballot)) = (&answer, out, ask) {
+        if let (AcceptorReply::Promised { .. }, Some(out), AcceptorRequest::Prepare(ballot)) =
+            (&answer, out, ask)
+        {
             if *ballot == round.ballot() {
                 view.knowing += 1;
                 view.out.extend(out);
             }
         }
-        match round.heard(from as u8, ask, answer) {
-            Step::Wait => {}
-            Step::Lost(_) => self.ended(r, false),
-            Step::Change(document) => match document.changed(act, &bounds, view) {
+        match round.handle_reply(from as u8, ask, answer) {
+            RoundStep::Wait => {}
+            RoundStep::Superseded(_) => self.ended(r, false),
+            RoundStep::Propose(document) => match document.changed(act, &bounds, view) {
                 Ok(document) => {
                     round.propose(document);
                     self.ask_all(r);
                 }
                 Err(_) => self.ended(r, false),
             },
-            Step::Agreed(value) => {
+            RoundStep::Chosen(value) => {
                 let ballot = round.ballot();
                 // A resume from before that was agreed on after it ends a halt as well.
                 let orders = &value.document.orders;
@@ -379,7 +386,7 @@
 
     /// The answer to a halt, where it was ordered.
     fn halted(&mut self) {
-        let resumes = |r: &Router| r.orders.iter().any(|o| matches!(o, Act::Resume { .. }));
+        let resumes = |r: &Router| r.orders.iter().any(|o| matches!(o, Command::Resume { .. }));
         if self.routers.iter().any(resumes) {
             self.resumed = self.now;
         }
@@ -389,7 +396,10 @@
             return;
         }
         let Some(known) = &self.routers[r].known else { return };
-        if self.routers[r].alive && known.halted.is_some() && halt_holds(&FIGURES, self.now - at, known) {
+        if self.routers[r].alive
+            && known.halted.is_some()
+            && halt_is_effective(&FIGURES, self.now - at, known)
+        {
             self.halt = Some((r, at, true));
         }
     }
@@ -398,8 +408,8 @@
         let r = self.rng.usize(..self.routers.len());
         let now = self.now;
         // One member at a time: when a majority forgets at once nothing can be agreed on any more, as is stated.
-        let joined = |m: &Router| m.alive && m.keeper.as_ref().is_some_and(Keeper::joined);
-        let whole = self.routers.iter().take(COUNCIL).all(|m| joined(m) && m.own == Own::Serving);
+        let joined = |m: &Router| m.alive && m.keeper.as_ref().is_some_and(Acceptor::joined);
+        let whole = self.routers.iter().take(COUNCIL).all(|m| joined(m) && m.own == LocalPhase::Serving);
         match self.rng.u32(..6) {
             0 if self.routers[r].alive && (r >= COUNCIL || whole) => self.routers[r].alive = false,
             1 => self.routers[r].stopped = now + self.rng.u64(S..20 * S),
@@ -427,11 +437,11 @@
         router.life += 1;
         let life = router.life;
         (router.alive, router.stopped, router.own, router.known, router.round) =
-            (true, 0, Own::Serving, None, None);
-        router.leaver = Leaver::new(FIGURES, r as Place, life);
-        router.keeper = (r < COUNCIL).then(|| Keeper::blank(life));
-        router.presence = Presence::new(MEMBERS, n, now);
-        router.watch = Watch::default();
+            (true, 0, LocalPhase::Serving, None, None);
+        router.leaver = LeaseHolder::new(FIGURES, r as RouterIndex, life);
+        router.keeper = (r < COUNCIL).then(|| Acceptor::new(life));
+        router.presence = FailureDetector::new(MEMBERS, n, now);
+        router.watch = ReleaseMonitor::default();
         router.seen = Ballot::default();
         router.orders.clear();
         self.at(now, Event::Beat(r, life));
@@ -442,23 +452,23 @@
         self.orders += 1;
         let (r, order) = (self.rng.usize(..n), format!("o{}", self.orders));
         let (first, back, undo) = (self.rng.u16(..n as u16), self.rng.bool(), self.rng.bool());
-        let mut some = || (0..1 + n / 20).map(|_| self.rng.usize(..n) as Place).collect::<Vec<_>>();
+        let mut some = || (0..1 + n / 20).map(|_| self.rng.usize(..n) as RouterIndex).collect::<Vec<_>>();
         // Drains by hand, or releases: a release refuses to touch who is out by hand.
         let act = match if self.releases { 6 + self.orders % 4 } else { self.orders % 6 } {
             8 => {
-                let rest = (0..n as Place).filter(|p| *p != first).collect();
-                let plan = Plan { watch_ms: 1000, ready_ms: 30_000, back, ..Plan::default() };
+                let rest = (0..n as RouterIndex).filter(|p| *p != first).collect();
+                let plan = ReleasePlan { watch_ms: 1000, ready_ms: 30_000, back, ..ReleasePlan::default() };
                 let (what, digest) = ("settings".into(), format!("file {}", self.orders));
-                Act::Release { order, what, digest, waves: vec![vec![first], rest], plan }
+                Command::BeginRelease { order, what, digest, waves: vec![vec![first], rest], plan }
             }
-            9 if undo => Act::Undo { order, cause: "x".into() },
-            0 | 6 => Act::Halt { order, cause: "x".into() },
-            1 | 2 => Act::Drain { order, routers: some() },
-            3 => Act::PutBack { order, routers: some() },
-            4 => Act::Drain { order, routers: some() },
-            _ => Act::Resume { order },
+            9 if undo => Command::RollBack { order, cause: "x".into() },
+            0 | 6 => Command::Halt { order, cause: "x".into() },
+            1 | 2 => Command::Drain { order, routers: some() },
+            3 => Command::Restore { order, routers: some() },
+            4 => Command::Drain { order, routers: some() },
+            _ => Command::Resume { order },
         };
-        if let Act::Resume { order } = &act {
+        if let Command::Resume { order } = &act {
             self.halt = None;
             self.resumes.insert(order.clone());
         }
@@ -477,7 +487,7 @@
             // What reaches a process that is stopped waits for it.
             let to = match &event {
                 Event::Beat(r, _) | Event::GiveUp(r, ..) => Some(*r),
-                Event::Heard { by, .. } => Some(*by),
+                Event::HeartbeatReceived { by, .. } => Some(*by),
                 Event::Asked { from, .. } => Some(*from),
                 Event::Answered { by, .. } => Some(*by),
                 Event::Fault | Event::Order => None,
@@ -498,20 +508,21 @@
                 self.routers[r].presence.look(now);
                 let router = &self.routers[r];
                 let says = match (router.own, &router.keeper) {
-                    (Own::Out, _) => Says::Draining,
-                    (_, Some(keeper)) if !keeper.joined() => Says::Starting,
-                    _ => Says::Serving,
+                    (LocalPhase::OutOfService, _) => AdvertisedStatus::Draining,
+                    (_, Some(keeper)) if !keeper.joined() => AdvertisedStatus::Starting,
+                    _ => AdvertisedStatus::Serving,
                 };
-                (0..COUNCIL).for_each(|m| self.send(r, m, Event::Heard { by: m, from: r, life, says }));
+                (0..COUNCIL)
+                    .for_each(|m| self.send(r, m, Event::HeartbeatReceived { by: m, from: r, life, says }));
                 self.part(r);
                 self.at(now + BEAT, Event::Beat(r, life));
             }
-            Event::Heard { by, from, life, says } if self.routers[by].alive => {
-                self.routers[by].presence.beat(now, from as Place, life, says);
+            Event::HeartbeatReceived { by, from, life, says } if self.routers[by].alive => {
+                self.routers[by].presence.beat(now, from as RouterIndex, life, says);
             }
             Event::Asked { by, from, life, ask } if self.routers[from].alive => {
                 let member = &mut self.routers[from];
-                let Some(answer) = member.keeper.as_mut().map(|k| k.asked(ask.clone())) else { return };
+                let Some(answer) = member.keeper.as_mut().map(|k| k.handle(ask.clone())) else { return };
                 let knows = member.presence.knows(now);
                 let out = member.presence.out(now);
                 let out = knows.then_some(out);
@@ -547,7 +558,7 @@
         let newest = self.routers.iter().filter_map(|r| r.known.as_ref()).map(|d| d.version).max();
         // What is told to be done is: every router runs it.
         let known = self.routers.iter().filter_map(|r| r.known.as_ref()).max_by_key(|d| d.version);
-        if let Some(r) = known.and_then(|d| d.release.as_ref()).filter(|r| r.phase == Phase::Done) {
+        if let Some(r) = known.and_then(|d| d.release.as_ref()).filter(|r| r.phase == ReleasePhase::Done) {
             self.done += 1;
             assert!(self.routers.iter().all(|router| router.runs == r.digest), "not all run {}", r.digest);
         }
@@ -564,7 +575,7 @@
         let same = world.settle();
         if !same {
             let remember =
-                world.routers.iter().filter(|r| r.keeper.as_ref().is_some_and(Keeper::joined)).count();
+                world.routers.iter().filter(|r| r.keeper.as_ref().is_some_and(Acceptor::joined)).count();
             println!("seed {seed}: not one document; {remember} of {COUNCIL} members take part");
         }
         settled += usize::from(same);
--- a/consensus/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -5,28 +5,31 @@
 use std::collections::BTreeMap;
 
 use stateright::{Checker, Model, Property};
-use tallypin_consensus::register::{first, Answer, Ask, Ballot, Defect, Keeper, Round, Step, Value};
+use tallypin_consensus::register::{
+    bootstrap_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Defect, Proposer, RegisterValue,
+    RoundStep,
+};
 
 const MEMBERS: usize = 3;
 /// What is agreed on: the marks of all changes, in their order.
 type History = Vec<u8>;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Proposer {
+struct ProposerProcess {
     life: u64,
-    round: Option<Round<History>>,
+    round: Option<Proposer<History>>,
     rounds: u8,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    members: Vec<Keeper<History>>,
+    members: Vec<Acceptor<History>>,
     lives: Vec<u64>,
-    proposers: Vec<Proposer>,
+    proposers: Vec<ProposerProcess>,
     /// Questions that were sent, by who asked: each may come whenever, as often as it likes.
-    asked: Vec<(usize, Ask<History>)>,
+    asked: Vec<(usize, AcceptorRequest<History>)>,
     /// Answers that were given, likewise: by member, to whom, to what.
-    answered: Vec<(usize, usize, Ask<History>, Answer<History>)>,
+    answered: Vec<(usize, usize, AcceptorRequest<History>, AcceptorReply<History>)>,
     agreed: Vec<History>,
     restarts: u8,
     /// Two that were told different things.
@@ -51,24 +54,24 @@
 impl State {
     fn send(&mut self, p: usize) {
         let Some(round) = &self.proposers[p].round else { return };
-        let message = (p, round.ask());
+        let message = (p, round.request());
         if !self.asked.contains(&message) {
             self.asked.push(message);
             self.asked.sort_by_key(|m| format!("{m:?}"));
         }
     }
 
-    fn step(&mut self, p: usize, step: Step<History>) {
+    fn step(&mut self, p: usize, step: RoundStep<History>) {
         match step {
-            Step::Wait => {}
-            Step::Lost(_) => self.proposers[p].round = None,
-            Step::Change(mut history) => {
+            RoundStep::Wait => {}
+            RoundStep::Superseded(_) => self.proposers[p].round = None,
+            RoundStep::Propose(mut history) => {
                 // A mark of its own for each round.
                 history.push(p as u8 * 10 + self.proposers[p].rounds);
                 self.proposers[p].round.as_mut().expect("it has one").propose(history);
                 self.send(p);
             }
-            Step::Agreed(value) => {
+            RoundStep::Chosen(value) => {
                 let round = self.proposers[p].round.take().expect("it has one");
                 // The member that proposes takes part again, if this is still its life.
                 if p < MEMBERS && self.lives[p] == self.proposers[p].life {
@@ -93,19 +96,19 @@
     fn init_states(&self) -> Vec<State> {
         let lives: Vec<u64> = (1..=MEMBERS as u64).collect();
         let blank: Vec<_> = lives.iter().map(|l| Some((*l, None))).collect();
-        let value: Value<History> = first(&blank, |_| vec![]).expect("all are blank");
+        let value: RegisterValue<History> = bootstrap_value(&blank, |_| vec![]).expect("all are blank");
         let ballot = Ballot { number: 1, by: 0, life: 0 };
         let members = lives.iter().map(|&life| {
-            let mut m = Keeper::blank(life);
-            m.asked(Ask::Prepare(ballot));
-            m.asked(Ask::Found(ballot, value.clone()));
+            let mut m = Acceptor::new(life);
+            m.handle(AcceptorRequest::Prepare(ballot));
+            m.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
             m.with(self.defect)
         });
         let members = members.collect();
         // Members come first: they propose to take part again.
         let proposers = (0..MEMBERS + self.proposers).map(|p| {
             let life = lives.get(p).copied().unwrap_or(100 + p as u64);
-            Proposer { life, round: None, rounds: 0 }
+            ProposerProcess { life, round: None, rounds: 0 }
         });
         let proposers = proposers.collect();
         let (asked, answered, agreed) = (vec![], vec![], vec![]);
@@ -124,7 +127,7 @@
             for to in 0..MEMBERS {
                 let done = s.answered.iter().any(|(m, p, a, _)| m == &to && p == from && a == ask);
                 // Once is enough where nothing has changed since; a second time may answer otherwise.
-                if !done || s.members[to].clone().asked(ask.clone()) != last(s, to, *from, ask) {
+                if !done || s.members[to].clone().handle(ask.clone()) != last(s, to, *from, ask) {
                     actions.push(Action::Ask(i, to));
                 }
             }
@@ -145,12 +148,12 @@
                 let number = 1 + u64::from(proposer.rounds);
                 let ballot = Ballot { number, by: p as u16, life: proposer.life };
                 let joins = if p < MEMBERS { vec![(p as u8, proposer.life)] } else { vec![] };
-                proposer.round = Some(Round::joining(ballot, MEMBERS, joins).with(self.defect));
+                proposer.round = Some(Proposer::joining(ballot, MEMBERS, joins).with(self.defect));
                 s.send(p);
             }
             Action::Ask(i, to) => {
                 let (from, ask) = s.asked[i].clone();
-                let answer = s.members[to].asked(ask.clone());
+                let answer = s.members[to].handle(ask.clone());
                 let message = (to, from, ask, answer);
                 if !s.answered.contains(&message) {
                     s.answered.push(message);
@@ -159,15 +162,15 @@
             }
             Action::Answer(i) => {
                 let (from, to, ask, answer) = s.answered[i].clone();
-                let step = s.proposers[to].round.as_mut()?.heard(from as u8, &ask, answer);
+                let step = s.proposers[to].round.as_mut()?.handle_reply(from as u8, &ask, answer);
                 s.step(to, step);
             }
             Action::Restart(m) => {
                 s.restarts += 1;
                 let life = 10 * u64::from(s.restarts) + m as u64;
                 s.lives[m] = life;
-                s.members[m] = Keeper::blank(life).with(self.defect);
-                s.proposers[m] = Proposer { life, round: None, rounds: s.proposers[m].rounds };
+                s.members[m] = Acceptor::new(life).with(self.defect);
+                s.proposers[m] = ProposerProcess { life, round: None, rounds: s.proposers[m].rounds };
             }
         }
         Some(s)
@@ -184,7 +187,7 @@
     }
 }
 
-fn last(s: &State, to: usize, from: usize, ask: &Ask<History>) -> Answer<History> {
+fn last(s: &State, to: usize, from: usize, ask: &AcceptorRequest<History>) -> AcceptorReply<History> {
     let mut all = s.answered.iter().filter(|(m, p, a, _)| *m == to && *p == from && a == ask);
     all.next_back().map(|(.., answer)| answer.clone()).expect("it has answered")
 }
--- a/consensus/tests/net.rs
+++ b/consensus/tests/net.rs
@@ -3,17 +3,31 @@
 #![allow(missing_docs)]
 
 use fastrand::Rng;
-use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Defect, Keeper, Round, Step, Value};
+use tallypin_consensus::register::{
+    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Defect, Proposer,
+    RegisterValue, RoundStep,
+};
 
 /// All that was ever agreed on, oldest first: each change adds its own mark.
 type History = Vec<u32>;
 
 enum Message {
-    Ask { from: usize, to: usize, ask: Ask<History>, look: u32 },
-    Answer { from: usize, to: usize, to_ask: Ask<History>, answer: Answer<History>, look: u32 },
+    Ask {
+        from: usize,
+        to: usize,
+        ask: AcceptorRequest<History>,
+        look: u32,
+    },
+    Answer {
+        from: usize,
+        to: usize,
+        to_ask: AcceptorRequest<History>,
+        answer: AcceptorReply<History>,
+        look: u32,
+    },
 }
 
-type Told = (u64, Option<(Ballot, Value<History>)>);
+type Told = (u64, Option<(Ballot, RegisterValue<History>)>);
 
 /// One look: its number, what members have told, and how much was agreed on when it began.
 struct Looks {
@@ -22,10 +36,10 @@
     least: usize,
 }
 
-struct Proposer {
+struct ProposerProcess {
     life: u64,
     seen: Ballot,
-    round: Option<Round<History>>,
+    round: Option<Proposer<History>>,
     /// What members have told since it looked, and how much was agreed on when it began to.
     looks: Option<Looks>,
     /// The member that it joins as.
@@ -35,9 +49,9 @@
 struct Net {
     rng: Rng,
     defect: Option<Defect>,
-    members: Vec<Keeper<History>>,
+    members: Vec<Acceptor<History>>,
     lives: Vec<u64>,
-    proposers: Vec<Proposer>,
+    proposers: Vec<ProposerProcess>,
     wire: Vec<Message>,
     /// The longest history that anyone was told is agreed on.
     agreed: History,
@@ -49,18 +63,24 @@
 impl Net {
     fn new(seed: u64, members: usize, defect: Option<Defect>) -> Net {
         let lives: Vec<u64> = (0..members as u64).collect();
-        let value = first(&lives.iter().map(|l| Some((*l, None))).collect::<Vec<_>>(), |_| History::new())
-            .expect("all blank");
-        let mut all: Vec<Keeper<History>> = lives.iter().map(|&l| Keeper::blank(l)).collect();
+        let value =
+            bootstrap_value(&lives.iter().map(|l| Some((*l, None))).collect::<Vec<_>>(), |_| History::new())
+                .expect("all blank");
+        let mut all: Vec<Acceptor<History>> = lives.iter().map(|&l| Acceptor::new(l)).collect();
         let ballot = Ballot { number: 1, by: 0, life: 0 };
         for m in &mut all {
-            m.asked(Ask::Prepare(ballot));
-            m.asked(Ask::Found(ballot, value.clone()));
+            m.handle(AcceptorRequest::Prepare(ballot));
+            m.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
             *m = m.clone().with(defect);
         }
         // The first of them are the members themselves, which propose as well and join again.
-        let proposer =
-            |p: usize| Proposer { life: p as u64, seen: ballot, round: None, looks: None, joins: None };
+        let proposer = |p: usize| ProposerProcess {
+            life: p as u64,
+            seen: ballot,
+            round: None,
+            looks: None,
+            joins: None,
+        };
         Net {
             rng: Rng::with_seed(seed),
             defect,
@@ -77,7 +97,7 @@
 
     fn ask_all(&mut self, p: usize) {
         let Some(round) = &self.proposers[p].round else { return };
-        let ask = round.ask();
+        let ask = round.request();
         let all = 0..self.members.len();
         self.wire.extend(all.map(|to| Message::Ask { from: p, to, ask: ask.clone(), look: 0 }));
     }
@@ -89,8 +109,8 @@
         proposer.seen = ballot;
         proposer.joins = (p < n && !self.members[p].joined()).then_some(p);
         let round = match proposer.joins {
-            Some(m) => Round::joining(ballot, n, vec![(m as u8, proposer.life)]),
-            None => Round::new(ballot, n),
+            Some(m) => Proposer::joining(ballot, n, vec![(m as u8, proposer.life)]),
+            None => Proposer::new(ballot, n),
         };
         proposer.round = Some(round.with(self.defect));
         self.ask_all(p);
@@ -104,31 +124,31 @@
         }
         let life = self.lives.iter().max().expect("there are members") + 100;
         self.lives[m] = life;
-        self.members[m] = Keeper::blank(life).with(self.defect);
+        self.members[m] = Acceptor::new(life).with(self.defect);
         let seen = Ballot::default();
-        self.proposers[m] = Proposer { life, seen, round: None, looks: None, joins: None };
+        self.proposers[m] = ProposerProcess { life, seen, round: None, looks: None, joins: None };
     }
 
     /// A message arrives. `Err`: two that were told different things.
     fn deliver(&mut self, message: Message) -> Result<(), String> {
         match message {
             Message::Ask { from, to, ask, look } => {
-                let answer = self.members[to].asked(ask.clone());
+                let answer = self.members[to].handle(ask.clone());
                 self.wire.push(Message::Answer { from: to, to: from, to_ask: ask, answer, look });
                 Ok(())
             }
             Message::Answer { from, to, to_ask, answer, look } => {
                 let proposer = &mut self.proposers[to];
-                if let Answer::Newer(seen) = &answer {
+                if let AcceptorReply::Superseded(seen) = &answer {
                     proposer.seen = proposer.seen.max(*seen);
                 }
-                if let Answer::Has { life, taken } = answer {
+                if let AcceptorReply::Current { life, taken } = answer {
                     // An answer to an earlier look says nothing of now.
                     let Some(looks) = proposer.looks.as_mut().filter(|l| l.number == look) else {
                         return Ok(());
                     };
                     looks.told[from] = Some((life, taken));
-                    let Some((_, value)) = agreed(&looks.told) else { return Ok(()) };
+                    let Some((_, value)) = chosen_value(&looks.told) else { return Ok(()) };
                     let least = looks.least;
                     proposer.looks = None;
                     return match value.document.len() < least {
@@ -137,20 +157,20 @@
                     };
                 }
                 let Some(round) = &mut proposer.round else { return Ok(()) };
-                match round.heard(from as u8, &to_ask, answer) {
-                    Step::Wait => Ok(()),
-                    Step::Lost(_) => {
+                match round.handle_reply(from as u8, &to_ask, answer) {
+                    RoundStep::Wait => Ok(()),
+                    RoundStep::Superseded(_) => {
                         proposer.round = None;
                         Ok(())
                     }
-                    Step::Change(mut history) => {
+                    RoundStep::Propose(mut history) => {
                         self.marks += 1;
                         history.push(self.marks);
                         round.propose(history);
                         self.ask_all(to);
                         Ok(())
                     }
-                    Step::Agreed(value) => {
+                    RoundStep::Chosen(value) => {
                         let ballot = round.ballot();
                         let (joins, life) = (proposer.joins, proposer.life);
                         proposer.round = None;
@@ -193,7 +213,7 @@
                 let (number, members) = (self.looks, self.members.len());
                 self.proposers[p].looks =
                     Some(Looks { number, told: vec![None; members], least: self.agreed.len() });
-                let ask = |to| Message::Ask { from: p, to, ask: Ask::Look, look: number };
+                let ask = |to| Message::Ask { from: p, to, ask: AcceptorRequest::Read, look: number };
                 self.wire.extend((0..members).map(ask));
             }
             5..=9 if !self.wire.is_empty() => {
@@ -266,18 +286,18 @@
 
 /// Plays a round before some members, by what it is asked; with some answers that it has already.
 fn finish(
-    round: &mut Round<History>,
-    members: &mut [Keeper<History>],
+    round: &mut Proposer<History>,
+    members: &mut [Acceptor<History>],
     reach: &[usize],
     mark: u32,
-) -> Step<History> {
+) -> RoundStep<History> {
     loop {
-        let ask = round.ask();
-        let answers: Vec<_> = reach.iter().map(|&m| (m as u8, members[m].asked(ask.clone()))).collect();
-        let steps = answers.into_iter().map(|(m, answer)| round.heard(m, &ask, answer));
-        let Some(step) = steps.into_iter().find(|s| *s != Step::Wait) else { return Step::Wait };
+        let ask = round.request();
+        let answers: Vec<_> = reach.iter().map(|&m| (m as u8, members[m].handle(ask.clone()))).collect();
+        let steps = answers.into_iter().map(|(m, answer)| round.handle_reply(m, &ask, answer));
+        let Some(step) = steps.into_iter().find(|s| *s != RoundStep::Wait) else { return RoundStep::Wait };
         match step {
-            Step::Change(mut history) => {
+            RoundStep::Propose(mut history) => {
                 history.push(mark);
                 round.propose(history);
             }
@@ -294,26 +314,28 @@
         let net = Net::new(1, 3, defect);
         let mut members = net.members;
         let ballot = |number, by, life| Ballot { number, by, life };
-        let mut late = Round::new(ballot(10, 3, 0), 3).with(defect);
-        let ask = late.ask();
-        let promise = members[0].asked(ask.clone());
-        members[0] = Keeper::blank(100).with(defect);
-        let mut joins = Round::joining(ballot(3, 0, 100), 3, vec![(0, 100)]).with(defect);
-        let Step::Agreed(joined) = finish(&mut joins, &mut members, &[1, 2], 1) else { panic!("joins") };
+        let mut late = Proposer::new(ballot(10, 3, 0), 3).with(defect);
+        let ask = late.request();
+        let promise = members[0].handle(ask.clone());
+        members[0] = Acceptor::new(100).with(defect);
+        let mut joins = Proposer::joining(ballot(3, 0, 100), 3, vec![(0, 100)]).with(defect);
+        let RoundStep::Chosen(joined) = finish(&mut joins, &mut members, &[1, 2], 1) else { panic!("joins") };
         members[0].join(ballot(3, 0, 100), joined);
-        let mut other = Round::new(ballot(4, 4, 0), 3).with(defect);
-        let Step::Agreed(other) = finish(&mut other, &mut members, &[0, 2], 2) else { panic!("agrees") };
+        let mut other = Proposer::new(ballot(4, 4, 0), 3).with(defect);
+        let RoundStep::Chosen(other) = finish(&mut other, &mut members, &[0, 2], 2) else { panic!("agrees") };
         assert_eq!(other.document, vec![1, 2]);
-        assert_eq!(late.heard(0, &ask, promise), Step::Wait);
+        assert_eq!(late.handle_reply(0, &ask, promise), RoundStep::Wait);
         finish(&mut late, &mut members, &[1], 3);
         finish(&mut late, &mut members, &[1, 2], 3)
     };
     match late(Some(Defect::AnyLife)) {
-        Step::Agreed(value) => assert_eq!(value.document, vec![1, 3], "the mistake loses what was agreed on"),
+        RoundStep::Chosen(value) => {
+            assert_eq!(value.document, vec![1, 3], "the mistake loses what was agreed on")
+        }
         other => panic!("{other:?}"),
     }
     match late(None) {
-        Step::Agreed(value) => assert_eq!(value.document, vec![1, 2, 3]),
+        RoundStep::Chosen(value) => assert_eq!(value.document, vec![1, 2, 3]),
         other => panic!("{other:?}"),
     }
 }
--- a/consensus/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -11,13 +11,20 @@
 
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{from_str, from_value, json, to_string, Value as Json};
-use tallypin_consensus::document::{Act, Bounds, Document, Entry, No, Stage, View};
-use tallypin_consensus::leave::{halt_holds, Figures, Leaver, Next, Own};
-use tallypin_consensus::nodes::{unclear, Follows, Most, NodeBounds, NodeSeen, NodesFull};
-use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step, Value};
-use tallypin_consensus::release::Plan;
-use tallypin_consensus::watch::{Counts, Heard, Watch};
-use tallypin_membership::{Figures as BeatFigures, Presence, Says, Standing};
+use tallypin_consensus::drain_lease::{halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep};
+use tallypin_consensus::fleet_state::{
+    Command, CouncilView, DrainEntry, DrainLimits, DrainStage, FleetState, Rejection,
+};
+use tallypin_consensus::register::{
+    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Proposer, RegisterValue,
+    RoundStep,
+};
+use tallypin_consensus::release::ReleasePlan;
+use tallypin_consensus::release_monitor::{AnswerCounts, ReleaseMonitor, RouterReport};
+use tallypin_consensus::replica_drains::{
+    routers_not_clear, AppliedState, Limit, ReplicaLimitExceeded, ReplicaLimits, ReplicaView,
+};
+use tallypin_membership::{AdvertisedStatus, FailureDetector, HeartbeatTiming as BeatFigures, PeerStatus};
 
 fn file(name: &str) -> std::path::PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded").join(name)
@@ -55,66 +62,74 @@
     values.iter().map(|v| both_ways(v) + "\n").collect()
 }
 
-fn plan() -> Plan {
-    Plan { watch_ms: 1, ready_ms: 2, failed_most: 3, late_most: 4, refused_most: 5, enough: 6, back: true }
+fn plan() -> ReleasePlan {
+    ReleasePlan {
+        watch_ms: 1,
+        ready_ms: 2,
+        failed_most: 3,
+        late_most: 4,
+        refused_most: 5,
+        enough: 6,
+        back: true,
+    }
 }
 
-fn commands() -> Vec<Act> {
+fn commands() -> Vec<Command> {
     let (o, c) = (|| "an order".to_string(), || "a \"cause\"".to_string());
     let nodes = || vec!["n1".to_string(), "n2".to_string()];
     let (what, digest, waves) = ("settings".into(), "abc".into(), vec![vec![0, 2], vec![1]]);
     vec![
-        Act::Look,
-        Act::Join(6, u64::MAX),
-        Act::Drain { order: o(), routers: vec![0, 65535] },
-        Act::PutBack { order: o(), routers: vec![] },
-        Act::Halt { order: o(), cause: c() },
-        Act::Resume { order: o() },
-        Act::TakeOut { order: o(), nodes: nodes(), until: None },
-        Act::TakeOut { order: o(), nodes: nodes(), until: Some(1_800_000_000_000) },
-        Act::PutBackNodes { order: o(), nodes: nodes() },
-        Act::Node("n1".into()),
-        Act::Release { order: o(), what, digest, waves, plan: plan() },
-        Act::Undo { order: o(), cause: c() },
-        Act::Wave(63),
-        Act::Fail(1, c()),
-        Act::Has(3),
-        Act::Unfit(3, c()),
-        Act::Again(3, 9),
-        Act::LeaveFrom(3, 9, "abc".into()),
-        Act::Leave(3, 9),
-        Act::Going(3, 9),
-        Act::GiveUp(3, 9),
-        Act::Serves(3, 9),
+        Command::Read,
+        Command::JoinCouncil(6, u64::MAX),
+        Command::Drain { order: o(), routers: vec![0, 65535] },
+        Command::Restore { order: o(), routers: vec![] },
+        Command::Halt { order: o(), cause: c() },
+        Command::Resume { order: o() },
+        Command::DrainReplicas { order: o(), nodes: nodes(), until: None },
+        Command::DrainReplicas { order: o(), nodes: nodes(), until: Some(1_800_000_000_000) },
+        Command::RestoreReplicas { order: o(), nodes: nodes() },
+        Command::AdvanceReplica("n1".into()),
+        Command::BeginRelease { order: o(), what, digest, waves, plan: plan() },
+        Command::RollBack { order: o(), cause: c() },
+        Command::CompleteWave(63),
+        Command::FailWave(1, c()),
+        Command::ReportUpToDate(3),
+        Command::ReportUnfit(3, c()),
+        Command::RetryRelease(3, 9),
+        Command::AcquireReleaseLease(3, 9, "abc".into()),
+        Command::AcquireLease(3, 9),
+        Command::UseLease(3, 9),
+        Command::ReturnLease(3, 9),
+        Command::ReportServing(3, 9),
     ]
 }
 
-fn rejections() -> Vec<No> {
-    let full = |out: &[&str]| NodesFull {
+fn rejections() -> Vec<Rejection> {
+    let full = |out: &[&str]| ReplicaLimitExceeded {
         of: "zone a".into(),
         most: 2,
         all: 7,
         out: out.iter().map(ToString::to_string).collect(),
     };
     vec![
-        No::Halted("late answers".into()),
-        No::Full(2),
-        No::ZoneFull(1),
-        No::CouncilFull(2),
-        No::Unseen,
-        No::Unknown(9),
-        No::Nothing,
-        No::Words,
-        No::NodesFull(full(&[])),
-        No::NodesFull(full(&["n1", "n2"])),
-        No::NoNodes,
-        No::NoList,
-        No::UnknownNode("n9".into()),
-        No::TooMany,
-        No::Busy("v2".into()),
-        No::Taken("north".into(), "d".into()),
-        No::Waves,
-        No::NotSeen,
+        Rejection::Halted("late answers".into()),
+        Rejection::FleetLimitReached(2),
+        Rejection::ZoneLimitReached(1),
+        Rejection::CouncilLimitReached(2),
+        Rejection::ViewIncomplete,
+        Rejection::UnknownRouter(9),
+        Rejection::NothingToChange,
+        Rejection::InvalidText,
+        Rejection::ReplicaLimitReached(full(&[])),
+        Rejection::ReplicaLimitReached(full(&["n1", "n2"])),
+        Rejection::ReplicaOrdersDisabled,
+        Rejection::EndpointListStale,
+        Rejection::UnknownReplica("n9".into()),
+        Rejection::TooManyReplicas,
+        Rejection::ReleaseInProgress("v2".into()),
+        Rejection::HeldByOtherOrder("north".into(), "d".into()),
+        Rejection::InvalidWaves,
+        Rejection::NotSeenServing,
     ]
 }
 
@@ -144,25 +159,25 @@
     compare("rejections.txt", &each);
 }
 
-fn most(of: &Json) -> Most {
+fn most(of: &Json) -> Limit {
     let text = of.as_str().expect("a text");
     let number = text.trim_end_matches('%').parse().expect("a number");
     if text.ends_with('%') {
-        Most::Share(number)
+        Limit::Percent(number)
     } else {
-        Most::Number(number)
+        Limit::Count(number)
     }
 }
 
-fn bounds(of: &Json) -> Bounds {
+fn bounds(of: &Json) -> DrainLimits {
     let list = |name: &str| of[name].clone();
-    Bounds {
+    DrainLimits {
         names: from_value(list("names")).expect("names"),
         zones: from_value(list("zones")).expect("zones"),
         all: from_value(list("all")).expect("all"),
         zone: from_value(list("zone")).expect("zone"),
         council: from_value(list("council")).expect("council"),
-        nodes: of["nodes"].as_object().map(|n| NodeBounds {
+        nodes: of["nodes"].as_object().map(|n| ReplicaLimits {
             all: most(&n["all"]),
             zone: most(&n["zone"]),
             kind: most(&n["kind"]),
@@ -170,11 +185,11 @@
     }
 }
 
-fn view(of: &Json) -> View {
+fn view(of: &Json) -> CouncilView {
     type Listed = BTreeMap<String, (String, String, bool)>;
     let nodes: Option<Listed> = from_value(of["nodes"].clone()).expect("nodes");
-    let seen = |(id, (zone, kind, out))| (id, NodeSeen { zone, kind, out });
-    View {
+    let seen = |(id, (zone, kind, out))| (id, ReplicaView { zone, kind, out });
+    CouncilView {
         knowing: from_value(of["knowing"].clone()).expect("knowing"),
         wanted: from_value(of["wanted"].clone()).expect("wanted"),
         out: from_value(of["out"].clone()).expect("out"),
@@ -183,31 +198,31 @@
     }
 }
 
-fn start(name: &str) -> Document {
-    let known = || Document { version: 41, orders: ["o".to_string()].into(), ..Document::default() };
+fn start(name: &str) -> FleetState {
+    let known = || FleetState { version: 41, orders: ["o".to_string()].into(), ..FleetState::default() };
     match name {
-        "running" => Document::default(),
-        "first" => Document::first(None),
-        "first-of-known" => Document::first(Some(&known())),
-        "first-of-first" => Document::first(Some(&Document::first(None))),
-        "last-version" => Document { version: u64::MAX - 2, ..Document::default() },
+        "running" => FleetState::default(),
+        "first" => FleetState::first(None),
+        "first-of-known" => FleetState::first(Some(&known())),
+        "first-of-first" => FleetState::first(Some(&FleetState::first(None))),
+        "last-version" => FleetState { version: u64::MAX - 2, ..FleetState::default() },
         other => panic!("no start {other}"),
     }
 }
 
 /// Where the script is.
 struct Play {
-    document: Document,
-    bounds: Bounds,
-    view: View,
-    watch: Watch,
+    document: FleetState,
+    bounds: DrainLimits,
+    view: CouncilView,
+    watch: ReleaseMonitor,
     rejected: BTreeSet<String>,
     says: String,
 }
 
 impl Play {
     fn command(&mut self, command: &str) {
-        let act: Act = from_str(command).unwrap_or_else(|e| panic!("{command}: {e}"));
+        let act: Command = from_str(command).unwrap_or_else(|e| panic!("{command}: {e}"));
         let result = match self.document.changed(&act, &self.bounds, &self.view) {
             Ok(document) => {
                 self.document = document;
@@ -226,13 +241,13 @@
 
     fn watched(&mut self, text: &str) {
         let of: Json = from_str(text).unwrap_or_else(|e| panic!("{text}: {e}"));
-        let heard: Vec<Option<Heard>> = of["heard"]
+        let heard: Vec<Option<RouterReport>> = of["heard"]
             .as_array()
             .expect("a list")
             .iter()
             .map(|one| {
-                let counts: Counts = from_value(one.get("counts")?.clone()).expect("counts");
-                Some(Heard { life: one["life"].as_u64().expect("a life"), counts })
+                let counts: AnswerCounts = from_value(one.get("counts")?.clone()).expect("counts");
+                Some(RouterReport { life: one["life"].as_u64().expect("a life"), counts })
             })
             .collect();
         let now = of["now_ms"].as_u64().expect("a time") * 1_000_000;
@@ -245,7 +260,7 @@
         let value = || from_str::<Json>(rest).unwrap_or_else(|e| panic!("{rest}: {e}"));
         match word {
             "section" => {
-                self.watch = Watch::default();
+                self.watch = ReleaseMonitor::default();
                 writeln!(self.says, "# {rest}").expect("text");
             }
             "start" => {
@@ -273,10 +288,10 @@
 #[test]
 fn commands_have_their_recorded_effects() {
     let mut play = Play {
-        document: Document::default(),
+        document: FleetState::default(),
         bounds: bounds(&json!({"names": [], "zones": [], "all": 0, "zone": 0, "council": []})),
-        view: View::default(),
-        watch: Watch::default(),
+        view: CouncilView::default(),
+        watch: ReleaseMonitor::default(),
         rejected: BTreeSet::new(),
         says: String::new(),
     };
@@ -285,31 +300,37 @@
     assert_eq!(play.rejected.len(), 17, "every rejection has been provoked: {:?}", play.rejected);
 }
 
-type Small = Value<u64>;
+type Small = RegisterValue<u64>;
 
 fn ballot(number: u64, by: u16, life: u64) -> Ballot {
     Ballot { number, by, life }
 }
 
 fn small(lives: &[u64], document: u64) -> Small {
-    Value { lives: lives.to_vec(), document }
+    RegisterValue { lives: lives.to_vec(), document }
 }
 
 #[test]
 fn messages_of_the_register_have_their_recorded_form() {
     let (b, v) = (ballot(3, 1, 7), small(&[1, 2, 3], 44));
-    let asks = [Ask::Look, Ask::Prepare(b), Ask::Take(b, v.clone()), Ask::Found(b, v.clone())];
+    let asks = [
+        AcceptorRequest::Read,
+        AcceptorRequest::Prepare(b),
+        AcceptorRequest::Accept(b, v.clone()),
+        AcceptorRequest::Bootstrap(b, v.clone()),
+    ];
     let answers = [
-        Answer::Has { life: 7, taken: None },
-        Answer::Has { life: 7, taken: Some((b, v.clone())) },
-        Answer::Promised { life: 7, taken: None },
-        Answer::Promised { life: 7, taken: Some((b, v.clone())) },
-        Answer::Taken { life: 7 },
-        Answer::Newer(b),
-        Answer::Blank { life: 7, stored: None },
-        Answer::Blank { life: 7, stored: Some(44) },
+        AcceptorReply::Current { life: 7, taken: None },
+        AcceptorReply::Current { life: 7, taken: Some((b, v.clone())) },
+        AcceptorReply::Promised { life: 7, taken: None },
+        AcceptorReply::Promised { life: 7, taken: Some((b, v.clone())) },
+        AcceptorReply::Accepted { life: 7 },
+        AcceptorReply::Superseded(b),
+        AcceptorReply::Uninitialized { life: 7, stored: None },
+        AcceptorReply::Uninitialized { life: 7, stored: Some(44) },
     ];
-    let whole = Ask::Take(b, Value { lives: vec![1], document: Document::first(None) });
+    let whole =
+        AcceptorRequest::Accept(b, RegisterValue { lives: vec![1], document: FleetState::first(None) });
     compare("register-messages.txt", &(lines(&asks) + &lines(&answers) + &lines(&[whole])));
 }
 
@@ -323,17 +344,17 @@
     for line in read("forms.txt").lines() {
         let (what, text) = line.split_once(' ').expect("a kind and JSON");
         let form = match what {
-            "document" => as_read::<Document>(text),
-            "entry" => as_read::<Entry>(text),
-            "command" => as_read::<Act>(text),
-            "rejection" => as_read::<No>(text),
-            "answer" => as_read::<Answer<u64>>(text),
-            "ask" => as_read::<Ask<u64>>(text),
-            "plan" => as_read::<Plan>(text),
-            "counts" => as_read::<Counts>(text),
-            "follows" => as_read::<Follows>(text),
-            "says" => as_read::<Says>(text),
-            "standing" => as_read::<Standing>(text),
+            "document" => as_read::<FleetState>(text),
+            "entry" => as_read::<DrainEntry>(text),
+            "command" => as_read::<Command>(text),
+            "rejection" => as_read::<Rejection>(text),
+            "answer" => as_read::<AcceptorReply<u64>>(text),
+            "ask" => as_read::<AcceptorRequest<u64>>(text),
+            "plan" => as_read::<ReleasePlan>(text),
+            "counts" => as_read::<AnswerCounts>(text),
+            "follows" => as_read::<AppliedState>(text),
+            "says" => as_read::<AdvertisedStatus>(text),
+            "standing" => as_read::<PeerStatus>(text),
             other => panic!("no such kind: {other}"),
         };
         writeln!(says, "{what} {text}\n= {form}").expect("text");
@@ -346,7 +367,7 @@
 fn a_member_of_the_council_answers_as_recorded() {
     let mut says = String::new();
     for stored in [None, Some(5)] {
-        let mut keeper: Keeper<u64> = Keeper::blank(7).storing(stored);
+        let mut keeper: Acceptor<u64> = Acceptor::new(7).with_stored(stored);
         writeln!(says, "blank, stored {}", json(&stored)).expect("text");
         for line in read("asks.txt").lines() {
             if let Some(join) = line.strip_prefix("join ") {
@@ -354,8 +375,8 @@
                 keeper.join(ballot, value);
                 writeln!(says, "{line}").expect("text");
             } else {
-                let ask: Ask<u64> = from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
-                writeln!(says, "{}\n= {}", both_ways(&ask), both_ways(&keeper.asked(ask))).expect("text");
+                let ask: AcceptorRequest<u64> = from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
+                writeln!(says, "{}\n= {}", both_ways(&ask), both_ways(&keeper.handle(ask))).expect("text");
             }
             let (joined, taken) = (keeper.joined(), json(&keeper.taken()));
             writeln!(says, "  joined {joined}, taken {taken}").expect("text");
@@ -364,12 +385,12 @@
     compare("member-answers.txt", &says);
 }
 
-fn step(step: Step<u64>) -> String {
+fn step(step: RoundStep<u64>) -> String {
     match step {
-        Step::Wait => "wait".into(),
-        Step::Change(n) => format!("change {n}"),
-        Step::Agreed(value) => format!("agreed {}", json(&value)),
-        Step::Lost(ballot) => format!("lost {}", json(&ballot)),
+        RoundStep::Wait => "wait".into(),
+        RoundStep::Propose(n) => format!("change {n}"),
+        RoundStep::Chosen(value) => format!("agreed {}", json(&value)),
+        RoundStep::Superseded(ballot) => format!("lost {}", json(&ballot)),
     }
 }
 
@@ -377,28 +398,29 @@
 #[test]
 fn a_round_goes_on_as_recorded() {
     let mut says = String::new();
-    let mut round: Round<u64> = Round::new(ballot(5, 9, 1), 3);
-    let mut before = round.ask();
+    let mut round: Proposer<u64> = Proposer::new(ballot(5, 9, 1), 3);
+    let mut before = round.request();
     for line in read("rounds.txt").lines() {
         if let Some(joins) = line.strip_prefix("round ") {
             let joins: Vec<(u8, u64)> = from_str(joins).expect("members and lives");
             round = match joins.is_empty() {
-                true => Round::new(ballot(5, 9, 1), 3),
-                false => Round::joining(ballot(5, 9, 1), 3, joins),
+                true => Proposer::new(ballot(5, 9, 1), 3),
+                false => Proposer::joining(ballot(5, 9, 1), 3, joins),
             };
-            before = round.ask();
-            writeln!(says, "{line}\n  asks {}", both_ways(&round.ask())).expect("text");
+            before = round.request();
+            writeln!(says, "{line}\n  asks {}", both_ways(&round.request())).expect("text");
             continue;
         }
         let (late, line) = line.strip_prefix("late ").map_or((false, line), |line| (true, line));
-        let (from, answer): (u8, Answer<u64>) = from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
-        let ask = if late { before.clone() } else { round.ask() };
-        let next = round.heard(from, &ask, answer);
-        if let Step::Change(n) = &next {
-            before = round.ask();
+        let (from, answer): (u8, AcceptorReply<u64>) =
+            from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
+        let ask = if late { before.clone() } else { round.request() };
+        let next = round.handle_reply(from, &ask, answer);
+        if let RoundStep::Propose(n) = &next {
+            before = round.request();
             round.propose(n + 1);
         }
-        writeln!(says, "{line}\n= {}\n  asks {}", step(next), both_ways(&round.ask())).expect("text");
+        writeln!(says, "{line}\n= {}\n  asks {}", step(next), both_ways(&round.request())).expect("text");
     }
     compare("rounds-played.txt", &says);
 }
@@ -418,8 +440,8 @@
     let mut says = String::new();
     for k in 0..7 * 7 * 7 {
         let all: Vec<_> = [k / 49, k / 7 % 7, k % 7].into_iter().zip(0..).map(|(k, m)| told(m, k)).collect();
-        let found = agreed(&all).map(|(ballot, value)| (ballot.number, value.document));
-        let begins = first(&all, |known| known.map_or(0, |d| d + 1));
+        let found = chosen_value(&all).map(|(ballot, value)| (ballot.number, value.document));
+        let begins = bootstrap_value(&all, |known| known.map_or(0, |d| d + 1));
         writeln!(says, "{} {} {}", json(&all.len()), json(&found), json(&begins)).expect("text");
     }
     let above = ballot(0, 3, 9).above(ballot(7, 8, 1));
@@ -429,23 +451,23 @@
 }
 
 const S: u64 = 1_000_000_000;
-const FIGURES: Figures = Figures { lease: 5 * S, drift: 20, again: S };
+const FIGURES: LeaseTiming = LeaseTiming { lease: 5 * S, drift: 20, again: S };
 
-fn next(next: Next) -> String {
+fn next(next: NextStep) -> String {
     match next {
-        Next::Rest => "rest".into(),
-        Next::Ask(act) => json(&act),
-        Next::GoOut => "goes out".into(),
-        Next::Serve => "serves".into(),
-        Next::Swap(digest) => format!("swaps {digest}"),
+        NextStep::Wait => "rest".into(),
+        NextStep::Submit(act) => json(&act),
+        NextStep::BeginDrain => "goes out".into(),
+        NextStep::ResumeService => "serves".into(),
+        NextStep::InstallAndRestart(digest) => format!("swaps {digest}"),
     }
 }
 
 /// Each stage of an entry, by what the router does and runs and what became of its leave.
 #[test]
 fn a_router_goes_by_its_leave_as_recorded() {
-    let leaver = |asked: Option<(u64, u64, Act, bool)>| {
-        let mut leaver = Leaver::new(FIGURES, 3, 9);
+    let leaver = |asked: Option<(u64, u64, Command, bool)>| {
+        let mut leaver = LeaseHolder::new(FIGURES, 3, 9);
         if let Some((at, now, act, done)) = asked {
             leaver.asked(at, now, &act, done);
         }
@@ -454,12 +476,12 @@
     // Looked at after 10 s: not asked for, granted in time and at the very end of it, refused of late and long ago.
     let leavers = [
         leaver(None),
-        leaver(Some((6 * S, 7 * S, Act::Leave(3, 9), true))),
-        leaver(Some((5 * S + 1, 6 * S, Act::LeaveFrom(3, 9, "old".into()), true))),
-        leaver(Some((5 * S, 6 * S, Act::Leave(3, 9), true))),
-        leaver(Some((9 * S, 9 * S + 1, Act::Leave(3, 9), false))),
-        leaver(Some((8 * S, 9 * S, Act::LeaveFrom(3, 9, "old".into()), false))),
-        leaver(Some((9 * S, 9 * S, Act::Going(3, 9), false))),
+        leaver(Some((6 * S, 7 * S, Command::AcquireLease(3, 9), true))),
+        leaver(Some((5 * S + 1, 6 * S, Command::AcquireReleaseLease(3, 9, "old".into()), true))),
+        leaver(Some((5 * S, 6 * S, Command::AcquireLease(3, 9), true))),
+        leaver(Some((9 * S, 9 * S + 1, Command::AcquireLease(3, 9), false))),
+        leaver(Some((8 * S, 9 * S, Command::AcquireReleaseLease(3, 9, "old".into()), false))),
+        leaver(Some((9 * S, 9 * S, Command::UseLease(3, 9), false))),
     ];
     let stages = [
         "null",
@@ -477,37 +499,40 @@
             .into_iter()
             .chain([(Some("new"), Some("old")), (Some("new"), Some("new"))])
         {
-            for (own, halted) in
-                [(Own::Serving, false), (Own::Serving, true), (Own::Out, false), (Own::Out, true)]
-            {
-                let mut document = Document { halted: halted.then(|| "x".into()), ..Document::default() };
-                let stage: Option<Stage> = from_str(stage).expect("a stage");
-                let entry = stage.map(|stage| Entry {
+            for (own, halted) in [
+                (LocalPhase::Serving, false),
+                (LocalPhase::Serving, true),
+                (LocalPhase::OutOfService, false),
+                (LocalPhase::OutOfService, true),
+            ] {
+                let mut document = FleetState { halted: halted.then(|| "x".into()), ..FleetState::default() };
+                let stage: Option<DrainStage> = from_str(stage).expect("a stage");
+                let entry = stage.map(|stage| DrainEntry {
                     stage,
                     order: "d".into(),
                     to: to.map(str::to_string),
                     tries: 0,
                 });
                 document.entries.extend(entry.map(|e| (3, e)));
-                let serves = if own == Own::Serving { "serving" } else { "out" };
+                let serves = if own == LocalPhase::Serving { "serving" } else { "out" };
                 let stage = json(&stage);
                 writeln!(says, "{stage} to {to:?} runs {runs:?} {serves} halted {halted}").expect("text");
                 let all = leavers.iter().map(|l| next(l.next(10 * S, &document, own, runs)));
                 writeln!(says, "  {}", all.collect::<Vec<_>>().join(" | ")).expect("text");
                 let holds = [0, FIGURES.over(), FIGURES.over() + 1];
-                writeln!(says, "  {:?}", holds.map(|since| halt_holds(&FIGURES, since, &document)))
+                writeln!(says, "  {:?}", holds.map(|since| halt_is_effective(&FIGURES, since, &document)))
                     .expect("text");
             }
         }
     }
-    let over = [FIGURES.over(), Figures { drift: 0, ..FIGURES }.over()];
+    let over = [FIGURES.over(), LeaseTiming { drift: 0, ..FIGURES }.over()];
     writeln!(says, "a leave is over after {over:?}").expect("text");
     compare("leave.txt", &says);
 }
 
 #[test]
 fn who_keeps_a_model_node_from_being_clear_is_as_recorded() {
-    let said = |text: &str| from_str::<Follows>(text).expect("what a router says");
+    let said = |text: &str| from_str::<AppliedState>(text).expect("what a router says");
     let said = [
         said(r#"{"version":4,"open":[]}"#),
         said(r#"{"version":5,"open":["n1"]}"#),
@@ -517,33 +542,43 @@
     let mut rows: Vec<_> = said.iter().flat_map(|f| [(Some(f), false), (Some(f), true)]).collect();
     rows.extend([(None, false), (None, true)]);
     for (node, since) in [("n1", 5), ("n2", 5), ("n4", 5), ("n4", 7), ("n1", 0)] {
-        writeln!(says, "{node} out since {since}: {:?}", unclear(node, since, &rows)).expect("text");
+        writeln!(says, "{node} out since {since}: {:?}", routers_not_clear(node, since, &rows))
+            .expect("text");
     }
     compare("unclear.txt", &says);
 }
 
 #[test]
 fn beats_are_believed_as_recorded() {
-    let every = [Says::Serving, Says::Starting, Says::Draining, Says::Ending];
+    let every = [
+        AdvertisedStatus::Serving,
+        AdvertisedStatus::Starting,
+        AdvertisedStatus::Draining,
+        AdvertisedStatus::Ending,
+    ];
     let standings: Vec<_> =
-        [Standing::Unknown, Standing::Silent].into_iter().chain(every.map(Standing::Here)).collect();
+        [PeerStatus::Unknown, PeerStatus::Silent].into_iter().chain(every.map(PeerStatus::Here)).collect();
     let mut says = lines(&every) + &lines(&standings);
     standings.iter().for_each(|s| writeln!(says, "{} out {}", json(s), s.out()).expect("text"));
-    let mut presence = Presence::new(BeatFigures { every: S / 2, silent: 2 * S }, 5, 0);
+    let mut presence = FailureDetector::new(BeatFigures { every: S / 2, silent: 2 * S }, 5, 0);
     // By half seconds: router 0 beats on, 1 stops, 2 ends, 3 starts anew and is heard late, 4 never is. The member
     // that listens is stopped itself from 8 s to 14 s.
     for half in (0..=16).chain(28..=36) {
         let now = half * S / 2;
         let mut beat = |from, life, tells| presence.beat(now, from, life, tells);
-        let mut taken = vec![beat(0, 7, Says::Serving)];
+        let mut taken = vec![beat(0, 7, AdvertisedStatus::Serving)];
         if half < 5 {
-            taken.push(beat(1, 7, Says::Draining));
-            taken.push(beat(2, 7, if half < 4 { Says::Serving } else { Says::Ending }));
+            taken.push(beat(1, 7, AdvertisedStatus::Draining));
+            taken.push(beat(
+                2,
+                7,
+                if half < 4 { AdvertisedStatus::Serving } else { AdvertisedStatus::Ending },
+            ));
         }
         if half % 3 == 0 {
-            taken.push(beat(3, half, Says::Starting));
-            taken.push(beat(3, half.saturating_sub(1), Says::Serving));
-            taken.push(beat(5, 1, Says::Serving));
+            taken.push(beat(3, half, AdvertisedStatus::Starting));
+            taken.push(beat(3, half.saturating_sub(1), AdvertisedStatus::Serving));
+            taken.push(beat(5, 1, AdvertisedStatus::Serving));
         }
         let standings: Vec<_> = (0..6).map(|r| presence.standing(now, r)).collect();
         let here: Vec<_> = (0..6).map(|r| presence.here(now, r)).collect();
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -14,12 +14,12 @@
 pub type Nanos = u64;
 
 /// A router's place in the list of the fleet's settings.
-pub type Place = u16;
+pub type RouterIndex = u16;
 
 /// What a router says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Says {
+pub enum AdvertisedStatus {
     /// It serves.
     Serving,
     /// It has just started and does not serve yet.
@@ -33,25 +33,25 @@
 /// What is believed of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum PeerStatus {
     /// Never heard since this table began, and that is not long ago.
     Unknown,
-    /// Heard of late.
-    Here(Says),
+    /// LastHeartbeat of late.
+    Here(AdvertisedStatus),
     /// Not heard for too long.
     Silent,
 }
 
-impl Standing {
+impl PeerStatus {
     /// Whether it counts as out of service: all but one that serves, or that nothing is known of yet.
     pub fn out(self) -> bool {
-        !matches!(self, Standing::Here(Says::Serving) | Standing::Unknown)
+        !matches!(self, PeerStatus::Here(AdvertisedStatus::Serving) | PeerStatus::Unknown)
     }
 }
 
 /// The figures that this goes by, ns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Figures {
+pub struct HeartbeatTiming {
     /// A beat comes so often.
     pub every: Nanos,
     /// Without one for so long a router is silent. Several beats, so that one that is lost or late is no silence.
@@ -59,26 +59,26 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct LastHeartbeat {
     life: u64,
     at: Nanos,
-    says: Says,
+    says: AdvertisedStatus,
 }
 
 /// What one member of the council has heard.
 #[derive(Debug)]
-pub struct Presence {
-    figures: Figures,
-    heard: Vec<Option<Heard>>,
+pub struct FailureDetector {
+    figures: HeartbeatTiming,
+    heard: Vec<Option<LastHeartbeat>>,
     /// Since when it listens without a gap of its own.
     listening: Nanos,
     looked: Nanos,
 }
 
-impl Presence {
+impl FailureDetector {
     /// A table of so many routers, from `now` on.
-    pub fn new(figures: Figures, routers: usize, now: Nanos) -> Presence {
-        Presence { figures, heard: vec![None; routers], listening: now, looked: now }
+    pub fn new(figures: HeartbeatTiming, routers: usize, now: Nanos) -> FailureDetector {
+        FailureDetector { figures, heard: vec![None; routers], listening: now, looked: now }
     }
 
     /// Called at least once a beat, and before anything is told. Who was stopped itself for longer has heard nobody in
@@ -91,49 +91,53 @@
     }
 
     /// A router's beat. False: of an earlier life than one known, or of no router of the fleet.
-    pub fn beat(&mut self, now: Nanos, from: Place, life: u64, says: Says) -> bool {
+    pub fn beat(&mut self, now: Nanos, from: RouterIndex, life: u64, says: AdvertisedStatus) -> bool {
         self.look(now);
         let Some(heard) = self.heard.get_mut(usize::from(from)) else { return false };
         if heard.is_some_and(|h| h.life > life) {
             return false;
         }
-        *heard = Some(Heard { life, at: now, says });
+        *heard = Some(LastHeartbeat { life, at: now, says });
         true
     }
 
     /// What is believed of a router.
-    pub fn standing(&self, now: Nanos, of: Place) -> Standing {
+    pub fn standing(&self, now: Nanos, of: RouterIndex) -> PeerStatus {
         let heard = self.heard.get(usize::from(of)).copied().flatten();
         let since = heard.map_or(self.listening, |h| h.at.max(self.listening));
         let silent = now.saturating_sub(since) > self.figures.silent;
         match heard {
             // It has said that it goes: its silence is no news, and it is out either way.
-            Some(Heard { says: Says::Ending, .. }) => Standing::Here(Says::Ending),
-            _ if silent => Standing::Silent,
-            Some(h) => Standing::Here(h.says),
-            None => Standing::Unknown,
+            Some(LastHeartbeat { says: AdvertisedStatus::Ending, .. }) => {
+                PeerStatus::Here(AdvertisedStatus::Ending)
+            }
+            _ if silent => PeerStatus::Silent,
+            Some(h) => PeerStatus::Here(h.says),
+            None => PeerStatus::Unknown,
         }
     }
 
     /// Whether a router has said that it ends, and has not been heard for a whole term since: nothing of it runs.
-    pub fn gone(&self, now: Nanos, of: Place) -> bool {
+    pub fn gone(&self, now: Nanos, of: RouterIndex) -> bool {
         let heard = self.heard.get(usize::from(of)).copied().flatten();
-        heard.is_some_and(|h| h.says == Says::Ending && now.saturating_sub(h.at) > self.figures.silent)
+        heard.is_some_and(|h| {
+            h.says == AdvertisedStatus::Ending && now.saturating_sub(h.at) > self.figures.silent
+        })
     }
 
     /// The life in which a router was heard last, if it is not silent, and whether it serves.
-    pub fn here(&self, now: Nanos, of: Place) -> Option<(u64, bool)> {
+    pub fn here(&self, now: Nanos, of: RouterIndex) -> Option<(u64, bool)> {
         let heard = self.heard.get(usize::from(of)).copied().flatten()?;
         match self.standing(now, of) {
-            Standing::Here(says) => Some((heard.life, says == Says::Serving)),
+            PeerStatus::Here(says) => Some((heard.life, says == AdvertisedStatus::Serving)),
             _ => None,
         }
     }
 
     /// All routers that count as out.
-    pub fn out(&mut self, now: Nanos) -> Vec<Place> {
+    pub fn out(&mut self, now: Nanos) -> Vec<RouterIndex> {
         self.look(now);
-        let all = 0..self.heard.len() as Place;
+        let all = 0..self.heard.len() as RouterIndex;
         all.filter(|&r| self.standing(now, r).out()).collect()
     }
 
--- a/router/src/duty.rs
+++ b/router/src/duty.rs
@@ -8,11 +8,11 @@
 use rustc_hash::FxHashMap;
 use tallypin::api::{Nanos, ReplicaState};
 use tallypin::names;
-use tallypin_consensus::nodes::{NodeSeen, UnixMs};
-use tallypin_consensus::watch::Counts;
+use tallypin_consensus::release_monitor::AnswerCounts;
+use tallypin_consensus::replica_drains::{ReplicaView, UnixMs};
 use tallypin_health::plan::{Phase, Wish};
 use tallypin_health::state::{Order, State};
-use tallypin_membership::Says;
+use tallypin_membership::AdvertisedStatus;
 
 use crate::checks::{signals, Board};
 use crate::config::Config;
@@ -58,19 +58,19 @@
         self.want(Wish::End, Order::Drain);
     }
 
-    fn says(&self) -> Says {
+    fn says(&self) -> AdvertisedStatus {
         match (self.board.phase(), self.board.assessment().state) {
-            (Phase::Closing, _) => Says::Ending,
+            (Phase::Closing, _) => AdvertisedStatus::Ending,
             // It has just started, or has lost all: whoever came would be turned away.
-            (Phase::Serving, _) if self.host.nodes.ready() == 0 => Says::Starting,
-            (Phase::Serving, State::Up | State::Degraded) => Says::Serving,
-            _ => Says::Draining,
+            (Phase::Serving, _) if self.host.nodes.ready() == 0 => AdvertisedStatus::Starting,
+            (Phase::Serving, State::Up | State::Degraded) => AdvertisedStatus::Serving,
+            _ => AdvertisedStatus::Draining,
         }
     }
 
-    fn counts(&self) -> Counts {
+    fn counts(&self) -> AnswerCounts {
         let (t, late) = self.host.with(|core, _| (core.tallies().clone(), core.late()));
-        Counts {
+        AnswerCounts {
             answered: t.served + t.broken + t.refused + t.failed,
             failed: t.failed + t.broken,
             late,
@@ -78,7 +78,7 @@
         }
     }
 
-    fn nodes(&self) -> Option<BTreeMap<String, NodeSeen>> {
+    fn nodes(&self) -> Option<BTreeMap<String, ReplicaView>> {
         let host = &self.host;
         if !host.list_fresh() {
             return None;
@@ -92,7 +92,7 @@
             let out = row.state != ReplicaState::Ready || seen.get(&row.replica) == Some(&true);
             let (zone, kind) =
                 (word(&host.deployment.zones, row.zone.0), word(&host.deployment.kinds, row.kind));
-            (host.nodes.named(row.replica).to_string(), NodeSeen { zone, kind, out })
+            (host.nodes.named(row.replica).to_string(), ReplicaView { zone, kind, out })
         });
         Some(nodes.collect())
     }
--- a/router/src/fleet/conduct.rs
+++ b/router/src/fleet/conduct.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use tallypin_consensus::document::{Act, Document};
-use tallypin_consensus::nodes::NodeStage;
-use tallypin_consensus::watch::{Heard, Watch};
-use tallypin_membership::{Nanos, Place};
+use tallypin_consensus::fleet_state::{Command, FleetState};
+use tallypin_consensus::release_monitor::{ReleaseMonitor, RouterReport};
+use tallypin_consensus::replica_drains::ReplicaStage;
+use tallypin_membership::{Nanos, RouterIndex};
 use tokio::time::sleep;
 
 use super::{now_ms, Failed, Fleet};
@@ -22,7 +22,7 @@
         let every = self.settings.members.every;
         let place = self.settings.council.iter().position(|&p| p == self.settings.me).unwrap_or(0) as u64;
         let round = self.settings.council.len() as u64 * TURN * every;
-        let mut watch = Watch::default();
+        let mut watch = ReleaseMonitor::default();
         // By what is wanted: when it is this member's turn to ask for it.
         let mut turns: BTreeMap<String, Nanos> = BTreeMap::new();
         loop {
@@ -37,7 +37,7 @@
                 turns.insert(key, self.now() + round);
                 match self.change(&act).await {
                     Ok(_) => tracing::info!(target: "fleet", ?act, "asked for, and agreed on"),
-                    Err(Failed::No(no)) => tracing::debug!(target: "fleet", ?act, %no, "not now"),
+                    Err(Failed::Rejected(no)) => tracing::debug!(target: "fleet", ?act, %no, "not now"),
                     Err(Failed::NoMajority) => break,
                 }
             }
@@ -45,7 +45,7 @@
     }
 
     /// What is to be asked for now, each with what it is known by.
-    fn wanted(&self, watch: &mut Watch) -> Vec<(String, Act)> {
+    fn wanted(&self, watch: &mut ReleaseMonitor) -> Vec<(String, Command)> {
         let now = self.now();
         let Some(document) = self.document.borrow().clone() else { return vec![] };
         let mut presence = self.presence.borrow_mut();
@@ -55,25 +55,26 @@
             return vec![];
         }
         let told = self.told.borrow();
-        let heard = (0..).zip(told.iter()).map(|(place, told): (Place, _)| {
+        let heard = (0..).zip(told.iter()).map(|(place, told): (RouterIndex, _)| {
             let (life, _) = presence.here(now, place)?;
             let told = told.as_ref().filter(|(of, _)| *of == life);
-            Some(Heard { life, counts: told.map(|(_, t)| t.counts).unwrap_or_default() })
+            Some(RouterReport { life, counts: told.map(|(_, t)| t.counts).unwrap_or_default() })
         });
-        let heard: Vec<Option<Heard>> = heard.collect();
+        let heard: Vec<Option<RouterReport>> = heard.collect();
         let release = watch.next(now, &document, &self.settings.bounds, &heard);
-        let key = |act: &Act| if matches!(act, Act::Fail(..)) { "fail" } else { "wave" }.to_string();
+        let key =
+            |act: &Command| if matches!(act, Command::FailWave(..)) { "fail" } else { "wave" }.to_string();
         let release = release.map(|act| (key(&act), act));
         release.into_iter().chain(nodes(&document)).collect()
     }
 }
 
-fn nodes(document: &Document) -> Vec<(String, Act)> {
+fn nodes(document: &FleetState) -> Vec<(String, Command)> {
     let now = now_ms();
     let due = document.nodes.iter().filter(|(_, e)| match e.stage {
-        NodeStage::Wanted => document.halted.is_none() || e.until.is_some_and(|at| now >= at),
-        NodeStage::Out(_) => e.until.is_some_and(|at| now >= at),
-        NodeStage::Back(_) => false,
+        ReplicaStage::Requested => document.halted.is_none() || e.until.is_some_and(|at| now >= at),
+        ReplicaStage::OutOfService(_) => e.until.is_some_and(|at| now >= at),
+        ReplicaStage::Restored(_) => false,
     });
-    due.map(|(id, _)| (format!("node {id}"), Act::Node(id.clone()))).collect()
+    due.map(|(id, _)| (format!("node {id}"), Command::AdvanceReplica(id.clone()))).collect()
 }
--- a/router/src/fleet/file_faults.rs
+++ b/router/src/fleet/file_faults.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitStatus};
 
-use tallypin_consensus::document::Document;
+use tallypin_consensus::fleet_state::FleetState;
 use tallypin_test_support::shim::Library;
 
 use super::files::{self, Released};
@@ -18,8 +18,8 @@
     std::env::var_os(FOLDER).expect("a part is started by a test").into()
 }
 
-fn document(version: u64) -> Document {
-    Document { version, ..Document::default() }
+fn document(version: u64) -> FleetState {
+    FleetState { version, ..FleetState::default() }
 }
 
 /// How often a part tries again what fails.
--- a/router/src/fleet/files.rs
+++ b/router/src/fleet/files.rs
@@ -138,7 +138,7 @@
 }
 
 /// At a start, before the file is read: counts it, if the file is on trial, and goes back to what was there before after
-/// too many. Says so, if it did.
+/// too many. AdvertisedStatus so, if it did.
 pub fn begin(at: &Path) -> Option<String> {
     let path = beside(at, "trial");
     let mut trial: Trial = serde_json::from_slice(&fs::read(&path).ok()?).ok()?;
--- a/router/src/fleet/lives.rs
+++ b/router/src/fleet/lives.rs
@@ -5,7 +5,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use tallypin_membership::Place;
+use tallypin_membership::RouterIndex;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
@@ -14,7 +14,7 @@
 
 /// The life of a router that starts now: above any that a member of the council answers to have heard of. Who does not
 /// answer within the deadline of its link is not waited for.
-pub async fn next(links: &[Option<Link>], me: Place) -> u64 {
+pub async fn next(links: &[Option<Link>], me: RouterIndex) -> u64 {
     let by_clock = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_nanos() as u64);
     let (tell, mut told) = mpsc::channel(links.len().max(1));
     for link in links.iter().flatten() {
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -21,12 +21,16 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use tallypin_consensus::document::{Act, Document, No, View};
-use tallypin_consensus::leave::{Leaver, Next, Own};
-use tallypin_consensus::nodes::{unclear, Follows, NodeSeen, NodeStage, UnixMs};
-use tallypin_consensus::register::{agreed, first, Answer, Ask, Ballot, Keeper, Round, Step};
-use tallypin_consensus::watch::Counts;
-use tallypin_membership::{Nanos, Place, Presence, Says};
+use tallypin_consensus::drain_lease::{LeaseHolder, LocalPhase, NextStep};
+use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState, Rejection};
+use tallypin_consensus::register::{
+    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Proposer, RoundStep,
+};
+use tallypin_consensus::release_monitor::AnswerCounts;
+use tallypin_consensus::replica_drains::{
+    routers_not_clear, AppliedState, ReplicaStage, ReplicaView, UnixMs,
+};
+use tallypin_membership::{AdvertisedStatus, FailureDetector, Nanos, RouterIndex};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, Notify, Semaphore};
 use tokio::time::{sleep, timeout_at};
@@ -61,11 +65,11 @@
     /// To end.
     fn end(&self);
     /// What it says of itself.
-    fn says(&self) -> Says;
+    fn says(&self) -> AdvertisedStatus;
     /// Its final answers since its start.
-    fn counts(&self) -> Counts;
+    fn counts(&self) -> AnswerCounts;
     /// The model nodes by id; `None`: it has not heard the list of late.
-    fn nodes(&self) -> Option<BTreeMap<String, NodeSeen>>;
+    fn nodes(&self) -> Option<BTreeMap<String, ReplicaView>>;
     /// Which model nodes are out by order, and which were put back and when.
     fn by_hand(&self, out: &[String], back: &[(String, UnixMs)]);
     /// Whether it has anything open at a model node.
@@ -78,7 +82,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failed {
     /// It was decided that it is not.
-    No(No),
+    Rejected(Rejection),
     /// No majority of the council was reached in time: nothing is said of whether it was agreed on.
     NoMajority,
 }
@@ -99,17 +103,17 @@
     /// The same for changes, which take longer than an answer.
     ways: Vec<Option<Link>>,
     /// Changes that this member is to make, and who waits for each.
-    queue: RefCell<Vec<(Act, oneshot::Sender<Changed>)>>,
+    queue: RefCell<Vec<(Command, oneshot::Sender<Changed>)>>,
     queueing: Notify,
     /// What this member keeps, if it is one.
-    keeper: RefCell<Option<Keeper<Document>>>,
-    presence: RefCell<Presence>,
+    keeper: RefCell<Option<Acceptor<FleetState>>>,
+    presence: RefCell<FailureDetector>,
     /// The last call of each router's life, and the last change: one that comes again is no news.
     heard: RefCell<Vec<[(u64, u64); 2]>>,
-    leaver: RefCell<Leaver>,
-    own: Cell<Own>,
+    leaver: RefCell<LeaseHolder>,
+    own: Cell<LocalPhase>,
     /// The newest document that was agreed on, as far as known here.
-    document: RefCell<Option<Document>>,
+    document: RefCell<Option<FleetState>>,
     /// The newest version that any member is said to have taken.
     rumour: Cell<u64>,
     /// Told when the document may have changed.
@@ -141,9 +145,9 @@
         let keys = Rc::new(RefCell::new(keys));
         let at = settings.routers[usize::from(settings.me)].at;
         let listener = TcpListener::bind(at).await.map_err(|e| of(&at.to_string(), e))?;
-        let member = |place: &Place| settings.council.iter().position(|p| p == place);
+        let member = |place: &RouterIndex| settings.council.iter().position(|p| p == place);
         let links = |deadline: Duration| -> Vec<Option<Link>> {
-            let link = |&p: &Place| {
+            let link = |&p: &RouterIndex| {
                 let to = settings.routers[usize::from(p)].at;
                 (p != settings.me).then(|| Link::start(to, keys.clone(), deadline))
             };
@@ -163,10 +167,10 @@
             ways,
             queue: RefCell::default(),
             queueing: Notify::new(),
-            keeper: RefCell::new(member(&settings.me).map(|_| Keeper::blank(life).storing(stored))),
-            presence: RefCell::new(Presence::new(settings.members, settings.routers.len(), 0)),
+            keeper: RefCell::new(member(&settings.me).map(|_| Acceptor::new(life).with_stored(stored))),
+            presence: RefCell::new(FailureDetector::new(settings.members, settings.routers.len(), 0)),
             heard: RefCell::new(vec![[(0, 0); 2]; settings.routers.len()]),
-            leaver: RefCell::new(Leaver::new(settings.leave, settings.me, life)),
+            leaver: RefCell::new(LeaseHolder::new(settings.leave, settings.me, life)),
             keys,
             duty,
             start: Instant::now(),
@@ -174,7 +178,7 @@
             number: Cell::new(0),
             rng: RefCell::new(Rng::with_seed(life)),
             seen: Cell::default(),
-            own: Cell::new(Own::Serving),
+            own: Cell::new(LocalPhase::Serving),
             document: RefCell::new(None),
             rumour: Cell::new(0),
             news: Notify::new(),
@@ -216,10 +220,10 @@
 
     fn tells(&self) -> Tells {
         let document = self.document.borrow();
-        let follows = document.as_ref().map_or(Follows::default(), |d| {
-            let out = d.nodes.iter().filter(|(_, e)| matches!(e.stage, NodeStage::Out(_)));
+        let follows = document.as_ref().map_or(AppliedState::default(), |d| {
+            let out = d.nodes.iter().filter(|(_, e)| matches!(e.stage, ReplicaStage::OutOfService(_)));
             let open = out.map(|(id, _)| id.clone()).filter(|id| self.duty.open_at(id));
-            Follows { version: d.version, open: open.collect() }
+            AppliedState { version: d.version, open: open.collect() }
         });
         let what = document.as_ref().and_then(|d| d.release.as_ref()).map(|r| r.what.as_str());
         let runs = what.and_then(|what| self.runs.get(what)).cloned();
@@ -228,7 +232,7 @@
 
     /// Waits until it knows what is agreed on, or for as long as an order may take: a router that begins to serve before
     /// would send to model nodes that are out by order.
-    pub async fn first(&self) {
+    pub async fn wait_for_first_state(&self) {
         if self.known().is_none()
             && tokio::time::timeout(self.settings.within, self.first.notified()).await.is_err()
         {
@@ -315,7 +319,7 @@
     }
 
     /// The latest life of a router that its calls have told of; 0: none was heard.
-    fn latest_life(&self, of: Place) -> u64 {
+    fn latest_life(&self, of: RouterIndex) -> u64 {
         let heard = self.heard.borrow();
         heard.get(usize::from(of)).map_or(0, |ways| ways.iter().map(|(life, _)| *life).max().unwrap_or(0))
     }
@@ -336,8 +340,8 @@
         }
     }
 
-    fn tell(&self, from: Place, life: u64, mut tells: Tells) {
-        tells.follows.open.truncate(tallypin_consensus::nodes::MOST_NODES);
+    fn tell(&self, from: RouterIndex, life: u64, mut tells: Tells) {
+        tells.follows.open.truncate(tallypin_consensus::replica_drains::MOST_NODES);
         if let Some(told) = self.told.borrow_mut().get_mut(usize::from(from)) {
             *told = Some((life, tells));
         }
@@ -349,7 +353,7 @@
         let keeper = self.keeper.borrow();
         let Some(value) = keeper.as_ref().and_then(|k| k.taken()) else { return vec![] };
         // What an earlier life told says nothing of this one.
-        let said = |(place, told): (Place, &Option<(u64, Tells)>)| {
+        let said = |(place, told): (RouterIndex, &Option<(u64, Tells)>)| {
             let here = presence.here(now, place).map(|(life, _)| life);
             let told = told.as_ref().filter(|(life, _)| Some(*life) == here);
             (told.map(|(_, tells)| tells.follows.clone()), presence.gone(now, place))
@@ -357,11 +361,11 @@
         let said: Vec<_> = (0..).zip(told.iter()).map(said).collect();
         let said: Vec<_> = said.iter().map(|(f, gone)| (f.as_ref(), *gone)).collect();
         let out = value.document.nodes.iter().filter_map(|(id, e)| match e.stage {
-            NodeStage::Out(since) => Some((id, since)),
+            ReplicaStage::OutOfService(since) => Some((id, since)),
             _ => None,
         });
         out.map(|(id, since)| {
-            let mut first = unclear(id, since, &said);
+            let mut first = routers_not_clear(id, since, &said);
             let routers = first.len();
             first.truncate(NAMED);
             Unclear { node: id.clone(), routers, first }
@@ -375,9 +379,9 @@
         keeper.as_ref().and_then(|k| k.taken()).map(|value| value.document.version)
     }
 
-    fn ask_here(&self, ask: Ask<Document>) -> Heard {
-        let looks = ask == Ask::Look;
-        let answer = self.keeper.borrow_mut().as_mut()?.asked(ask);
+    fn ask_here(&self, ask: AcceptorRequest<FleetState>) -> Heard {
+        let looks = ask == AcceptorRequest::Read;
+        let answer = self.keeper.borrow_mut().as_mut()?.handle(ask);
         let (now, mut presence) = (self.now(), self.presence.borrow_mut());
         presence.look(now);
         let out = presence.knows(now).then(|| presence.out(now));
@@ -388,7 +392,10 @@
     // ---- What it asks ----
 
     /// Asks all members at once; their answers as they come.
-    fn ask_all(self: &Rc<Self>, ask: &Ask<Document>) -> mpsc::Receiver<(u8, Ask<Document>, Heard)> {
+    fn ask_all(
+        self: &Rc<Self>,
+        ask: &AcceptorRequest<FleetState>,
+    ) -> mpsc::Receiver<(u8, AcceptorRequest<FleetState>, Heard)> {
         let (tell, told) = mpsc::channel(self.links.len().max(1));
         for member in 0..self.links.len() {
             let (fleet, ask, tell) = (self.clone(), ask.clone(), tell.clone());
@@ -409,38 +416,46 @@
     }
 
     /// One round with its changes, one after the other, each made or refused for itself. `None`: nothing came of it.
-    async fn round(self: &Rc<Self>, mut round: Round<Document>, acts: &[Act]) -> Option<Vec<Changed>> {
-        let listed = acts.iter().any(|act| matches!(act, Act::TakeOut { .. } | Act::Node(_)));
+    async fn round(
+        self: &Rc<Self>,
+        mut round: Proposer<FleetState>,
+        acts: &[Command],
+    ) -> Option<Vec<Changed>> {
+        let listed =
+            acts.iter().any(|act| matches!(act, Command::DrainReplicas { .. } | Command::AdvanceReplica(_)));
         let nodes = if listed { self.duty.nodes() } else { None };
         let now_ms = now_ms();
-        let mut view = View { wanted: self.links.len() / 2 + 1, nodes, now_ms, ..View::default() };
-        let mut results: Vec<Result<(), No>> = vec![];
-        let mut told = self.ask_all(&round.ask());
+        let mut view =
+            CouncilView { wanted: self.links.len() / 2 + 1, nodes, now_ms, ..CouncilView::default() };
+        let mut results: Vec<Result<(), Rejection>> = vec![];
+        let mut told = self.ask_all(&round.request());
         while let Some((member, ask, answer)) = told.recv().await {
             let Some((answer, out, _)) = answer else { continue };
-            if let Answer::Newer(seen) = &answer {
+            if let AcceptorReply::Superseded(seen) = &answer {
                 self.seen.set(self.seen.get().max(*seen));
             }
-            if let (Answer::Promised { .. }, Some(out)) = (&answer, out) {
+            if let (AcceptorReply::Promised { .. }, Some(out)) = (&answer, out) {
                 view.knowing += 1;
                 view.out.extend(out);
             }
-            match round.heard(member, &ask, answer) {
-                Step::Wait => {}
-                Step::Lost(_) => return None,
-                Step::Change(mut document) => {
+            match round.handle_reply(member, &ask, answer) {
+                RoundStep::Wait => {}
+                RoundStep::Superseded(_) => return None,
+                RoundStep::Propose(mut document) => {
                     let change = |act| {
                         document = document.changed(act, &self.settings.bounds, &view)?;
                         Ok(())
                     };
                     results = acts.iter().map(change).collect();
                     if results.iter().all(Result::is_err) {
-                        return Some(results.into_iter().map(|r| r.map(|()| Document::default())).collect());
+                        return Some(
+                            results.into_iter().map(|r| r.map(|()| FleetState::default())).collect(),
+                        );
                     }
                     round.propose(document);
-                    told = self.ask_all(&round.ask());
+                    told = self.ask_all(&round.request());
                 }
-                Step::Agreed(value) => {
+                RoundStep::Chosen(value) => {
                     let document = value.document.clone();
                     if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
                         keeper.join(round.ballot(), value);
@@ -460,12 +475,12 @@
     }
 
     /// What is agreed on, if a majority tells it alike.
-    async fn look(self: &Rc<Self>) -> Option<Document> {
+    async fn look(self: &Rc<Self>) -> Option<FleetState> {
         let mut all = vec![None; self.links.len()];
-        let mut told = self.ask_all(&Ask::Look);
+        let mut told = self.ask_all(&AcceptorRequest::Read);
         let mut unclear: BTreeMap<String, Unclear> = BTreeMap::new();
         while let Some((member, _, answer)) = told.recv().await {
-            let Some((Answer::Has { life, taken }, _, said)) = answer else { continue };
+            let Some((AcceptorReply::Current { life, taken }, _, said)) = answer else { continue };
             all[usize::from(member)] = Some((life, taken));
             // What one has heard a router say is so, though another has not.
             for u in said {
@@ -474,7 +489,7 @@
                     *least = u;
                 }
             }
-            if let Some((ballot, value)) = agreed(&all) {
+            if let Some((ballot, value)) = chosen_value(&all) {
                 if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
                     keeper.join(ballot, value.clone());
                 }
@@ -488,9 +503,9 @@
 
     /// Has a change agreed on, or learns why not. All routers send their changes to one member, the first that answers,
     /// which makes many in one round: guards against hundreds whose rounds overtake each other.
-    pub async fn change(self: &Rc<Self>, act: &Act) -> Result<Document, Failed> {
+    pub async fn change(self: &Rc<Self>, act: &Command) -> Result<FleetState, Failed> {
         let until = Instant::now() + self.settings.within;
-        if *act == Act::Look {
+        if *act == Command::Read {
             if let Ok(Some(document)) = timeout_at(until.into(), self.look()).await {
                 return Ok(document);
             }
@@ -521,7 +536,7 @@
                 self.learn(&document);
                 Ok(document)
             }
-            Ok(Some(Err(no))) => Err(Failed::No(no)),
+            Ok(Some(Err(no))) => Err(Failed::Rejected(no)),
             Ok(None) | Err(_) => Err(Failed::NoMajority),
         }
     }
@@ -541,7 +556,7 @@
     }
 
     /// A change for this member to make with its next round. `None`: nothing came of it, or it is no member.
-    async fn queued(&self, act: Act) -> Option<Changed> {
+    async fn queued(&self, act: Command) -> Option<Changed> {
         let (tell, told) = oneshot::channel();
         self.keeper.borrow().as_ref()?;
         if self.queue.borrow().len() >= MOST_QUEUED {
@@ -553,7 +568,7 @@
     }
 
     /// The changes of the next round.
-    fn batch(&self) -> Vec<(Act, oneshot::Sender<Changed>)> {
+    fn batch(&self) -> Vec<(Command, oneshot::Sender<Changed>)> {
         let mut queue = self.queue.borrow_mut();
         // Nobody waits for these any more.
         queue.retain(|(_, tell)| !tell.is_closed());
@@ -572,7 +587,7 @@
                 if batch.is_empty() {
                     break;
                 }
-                let (acts, tells): (Vec<Act>, Vec<_>) = batch.into_iter().unzip();
+                let (acts, tells): (Vec<Command>, Vec<_>) = batch.into_iter().unzip();
                 if let Some(results) = self.made(&acts).await {
                     for (tell, result) in tells.into_iter().zip(results) {
                         let _ = tell.send(result);
@@ -583,15 +598,15 @@
     }
 
     /// Rounds until one is not overtaken, or for as long as an order may take.
-    async fn made(self: &Rc<Self>, acts: &[Act]) -> Option<Vec<Changed>> {
+    async fn made(self: &Rc<Self>, acts: &[Command]) -> Option<Vec<Changed>> {
         let until = Instant::now() + self.settings.within;
         let mut again = AGAIN_MS.0;
         loop {
             let joins = acts.iter().filter_map(|act| match act {
-                Act::Join(member, life) => Some((*member, *life)),
+                Command::JoinCouncil(member, life) => Some((*member, *life)),
                 _ => None,
             });
-            let round = Round::joining(self.ballot(), self.links.len(), joins.collect());
+            let round = Proposer::joining(self.ballot(), self.links.len(), joins.collect());
             if let Some(results) = timeout_at(until.into(), self.round(round, acts)).await.ok()? {
                 return Some(results);
             }
@@ -601,7 +616,7 @@
         }
     }
 
-    fn learn(&self, document: &Document) {
+    fn learn(&self, document: &FleetState) {
         let mut known = self.document.borrow_mut();
         if known.as_ref().is_none_or(|k| k.version < document.version) {
             tracing::info!(target: "fleet", version = document.version, halted = document.halted.as_deref().unwrap_or("no"),
@@ -613,9 +628,9 @@
             let (mut out, mut back) = (Vec::new(), Vec::new());
             for (id, e) in &document.nodes {
                 match e.stage {
-                    NodeStage::Out(_) => out.push(id.clone()),
-                    NodeStage::Back(at) => back.push((id.clone(), at)),
-                    NodeStage::Wanted => {}
+                    ReplicaStage::OutOfService(_) => out.push(id.clone()),
+                    ReplicaStage::Restored(at) => back.push((id.clone(), at)),
+                    ReplicaStage::Requested => {}
                 }
             }
             self.duty.by_hand(&out, &back);
@@ -631,12 +646,12 @@
         let member = self.settings.council.iter().position(|&p| p == self.settings.me).unwrap_or(0);
         while self.keeper.borrow().as_ref().is_some_and(|k| !k.joined()) {
             // By whoever makes changes: a round of its own would be overtaken by them, again and again.
-            let joins = self.change(&Act::Join(member as u8, self.life)).await;
+            let joins = self.change(&Command::JoinCouncil(member as u8, self.life)).await;
             match joins {
                 Ok(_) => drop(tokio::time::timeout(self.settings.within, self.look()).await),
                 Err(_) => drop(tokio::time::timeout(self.settings.within, self.found()).await),
             }
-            if self.keeper.borrow().as_ref().is_some_and(Keeper::joined) {
+            if self.keeper.borrow().as_ref().is_some_and(Acceptor::joined) {
                 break;
             }
             let wait = self.rng.borrow_mut().u64(every.as_millis() as u64 / 2..=every.as_millis() as u64);
@@ -649,32 +664,32 @@
     /// one fails, as what it asked is no longer the last that all have heard.
     async fn found(self: &Rc<Self>) {
         let mut members = vec![None; self.links.len()];
-        let mut documents: Vec<Document> = Vec::new();
+        let mut documents: Vec<FleetState> = Vec::new();
         let ballot = self.ballot();
-        let mut told = self.ask_all(&Ask::Prepare(ballot));
+        let mut told = self.ask_all(&AcceptorRequest::Prepare(ballot));
         while let Some((member, _, answer)) = told.recv().await {
             members[usize::from(member)] = match answer {
-                Some((Answer::Blank { life, stored }, ..)) => {
+                Some((AcceptorReply::Uninitialized { life, stored }, ..)) => {
                     documents.extend(stored);
                     Some((life, None))
                 }
-                Some((Answer::Promised { life, taken }, ..)) => Some((life, taken)),
-                Some((Answer::Newer(seen), ..)) => {
+                Some((AcceptorReply::Promised { life, taken }, ..)) => Some((life, taken)),
+                Some((AcceptorReply::Superseded(seen), ..)) => {
                     self.seen.set(self.seen.get().max(seen));
                     None
                 }
                 _ => None,
             };
         }
-        let newest = |held: Option<&Document>| {
-            Document::first(held.into_iter().chain(&documents).max_by_key(|d| d.version))
+        let newest = |held: Option<&FleetState>| {
+            FleetState::first(held.into_iter().chain(&documents).max_by_key(|d| d.version))
         };
-        let Some(value) = first(&members, newest) else { return };
+        let Some(value) = bootstrap_value(&members, newest) else { return };
         let document = value.document.clone();
-        let mut told = self.ask_all(&Ask::Found(ballot, value));
+        let mut told = self.ask_all(&AcceptorRequest::Bootstrap(ballot, value));
         let mut taken = 0;
         while let Some((_, _, answer)) = told.recv().await {
-            taken += usize::from(matches!(answer, Some((Answer::Taken { .. }, ..))));
+            taken += usize::from(matches!(answer, Some((AcceptorReply::Accepted { .. }, ..))));
         }
         if taken == self.links.len() {
             tracing::warn!(target: "fleet", why = document.halted, "the council begins anew: halted until `resume`");
@@ -691,10 +706,10 @@
         loop {
             every.tick().await;
             self.presence.borrow_mut().look(self.now());
-            let says = match self.keeper.borrow().as_ref().is_none_or(Keeper::joined) {
+            let says = match self.keeper.borrow().as_ref().is_none_or(Acceptor::joined) {
                 true => self.duty.says(),
                 // A member that has forgotten counts as out until it takes part: else the next one could forget as well.
-                false => Says::Starting,
+                false => AdvertisedStatus::Starting,
             };
             for member in 0..self.links.len() {
                 let fleet = self.clone();
@@ -720,14 +735,14 @@
         }
     }
 
-    /// Follows the document and does its own part, again and again.
+    /// AppliedState the document and does its own part, again and again.
     async fn follow(self: Rc<Self>) {
         let every = Duration::from_nanos(self.settings.members.every);
         loop {
             // News, or time: a leave may have run out, a refused one may be asked for again.
             let _ = tokio::time::timeout(every, self.news.notified()).await;
             let newer = Some(self.rumour.get()) > self.known() || self.taken() > self.known();
-            if newer && self.change(&Act::Look).await.is_err() {
+            if newer && self.change(&Command::Read).await.is_err() {
                 continue;
             }
             self.step().await;
@@ -747,23 +762,23 @@
             let runs = what.as_ref().and_then(|what| self.runs.get(what)).map(String::as_str);
             let next = self.leaver.borrow().next(self.now(), &document, self.own.get(), runs);
             match next {
-                Next::Rest => return,
-                Next::GoOut => {
+                NextStep::Wait => return,
+                NextStep::BeginDrain => {
                     // The clock was looked at above, and nothing was waited for since.
                     if !self.duty.go_out() {
                         return;
                     }
                     tracing::info!(target: "fleet", version = document.version, "goes out by its leave");
-                    self.own.set(Own::Out);
+                    self.own.set(LocalPhase::OutOfService);
                 }
-                Next::Serve => {
+                NextStep::ResumeService => {
                     if !self.duty.serve() {
                         return;
                     }
                     tracing::info!(target: "fleet", version = document.version, "serves again");
-                    self.own.set(Own::Serving);
+                    self.own.set(LocalPhase::Serving);
                 }
-                Next::Swap(digest) => {
+                NextStep::InstallAndRestart(digest) => {
                     if self.ending.get() || !self.duty.drained() {
                         return;
                     }
@@ -781,8 +796,8 @@
                         }
                     }
                 }
-                Next::Ask(act) => {
-                    if let (Act::LeaveFrom(..), Some(what)) = (&act, &what) {
+                NextStep::Submit(act) => {
+                    if let (Command::AcquireReleaseLease(..), Some(what)) = (&act, &what) {
                         let to = document.entries.get(&self.settings.me).and_then(|e| e.to.clone());
                         if let Err(why) = self.fits(what.clone(), to.unwrap_or_default()).await {
                             match self.unfit(why).await {
@@ -793,11 +808,12 @@
                     }
                     let at = self.now();
                     let done = self.change(&act).await;
-                    let keeps = matches!(act, Act::Serves(..) | Act::Has(_)) && done.is_ok();
+                    let keeps = matches!(act, Command::ReportServing(..) | Command::ReportUpToDate(_))
+                        && done.is_ok();
                     if let (true, Some(what)) = (keeps, &what) {
                         self.keep(what.clone()).await;
                     }
-                    if let Err(Failed::No(no)) = &done {
+                    if let Err(Failed::Rejected(no)) = &done {
                         tracing::debug!(target: "fleet", ?act, %no, "not now");
                     }
                     self.leaver.borrow_mut().asked(at, self.now(), &act, done.is_ok());
@@ -891,17 +907,17 @@
     /// Has it agreed on that this router can't run what is released.
     async fn unfit(self: &Rc<Self>, why: String) -> bool {
         tracing::warn!(target: "fleet", why, "can't run what is released");
-        self.change(&Act::Unfit(self.settings.me, why)).await.is_ok()
+        self.change(&Command::ReportUnfit(self.settings.me, why)).await.is_ok()
     }
 
     /// Routers that the view from here takes to be out: only a member of the council has one.
-    fn out_here(&self) -> BTreeSet<Place> {
+    fn out_here(&self) -> BTreeSet<RouterIndex> {
         self.presence.borrow_mut().out(self.now()).into_iter().collect()
     }
 }
 
 /// What is found stored at the start; what can't be used is told, and is none.
-async fn stored_there(path: std::path::PathBuf, name: String) -> Option<Document> {
+async fn stored_there(path: std::path::PathBuf, name: String) -> Option<FleetState> {
     let read = off_thread(move || stored::read(&path, &name)).await;
     read.unwrap_or_else(|why| {
         tracing::warn!(target: "fleet", why, "what is stored of the fleet can't be used");
@@ -921,10 +937,10 @@
 }
 
 /// What became of a change: the document with it, or why it was not made.
-type Changed = Result<Document, No>;
+type Changed = Result<FleetState, Rejection>;
 
 /// A member's answer to the register, who is out by its view, and who keeps nodes from being clear.
-type Heard = Option<(Answer<Document>, Option<Vec<Place>>, Vec<Unclear>)>;
+type Heard = Option<(AcceptorReply<FleetState>, Option<Vec<RouterIndex>>, Vec<Unclear>)>;
 
 /// The time, as routers tell it each other.
 fn now_ms() -> UnixMs {
