--- a/router/src/fleet/orders.rs
+++ b/router/src/fleet/orders.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use tallypin_consensus::document::{Act, Document, No, Stage};
-use tallypin_consensus::leave::halt_holds;
-use tallypin_consensus::nodes::{NodeStage, MOST_NODES};
-use tallypin_consensus::release::Phase;
-use tallypin_membership::Place;
+use tallypin_consensus::drain_lease::halt_is_effective;
+use tallypin_consensus::fleet_state::{Command, DrainStage, FleetState, Rejection};
+use tallypin_consensus::release::ReleasePhase;
+use tallypin_consensus::replica_drains::{ReplicaStage, MOST_NODES};
+use tallypin_membership::RouterIndex;
 use tokio::time::sleep;
 
 use super::{now_ms, plan, Failed, Fleet};
@@ -100,14 +100,16 @@
         });
         let no = |why: String| json!({"done": false, "id": id, "why": why});
         let act = match &order {
-            Order::Status => Act::Look,
+            Order::Status => Command::Read,
             Order::PutBack(names) if self.are_nodes(names) => {
-                Act::PutBackNodes { order: id.clone(), nodes: names.clone() }
+                Command::RestoreReplicas { order: id.clone(), nodes: names.clone() }
+            }
+            Order::TakeOut(names, _) if names.len() > MOST_NODES => {
+                return no(Rejection::TooManyReplicas.to_string())
             }
-            Order::TakeOut(names, _) if names.len() > MOST_NODES => return no(No::TooMany.to_string()),
             Order::TakeOut(names, time) => {
                 let until = time.map(|t| now_ms().saturating_add(t.as_millis() as u64));
-                Act::TakeOut { order: id.clone(), nodes: names.clone(), until }
+                Command::DrainReplicas { order: id.clone(), nodes: names.clone(), until }
             }
             Order::Release(said) => {
                 let waves = match plan::waves(&said.waves, &self.settings) {
@@ -115,11 +117,11 @@
                     Err(why) => return no(why),
                 };
                 let (what, digest, plan) = (said.what.clone(), said.digest.clone(), said.plan.clone());
-                Act::Release { order: id.clone(), what, digest, waves, plan }
+                Command::BeginRelease { order: id.clone(), what, digest, waves, plan }
             }
-            Order::Undo(cause) => Act::Undo { order: id.clone(), cause: cause.clone() },
+            Order::Undo(cause) => Command::RollBack { order: id.clone(), cause: cause.clone() },
             Order::Drain(names) | Order::PutBack(names) => {
-                let mut routers: Vec<Place> = Vec::new();
+                let mut routers: Vec<RouterIndex> = Vec::new();
                 for name in names {
                     match self.settings.place(name) {
                         Some(place) => routers.push(place),
@@ -131,17 +133,17 @@
                     }
                 }
                 match order {
-                    Order::Drain(_) => Act::Drain { order: id.clone(), routers },
-                    _ => Act::PutBack { order: id.clone(), routers },
+                    Order::Drain(_) => Command::Drain { order: id.clone(), routers },
+                    _ => Command::Restore { order: id.clone(), routers },
                 }
             }
-            Order::Halt(cause) => Act::Halt { order: id.clone(), cause: cause.clone() },
-            Order::Resume => Act::Resume { order: id.clone() },
+            Order::Halt(cause) => Command::Halt { order: id.clone(), cause: cause.clone() },
+            Order::Resume => Command::Resume { order: id.clone() },
         };
         let asked = Instant::now();
         let document = match self.change(&act).await {
             Ok(document) => document,
-            Err(Failed::No(no)) => return json!({"done": false, "id": id, "why": no.to_string()}),
+            Err(Failed::Rejected(no)) => return json!({"done": false, "id": id, "why": no.to_string()}),
             Err(Failed::NoMajority) => {
                 // Said as it is: a round that was cut off may be ended by the next one.
                 return json!({"done": false, "id": id, "council": self.reached(), "why":
@@ -159,15 +161,15 @@
     }
 
     /// Waits until nobody can begin to go out any more by a leave from before.
-    async fn holds(self: &Rc<Self>, asked: Instant, mut document: Document) -> bool {
+    async fn holds(self: &Rc<Self>, asked: Instant, mut document: FleetState) -> bool {
         let nanos = |d: Duration| d.as_nanos() as u64;
         let give_up = self.settings.within + Duration::from_nanos(self.settings.leave.over());
-        while !halt_holds(&self.settings.leave, nanos(asked.elapsed()), &document) {
+        while !halt_is_effective(&self.settings.leave, nanos(asked.elapsed()), &document) {
             if asked.elapsed() > give_up {
                 return false;
             }
             sleep(LOOK).await;
-            match self.change(&Act::Look).await {
+            match self.change(&Command::Read).await {
                 Ok(newer) => document = newer,
                 // The time that a leave lasts is enough, whoever answers.
                 Err(_) => continue,
@@ -183,14 +185,15 @@
         members.map(|&p| self.settings.routers[usize::from(p)].name.as_str()).collect()
     }
 
-    fn told(&self, id: &str, document: &Document) -> Value {
-        let name =
-            |place: &Place| self.settings.routers.get(usize::from(*place)).map_or("?", |r| r.name.as_str());
-        let stage = |stage: &Stage| match stage {
-            Stage::Wanted => "wanted",
-            Stage::Leave(_) => "leave",
-            Stage::Out(_) => "out",
-            Stage::Back(_) => "back",
+    fn told(&self, id: &str, document: &FleetState) -> Value {
+        let name = |place: &RouterIndex| {
+            self.settings.routers.get(usize::from(*place)).map_or("?", |r| r.name.as_str())
+        };
+        let stage = |stage: &DrainStage| match stage {
+            DrainStage::Requested => "wanted",
+            DrainStage::Leased(_) => "leave",
+            DrainStage::OutOfService(_) => "out",
+            DrainStage::Returning(_) => "back",
         };
         let entries: Vec<Value> = document
             .entries
@@ -207,12 +210,12 @@
             "council": self.reached(), "spoilt": self.spoilt.get(),
         });
         let unclear = self.unclear.borrow();
-        let node = |(id, e): (&String, &tallypin_consensus::nodes::NodeEntry)| {
+        let node = |(id, e): (&String, &tallypin_consensus::replica_drains::ReplicaEntry)| {
             let mut said = json!({"node": id, "order": e.order, "until_ms": e.until});
             match e.stage {
-                NodeStage::Wanted => said["stage"] = "wanted".into(),
-                NodeStage::Back(at) => (said["stage"], said["since_ms"]) = ("back".into(), at.into()),
-                NodeStage::Out(_) => {
+                ReplicaStage::Requested => said["stage"] = "wanted".into(),
+                ReplicaStage::Restored(at) => (said["stage"], said["since_ms"]) = ("back".into(), at.into()),
+                ReplicaStage::OutOfService(_) => {
                     let held = unclear.get(id);
                     said["stage"] = "out".into();
                     said["clear"] = held.is_some_and(|u| u.routers == 0).into();
@@ -225,11 +228,11 @@
         told["nodes"] = document.nodes.iter().map(node).collect();
         if let Some(r) = &document.release {
             let (phase, cause) = match &r.phase {
-                Phase::Running => ("running", None),
-                Phase::Failed(why) => ("failed", Some(why)),
-                Phase::Back(why) => ("back", Some(why)),
-                Phase::Done => ("done", None),
-                Phase::Undone(why) => ("undone", Some(why)),
+                ReleasePhase::Running => ("running", None),
+                ReleasePhase::Failed(why) => ("failed", Some(why)),
+                ReleasePhase::RollingBack(why) => ("back", Some(why)),
+                ReleasePhase::Done => ("done", None),
+                ReleasePhase::RolledBack(why) => ("undone", Some(why)),
             };
             told["release"] = json!({
                 "order": r.order, "what": r.what, "digest": r.digest, "phase": phase, "cause": cause,
--- a/router/src/fleet/plan.rs
+++ b/router/src/fleet/plan.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use tallypin_consensus::release::{Plan, MOST_WAVES};
-use tallypin_membership::Place;
+use tallypin_consensus::release::{ReleasePlan, MOST_WAVES};
+use tallypin_membership::RouterIndex;
 use tallypin_settings_schema::{
     check, load, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
 };
@@ -83,7 +83,7 @@
     /// Waves, each in words.
     pub waves: Vec<Vec<String>>,
     /// What must hold.
-    pub plan: Plan,
+    pub plan: ReleasePlan,
 }
 
 /// Reads a plan; what is wrong is told with file, line and word.
@@ -129,7 +129,7 @@
         what: s.text("what").into(),
         digest,
         waves,
-        plan: Plan {
+        plan: ReleasePlan {
             watch_ms: ms("watch"),
             ready_ms: ms("ready"),
             failed_most: per_mille("failed"),
@@ -143,17 +143,17 @@
 
 /// The routers of each wave. A wave that would be empty is left out, as there is nobody left; one that names nobody of the
 /// fleet, or somebody twice, is an error.
-pub fn waves(words: &[Vec<String>], settings: &FleetSettings) -> Result<Vec<Vec<Place>>, String> {
+pub fn waves(words: &[Vec<String>], settings: &FleetSettings) -> Result<Vec<Vec<RouterIndex>>, String> {
     let all = settings.routers.len();
-    let mut left: Vec<Place> = (0..all as Place).collect();
+    let mut left: Vec<RouterIndex> = (0..all as RouterIndex).collect();
     let mut waves = Vec::new();
     for wave in words {
         let words: Vec<&str> = wave.iter().map(String::as_str).collect();
-        let taken: Vec<Place> = match words[..] {
+        let taken: Vec<RouterIndex> = match words[..] {
             ["rest"] => left.clone(),
             ["zone", zone] => {
-                let of = |p: &Place| settings.routers[usize::from(*p)].zone == zone;
-                if !(0..all as Place).any(|p| of(&p)) {
+                let of = |p: &RouterIndex| settings.routers[usize::from(*p)].zone == zone;
+                if !(0..all as RouterIndex).any(|p| of(&p)) {
                     return Err(format!("the fleet has no zone `{zone}`"));
                 }
                 left.iter().copied().filter(of).collect()
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -5,11 +5,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use tallypin_consensus::document::Bounds;
-use tallypin_consensus::leave;
-use tallypin_consensus::nodes::{Most, NodeBounds};
+use tallypin_consensus::drain_lease;
+use tallypin_consensus::fleet_state::DrainLimits;
 use tallypin_consensus::register::MOST_MEMBERS;
-use tallypin_membership::Place;
+use tallypin_consensus::replica_drains::{Limit, ReplicaLimits};
+use tallypin_membership::RouterIndex;
 use tallypin_settings_schema::{nearest, Checked, Directive, Entry, Kind, Problem, Section};
 
 use super::files::Released;
@@ -96,23 +96,23 @@
     /// The fleet's name.
     pub name: String,
     /// This router.
-    pub me: Place,
+    pub me: RouterIndex,
     /// The file with the keys.
     pub key: PathBuf,
     /// All routers, by place.
     pub routers: Vec<Router>,
     /// Those that agree.
-    pub council: Vec<Place>,
+    pub council: Vec<RouterIndex>,
     /// How many may be out.
-    pub bounds: Bounds,
+    pub bounds: DrainLimits,
     /// Where a member of the council stores what is agreed on.
     pub store: Option<PathBuf>,
     /// What a release may change.
     pub released: Vec<Released>,
     /// Beats, and when silence is believed.
-    pub members: tallypin_membership::Figures,
+    pub members: tallypin_membership::HeartbeatTiming,
     /// The figures of a leave.
-    pub leave: leave::Figures,
+    pub leave: drain_lease::LeaseTiming,
     /// A member answers within this.
     pub answer: Duration,
     /// An order is agreed on within this, or not.
@@ -124,7 +124,7 @@
     pub fn of(s: &Checked, problems: &mut Vec<Problem>) -> FleetSettings {
         let routers: Vec<Router> = s.all("router").map(router).collect();
         let names: Vec<&str> = routers.iter().map(|r| r.name.as_str()).collect();
-        let find = |entry: &Entry, word: usize, problems: &mut Vec<Problem>| -> Place {
+        let find = |entry: &Entry, word: usize, problems: &mut Vec<Problem>| -> RouterIndex {
             let name = entry.text(word);
             names.iter().position(|n| *n == name).unwrap_or_else(|| {
                 let what = format!("the fleet has no router `{name}`");
@@ -133,7 +133,7 @@
                     nearest(name, names.iter().copied()).map(|near| format!("did you mean `{near}`?"));
                 problems.push(problem);
                 0
-            }) as Place
+            }) as RouterIndex
         };
         let wrong = |what: String| Problem::new(s.place, what);
         if routers.len() > MOST_ROUTERS {
@@ -144,10 +144,10 @@
             problems.push(wrong("two routers of the fleet have one address".into()));
         }
         let me = s.entry("me").map_or(0, |e| find(e, 0, problems));
-        let council: Vec<Place> = s
+        let council: Vec<RouterIndex> = s
             .entry("council")
             .map_or(vec![], |e| (0..e.values.len()).map(|word| find(e, word, problems)).collect());
-        let apart: BTreeSet<Place> = council.iter().copied().collect();
+        let apart: BTreeSet<RouterIndex> = council.iter().copied().collect();
         if council.len() > MOST_MEMBERS || council.len() % 2 == 0 || apart.len() < council.len() {
             problems.push(wrong("a council has 1, 3, 5 or 7 members, each once".into()));
         }
@@ -189,7 +189,7 @@
             name: s.text("name").into(),
             me,
             key: s.path("key").map(PathBuf::from).unwrap_or_default(),
-            bounds: Bounds {
+            bounds: DrainLimits {
                 names: routers.iter().map(|r| r.name.clone()).collect(),
                 zones: routers.iter().map(zone_of).collect(),
                 all,
@@ -201,8 +201,12 @@
             released,
             routers,
             council,
-            members: tallypin_membership::Figures { every: nanos(beat), silent: nanos(silent) },
-            leave: leave::Figures { lease: nanos(s.duration("lease")), drift: 20, again: nanos(beat) },
+            members: tallypin_membership::HeartbeatTiming { every: nanos(beat), silent: nanos(silent) },
+            leave: drain_lease::LeaseTiming {
+                lease: nanos(s.duration("lease")),
+                drift: 20,
+                again: nanos(beat),
+            },
             answer: s.duration("answer"),
             within: s.duration("within"),
         }
@@ -216,8 +220,8 @@
     }
 
     /// A router's place, by its name.
-    pub fn place(&self, name: &str) -> Option<Place> {
-        self.routers.iter().position(|r| r.name == name).map(|p| p as Place)
+    pub fn place(&self, name: &str) -> Option<RouterIndex> {
+        self.routers.iter().position(|r| r.name == name).map(|p| p as RouterIndex)
     }
 }
 
@@ -230,7 +234,7 @@
 }
 
 /// The bounds for model nodes: by zone and kind as in all, where nothing else is said.
-fn node_bounds(s: &Checked, problems: &mut Vec<Problem>) -> Option<NodeBounds> {
+fn node_bounds(s: &Checked, problems: &mut Vec<Problem>) -> Option<ReplicaLimits> {
     let mut most = |name: &str| {
         let e = s.entry(name)?;
         let read = node_bound(e.text(0));
@@ -243,25 +247,25 @@
             "`nodes-out-zone` and `nodes-out-kind` want `nodes-out-most`".to_string(),
         ));
     }
-    all.map(|all| NodeBounds { all, zone: zone.unwrap_or(all), kind: kind.unwrap_or(all) })
+    all.map(|all| ReplicaLimits { all, zone: zone.unwrap_or(all), kind: kind.unwrap_or(all) })
 }
 
 /// `3`, or `10%`, up to so large a share.
-fn number_or_share(word: &str, largest: usize) -> Result<Most, String> {
+fn number_or_share(word: &str, largest: usize) -> Result<Limit, String> {
     let digits = |w: &str| w.parse::<usize>().ok().filter(|_| w.bytes().all(|b| b.is_ascii_digit()));
     match word.strip_suffix('%') {
         Some(share) => digits(share)
             .filter(|s| (1..=largest).contains(s))
-            .map(Most::Share)
+            .map(Limit::Percent)
             .ok_or_else(|| format!("a share is 1% to {largest}%")),
-        None => digits(word).map(Most::Number).ok_or_else(|| "wants a number, or a share as 10%".into()),
+        None => digits(word).map(Limit::Count).ok_or_else(|| "wants a number, or a share as 10%".into()),
     }
 }
 
 /// Of as many as are listed when it counts, rounded down, so at times of none.
-fn node_bound(word: &str) -> Result<Most, String> {
+fn node_bound(word: &str) -> Result<Limit, String> {
     match number_or_share(word, 99)? {
-        Most::Number(0) => Err("a bound of none would let nothing out; leave it away for that".into()),
+        Limit::Count(0) => Err("a bound of none would let nothing out; leave it away for that".into()),
         most => Ok(most),
     }
 }
@@ -270,11 +274,11 @@
 /// The whole of a zone may go out, where the bound says so; the whole of a fleet may not.
 fn bound(word: &str, of: usize, whole: bool) -> Result<usize, String> {
     let most = match number_or_share(word, 100)? {
-        Most::Share(share) => match of * share / 100 {
+        Limit::Percent(share) => match of * share / 100 {
             0 => return Err(format!("{share}% of {of} is none; say 1 to let one out")),
             most => most,
         },
-        Most::Number(most) => most,
+        Limit::Count(most) => most,
     };
     match most {
         0 => Err("a bound of none would let nobody out".into()),
--- a/router/src/fleet/settings/tests.rs
+++ b/router/src/fleet/settings/tests.rs
@@ -21,7 +21,7 @@
         );
     }
     assert_eq!(bound("2", 2, true), Ok(2));
-    assert_eq!((node_bound("10%"), node_bound("2")), (Ok(Most::Share(10)), Ok(Most::Number(2))));
+    assert_eq!((node_bound("10%"), node_bound("2")), (Ok(Limit::Percent(10)), Ok(Limit::Count(2))));
     for word in ["0", "0%", "100%", "+3", "many", ""] {
         assert!(node_bound(word).is_err(), "{word}");
     }
--- a/router/src/fleet/stored.rs
+++ b/router/src/fleet/stored.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use tallypin_consensus::document::Document;
+use tallypin_consensus::fleet_state::FleetState;
 
 use super::files;
 
@@ -17,16 +17,16 @@
 struct Stored {
     v: u8,
     fleet: String,
-    document: Document,
+    document: FleetState,
 }
 
 /// The bytes of the file: a digest, a line end, JSON.
-fn encode(fleet: &str, document: &Document) -> io::Result<Vec<u8>> {
+fn encode(fleet: &str, document: &FleetState) -> io::Result<Vec<u8>> {
     let body = serde_json::to_vec(&Stored { v: VERSION, fleet: fleet.into(), document: document.clone() })?;
     Ok([files::digest(&body).as_bytes(), b"\n", &body].concat())
 }
 
-fn decode(fleet: &str, bytes: &[u8]) -> Result<Document, String> {
+fn decode(fleet: &str, bytes: &[u8]) -> Result<FleetState, String> {
     let at = bytes.iter().position(|b| *b == b'\n').ok_or("torn")?;
     let (digest, body) = (&bytes[..at], &bytes[at + 1..]);
     if files::digest(body).as_bytes() != digest {
@@ -41,12 +41,12 @@
 }
 
 /// Writes the file whole, or leaves the one before.
-pub fn write(path: &Path, fleet: &str, document: &Document) -> io::Result<()> {
+pub fn write(path: &Path, fleet: &str, document: &FleetState) -> io::Result<()> {
     files::write(path, &encode(fleet, document)?)
 }
 
 /// What is stored; `None`: nothing yet.
-pub fn read(path: &Path, fleet: &str) -> Result<Option<Document>, String> {
+pub fn read(path: &Path, fleet: &str) -> Result<Option<FleetState>, String> {
     match files::read(path) {
         Ok(bytes) => decode(fleet, &bytes).map(Some),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
--- a/router/src/fleet/stored/tests.rs
+++ b/router/src/fleet/stored/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn what_is_stored_is_read_again_and_what_a_disk_has_spoilt_is_not() {
-    let document = Document { version: 7, halted: Some("x".into()), ..Document::default() };
+    let document = FleetState { version: 7, halted: Some("x".into()), ..FleetState::default() };
     let bytes = encode("nord", &document).unwrap();
     assert_eq!(decode("nord", &bytes).unwrap(), document);
     assert!(decode("sued", &bytes).unwrap_err().contains("another fleet"));
--- a/router/src/fleet/wire.rs
+++ b/router/src/fleet/wire.rs
@@ -4,11 +4,11 @@
 use std::io;
 
 use serde::{Deserialize, Serialize};
-use tallypin_consensus::document::{Act, Document, No};
-use tallypin_consensus::nodes::Follows;
-use tallypin_consensus::register::{Answer, Ask};
-use tallypin_consensus::watch::Counts;
-use tallypin_membership::{Place, Says};
+use tallypin_consensus::fleet_state::{Command, FleetState, Rejection};
+use tallypin_consensus::register::{AcceptorReply, AcceptorRequest};
+use tallypin_consensus::release_monitor::AnswerCounts;
+use tallypin_consensus::replica_drains::AppliedState;
+use tallypin_membership::{AdvertisedStatus, RouterIndex};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// This version of the messages. Fields that are not known are passed over; another version is not read.
@@ -26,7 +26,7 @@
     /// The version of this message.
     pub v: u8,
     /// Who asks.
-    pub from: Place,
+    pub from: RouterIndex,
     /// Its life.
     pub life: u64,
     /// Above that of every call before in this life: one that comes again is no news.
@@ -43,10 +43,10 @@
 pub struct Tells {
     /// Its final answers.
     #[serde(default)]
-    pub counts: Counts,
+    pub counts: AnswerCounts,
     /// What it does about model nodes that are out by order.
     #[serde(default)]
-    pub follows: Follows,
+    pub follows: AppliedState,
     /// What it runs, of the kind that is, or was last, released.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub runs: Option<String>,
@@ -60,7 +60,7 @@
     /// How many routers.
     pub routers: usize,
     /// The first of them.
-    pub first: Vec<Place>,
+    pub first: Vec<RouterIndex>,
 }
 
 /// What is asked.
@@ -68,11 +68,11 @@
 #[serde(rename_all = "lowercase")]
 pub enum What {
     /// It lives, and says this of itself.
-    Beat(Says),
+    Beat(AdvertisedStatus),
     /// Of the register.
-    Ask(Ask<Document>),
+    Ask(AcceptorRequest<FleetState>),
     /// To have a change agreed on.
-    Change(Act),
+    Change(Command),
     /// Which life of the one who asks is known: before its first own call. The only call that may be of any life.
     Life,
 }
@@ -98,11 +98,11 @@
     /// The version of the document that this member took last; `None`: it takes no part yet.
     Heard(Option<u64>),
     /// Of the register, and who is out, if this member can tell.
-    Answer(Answer<Document>, Option<Vec<Place>>),
+    Answer(AcceptorReply<FleetState>, Option<Vec<RouterIndex>>),
     /// The latest life of the one who asks that this member has heard of; 0: of none.
     Life(u64),
     /// What became of a change; `None`: not known, no majority answered this member in time.
-    Changed(Option<Result<Document, No>>),
+    Changed(Option<Result<FleetState, Rejection>>),
 }
 
 /// Which way a message goes: guards against a call that comes back as its own answer.
--- a/router/src/fleet/wire/tests.rs
+++ b/router/src/fleet/wire/tests.rs
@@ -3,7 +3,7 @@
 const KEY: &str = "a key of sixteen bytes and more";
 
 fn call() -> Call {
-    Call { v: VERSION, from: 1, life: 2, number: 3, what: What::Beat(Says::Serving), tells: None }
+    Call { v: VERSION, from: 1, life: 2, number: 3, what: What::Beat(AdvertisedStatus::Serving), tells: None }
 }
 
 fn opened(keys: &Keys, way: Way, bytes: &[u8]) -> Result<Call, String> {
@@ -49,10 +49,10 @@
 fn the_first_versions_bytes_are_read() {
     let body = br#"{"v":1,"from":2,"life":7,"number":9,"what":{"ask":{"prepare":{"number":4,"by":2,"life":7}}},"later":1}"#;
     let call: Call = serde_json::from_slice(body).unwrap();
-    assert!(matches!(call.what, What::Ask(Ask::Prepare(b)) if b.number == 4));
+    assert!(matches!(call.what, What::Ask(AcceptorRequest::Prepare(b)) if b.number == 4));
     let body = br#"{"v":1,"number":9,"what":{"answer":[{"promised":{"life":7,"taken":[{"number":1,"by":0,"life":7},{"lives":[7],"document":{"version":3,"halted":null,"entries":{"4":{"stage":{"leave":8},"order":"d"}},"orders":["d"]}}]}},[1,2]]}}"#;
     let reply: Reply = serde_json::from_slice(body).unwrap();
-    let Said::Answer(Answer::Promised { taken: Some((_, value)), .. }, Some(out)) = reply.what else {
+    let Said::Answer(AcceptorReply::Promised { taken: Some((_, value)), .. }, Some(out)) = reply.what else {
         panic!()
     };
     assert_eq!((value.document.version, value.document.entries.len(), out), (3, 1, vec![1, 2]));
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -238,7 +238,7 @@
             }
             // Before balancers and clients come.
             if let Some(fleet) = &fleet {
-                fleet.first().await;
+                fleet.wait_for_first_state().await;
             }
             _listening = Some(checks::start(&host, &started).await?);
             board = Some(started);
--- a/router/tests/fleet.rs
+++ b/router/tests/fleet.rs
@@ -462,7 +462,7 @@
     assert_eq!(fleet.order(2, &order)["code"], 0);
     let over = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|s| {
-        // Most of them where it is released: what is slow answers seldom.
+        // Limit of them where it is released: what is slow answers seldom.
         for r in (0..5).chain([3; 10]) {
             let (fleet, over) = (&fleet, &over);
             s.spawn(move || {
