--- a/consensus/src/drain_lease.rs
+++ b/consensus/src/drain_lease.rs
@@ -11,17 +11,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
     /// A leave may be used for so long after it was asked for.
-    pub lease: Nanos,
+    pub duration: Nanos,
     /// Clocks may run apart by this share of it, as one in so many.
-    pub drift: u64,
+    pub drift_divisor: u64,
     /// A leave that was refused is asked for again after this.
-    pub again: Nanos,
+    pub retry_after: Nanos,
 }
 
 impl LeaseTiming {
     /// After this, by any clock of the fleet, no leave asked for before is used any more.
-    pub fn over(&self) -> Nanos {
-        self.lease + 2 * (self.lease / self.drift.max(1))
+    pub fn safe_expiry(&self) -> Nanos {
+        self.duration + 2 * (self.duration / self.drift_divisor.max(1))
     }
 }
 
@@ -53,36 +53,43 @@
 #[derive(Debug)]
 pub struct LeaseHolder {
     figures: LeaseTiming,
-    me: RouterIndex,
-    life: u64,
+    index: RouterIndex,
+    incarnation: u64,
     /// When the leave that is granted was asked for, by the own clock.
-    asked: Option<Nanos>,
-    refused: Option<Nanos>,
+    requested_at: Option<Nanos>,
+    rejected_at: Option<Nanos>,
 }
 
 impl LeaseHolder {
     /// Of a router that has just started.
     pub fn new(figures: LeaseTiming, me: RouterIndex, life: u64) -> LeaseHolder {
-        LeaseHolder { figures, me, life, asked: None, refused: None }
+        LeaseHolder { figures, index: me, incarnation: life, requested_at: None, rejected_at: None }
     }
 
     /// Whether a leave that was asked for then may still be used.
     fn good(&self, now: Nanos, asked: Nanos) -> bool {
-        now.saturating_sub(asked) < self.figures.lease
+        now.saturating_sub(asked) < self.figures.duration
     }
 
     /// What to do, by the newest document known here. `runs`: the digest of what it runs, of the kind that is being
     /// released; `None`: its settings have no such file.
-    pub fn next(&self, now: Nanos, document: &FleetState, own: LocalPhase, runs: Option<&str>) -> NextStep {
-        let entry = document.entries.get(&self.me);
-        let to = entry.and_then(|e| e.to.as_deref());
-        let (me, mine) = (self.me, self.life);
+    pub fn next_step(
+        &self,
+        now: Nanos,
+        document: &FleetState,
+        own: LocalPhase,
+        runs: Option<&str>,
+    ) -> NextStep {
+        let entry = document.drains.get(&self.index);
+        let to = entry.and_then(|e| e.target_digest.as_deref());
+        let (me, mine) = (self.index, self.incarnation);
         match (entry.map(|e| e.stage), own) {
             (Some(DrainStage::Requested), _) if to.is_some() && to == runs => {
                 NextStep::Submit(Command::ReportUpToDate(me))
             }
             (Some(DrainStage::Requested), LocalPhase::Serving) if document.halted.is_none() => {
-                let soon = self.refused.is_some_and(|at| now.saturating_sub(at) < self.figures.again);
+                let soon =
+                    self.rejected_at.is_some_and(|at| now.saturating_sub(at) < self.figures.retry_after);
                 match (to, runs) {
                     _ if soon => NextStep::Wait,
                     (None, _) => NextStep::Submit(Command::AcquireLease(me, mine)),
@@ -96,7 +103,7 @@
                 }
             }
             (Some(DrainStage::Leased(life)), LocalPhase::Serving) if life == mine => {
-                match self.asked.is_some_and(|at| self.good(now, at)) {
+                match self.requested_at.is_some_and(|at| self.good(now, at)) {
                     true => NextStep::BeginDrain,
                     false => NextStep::Submit(Command::ReturnLease(me, life)),
                 }
@@ -125,10 +132,10 @@
     }
 
     /// What became of a change that was asked for at `at`, before it was sent.
-    pub fn asked(&mut self, at: Nanos, now: Nanos, act: &Command, done: bool) {
+    pub fn record_outcome(&mut self, at: Nanos, now: Nanos, act: &Command, done: bool) {
         if matches!(act, Command::AcquireLease(..) | Command::AcquireReleaseLease(..)) {
-            self.asked = done.then_some(at);
-            self.refused = (!done).then_some(now);
+            self.requested_at = done.then_some(at);
+            self.rejected_at = (!done).then_some(now);
         }
     }
 }
@@ -136,11 +143,9 @@
 /// Whether a halt that was agreed on so long ago may be answered: nobody can begin to go out any more.
 pub fn halt_is_effective(figures: &LeaseTiming, since: Nanos, document: &FleetState) -> bool {
     // One that is to come back may have had its leave until a moment ago, and not know better yet.
-    let open = document
-        .entries
-        .values()
-        .any(|e| matches!(e.stage, DrainStage::Leased(_) | DrainStage::Returning(_)));
-    !open || since > figures.over()
+    let open =
+        document.drains.values().any(|e| matches!(e.stage, DrainStage::Leased(_) | DrainStage::Returning(_)));
+    !open || since > figures.safe_expiry()
 }
 
 #[cfg(test)]
--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -16,22 +16,22 @@
 use tallypin_membership::RouterIndex;
 
 use crate::register::MemberIndex;
-use crate::release::{Release, ReleasePhase, ReleasePlan, MOST_TRIES, MOST_WAVES};
+use crate::release::{Release, ReleasePhase, ReleasePlan, MAX_ATTEMPTS, MAX_WAVES};
 use crate::replica_drains::{
     self, ReplicaEntry, ReplicaLimitExceeded, ReplicaLimits, ReplicaStage, ReplicaView, UnixMs,
 };
 
 /// Orders that are remembered, so that one that is sent again does not run again.
-pub const MOST_ORDERS: usize = 64;
+pub const MAX_REMEMBERED_ORDERS: usize = 64;
 /// The longest id of an order, and the longest cause of a halt, bytes.
-pub const LONGEST_WORD: usize = 64;
+pub const MAX_TEXT_BYTES: usize = 64;
 
 /// As many of a wave are told to go at once, at the least.
-const LEAST_TOLD: usize = 4;
+const MIN_STARTED_AT_ONCE: usize = 4;
 /// Versions that are passed over when some may be lost: far more than are agreed on while a majority forgets.
-const LOST: u64 = 1_000_000;
+const VERSION_GAP_AFTER_LOSS: u64 = 1_000_000;
 /// The longest cause that a check gives, characters.
-pub const LONGEST_CAUSE: usize = 200;
+pub const MAX_CAUSE_CHARS: usize = 200;
 
 /// How far a router has come on its way out and back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -59,16 +59,21 @@
     /// The order that it goes by.
     pub order: String,
     /// The digest of what it is to run when it comes back, in a release.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub to: Option<String>,
+    #[serde(default, rename = "to", skip_serializing_if = "Option::is_none")]
+    pub target_digest: Option<String>,
     /// How often it came back and ran something else.
-    #[serde(default)]
-    pub tries: u8,
+    #[serde(default, rename = "tries")]
+    pub attempts: u8,
 }
 
 impl DrainEntry {
     fn wanted(order: &str, to: Option<&String>) -> DrainEntry {
-        DrainEntry { stage: DrainStage::Requested, order: order.into(), to: to.cloned(), tries: 0 }
+        DrainEntry {
+            stage: DrainStage::Requested,
+            order: order.into(),
+            target_digest: to.cloned(),
+            attempts: 0,
+        }
     }
 }
 
@@ -80,12 +85,14 @@
     /// Why nothing may begin to go out; `None`: it may.
     pub halted: Option<String>,
     /// Routers that are out by order, or are to go. At most one entry each.
-    pub entries: BTreeMap<RouterIndex, DrainEntry>,
+    #[serde(rename = "entries")]
+    pub drains: BTreeMap<RouterIndex, DrainEntry>,
     /// The latest orders.
-    pub orders: VecDeque<String>,
+    #[serde(rename = "orders")]
+    pub recent_orders: VecDeque<String>,
     /// Model nodes that are out by order, are to go, or were put back of late, by id.
-    #[serde(default)]
-    pub nodes: replica_drains::ReplicaEntries,
+    #[serde(default, rename = "nodes")]
+    pub replicas: replica_drains::ReplicaEntries,
     /// The release that is on, or the last one.
     #[serde(default)]
     pub release: Option<Box<Release>>,
@@ -99,13 +106,13 @@
     /// The zone of each router, by place.
     pub zones: Vec<u16>,
     /// In all.
-    pub all: usize,
+    pub total: usize,
     /// In each zone.
-    pub zone: usize,
+    pub per_zone: usize,
     /// The members of the council. A planned out never takes away the majority of those that remember.
     pub council: Vec<RouterIndex>,
     /// Of model nodes; `None`: none by order.
-    pub nodes: Option<ReplicaLimits>,
+    pub replicas: Option<ReplicaLimits>,
 }
 
 impl DrainLimits {
@@ -119,15 +126,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CouncilView {
     /// Members that answered and know who is silent.
-    pub knowing: usize,
+    pub informed_members: usize,
     /// As many are wanted: a majority.
-    pub wanted: usize,
+    pub majority: usize,
     /// Routers that any of them takes to be out.
-    pub out: BTreeSet<RouterIndex>,
+    pub out_of_service: BTreeSet<RouterIndex>,
     /// The model nodes, by a list that was heard of late; `None`: the one that asks has none.
-    pub nodes: Option<BTreeMap<String, ReplicaView>>,
+    pub replicas: Option<BTreeMap<String, ReplicaView>>,
     /// The time.
-    pub now_ms: UnixMs,
+    pub unix_ms: UnixMs,
 }
 
 /// A change that is wanted.
@@ -173,7 +180,8 @@
         /// The order's id.
         order: String,
         /// Which.
-        nodes: Vec<String>,
+        #[serde(rename = "nodes")]
+        replicas: Vec<String>,
         /// When they are put back without an order.
         until: Option<UnixMs>,
     },
@@ -183,7 +191,8 @@
         /// The order's id.
         order: String,
         /// Which.
-        nodes: Vec<String>,
+        #[serde(rename = "nodes")]
+        replicas: Vec<String>,
     },
     /// A model node goes out if there is room, or comes back as its time has come.
     #[serde(rename = "node")]
@@ -244,7 +253,7 @@
 
 impl Command {
     /// Whether an operator wants it.
-    pub fn is_order(&self) -> bool {
+    pub fn is_operator_order(&self) -> bool {
         matches!(
             self,
             Command::Drain { .. }
@@ -329,16 +338,16 @@
             Rejection::ViewIncomplete => f.write_str("too few of the council know yet who is out"),
             Rejection::UnknownRouter(place) => write!(f, "no router {place} in this fleet"),
             Rejection::NothingToChange => f.write_str("there is nothing to change"),
-            Rejection::InvalidText => write!(f, "an id or a cause has 1 to {LONGEST_WORD} bytes"),
+            Rejection::InvalidText => write!(f, "an id or a cause has 1 to {MAX_TEXT_BYTES} bytes"),
             Rejection::ReplicaLimitReached(full) => write!(
                 f,
                 "{} of {} model nodes of {} may be out at once; {}",
-                full.most,
-                full.all,
-                full.of,
-                match full.out.is_empty() {
+                full.limit,
+                full.total,
+                full.group,
+                match full.out_of_service.is_empty() {
                     true => "that is none".into(),
-                    false => format!("out are {}", full.out.join(", ")),
+                    false => format!("out are {}", full.out_of_service.join(", ")),
                 }
             ),
             Rejection::ReplicaOrdersDisabled => {
@@ -346,13 +355,15 @@
             }
             Rejection::EndpointListStale => f.write_str("this router has not heard the node list of late"),
             Rejection::UnknownReplica(id) => write!(f, "no model node `{id}` is listed, or out by order"),
-            Rejection::TooManyReplicas => write!(f, "more than {} model nodes", replica_drains::MOST_NODES),
+            Rejection::TooManyReplicas => {
+                write!(f, "more than {} model nodes", replica_drains::MAX_REPLICA_DRAINS)
+            }
             Rejection::ReleaseInProgress(order) => write!(f, "release {order} is on"),
             Rejection::HeldByOtherOrder(place, order) => {
                 write!(f, "{place} is out, or to go, by order {order}")
             }
             Rejection::InvalidWaves => {
-                write!(f, "a release has 1 to {MOST_WAVES} waves, none empty, each router once")
+                write!(f, "a release has 1 to {MAX_WAVES} waves, none empty, each router once")
             }
             Rejection::NotSeenServing => f.write_str("a majority of the council has not seen it serve yet"),
         }
@@ -372,19 +383,19 @@
         };
         let known = known.cloned().unwrap_or_default();
         // Above what may be lost: routers go by the newest version that they have heard of.
-        let version = known.version.saturating_add(LOST);
+        let version = known.version.saturating_add(VERSION_GAP_AFTER_LOSS);
         FleetState { version, halted: Some(cause.into()), ..known }
     }
 
     /// Who counts as out: by order, or by what the council has heard.
-    pub fn out(&self, view: &CouncilView) -> BTreeSet<RouterIndex> {
+    pub fn out_of_service(&self, view: &CouncilView) -> BTreeSet<RouterIndex> {
         let ordered =
-            self.entries.iter().filter(|(_, e)| e.stage != DrainStage::Requested).map(|(&place, _)| place);
-        ordered.chain(view.out.iter().copied()).collect()
+            self.drains.iter().filter(|(_, e)| e.stage != DrainStage::Requested).map(|(&place, _)| place);
+        ordered.chain(view.out_of_service.iter().copied()).collect()
     }
 
     /// The document after a change, or why there is none. One that is there already gives the same document.
-    pub fn changed(
+    pub fn apply(
         &self,
         act: &Command,
         bounds: &DrainLimits,
@@ -405,7 +416,7 @@
             | Command::BeginRelease { order, .. }
             | Command::RollBack { order, .. }
             | Command::Resume { order } => {
-                let fits = |word: &str| !word.is_empty() && word.len() <= LONGEST_WORD;
+                let fits = |word: &str| !word.is_empty() && word.len() <= MAX_TEXT_BYTES;
                 let more = match act {
                     Command::Halt { cause, .. } | Command::RollBack { cause, .. } => fits(cause),
                     Command::BeginRelease { what, digest, .. } => fits(what) && fits(digest),
@@ -415,12 +426,12 @@
                     return Err(Rejection::InvalidText);
                 }
                 // Sent again, by whomever: it has run.
-                if self.orders.contains(order) {
+                if self.recent_orders.contains(order) {
                     return Ok(new);
                 }
-                new.orders.push_back(order.clone());
-                if new.orders.len() > MOST_ORDERS {
-                    new.orders.pop_front();
+                new.recent_orders.push_back(order.clone());
+                if new.recent_orders.len() > MAX_REMEMBERED_ORDERS {
+                    new.recent_orders.pop_front();
                 }
             }
             _ => {}
@@ -430,7 +441,7 @@
             Command::Drain { order, routers } => {
                 for &place in routers {
                     known(place)?;
-                    let entry = new.entries.entry(place);
+                    let entry = new.drains.entry(place);
                     let wanted = DrainEntry::wanted(order, None);
                     // One that is out stays so; one that was to come back goes out again by a leave of its own.
                     entry.or_insert(wanted);
@@ -439,10 +450,10 @@
             Command::Restore { routers, .. } => {
                 for &place in routers {
                     known(place)?;
-                    match new.entries.get(&place).map(|e| e.stage) {
-                        Some(DrainStage::Requested) => drop(new.entries.remove(&place)),
+                    match new.drains.get(&place).map(|e| e.stage) {
+                        Some(DrainStage::Requested) => drop(new.drains.remove(&place)),
                         Some(DrainStage::Leased(life) | DrainStage::OutOfService(life)) => {
-                            new.entries
+                            new.drains
                                 .get_mut(&place)
                                 .into_iter()
                                 .for_each(|e| e.stage = DrainStage::Returning(life));
@@ -457,53 +468,53 @@
             Command::AcquireReleaseLease(place, life, runs) => {
                 new.leave(*place, *life, bounds, view)?;
                 if let Some(r) = &mut new.release {
-                    r.before.entry(*place).or_insert_with(|| runs.clone());
+                    r.previous_digests.entry(*place).or_insert_with(|| runs.clone());
                 }
             }
-            Command::DrainReplicas { order, nodes, until } => {
-                let seen = view.nodes.as_ref().ok_or(Rejection::EndpointListStale)?;
-                bounds.nodes.ok_or(Rejection::ReplicaOrdersDisabled)?;
+            Command::DrainReplicas { order, replicas: nodes, until } => {
+                let seen = view.replicas.as_ref().ok_or(Rejection::EndpointListStale)?;
+                bounds.replicas.ok_or(Rejection::ReplicaOrdersDisabled)?;
                 for id in nodes {
-                    if id.len() > replica_drains::LONGEST_NODE || !seen.contains_key(id) {
+                    if id.len() > replica_drains::MAX_REPLICA_ID_BYTES || !seen.contains_key(id) {
                         return Err(Rejection::UnknownReplica(
-                            id.chars().take(replica_drains::LONGEST_NODE).collect(),
+                            id.chars().take(replica_drains::MAX_REPLICA_ID_BYTES).collect(),
                         ));
                     }
                     let (order, until) = (order.clone(), *until);
-                    match new.nodes.get_mut(id) {
+                    match new.replicas.get_mut(id) {
                         // One that is out stays so, for the time that was stated last.
                         Some(e) if !matches!(e.stage, ReplicaStage::Restored(_)) => e.until = until,
                         _ => {
                             let entry = ReplicaEntry { stage: ReplicaStage::Requested, order, until };
-                            new.nodes.insert(id.clone(), entry);
+                            new.replicas.insert(id.clone(), entry);
                         }
                     }
                 }
-                new.forget(view.now_ms);
-                if new.nodes.len() > replica_drains::MOST_NODES {
+                new.forget(view.unix_ms);
+                if new.replicas.len() > replica_drains::MAX_REPLICA_DRAINS {
                     return Err(Rejection::TooManyReplicas);
                 }
             }
-            Command::RestoreReplicas { nodes, .. } => {
+            Command::RestoreReplicas { replicas: nodes, .. } => {
                 for id in nodes {
-                    new.put_back(id, view.now_ms).map_err(|_| Rejection::UnknownReplica(id.clone()))?;
+                    new.put_back(id, view.unix_ms).map_err(|_| Rejection::UnknownReplica(id.clone()))?;
                 }
             }
             Command::AdvanceReplica(id) => {
-                let entry = self.nodes.get(id).ok_or(Rejection::NothingToChange)?;
-                let over = entry.until.is_some_and(|until| view.now_ms >= until);
+                let entry = self.replicas.get(id).ok_or(Rejection::NothingToChange)?;
+                let over = entry.until.is_some_and(|until| view.unix_ms >= until);
                 match entry.stage {
                     ReplicaStage::Requested | ReplicaStage::OutOfService(_) if over => {
-                        new.put_back(id, view.now_ms)?
+                        new.put_back(id, view.unix_ms)?
                     }
                     ReplicaStage::Requested => {
                         self.may_begin(view)?;
-                        let seen = view.nodes.as_ref().ok_or(Rejection::EndpointListStale)?;
-                        let bounds = bounds.nodes.as_ref().ok_or(Rejection::ReplicaOrdersDisabled)?;
-                        replica_drains::check_limits(id, &self.nodes, bounds, seen)
+                        let seen = view.replicas.as_ref().ok_or(Rejection::EndpointListStale)?;
+                        let bounds = bounds.replicas.as_ref().ok_or(Rejection::ReplicaOrdersDisabled)?;
+                        replica_drains::check_limits(id, &self.replicas, bounds, seen)
                             .map_err(Rejection::ReplicaLimitReached)?;
                         let out = ReplicaStage::OutOfService(self.version.saturating_add(1));
-                        new.nodes.entry(id.clone()).and_modify(|e| e.stage = out);
+                        new.replicas.entry(id.clone()).and_modify(|e| e.stage = out);
                     }
                     _ => return Err(Rejection::NothingToChange),
                 }
@@ -520,27 +531,29 @@
                 new.fail(why)?;
             }
             Command::ReportUpToDate(place) => {
-                let entry =
-                    new.entries.get(place).filter(|e| e.stage == DrainStage::Requested && e.to.is_some());
+                let entry = new
+                    .drains
+                    .get(place)
+                    .filter(|e| e.stage == DrainStage::Requested && e.target_digest.is_some());
                 entry.ok_or(Rejection::NothingToChange)?;
-                new.entries.remove(place);
+                new.drains.remove(place);
             }
             Command::ReportUnfit(place, why) => {
                 let entry = new
-                    .entries
+                    .drains
                     .get(place)
-                    .filter(|e| e.to.is_some())
+                    .filter(|e| e.target_digest.is_some())
                     .ok_or(Rejection::NothingToChange)?
                     .clone();
                 new.fail(&format!("{}: {why}", bounds.name(*place)))?;
                 match entry.stage {
                     // In a release that is being undone it can do no more; it serves as it is.
-                    DrainStage::Requested => drop(new.entries.remove(place)),
+                    DrainStage::Requested => drop(new.drains.remove(place)),
                     DrainStage::Leased(life) | DrainStage::OutOfService(life) => {
-                        let tries = entry.tries.saturating_add(1);
-                        new.entries.insert(
+                        let tries = entry.attempts.saturating_add(1);
+                        new.drains.insert(
                             *place,
-                            DrainEntry { stage: DrainStage::Returning(life), tries, ..entry },
+                            DrainEntry { stage: DrainStage::Returning(life), attempts: tries, ..entry },
                         );
                     }
                     DrainStage::Returning(_) => return Err(Rejection::NothingToChange),
@@ -548,9 +561,9 @@
             }
             Command::RetryRelease(place, life) => {
                 let entry = new
-                    .entries
+                    .drains
                     .get_mut(place)
-                    .filter(|e| e.to.is_some())
+                    .filter(|e| e.target_digest.is_some())
                     .ok_or(Rejection::NothingToChange)?;
                 match entry.stage {
                     DrainStage::Leased(of) | DrainStage::OutOfService(of) if of != *life => {
@@ -558,11 +571,11 @@
                     }
                     _ => return Err(Rejection::NothingToChange),
                 }
-                entry.tries = entry.tries.saturating_add(1);
-                if entry.tries >= MOST_TRIES {
+                entry.attempts = entry.attempts.saturating_add(1);
+                if entry.attempts >= MAX_ATTEMPTS {
                     let name = bounds.name(*place);
-                    new.fail(&format!("{name} came back {MOST_TRIES} times and ran something else"))?;
-                    new.entries.remove(place);
+                    new.fail(&format!("{name} came back {MAX_ATTEMPTS} times and ran something else"))?;
+                    new.drains.remove(place);
                 }
             }
             Command::UseLease(place, life) => {
@@ -579,25 +592,27 @@
                     DrainStage::Requested => false,
                 };
                 let entry = new
-                    .entries
+                    .drains
                     .get(place)
                     .filter(|e| ends(e.stage))
                     .ok_or(Rejection::NothingToChange)?
                     .clone();
                 // One that comes back from a release is seen ready by others before the next one goes.
-                if entry.to.is_some() && view.knowing < view.wanted {
+                if entry.target_digest.is_some() && view.informed_members < view.majority {
                     return Err(Rejection::ViewIncomplete);
                 }
-                if entry.to.is_some() && view.out.contains(place) {
+                if entry.target_digest.is_some() && view.out_of_service.contains(place) {
                     return Err(Rejection::NotSeenServing);
                 }
                 new.step(*place, entry.stage, None)?;
                 // It may have come back with what is being undone.
                 if let Some((r, DrainStage::Returning(_))) = new.release.as_ref().zip(Some(entry.stage)) {
                     let undone = matches!(r.phase, ReleasePhase::RollingBack(_)) && r.order == entry.order;
-                    if let (true, Some(before)) = (undone && entry.tries < MOST_TRIES, r.before.get(place)) {
+                    if let (true, Some(before)) =
+                        (undone && entry.attempts < MAX_ATTEMPTS, r.previous_digests.get(place))
+                    {
                         let wanted = DrainEntry::wanted(&entry.order, Some(before));
-                        new.entries.insert(*place, DrainEntry { tries: entry.tries, ..wanted });
+                        new.drains.insert(*place, DrainEntry { attempts: entry.attempts, ..wanted });
                     }
                 }
             }
@@ -614,10 +629,10 @@
         to: Option<DrainStage>,
     ) -> Result<(), Rejection> {
         let entry =
-            self.entries.get_mut(&place).filter(|e| e.stage == from).ok_or(Rejection::NothingToChange)?;
+            self.drains.get_mut(&place).filter(|e| e.stage == from).ok_or(Rejection::NothingToChange)?;
         match to {
             Some(to) => entry.stage = to,
-            None => drop(self.entries.remove(&place)),
+            None => drop(self.drains.remove(&place)),
         }
         Ok(())
     }
@@ -640,16 +655,16 @@
     fn may_begin(&self, view: &CouncilView) -> Result<(), Rejection> {
         match &self.halted {
             Some(cause) => Err(Rejection::Halted(cause.clone())),
-            None if view.knowing < view.wanted => Err(Rejection::ViewIncomplete),
+            None if view.informed_members < view.majority => Err(Rejection::ViewIncomplete),
             None => Ok(()),
         }
     }
 
     /// A model node is back: at once where it has not gone, else as one that is cold.
     fn put_back(&mut self, id: &str, now_ms: UnixMs) -> Result<(), Rejection> {
-        let entry = self.nodes.get_mut(id).ok_or(Rejection::NothingToChange)?;
+        let entry = self.replicas.get_mut(id).ok_or(Rejection::NothingToChange)?;
         match entry.stage {
-            ReplicaStage::Requested => drop(self.nodes.remove(id)),
+            ReplicaStage::Requested => drop(self.replicas.remove(id)),
             ReplicaStage::OutOfService(_) => {
                 (entry.stage, entry.until) = (ReplicaStage::Restored(now_ms), None)
             }
@@ -660,8 +675,8 @@
 
     /// Model nodes that were put back long ago are like any other.
     fn forget(&mut self, now_ms: UnixMs) {
-        let old = |at: UnixMs| now_ms.saturating_sub(at) > replica_drains::REMEMBERED_MS;
-        self.nodes.retain(|_, e| !matches!(e.stage, ReplicaStage::Restored(at) if old(at)));
+        let old = |at: UnixMs| now_ms.saturating_sub(at) > replica_drains::RESTORED_RETENTION_MS;
+        self.replicas.retain(|_, e| !matches!(e.stage, ReplicaStage::Restored(at) if old(at)));
     }
 
     fn release_begins(
@@ -673,12 +688,12 @@
         plan: &ReleasePlan,
         bounds: &DrainLimits,
     ) -> Result<(), Rejection> {
-        if let Some(on) = self.release.as_ref().filter(|r| r.moves()) {
+        if let Some(on) = self.release.as_ref().filter(|r| r.is_active()) {
             return Err(Rejection::ReleaseInProgress(on.order.clone()));
         }
         let all: Vec<RouterIndex> = waves.iter().flatten().copied().collect();
         let apart: BTreeSet<RouterIndex> = all.iter().copied().collect();
-        let whole = (1..=MOST_WAVES).contains(&waves.len()) && waves.iter().all(|w| !w.is_empty());
+        let whole = (1..=MAX_WAVES).contains(&waves.len()) && waves.iter().all(|w| !w.is_empty());
         if !whole || apart.len() < all.len() {
             return Err(Rejection::InvalidWaves);
         }
@@ -686,18 +701,18 @@
             return Err(Rejection::UnknownRouter(place));
         }
         // Whoever is out by hand is somebody's business, and would come back by this.
-        if let Some((place, e)) = self.entries.iter().find(|(p, _)| apart.contains(p)) {
+        if let Some((place, e)) = self.drains.iter().find(|(p, _)| apart.contains(p)) {
             return Err(Rejection::HeldByOtherOrder(bounds.name(*place), e.order.clone()));
         }
         self.release = Some(Box::new(Release {
             order: order.into(),
-            what: what.into(),
+            artifact: what.into(),
             digest: digest.into(),
             waves: waves.to_vec(),
             wave: 0,
-            told: 0,
+            started: 0,
             phase: ReleasePhase::Running,
-            before: BTreeMap::new(),
+            previous_digests: BTreeMap::new(),
             plan: plan.clone(),
         }));
         Ok(())
@@ -706,17 +721,19 @@
     /// The routers of the present wave are to go out, for what is released or for what they ran before: a few more than
     /// may at once. Guards against a wave of hundreds that all ask for leave, and a document that is sent with all of them.
     fn want_wave(&mut self, bounds: &DrainLimits) {
-        let Some(r) = self.release.as_mut().filter(|r| r.moves()) else { return };
+        let Some(r) = self.release.as_mut().filter(|r| r.is_active()) else { return };
         let wave = r.waves.get(r.wave).map_or(&[][..], Vec::as_slice);
-        let mut open = self.entries.values().filter(|e| e.order == r.order).count();
-        while let Some(place) = wave.get(r.told).filter(|_| open < (2 * bounds.all).max(LEAST_TOLD)) {
-            r.told += 1;
+        let mut open = self.drains.values().filter(|e| e.order == r.order).count();
+        while let Some(place) =
+            wave.get(r.started).filter(|_| open < (2 * bounds.total).max(MIN_STARTED_AT_ONCE))
+        {
+            r.started += 1;
             let to = match r.phase {
-                ReleasePhase::RollingBack(_) => r.before.get(place),
+                ReleasePhase::RollingBack(_) => r.previous_digests.get(place),
                 _ => Some(&r.digest),
             };
             if to.is_some() {
-                self.entries.entry(*place).or_insert_with(|| DrainEntry::wanted(&r.order, to));
+                self.drains.entry(*place).or_insert_with(|| DrainEntry::wanted(&r.order, to));
                 open += 1;
             }
         }
@@ -724,13 +741,13 @@
 
     /// All routers of the present wave are back.
     fn next_wave(&mut self, at: usize) -> Result<(), Rejection> {
-        let Some(r) = self.release.as_mut().filter(|r| r.wave == at && r.moves()) else {
+        let Some(r) = self.release.as_mut().filter(|r| r.wave == at && r.is_active()) else {
             return Err(Rejection::NothingToChange);
         };
-        if self.entries.values().any(|e| e.order == r.order) {
+        if self.drains.values().any(|e| e.order == r.order) {
             return Err(Rejection::NothingToChange);
         }
-        r.told = 0;
+        r.started = 0;
         match (&r.phase, r.wave) {
             (ReleasePhase::RollingBack(why), 0) => r.phase = ReleasePhase::RolledBack(why.clone()),
             (ReleasePhase::RollingBack(_), _) => r.wave -= 1,
@@ -742,17 +759,17 @@
 
     /// A check has failed: halted, or back, as the plan says. A release that is being undone goes on.
     fn fail(&mut self, why: &str) -> Result<(), Rejection> {
-        let why: String = why.chars().take(LONGEST_CAUSE).collect();
+        let why: String = why.chars().take(MAX_CAUSE_CHARS).collect();
         let Some(r) = self.release.as_mut().filter(|r| r.phase == ReleasePhase::Running) else {
             return Ok(());
         };
-        if r.plan.back {
+        if r.plan.rolls_back {
             return self.undo(&why);
         }
         r.phase = ReleasePhase::Failed(why.clone());
         self.halted = Some(why);
         let order = r.order.clone();
-        self.entries.retain(|_, e| e.order != order || e.stage != DrainStage::Requested);
+        self.drains.retain(|_, e| e.order != order || e.stage != DrainStage::Requested);
         Ok(())
     }
 
@@ -763,10 +780,10 @@
         if matches!(r.phase, ReleasePhase::RollingBack(_) | ReleasePhase::RolledBack(_)) {
             return Err(Rejection::NothingToChange);
         }
-        (r.phase, r.told) = (ReleasePhase::RollingBack(why.into()), 0);
+        (r.phase, r.started) = (ReleasePhase::RollingBack(why.into()), 0);
         let order = r.order.clone();
-        self.entries.retain(|_, e| e.order != order || e.stage != DrainStage::Requested);
-        for e in self.entries.values_mut().filter(|e| e.order == order) {
+        self.drains.retain(|_, e| e.order != order || e.stage != DrainStage::Requested);
+        for e in self.drains.values_mut().filter(|e| e.order == order) {
             if let DrainStage::Leased(life) | DrainStage::OutOfService(life) = e.stage {
                 e.stage = DrainStage::Returning(life);
             }
@@ -783,14 +800,14 @@
         view: &CouncilView,
     ) -> Result<(), Rejection> {
         self.may_begin(view)?;
-        let mut out = self.out(view);
+        let mut out = self.out_of_service(view);
         out.remove(&place);
-        if out.len() + 1 > bounds.all {
-            return Err(Rejection::FleetLimitReached(bounds.all));
+        if out.len() + 1 > bounds.total {
+            return Err(Rejection::FleetLimitReached(bounds.total));
         }
         let zone = |p: RouterIndex| bounds.zones.get(usize::from(p));
-        if out.iter().filter(|&&p| zone(p) == zone(place)).count() + 1 > bounds.zone {
-            return Err(Rejection::ZoneLimitReached(bounds.zone));
+        if out.iter().filter(|&&p| zone(p) == zone(place)).count() + 1 > bounds.per_zone {
+            return Err(Rejection::ZoneLimitReached(bounds.per_zone));
         }
         // Members forget when they start anew, and are out until they take part again.
         let most = (bounds.council.len().saturating_sub(1) / 2).max(1);
--- a/consensus/src/register.rs
+++ b/consensus/src/register.rs
@@ -14,7 +14,7 @@
 pub type MemberIndex = u8;
 
 /// The most members of a council.
-pub const MOST_MEMBERS: usize = 7;
+pub const MAX_MEMBERS: usize = 7;
 
 /// A round's number. Rounds are ordered; no two have the same, as a router numbers its own upwards within a life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -22,9 +22,11 @@
     /// Above all that its proposer has heard of.
     pub number: u64,
     /// The proposer's place in the fleet.
-    pub by: u16,
+    #[serde(rename = "by")]
+    pub proposer: u16,
     /// Its life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 impl Ballot {
@@ -38,9 +40,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RegisterValue<D> {
     /// By member.
-    pub lives: Vec<u64>,
+    #[serde(rename = "lives")]
+    pub incarnations: Vec<u64>,
     /// What the routers agree on.
-    pub document: D,
+    #[serde(rename = "document")]
+    pub state: D,
 }
 
 /// What a member is asked.
@@ -68,22 +72,27 @@
     #[serde(rename = "has")]
     Current {
         /// The life that tells it.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// What it took last.
-        taken: Option<(Ballot, RegisterValue<D>)>,
+        #[serde(rename = "taken")]
+        accepted: Option<(Ballot, RegisterValue<D>)>,
     },
     /// Promised; what it took last.
     Promised {
         /// The life that promises.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// What it took last.
-        taken: Option<(Ballot, RegisterValue<D>)>,
+        #[serde(rename = "taken")]
+        accepted: Option<(Ballot, RegisterValue<D>)>,
     },
     /// Taken.
     #[serde(rename = "taken")]
     Accepted {
         /// The life that has taken it.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
     /// It has promised something newer.
     #[serde(rename = "newer")]
@@ -92,7 +101,8 @@
     #[serde(rename = "blank")]
     Uninitialized {
         /// Its life.
-        life: u64,
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// What it had stored of what was agreed on, in an earlier life: perhaps old, and never counted.
         #[serde(default = "none", skip_serializing_if = "Option::is_none")]
         stored: Option<D>,
@@ -141,10 +151,10 @@
 /// What a member of the council keeps.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Acceptor<D> {
-    life: u64,
+    incarnation: u64,
     joined: bool,
     promised: Ballot,
-    taken: Option<(Ballot, RegisterValue<D>)>,
+    accepted: Option<(Ballot, RegisterValue<D>)>,
     stored: Option<D>,
     defect: Option<Defect>,
 }
@@ -152,7 +162,14 @@
 impl<D: Clone + PartialEq> Acceptor<D> {
     /// A member that has just started and knows nothing.
     pub fn new(life: u64) -> Acceptor<D> {
-        Acceptor { life, joined: false, promised: Ballot::default(), taken: None, stored: None, defect: None }
+        Acceptor {
+            incarnation: life,
+            joined: false,
+            promised: Ballot::default(),
+            accepted: None,
+            stored: None,
+            defect: None,
+        }
     }
 
     /// The same, with what it finds stored: it tells of it while it is blank.
@@ -173,8 +190,8 @@
     }
 
     /// What it took last: at times newer than what is agreed on, at times older. A hint to look.
-    pub fn taken(&self) -> Option<&RegisterValue<D>> {
-        self.taken.as_ref().map(|(_, value)| value)
+    pub fn accepted(&self) -> Option<&RegisterValue<D>> {
+        self.accepted.as_ref().map(|(_, value)| value)
     }
 
     /// Answers.
@@ -183,22 +200,24 @@
             AcceptorRequest::Bootstrap(ballot, value) => {
                 // It was decided by what all said when they were asked with this number: whoever has heard anything since,
                 // or is another life by now, does not take it.
-                if ballot == self.promised && value.lives.contains(&self.life) {
-                    (self.joined, self.taken) = (true, Some((ballot, value)));
+                if ballot == self.promised && value.incarnations.contains(&self.incarnation) {
+                    (self.joined, self.accepted) = (true, Some((ballot, value)));
                 }
-                match self.taken.as_ref().is_some_and(|(b, _)| *b == ballot) {
-                    true => AcceptorReply::Accepted { life: self.life },
+                match self.accepted.as_ref().is_some_and(|(b, _)| *b == ballot) {
+                    true => AcceptorReply::Accepted { incarnation: self.incarnation },
                     false => AcceptorReply::Superseded(self.promised),
                 }
             }
             // It promises as well, though that counts for nothing but `Found`.
             AcceptorRequest::Prepare(ballot) if !self.joined && ballot >= self.promised => {
                 self.promised = ballot;
-                AcceptorReply::Uninitialized { life: self.life, stored: self.stored.clone() }
+                AcceptorReply::Uninitialized { incarnation: self.incarnation, stored: self.stored.clone() }
             }
             AcceptorRequest::Prepare(_) if !self.joined => AcceptorReply::Superseded(self.promised),
-            _ if !self.joined => AcceptorReply::Uninitialized { life: self.life, stored: None },
-            AcceptorRequest::Read => AcceptorReply::Current { life: self.life, taken: self.taken.clone() },
+            _ if !self.joined => AcceptorReply::Uninitialized { incarnation: self.incarnation, stored: None },
+            AcceptorRequest::Read => {
+                AcceptorReply::Current { incarnation: self.incarnation, accepted: self.accepted.clone() }
+            }
             AcceptorRequest::Prepare(ballot) => {
                 if ballot < self.promised {
                     return AcceptorReply::Superseded(self.promised);
@@ -206,22 +225,22 @@
                 if !defect!(self, ForgetsPromise) {
                     self.promised = ballot;
                 }
-                AcceptorReply::Promised { life: self.life, taken: self.taken.clone() }
+                AcceptorReply::Promised { incarnation: self.incarnation, accepted: self.accepted.clone() }
             }
             AcceptorRequest::Accept(ballot, value) => {
                 if ballot < self.promised && !defect!(self, TakesOlder) {
                     return AcceptorReply::Superseded(self.promised);
                 }
-                (self.promised, self.taken) = (self.promised.max(ballot), Some((ballot, value)));
-                AcceptorReply::Accepted { life: self.life }
+                (self.promised, self.accepted) = (self.promised.max(ballot), Some((ballot, value)));
+                AcceptorReply::Accepted { incarnation: self.incarnation }
             }
         }
     }
 
     /// A round that named this life has been agreed on without it: from now on it takes part.
     pub fn join(&mut self, ballot: Ballot, value: RegisterValue<D>) {
-        if !self.joined && value.lives.contains(&self.life) {
-            (self.joined, self.promised, self.taken) =
+        if !self.joined && value.incarnations.contains(&self.incarnation) {
+            (self.joined, self.promised, self.accepted) =
                 (true, self.promised.max(ballot), Some((ballot, value)));
         }
     }
@@ -315,14 +334,14 @@
         let doubled = self.answers[from].is_some() && defect!(self, CountsTwice);
         match (to, answer) {
             (_, AcceptorReply::Superseded(seen)) if seen > self.ballot => RoundStep::Superseded(seen),
-            (AcceptorRequest::Prepare(b), AcceptorReply::Promised { life, taken })
+            (AcceptorRequest::Prepare(b), AcceptorReply::Promised { incarnation: life, accepted: taken })
                 if *b == self.ballot && self.value.is_none() =>
             {
                 self.extra += usize::from(doubled);
                 self.answers[from] = Some((life, taken));
                 self.promised()
             }
-            (AcceptorRequest::Accept(b, value), AcceptorReply::Accepted { life })
+            (AcceptorRequest::Accept(b, value), AcceptorReply::Accepted { incarnation: life })
                 if *b == self.ballot && self.value.as_ref() == Some(value) =>
             {
                 self.extra += usize::from(doubled);
@@ -346,14 +365,16 @@
 
     fn promised(&self) -> RoundStep<D> {
         match self.newest() {
-            Some((_, newest)) if self.enough(&newest.lives) => RoundStep::Propose(newest.document.clone()),
+            Some((_, newest)) if self.enough(&newest.incarnations) => {
+                RoundStep::Propose(newest.state.clone())
+            }
             _ => RoundStep::Wait,
         }
     }
 
     fn taken(&self) -> RoundStep<D> {
         match &self.value {
-            Some(value) if self.enough(&value.lives) => RoundStep::Chosen(value.clone()),
+            Some(value) if self.enough(&value.incarnations) => RoundStep::Chosen(value.clone()),
             _ => RoundStep::Wait,
         }
     }
@@ -361,12 +382,12 @@
     /// The changed document, after `RoundStep::Propose`: from now on members are asked to take it.
     pub fn propose(&mut self, document: D) {
         let Some((_, newest)) = self.newest() else { return };
-        let mut lives = newest.lives.clone();
+        let mut lives = newest.incarnations.clone();
         for (member, life) in &self.joins {
             // What was asked for in an earlier life, and comes late, undoes no later one.
             lives.get_mut(usize::from(*member)).into_iter().for_each(|of| *of = (*of).max(*life));
         }
-        self.value = Some(RegisterValue { lives, document });
+        self.value = Some(RegisterValue { incarnations: lives, state: document });
         (self.answers, self.extra) = (vec![None; self.members], 0);
     }
 }
@@ -381,7 +402,8 @@
     told.iter().flatten().filter_map(|(_, taken)| taken.as_ref()).find_map(|(ballot, value)| {
         let same = |(member, said): &(usize, &Option<MemberReport<D>>)| {
             said.as_ref().is_some_and(|(life, taken)| {
-                value.lives.get(*member) == Some(life) && taken.as_ref().is_some_and(|(b, _)| b == ballot)
+                value.incarnations.get(*member) == Some(life)
+                    && taken.as_ref().is_some_and(|(b, _)| b == ballot)
             })
         };
         (told.iter().enumerate().filter(same).count() * 2 > told.len()).then(|| (*ballot, value.clone()))
@@ -401,11 +423,11 @@
     let newest = told.iter().filter_map(|(_, taken)| taken.as_ref()).max_by_key(|(ballot, _)| *ballot);
     let remember =
         |lives: &[u64]| told.iter().zip(lives).filter(|((life, t), of)| life == *of && t.is_some()).count();
-    if newest.is_some_and(|(_, value)| remember(&value.lives) * 2 > told.len()) {
+    if newest.is_some_and(|(_, value)| remember(&value.incarnations) * 2 > told.len()) {
         return None;
     }
     let lives = told.iter().map(|(life, _)| *life).collect();
-    Some(RegisterValue { lives, document: document(newest.map(|(_, value)| &value.document)) })
+    Some(RegisterValue { incarnations: lives, state: document(newest.map(|(_, value)| &value.state)) })
 }
 
 #[cfg(test)]
--- a/consensus/src/register/tests.rs
+++ b/consensus/src/register/tests.rs
@@ -6,12 +6,12 @@
     let mut all: Members = (0..n as u64).map(Acceptor::new).collect();
     let blank: Vec<_> = (0..n as u64).map(|life| Some((life, None))).collect();
     let value = bootstrap_value(&blank, |_| 0).expect("all are blank");
-    let ballot = Ballot { number: 1, by: 0, life: 0 };
+    let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
     for m in &mut all {
         assert!(matches!(m.handle(AcceptorRequest::Prepare(ballot)), AcceptorReply::Uninitialized { .. }));
         assert_eq!(
             m.handle(AcceptorRequest::Bootstrap(ballot, value.clone())),
-            AcceptorReply::Accepted { life: m.life }
+            AcceptorReply::Accepted { incarnation: m.incarnation }
         );
     }
     all
@@ -40,16 +40,17 @@
 }
 
 fn ballot(number: u64, by: u16) -> Ballot {
-    Ballot { number, by, life: 0 }
+    Ballot { number, proposer: by, incarnation: 0 }
 }
 
 #[test]
 fn a_majority_changes_it_and_a_minority_does_not() {
     let mut all = founded(5);
-    let agreed = |step| matches!(step, RoundStep::Chosen(RegisterValue { document, .. }) if document > 0);
+    let agreed =
+        |step| matches!(step, RoundStep::Chosen(RegisterValue { state: document, .. }) if document > 0);
     assert!(agreed(play(&mut all, Proposer::new(ballot(2, 0), 5), &[0, 1, 2])));
     let step = play(&mut all, Proposer::new(ballot(3, 1), 5), &[2, 3, 4]);
-    assert!(matches!(&step, RoundStep::Chosen(v) if v.document == 2), "built on the first: {step:?}");
+    assert!(matches!(&step, RoundStep::Chosen(v) if v.state == 2), "built on the first: {step:?}");
     assert_eq!(play(&mut all, Proposer::new(ballot(4, 2), 5), &[0, 1]), RoundStep::Wait);
     let late = play(&mut all, Proposer::new(ballot(2, 3), 5), &[2, 3, 4]);
     assert_eq!(late, RoundStep::Superseded(ballot(3, 1)), "an older round is told of the newer");
@@ -65,10 +66,10 @@
     assert_eq!(play(&mut all, alone, &[0, 1]), RoundStep::Wait, "itself does not count");
     let joined = play(&mut all, Proposer::joining(ballot(5, 0), 3, vec![(0, 100)]), &[1, 2]);
     let RoundStep::Chosen(value) = joined else { panic!("{joined:?}") };
-    assert_eq!((value.lives[0], value.document), (100, 2), "what was agreed on before is kept");
+    assert_eq!((value.incarnations[0], value.state), (100, 2), "what was agreed on before is kept");
     all[0].join(ballot(5, 0), value);
     assert!(
-        matches!(play(&mut all, Proposer::new(ballot(6, 2), 3), &[0, 2]), RoundStep::Chosen(v) if v.document == 3)
+        matches!(play(&mut all, Proposer::new(ballot(6, 2), 3), &[0, 2]), RoundStep::Chosen(v) if v.state == 3)
     );
 }
 
@@ -81,7 +82,7 @@
     );
     let mut all = founded(3);
     let told = |all: &[Acceptor<u64>]| -> Vec<Option<MemberReport<u64>>> {
-        all.iter().map(|m| Some((m.life, m.taken.clone()))).collect()
+        all.iter().map(|m| Some((m.incarnation, m.accepted.clone()))).collect()
     };
     assert!(matches!(play(&mut all, Proposer::new(ballot(2, 1), 3), &[1, 2, 0]), RoundStep::Chosen(_)));
     all[0] = Acceptor::new(8);
@@ -91,7 +92,7 @@
     assert_eq!(play(&mut all, Proposer::new(ballot(5, 2), 3), &[0, 1, 2]), RoundStep::Wait);
     let value = bootstrap_value(&told(&all), |held| held.copied().unwrap_or(0) + 100)
         .expect("one of three remembers");
-    assert_eq!(value, RegisterValue { lives: vec![8, 9, 2], document: 101 });
+    assert_eq!(value, RegisterValue { incarnations: vec![8, 9, 2], state: 101 });
     let unasked = AcceptorRequest::Bootstrap(ballot(6, 0), value.clone());
     assert!(
         all.iter_mut().all(|m| m.handle(unasked.clone()) == AcceptorReply::Superseded(ballot(5, 2))),
@@ -105,11 +106,11 @@
     all.iter_mut().for_each(|m| drop(m.handle(AcceptorRequest::Prepare(ballot(8, 0)))));
     assert!(all.iter_mut().all(|m| matches!(m.handle(found(8, &value)), AcceptorReply::Accepted { .. })));
     let RoundStep::Chosen(now) = play(&mut all, Proposer::new(ballot(9, 1), 3), &[1, 2]) else { panic!() };
-    assert_eq!(now.document, 102);
-    let late = RegisterValue { lives: vec![0, 9, 2], document: 77 };
+    assert_eq!(now.state, 102);
+    let late = RegisterValue { incarnations: vec![0, 9, 2], state: 77 };
     let late = all[1].handle(found(99, &late));
     assert_eq!(
-        (late, all[1].taken().map(|v| v.document)),
+        (late, all[1].accepted().map(|v| v.state)),
         (AcceptorReply::Superseded(ballot(9, 1)), Some(102))
     );
 }
--- a/consensus/src/release.rs
+++ b/consensus/src/release.rs
@@ -7,9 +7,9 @@
 use tallypin_membership::RouterIndex;
 
 /// The most waves of a release.
-pub const MOST_WAVES: usize = 64;
+pub const MAX_WAVES: usize = 64;
 /// A router that came back without running what was agreed on tries so often before its wave fails.
-pub const MOST_TRIES: u8 = 3;
+pub const MAX_ATTEMPTS: u8 = 3;
 
 /// What must hold, and for how long it is watched.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -19,15 +19,20 @@
     /// A router is back and ready within this after its leave was used, ms: its drain included.
     pub ready_ms: u64,
     /// Failed answers of the released, per mille, over those of the not yet released.
-    pub failed_most: u64,
+    #[serde(rename = "failed_most")]
+    pub max_extra_failed: u64,
     /// The same of late first events.
-    pub late_most: u64,
+    #[serde(rename = "late_most")]
+    pub max_extra_late: u64,
     /// The same of refused requests.
-    pub refused_most: u64,
+    #[serde(rename = "refused_most")]
+    pub max_extra_rejected: u64,
     /// Answers of the released that are enough to tell.
-    pub enough: u64,
+    #[serde(rename = "enough")]
+    pub min_answers: u64,
     /// A release that fails is undone; else it is halted.
-    pub back: bool,
+    #[serde(rename = "back")]
+    pub rolls_back: bool,
 }
 
 /// How a release stands.
@@ -54,7 +59,8 @@
     /// The order that began it.
     pub order: String,
     /// Which of a router's files it changes: the name of its place in the settings.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub artifact: String,
     /// The digest of the file that is released.
     pub digest: String,
     /// Routers by wave.
@@ -62,19 +68,20 @@
     /// The wave that it is at.
     pub wave: usize,
     /// How many of the wave have been told to go, or need not.
-    #[serde(default)]
-    pub told: usize,
+    #[serde(default, rename = "told")]
+    pub started: usize,
     /// How it stands.
     pub phase: ReleasePhase,
     /// What each that has gone out for it ran before.
-    pub before: BTreeMap<RouterIndex, String>,
+    #[serde(rename = "before")]
+    pub previous_digests: BTreeMap<RouterIndex, String>,
     /// What must hold.
     pub plan: ReleasePlan,
 }
 
 impl Release {
     /// Whether it still moves.
-    pub fn moves(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         matches!(self.phase, ReleasePhase::Running | ReleasePhase::RollingBack(_))
     }
 
--- a/consensus/src/release_monitor.rs
+++ b/consensus/src/release_monitor.rs
@@ -21,7 +21,8 @@
     /// First events that came after more than half of the time that the client waits.
     pub late: u64,
     /// Refused, but for a partner's share.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
 }
 
 impl AnswerCounts {
@@ -30,7 +31,7 @@
             answered: self.answered.saturating_sub(before.answered),
             failed: self.failed.saturating_sub(before.failed),
             late: self.late.saturating_sub(before.late),
-            refused: self.refused.saturating_sub(before.refused),
+            rejected: self.rejected.saturating_sub(before.rejected),
         }
     }
 
@@ -39,7 +40,7 @@
             answered: self.answered.saturating_add(more.answered),
             failed: self.failed.saturating_add(more.failed),
             late: self.late.saturating_add(more.late),
-            refused: self.refused.saturating_add(more.refused),
+            rejected: self.rejected.saturating_add(more.rejected),
         }
     }
 }
@@ -48,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouterReport {
     /// Its life.
-    pub life: u64,
+    pub incarnation: u64,
     /// What it has answered.
     pub counts: AnswerCounts,
 }
@@ -66,21 +67,21 @@
 
 impl ReleaseMonitor {
     /// What is to be asked for, if anything. `heard` by router; `None`: silent.
-    pub fn next(
+    pub fn next_command(
         &mut self,
         now: Nanos,
         document: &FleetState,
         bounds: &DrainLimits,
         heard: &[Option<RouterReport>],
     ) -> Option<Command> {
-        let r = document.release.as_ref().filter(|r| r.moves())?;
+        let r = document.release.as_ref().filter(|r| r.is_active())?;
         let undone = matches!(r.phase, ReleasePhase::RollingBack(_));
         let at = Some((r.order.clone(), r.wave, undone));
         if self.at != at {
             *self = ReleaseMonitor { at, ..ReleaseMonitor::default() };
         }
         let open: BTreeMap<RouterIndex, DrainStage> =
-            document.entries.iter().filter(|(_, e)| e.order == r.order).map(|(p, e)| (*p, e.stage)).collect();
+            document.drains.iter().filter(|(_, e)| e.order == r.order).map(|(p, e)| (*p, e.stage)).collect();
         if undone {
             return open.is_empty().then_some(Command::CompleteWave(r.wave));
         }
@@ -107,7 +108,7 @@
         }
         // Too few to tell: it waits, however long.
         let over = now.saturating_sub(*since) >= r.plan.watch_ms.saturating_mul(MS);
-        (over && released.answered >= r.plan.enough).then_some(Command::CompleteWave(r.wave))
+        (over && released.answered >= r.plan.min_answers).then_some(Command::CompleteWave(r.wave))
     }
 }
 
@@ -120,8 +121,9 @@
 ) -> Option<RouterIndex> {
     let get = |of: &[Option<RouterReport>], p: RouterIndex| of.get(usize::from(p)).copied().flatten();
     r.released().find(|p| {
-        !document.entries.contains_key(p)
-            && get(base, *p).is_some_and(|was| get(heard, *p).is_none_or(|is| is.life != was.life))
+        !document.drains.contains_key(p)
+            && get(base, *p)
+                .is_some_and(|was| get(heard, *p).is_none_or(|is| is.incarnation != was.incarnation))
     })
 }
 
@@ -134,7 +136,7 @@
     let (mut released, mut others) = (AnswerCounts::default(), AnswerCounts::default());
     for ((place, was), is) in (0..).zip(base).zip(heard) {
         let (Some(was), Some(is)) = (was, is) else { continue };
-        if was.life == is.life {
+        if was.incarnation == is.incarnation {
             let side =
                 if r.wave_of(place).is_some_and(|w| w <= r.wave) { &mut released } else { &mut others };
             *side = side.and(is.counts.since(was.counts));
@@ -145,14 +147,14 @@
 
 /// Whether the released do worse than the others by more than the plan lets them, once there is enough to tell.
 fn worse(plan: &ReleasePlan, released: AnswerCounts, others: AnswerCounts) -> Option<String> {
-    if released.answered < plan.enough.max(1) {
+    if released.answered < plan.min_answers.max(1) {
         return None;
     }
     let per_mille = |n: u64, of: u64| if of == 0 { 0 } else { u128::from(n) * 1000 / u128::from(of) };
     let kinds = [
-        ("failed", released.failed, others.failed, plan.failed_most),
-        ("late", released.late, others.late, plan.late_most),
-        ("refused", released.refused, others.refused, plan.refused_most),
+        ("failed", released.failed, others.failed, plan.max_extra_failed),
+        ("late", released.late, others.late, plan.max_extra_late),
+        ("refused", released.rejected, others.rejected, plan.max_extra_rejected),
     ];
     kinds.into_iter().find_map(|(kind, new, old, most)| {
         let (new, old) = (per_mille(new, released.answered), per_mille(old, others.answered));
--- a/consensus/src/release_monitor/tests.rs
+++ b/consensus/src/release_monitor/tests.rs
@@ -4,27 +4,27 @@
 const S: Nanos = 1000 * MS;
 
 fn bounds() -> DrainLimits {
-    DrainLimits { names: vec![], zones: vec![0; 4], all: 2, zone: 2, council: vec![], nodes: None }
+    DrainLimits { names: vec![], zones: vec![0; 4], total: 2, per_zone: 2, council: vec![], replicas: None }
 }
 
 fn plan(back: bool) -> ReleasePlan {
     ReleasePlan {
         watch_ms: 5000,
         ready_ms: 9000,
-        failed_most: 20,
-        late_most: 50,
-        refused_most: 50,
-        enough: 100,
-        back,
+        max_extra_failed: 20,
+        max_extra_late: 50,
+        max_extra_rejected: 50,
+        min_answers: 100,
+        rolls_back: back,
     }
 }
 
 fn seen() -> CouncilView {
-    CouncilView { knowing: 2, wanted: 2, ..CouncilView::default() }
+    CouncilView { informed_members: 2, majority: 2, ..CouncilView::default() }
 }
 
 fn then(doc: &FleetState, act: Command) -> FleetState {
-    doc.changed(&act, &bounds(), &seen()).unwrap_or_else(|no| panic!("{act:?}: {no}"))
+    doc.apply(&act, &bounds(), &seen()).unwrap_or_else(|no| panic!("{act:?}: {no}"))
 }
 
 fn begun(back: bool) -> FleetState {
@@ -41,7 +41,7 @@
 }
 
 fn heard(failed: u64, of: u64) -> Vec<Option<RouterReport>> {
-    let one = |counts| Some(RouterReport { life: 8, counts });
+    let one = |counts| Some(RouterReport { incarnation: 8, counts });
     let well = AnswerCounts { answered: of, ..AnswerCounts::default() };
     vec![one(AnswerCounts { failed, ..well }), one(well), one(well), one(well)]
 }
@@ -49,45 +49,49 @@
 #[test]
 fn a_wave_is_watched_and_then_the_next_one_goes_and_it_ends() {
     let (mut w, doc) = (ReleaseMonitor::default(), begun(false));
-    assert_eq!(w.next(S, &doc, &bounds(), &heard(0, 0)), None, "it has yet to go");
+    assert_eq!(w.next_command(S, &doc, &bounds(), &heard(0, 0)), None, "it has yet to go");
     let doc = round(&doc, 0, 7, "old");
-    assert_eq!(w.next(2 * S, &doc, &bounds(), &heard(0, 0)), None);
-    assert_eq!(w.next(9 * S, &doc, &bounds(), &heard(0, 99)), None, "not enough to tell");
-    assert_eq!(w.next(10 * S, &doc, &bounds(), &heard(2, 100)), Some(Command::CompleteWave(0)));
+    assert_eq!(w.next_command(2 * S, &doc, &bounds(), &heard(0, 0)), None);
+    assert_eq!(w.next_command(9 * S, &doc, &bounds(), &heard(0, 99)), None, "not enough to tell");
+    assert_eq!(w.next_command(10 * S, &doc, &bounds(), &heard(2, 100)), Some(Command::CompleteWave(0)));
     let doc = then(&doc, Command::CompleteWave(0));
     assert_eq!(
-        doc.changed(&Command::CompleteWave(0), &bounds(), &seen()).unwrap_err(),
+        doc.apply(&Command::CompleteWave(0), &bounds(), &seen()).unwrap_err(),
         crate::fleet_state::Rejection::NothingToChange
     );
     let doc = (1..=3).fold(doc, |doc, p| round(&doc, p, 7, "old"));
-    assert_eq!(w.next(11 * S, &doc, &bounds(), &heard(0, 100)), None, "watched from anew");
-    assert_eq!(w.next(16 * S, &doc, &bounds(), &heard(0, 200)), Some(Command::CompleteWave(1)));
+    assert_eq!(w.next_command(11 * S, &doc, &bounds(), &heard(0, 100)), None, "watched from anew");
+    assert_eq!(w.next_command(16 * S, &doc, &bounds(), &heard(0, 200)), Some(Command::CompleteWave(1)));
     let doc = then(&doc, Command::CompleteWave(1));
     assert_eq!(doc.release.as_ref().unwrap().phase, ReleasePhase::Done);
-    assert_eq!(doc.release.unwrap().before.len(), 4);
+    assert_eq!(doc.release.unwrap().previous_digests.len(), 4);
 }
 
 #[test]
 fn worse_answers_a_crash_and_a_router_that_stays_away_fail_a_wave() {
     let doc = round(&begun(false), 0, 7, "old");
     let mut w = ReleaseMonitor::default();
-    assert_eq!(w.next(S, &doc, &bounds(), &heard(0, 0)), None);
-    assert_eq!(w.next(2 * S, &doc, &bounds(), &heard(2, 100)), None, "20 of 1000 more are allowed");
+    assert_eq!(w.next_command(S, &doc, &bounds(), &heard(0, 0)), None);
+    assert_eq!(w.next_command(2 * S, &doc, &bounds(), &heard(2, 100)), None, "20 of 1000 more are allowed");
     let why = "30 of 1000 failed where it is released, 0 elsewhere";
-    assert_eq!(w.next(2 * S, &doc, &bounds(), &heard(3, 100)), Some(Command::FailWave(0, why.into())));
+    assert_eq!(
+        w.next_command(2 * S, &doc, &bounds(), &heard(3, 100)),
+        Some(Command::FailWave(0, why.into()))
+    );
     let mut crashed = heard(0, 100);
-    crashed[0].as_mut().unwrap().life = 9;
-    let fails =
-        |heard: &[Option<RouterReport>], w: &mut ReleaseMonitor| w.next(2 * S, &doc, &bounds(), heard);
+    crashed[0].as_mut().unwrap().incarnation = 9;
+    let fails = |heard: &[Option<RouterReport>], w: &mut ReleaseMonitor| {
+        w.next_command(2 * S, &doc, &bounds(), heard)
+    };
     assert!(matches!(fails(&crashed, &mut w), Some(Command::FailWave(0, why)) if why.contains("crashed")));
     crashed[0] = None;
     assert!(matches!(fails(&crashed, &mut w), Some(Command::FailWave(0, why)) if why.contains("silent")));
     let away =
         then(&then(&begun(false), Command::AcquireReleaseLease(0, 7, "old".into())), Command::UseLease(0, 7));
     let mut w = ReleaseMonitor::default();
-    assert_eq!(w.next(S, &away, &bounds(), &heard(0, 0)), None);
-    assert_eq!(w.next(10 * S, &away, &bounds(), &heard(0, 0)), None);
-    let late = w.next(11 * S, &away, &bounds(), &heard(0, 0));
+    assert_eq!(w.next_command(S, &away, &bounds(), &heard(0, 0)), None);
+    assert_eq!(w.next_command(10 * S, &away, &bounds(), &heard(0, 0)), None);
+    let late = w.next_command(11 * S, &away, &bounds(), &heard(0, 0));
     assert_eq!(late, Some(Command::FailWave(0, "router 0 is not back in time".into())));
     let doc = then(&away, late.unwrap());
     assert_eq!(doc.halted.as_deref(), Some("router 0 is not back in time"));
@@ -101,21 +105,24 @@
     let doc = round(&then(&doc, Command::CompleteWave(0)), 1, 7, "older");
     let doc = then(&then(&doc, Command::AcquireReleaseLease(2, 7, "old".into())), Command::UseLease(2, 7));
     let doc = then(&doc, Command::FailWave(1, "late".into()));
-    assert_eq!((doc.halted.as_deref(), doc.entries.contains_key(&3)), (None, false), "3 never went");
-    assert_eq!(doc.entries[&1].to.as_deref(), Some("older"));
-    assert_eq!(doc.entries[&2].stage, DrainStage::Returning(7));
+    assert_eq!((doc.halted.as_deref(), doc.drains.contains_key(&3)), (None, false), "3 never went");
+    assert_eq!(doc.drains[&1].target_digest.as_deref(), Some("older"));
+    assert_eq!(doc.drains[&2].stage, DrainStage::Returning(7));
     let mut w = ReleaseMonitor::default();
     // It had ended already and comes back with what is undone: it goes once more.
     let doc = then(&doc, Command::ReportServing(2, 8));
-    assert_eq!((doc.entries[&2].stage, doc.entries[&2].to.as_deref()), (DrainStage::Requested, Some("old")));
+    assert_eq!(
+        (doc.drains[&2].stage, doc.drains[&2].target_digest.as_deref()),
+        (DrainStage::Requested, Some("old"))
+    );
     let doc = round(&round(&doc, 1, 8, "new"), 2, 8, "new");
-    assert_eq!(w.next(S, &doc, &bounds(), &[]), Some(Command::CompleteWave(1)));
+    assert_eq!(w.next_command(S, &doc, &bounds(), &[]), Some(Command::CompleteWave(1)));
     let doc = then(&doc, Command::CompleteWave(1));
-    assert_eq!(doc.entries[&0].to.as_deref(), Some("old"));
-    assert_eq!(w.next(S, &doc, &bounds(), &[]), None);
+    assert_eq!(doc.drains[&0].target_digest.as_deref(), Some("old"));
+    assert_eq!(w.next_command(S, &doc, &bounds(), &[]), None);
     let doc = then(&then(&doc, Command::ReportUpToDate(0)), Command::CompleteWave(0));
     assert_eq!(doc.release.unwrap().phase, ReleasePhase::RolledBack("late".into()));
-    assert!(doc.entries.is_empty());
+    assert!(doc.drains.is_empty());
 }
 
 #[test]
@@ -129,17 +136,14 @@
         waves: vec![vec![3]],
         plan: plan(false),
     };
-    assert_eq!(
-        doc.changed(&again, &bounds(), &seen()).unwrap_err(),
-        Rejection::ReleaseInProgress("v2".into())
-    );
+    assert_eq!(doc.apply(&again, &bounds(), &seen()).unwrap_err(), Rejection::ReleaseInProgress("v2".into()));
     let unfit = then(&doc, Command::ReportUnfit(0, "does not parse".into()));
     assert_eq!(unfit.halted.as_deref(), Some("router 0: does not parse"));
-    assert!(unfit.entries.is_empty(), "nobody drained");
+    assert!(unfit.drains.is_empty(), "nobody drained");
     let out = then(&then(&doc, Command::AcquireReleaseLease(0, 7, "old".into())), Command::UseLease(0, 7));
-    let blind = CouncilView { out: [0].into(), ..seen() };
+    let blind = CouncilView { out_of_service: [0].into(), ..seen() };
     assert_eq!(
-        out.changed(&Command::ReportServing(0, 8), &bounds(), &blind).unwrap_err(),
+        out.apply(&Command::ReportServing(0, 8), &bounds(), &blind).unwrap_err(),
         Rejection::NotSeenServing
     );
     let mut doc = out;
--- a/consensus/src/replica_drains.rs
+++ b/consensus/src/replica_drains.rs
@@ -7,12 +7,12 @@
 use tallypin_membership::RouterIndex;
 
 /// Model nodes that may be out by order, or are to come back, at once. DrainLimits the document.
-pub const MOST_NODES: usize = 128;
+pub const MAX_REPLICA_DRAINS: usize = 128;
 /// The longest id of a model node that is taken, bytes.
-pub const LONGEST_NODE: usize = 128;
+pub const MAX_REPLICA_ID_BYTES: usize = 128;
 /// How long a node that was put back is remembered, ms: beyond any time for which one is cold, so that a router that
 /// starts meanwhile takes it for cold as well.
-pub const REMEMBERED_MS: u64 = 600_000;
+pub const RESTORED_RETENTION_MS: u64 = 600_000;
 
 /// Unix time, ms: what routers tell each other of times. Clocks that differ by seconds make a node cold for seconds less
 /// or more, and end a stated time out by as much sooner or later.
@@ -68,11 +68,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaLimits {
     /// In all.
-    pub all: Limit,
+    pub total: Limit,
     /// In a zone.
-    pub zone: Limit,
+    pub per_zone: Limit,
     /// Of a kind.
-    pub kind: Limit,
+    pub per_kind: Limit,
 }
 
 /// A listed model node as a router sees it.
@@ -83,20 +83,25 @@
     /// Its kind of machine.
     pub kind: String,
     /// It takes no work, is excluded for its failures, or cold.
-    pub out: bool,
+    #[serde(rename = "out")]
+    pub out_of_service: bool,
 }
 
 /// Why a model node may not go out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaLimitExceeded {
     /// Of which it would be one too many: of all, of a zone, of a kind.
-    pub of: String,
+    #[serde(rename = "of")]
+    pub group: String,
     /// How many may be out.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub limit: usize,
     /// How many there are.
-    pub all: usize,
+    #[serde(rename = "all")]
+    pub total: usize,
     /// Those that are out.
-    pub out: Vec<String>,
+    #[serde(rename = "out")]
+    pub out_of_service: Vec<String>,
 }
 
 /// The nodes of a document.
@@ -111,27 +116,32 @@
 ) -> Result<(), ReplicaLimitExceeded> {
     let Some(this) = seen.get(node) else {
         return Err(ReplicaLimitExceeded {
-            of: "the list, which does not have it".into(),
-            most: 0,
-            all: 0,
-            out: vec![],
+            group: "the list, which does not have it".into(),
+            limit: 0,
+            total: 0,
+            out_of_service: vec![],
         });
     };
     let ordered =
         |id: &str| entries.get(id).is_some_and(|e| matches!(e.stage, ReplicaStage::OutOfService(_)));
     let of = |what: String, most: Limit, like: &dyn Fn(&ReplicaView) -> bool| {
         let alike = seen.iter().filter(|(_, s)| like(s));
-        let out = alike.clone().filter(|(id, s)| id.as_str() != node && (s.out || ordered(id)));
+        let out = alike.clone().filter(|(id, s)| id.as_str() != node && (s.out_of_service || ordered(id)));
         let out: Vec<String> = out.map(|(id, _)| id.clone()).collect();
         let all = alike.count();
         match out.len() < most.of(all) {
             true => Ok(()),
-            false => Err(ReplicaLimitExceeded { of: what, most: most.of(all), all, out }),
+            false => Err(ReplicaLimitExceeded {
+                group: what,
+                limit: most.of(all),
+                total: all,
+                out_of_service: out,
+            }),
         }
     };
-    of("all".into(), bounds.all, &|_| true)?;
-    of(format!("zone {}", this.zone), bounds.zone, &|s| s.zone == this.zone)?;
-    of(format!("kind {}", this.kind), bounds.kind, &|s| s.kind == this.kind)
+    of("all".into(), bounds.total, &|_| true)?;
+    of(format!("zone {}", this.zone), bounds.per_zone, &|s| s.zone == this.zone)?;
+    of(format!("kind {}", this.kind), bounds.per_kind, &|s| s.kind == this.kind)
 }
 
 /// What one router says of the nodes that are out by order.
@@ -140,14 +150,15 @@
     /// The version of the document that it goes by.
     pub version: u64,
     /// Nodes out by it where it has requests open.
-    pub open: Vec<String>,
+    #[serde(rename = "open")]
+    pub in_flight: Vec<String>,
 }
 
 /// Who keeps a node that went out with `since` from being clear: those that have not said that they go by that version and
 /// have nothing open. By router: what it said last in its present life, and whether it is known to be gone.
 pub fn routers_not_clear(node: &str, since: u64, said: &[(Option<&AppliedState>, bool)]) -> Vec<RouterIndex> {
     let holds = |(said, gone): &(Option<&AppliedState>, bool)| {
-        !gone && said.is_none_or(|f| f.version < since || f.open.iter().any(|id| id == node))
+        !gone && said.is_none_or(|f| f.version < since || f.in_flight.iter().any(|id| id == node))
     };
     (0..).zip(said).filter(|(_, s)| holds(s)).map(|(place, _)| place).collect()
 }
--- a/consensus/src/replica_drains/tests.rs
+++ b/consensus/src/replica_drains/tests.rs
@@ -4,7 +4,7 @@
     let of = |n: usize| (format!("n{n}"), ["a", "b"][n % 2].to_string(), ["new", "old"][n / 5].to_string());
     let row = |(id, zone, kind): (String, String, String)| {
         let out = out.contains(&id.as_str());
-        (id, ReplicaView { zone, kind, out })
+        (id, ReplicaView { zone, kind, out_of_service: out })
     };
     (0..10).map(of).map(row).collect()
 }
@@ -16,27 +16,31 @@
 
 #[test]
 fn what_fails_and_what_is_ordered_fill_the_bounds_in_all_by_zone_and_by_kind() {
-    let bounds = ReplicaLimits { all: Limit::Percent(30), zone: Limit::Count(2), kind: Limit::Percent(50) };
+    let bounds =
+        ReplicaLimits { total: Limit::Percent(30), per_zone: Limit::Count(2), per_kind: Limit::Percent(50) };
     assert_eq!(check_limits("n0", &out(&["n1"]), &bounds, &seen(&["n7"])), Ok(()));
     let full = |entries: &[&str], failed: &[&str]| {
         check_limits("n0", &out(entries), &bounds, &seen(failed)).unwrap_err()
     };
-    assert_eq!((full(&["n1", "n5"], &["n3"]).of.as_str(), full(&["n1"], &["n3", "n5"]).most), ("all", 3));
-    assert_eq!(full(&["n2"], &["n4"]).of, "zone a");
-    let bounds = ReplicaLimits { all: Limit::Count(9), zone: Limit::Count(9), kind: Limit::Percent(50) };
+    assert_eq!((full(&["n1", "n5"], &["n3"]).group.as_str(), full(&["n1"], &["n3", "n5"]).limit), ("all", 3));
+    assert_eq!(full(&["n2"], &["n4"]).group, "zone a");
+    let bounds =
+        ReplicaLimits { total: Limit::Count(9), per_zone: Limit::Count(9), per_kind: Limit::Percent(50) };
     let full = check_limits("n0", &out(&["n1", "n3"]), &bounds, &seen(&[])).unwrap_err();
-    assert_eq!((full.of.as_str(), full.most, full.all), ("kind new", 2, 5));
+    assert_eq!((full.group.as_str(), full.limit, full.total), ("kind new", 2, 5));
     // What is out twice counts once, itself not at all, and what is not listed any more not either.
     assert_eq!(check_limits("n0", &out(&["n1", "gone", "n0"]), &bounds, &seen(&["n0", "n1"])), Ok(()));
     assert!(check_limits("n77", &out(&[]), &bounds, &seen(&[])).is_err(), "not listed");
-    let none = ReplicaLimits { all: Limit::Percent(9), ..bounds };
-    assert_eq!(check_limits("n0", &out(&[]), &none, &seen(&[])).unwrap_err().most, 0, "9% of 10 is none");
+    let none = ReplicaLimits { total: Limit::Percent(9), ..bounds };
+    assert_eq!(check_limits("n0", &out(&[]), &none, &seen(&[])).unwrap_err().limit, 0, "9% of 10 is none");
 }
 
 #[test]
 fn a_node_is_clear_when_all_that_live_go_by_its_order_and_have_nothing_open_there() {
-    let f =
-        |version, open: &[&str]| AppliedState { version, open: open.iter().map(|s| s.to_string()).collect() };
+    let f = |version, open: &[&str]| AppliedState {
+        version,
+        in_flight: open.iter().map(|s| s.to_string()).collect(),
+    };
     let (late, busy, done) = (f(4, &[]), f(5, &["n1"]), f(6, &["n2"]));
     let said =
         [(Some(&late), false), (Some(&busy), false), (Some(&done), false), (None, false), (None, true)];
--- a/consensus/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -19,9 +19,9 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 const BEAT: Nanos = 500 * MS;
-const FIGURES: LeaseTiming = LeaseTiming { lease: 5 * S, drift: 20, again: BEAT };
+const FIGURES: LeaseTiming = LeaseTiming { duration: 5 * S, drift_divisor: 20, retry_after: BEAT };
 const MEMBERS: tallypin_membership::HeartbeatTiming =
-    tallypin_membership::HeartbeatTiming { every: BEAT, silent: 3 * S };
+    tallypin_membership::HeartbeatTiming { interval: BEAT, silence_limit: 3 * S };
 const COUNCIL: usize = 5;
 /// A round that has not ended within this is given up.
 const ROUND: Nanos = 2 * S;
@@ -109,12 +109,12 @@
         let bounds = DrainLimits {
             names: vec![],
             zones,
-            all: (n / 5).max(1),
-            zone: (n / 10).max(1),
+            total: (n / 5).max(1),
+            per_zone: (n / 10).max(1),
             council: (0..COUNCIL as u16).collect(),
-            nodes: None,
+            replicas: None,
         };
-        let ballot = Ballot { number: 1, by: 0, life: 0 };
+        let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         let value =
             bootstrap_value(&vec![Some((0, None)); COUNCIL], |_| FleetState::default()).expect("all blank");
         let routers = (0..n).map(|r| {
@@ -196,14 +196,14 @@
     fn begin(&mut self, r: usize, act: Command) {
         let now = self.now;
         let router = &mut self.routers[r];
-        let ballot = Ballot { number: 0, by: r as u16, life: router.life }.above(router.seen);
+        let ballot = Ballot { number: 0, proposer: r as u16, incarnation: router.life }.above(router.seen);
         router.seen = ballot;
         let round = match &router.keeper {
             Some(k) if !k.joined() => Proposer::joining(ballot, COUNCIL, vec![(r as u8, router.life)]),
             _ => Proposer::new(ballot, COUNCIL),
         };
         router.round =
-            Some((round, act, now, CouncilView { wanted: COUNCIL / 2 + 1, ..CouncilView::default() }));
+            Some((round, act, now, CouncilView { majority: COUNCIL / 2 + 1, ..CouncilView::default() }));
         let life = router.life;
         self.ask_all(r);
         self.at(now + ROUND, Event::GiveUp(r, life, ballot));
@@ -225,8 +225,8 @@
         }
         let Some(known) = self.routers[r].known.clone() else { return };
         let newer = |world: &World, version: u64| {
-            let mut told = world.routers.iter().take(COUNCIL).filter_map(|m| m.keeper.as_ref()?.taken());
-            told.any(|v| v.document.version > version)
+            let mut told = world.routers.iter().take(COUNCIL).filter_map(|m| m.keeper.as_ref()?.accepted());
+            told.any(|v| v.state.version > version)
         };
         // As heard with its beats, if it was: then it looks before it does anything by an older document.
         if newer(self, known.version) && self.rng.bool() {
@@ -239,7 +239,7 @@
         }
         let Some(known) = self.routers[r].known.clone() else { return };
         let router = &self.routers[r];
-        match router.leaver.next(self.now, &known, router.own, Some(&router.runs)) {
+        match router.leaver.next_step(self.now, &known, router.own, Some(&router.runs)) {
             NextStep::Wait => self.conduct(r, &known),
             // Drained, it ends, and is started with the file that it has put in place.
             NextStep::InstallAndRestart(digest) => {
@@ -257,15 +257,15 @@
     fn conduct(&mut self, r: usize, known: &FleetState) {
         let (now, n) = (self.now, self.routers.len() as RouterIndex);
         let router = &mut self.routers[r];
-        if !router.keeper.as_ref().is_some_and(Acceptor::joined) || !router.presence.knows(now) {
+        if !router.keeper.as_ref().is_some_and(Acceptor::joined) || !router.presence.can_detect_silence(now) {
             return;
         }
         let heard = |p| {
-            let (life, _) = router.presence.here(now, p)?;
-            Some(RouterReport { life, counts: AnswerCounts::default() })
+            let (life, _) = router.presence.live_incarnation(now, p)?;
+            Some(RouterReport { incarnation: life, counts: AnswerCounts::default() })
         };
         let heard: Vec<_> = (0..n).map(heard).collect();
-        if let Some(act) = router.watch.next(now, known, &self.bounds, &heard) {
+        if let Some(act) = router.watch.next_command(now, known, &self.bounds, &heard) {
             self.begin(r, act);
         }
     }
@@ -279,13 +279,13 @@
                     && self.cut.contains(&m) == here
                     && self.rng.u32(..100) >= self.lost;
                 match self.routers[m].keeper.as_mut().filter(|_| reached)?.handle(AcceptorRequest::Read) {
-                    AcceptorReply::Current { life, taken } => Some((life, taken)),
+                    AcceptorReply::Current { incarnation: life, accepted: taken } => Some((life, taken)),
                     _ => None,
                 }
             })
             .collect();
         if let Some((_, value)) = chosen_value(&told) {
-            self.routers[r].known = Some(value.document);
+            self.routers[r].known = Some(value.state);
         }
     }
 
@@ -298,10 +298,10 @@
         self.routers[r].own = LocalPhase::OutOfService;
         self.went += 1;
         let out = self.out_by_order();
-        assert!(out.len() <= self.bounds.all, "{out:?} are out by order, {} may be", self.bounds.all);
+        assert!(out.len() <= self.bounds.total, "{out:?} are out by order, {} may be", self.bounds.total);
         for zone in 0..3 {
             let here = out.iter().filter(|&&o| self.bounds.zones[o] == zone).count();
-            assert!(here <= self.bounds.zone, "{here} of zone {zone}: {out:?}");
+            assert!(here <= self.bounds.per_zone, "{here} of zone {zone}: {out:?}");
         }
     }
 
@@ -315,14 +315,14 @@
         let now = self.now;
         let Some((_, act, at, _)) = self.routers[r].round.take() else { return };
         let router = &mut self.routers[r];
-        router.leaver.asked(at, now, &act, done);
+        router.leaver.record_outcome(at, now, &act, done);
         if router.orders.first() == Some(&act) {
             if done {
                 router.orders.remove(0);
                 if matches!(act, Command::Halt { .. }) {
                     self.halt = Some((r, at, false));
                     let known = self.routers[r].known.as_ref();
-                    self.before = known.map_or(vec![], |d| d.orders.iter().cloned().collect());
+                    self.before = known.map_or(vec![], |d| d.recent_orders.iter().cloned().collect());
                 }
             } else if self.rng.bool() {
                 self.routers[r].orders.remove(0);
@@ -352,14 +352,14 @@
             (&answer, out, ask)
         {
             if *ballot == round.ballot() {
-                view.knowing += 1;
-                view.out.extend(out);
+                view.informed_members += 1;
+                view.out_of_service.extend(out);
             }
         }
         match round.handle_reply(from as u8, ask, answer) {
             RoundStep::Wait => {}
             RoundStep::Superseded(_) => self.ended(r, false),
-            RoundStep::Propose(document) => match document.changed(act, &bounds, view) {
+            RoundStep::Propose(document) => match document.apply(act, &bounds, view) {
                 Ok(document) => {
                     round.propose(document);
                     self.ask_all(r);
@@ -369,12 +369,12 @@
             RoundStep::Chosen(value) => {
                 let ballot = round.ballot();
                 // A resume from before that was agreed on after it ends a halt as well.
-                let orders = &value.document.orders;
+                let orders = &value.state.recent_orders;
                 if orders.iter().any(|o| self.resumes.contains(o) && !self.before.contains(o)) {
                     self.halt = None;
                 }
-                if router.known.as_ref().is_none_or(|k| k.version < value.document.version) {
-                    router.known = Some(value.document.clone());
+                if router.known.as_ref().is_none_or(|k| k.version < value.state.version) {
+                    router.known = Some(value.state.clone());
                 }
                 if let Some(keeper) = &mut router.keeper {
                     keeper.join(ballot, value);
@@ -457,7 +457,12 @@
         let act = match if self.releases { 6 + self.orders % 4 } else { self.orders % 6 } {
             8 => {
                 let rest = (0..n as RouterIndex).filter(|p| *p != first).collect();
-                let plan = ReleasePlan { watch_ms: 1000, ready_ms: 30_000, back, ..ReleasePlan::default() };
+                let plan = ReleasePlan {
+                    watch_ms: 1000,
+                    ready_ms: 30_000,
+                    rolls_back: back,
+                    ..ReleasePlan::default()
+                };
                 let (what, digest) = ("settings".into(), format!("file {}", self.orders));
                 Command::BeginRelease { order, what, digest, waves: vec![vec![first], rest], plan }
             }
@@ -505,7 +510,7 @@
         let now = self.now;
         match event {
             Event::Beat(r, life) if self.routers[r].alive && self.routers[r].life == life => {
-                self.routers[r].presence.look(now);
+                self.routers[r].presence.note_clock(now);
                 let router = &self.routers[r];
                 let says = match (router.own, &router.keeper) {
                     (LocalPhase::OutOfService, _) => AdvertisedStatus::Draining,
@@ -518,13 +523,13 @@
                 self.at(now + BEAT, Event::Beat(r, life));
             }
             Event::HeartbeatReceived { by, from, life, says } if self.routers[by].alive => {
-                self.routers[by].presence.beat(now, from as RouterIndex, life, says);
+                self.routers[by].presence.record_heartbeat(now, from as RouterIndex, life, says);
             }
             Event::Asked { by, from, life, ask } if self.routers[from].alive => {
                 let member = &mut self.routers[from];
                 let Some(answer) = member.keeper.as_mut().map(|k| k.handle(ask.clone())) else { return };
-                let knows = member.presence.knows(now);
-                let out = member.presence.out(now);
+                let knows = member.presence.can_detect_silence(now);
+                let out = member.presence.out_of_service(now);
                 let out = knows.then_some(out);
                 self.send(from, by, Event::Answered { by, life, from, ask, answer, out });
             }
--- a/consensus/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -77,7 +77,7 @@
                 if p < MEMBERS && self.lives[p] == self.proposers[p].life {
                     self.members[p].join(round.ballot(), value.clone());
                 }
-                let new = value.document;
+                let new = value.state;
                 let follows = |old: &History| old.starts_with(&new) || new.starts_with(old);
                 self.apart |= !self.agreed.iter().all(follows);
                 if !self.agreed.contains(&new) {
@@ -97,7 +97,7 @@
         let lives: Vec<u64> = (1..=MEMBERS as u64).collect();
         let blank: Vec<_> = lives.iter().map(|l| Some((*l, None))).collect();
         let value: RegisterValue<History> = bootstrap_value(&blank, |_| vec![]).expect("all are blank");
-        let ballot = Ballot { number: 1, by: 0, life: 0 };
+        let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         let members = lives.iter().map(|&life| {
             let mut m = Acceptor::new(life);
             m.handle(AcceptorRequest::Prepare(ballot));
@@ -146,7 +146,7 @@
                 proposer.rounds += 1;
                 // Numbers that overtake each other by turns.
                 let number = 1 + u64::from(proposer.rounds);
-                let ballot = Ballot { number, by: p as u16, life: proposer.life };
+                let ballot = Ballot { number, proposer: p as u16, incarnation: proposer.life };
                 let joins = if p < MEMBERS { vec![(p as u8, proposer.life)] } else { vec![] };
                 proposer.round = Some(Proposer::joining(ballot, MEMBERS, joins).with(self.defect));
                 s.send(p);
--- a/consensus/tests/net.rs
+++ b/consensus/tests/net.rs
@@ -67,7 +67,7 @@
             bootstrap_value(&lives.iter().map(|l| Some((*l, None))).collect::<Vec<_>>(), |_| History::new())
                 .expect("all blank");
         let mut all: Vec<Acceptor<History>> = lives.iter().map(|&l| Acceptor::new(l)).collect();
-        let ballot = Ballot { number: 1, by: 0, life: 0 };
+        let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         for m in &mut all {
             m.handle(AcceptorRequest::Prepare(ballot));
             m.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
@@ -105,7 +105,8 @@
     fn begin(&mut self, p: usize) {
         let n = self.members.len();
         let proposer = &mut self.proposers[p];
-        let ballot = Ballot { number: 0, by: p as u16, life: proposer.life }.above(proposer.seen);
+        let ballot =
+            Ballot { number: 0, proposer: p as u16, incarnation: proposer.life }.above(proposer.seen);
         proposer.seen = ballot;
         proposer.joins = (p < n && !self.members[p].joined()).then_some(p);
         let round = match proposer.joins {
@@ -142,7 +143,7 @@
                 if let AcceptorReply::Superseded(seen) = &answer {
                     proposer.seen = proposer.seen.max(*seen);
                 }
-                if let AcceptorReply::Current { life, taken } = answer {
+                if let AcceptorReply::Current { incarnation: life, accepted: taken } = answer {
                     // An answer to an earlier look says nothing of now.
                     let Some(looks) = proposer.looks.as_mut().filter(|l| l.number == look) else {
                         return Ok(());
@@ -151,9 +152,9 @@
                     let Some((_, value)) = chosen_value(&looks.told) else { return Ok(()) };
                     let least = looks.least;
                     proposer.looks = None;
-                    return match value.document.len() < least {
-                        true => Err(format!("{:?} is old news, {least} were agreed on", value.document)),
-                        false => self.agree(value.document),
+                    return match value.state.len() < least {
+                        true => Err(format!("{:?} is old news, {least} were agreed on", value.state)),
+                        false => self.agree(value.state),
                     };
                 }
                 let Some(round) = &mut proposer.round else { return Ok(()) };
@@ -177,7 +178,7 @@
                         if let Some(m) = joins.filter(|&m| self.lives[m] == life) {
                             self.members[m].join(ballot, value.clone());
                         }
-                        self.agree(value.document)
+                        self.agree(value.state)
                     }
                 }
             }
@@ -313,7 +314,7 @@
     let late = |defect: Option<Defect>| {
         let net = Net::new(1, 3, defect);
         let mut members = net.members;
-        let ballot = |number, by, life| Ballot { number, by, life };
+        let ballot = |number, by, life| Ballot { number, proposer: by, incarnation: life };
         let mut late = Proposer::new(ballot(10, 3, 0), 3).with(defect);
         let ask = late.request();
         let promise = members[0].handle(ask.clone());
@@ -323,19 +324,19 @@
         members[0].join(ballot(3, 0, 100), joined);
         let mut other = Proposer::new(ballot(4, 4, 0), 3).with(defect);
         let RoundStep::Chosen(other) = finish(&mut other, &mut members, &[0, 2], 2) else { panic!("agrees") };
-        assert_eq!(other.document, vec![1, 2]);
+        assert_eq!(other.state, vec![1, 2]);
         assert_eq!(late.handle_reply(0, &ask, promise), RoundStep::Wait);
         finish(&mut late, &mut members, &[1], 3);
         finish(&mut late, &mut members, &[1, 2], 3)
     };
     match late(Some(Defect::AnyLife)) {
         RoundStep::Chosen(value) => {
-            assert_eq!(value.document, vec![1, 3], "the mistake loses what was agreed on")
+            assert_eq!(value.state, vec![1, 3], "the mistake loses what was agreed on")
         }
         other => panic!("{other:?}"),
     }
     match late(None) {
-        RoundStep::Chosen(value) => assert_eq!(value.document, vec![1, 2, 3]),
+        RoundStep::Chosen(value) => assert_eq!(value.state, vec![1, 2, 3]),
         other => panic!("{other:?}"),
     }
 }
--- a/consensus/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -66,11 +66,11 @@
     ReleasePlan {
         watch_ms: 1,
         ready_ms: 2,
-        failed_most: 3,
-        late_most: 4,
-        refused_most: 5,
-        enough: 6,
-        back: true,
+        max_extra_failed: 3,
+        max_extra_late: 4,
+        max_extra_rejected: 5,
+        min_answers: 6,
+        rolls_back: true,
     }
 }
 
@@ -85,9 +85,9 @@
         Command::Restore { order: o(), routers: vec![] },
         Command::Halt { order: o(), cause: c() },
         Command::Resume { order: o() },
-        Command::DrainReplicas { order: o(), nodes: nodes(), until: None },
-        Command::DrainReplicas { order: o(), nodes: nodes(), until: Some(1_800_000_000_000) },
-        Command::RestoreReplicas { order: o(), nodes: nodes() },
+        Command::DrainReplicas { order: o(), replicas: nodes(), until: None },
+        Command::DrainReplicas { order: o(), replicas: nodes(), until: Some(1_800_000_000_000) },
+        Command::RestoreReplicas { order: o(), replicas: nodes() },
         Command::AdvanceReplica("n1".into()),
         Command::BeginRelease { order: o(), what, digest, waves, plan: plan() },
         Command::RollBack { order: o(), cause: c() },
@@ -106,10 +106,10 @@
 
 fn rejections() -> Vec<Rejection> {
     let full = |out: &[&str]| ReplicaLimitExceeded {
-        of: "zone a".into(),
-        most: 2,
-        all: 7,
-        out: out.iter().map(ToString::to_string).collect(),
+        group: "zone a".into(),
+        limit: 2,
+        total: 7,
+        out_of_service: out.iter().map(ToString::to_string).collect(),
     };
     vec![
         Rejection::Halted("late answers".into()),
@@ -146,7 +146,7 @@
 fn commands_have_their_recorded_form() {
     let kinds: BTreeSet<_> = commands().iter().map(|act| kind(&json(act))).collect();
     assert_eq!(kinds.len(), 21, "each variant is here: {kinds:?}");
-    let orders = commands().into_iter().filter(|act| act.is_order()).map(|act| kind(&json(&act)));
+    let orders = commands().into_iter().filter(|act| act.is_operator_order()).map(|act| kind(&json(&act)));
     let orders: BTreeSet<_> = orders.collect();
     compare("commands.txt", &format!("{}orders {orders:?}\n", lines(&commands())));
 }
@@ -174,13 +174,13 @@
     DrainLimits {
         names: from_value(list("names")).expect("names"),
         zones: from_value(list("zones")).expect("zones"),
-        all: from_value(list("all")).expect("all"),
-        zone: from_value(list("zone")).expect("zone"),
+        total: from_value(list("all")).expect("all"),
+        per_zone: from_value(list("zone")).expect("zone"),
         council: from_value(list("council")).expect("council"),
-        nodes: of["nodes"].as_object().map(|n| ReplicaLimits {
-            all: most(&n["all"]),
-            zone: most(&n["zone"]),
-            kind: most(&n["kind"]),
+        replicas: of["nodes"].as_object().map(|n| ReplicaLimits {
+            total: most(&n["all"]),
+            per_zone: most(&n["zone"]),
+            per_kind: most(&n["kind"]),
         }),
     }
 }
@@ -188,18 +188,19 @@
 fn view(of: &Json) -> CouncilView {
     type Listed = BTreeMap<String, (String, String, bool)>;
     let nodes: Option<Listed> = from_value(of["nodes"].clone()).expect("nodes");
-    let seen = |(id, (zone, kind, out))| (id, ReplicaView { zone, kind, out });
+    let seen = |(id, (zone, kind, out))| (id, ReplicaView { zone, kind, out_of_service: out });
     CouncilView {
-        knowing: from_value(of["knowing"].clone()).expect("knowing"),
-        wanted: from_value(of["wanted"].clone()).expect("wanted"),
-        out: from_value(of["out"].clone()).expect("out"),
-        nodes: nodes.map(|nodes| nodes.into_iter().map(seen).collect()),
-        now_ms: from_value(of["now_ms"].clone()).expect("now_ms"),
+        informed_members: from_value(of["knowing"].clone()).expect("knowing"),
+        majority: from_value(of["wanted"].clone()).expect("wanted"),
+        out_of_service: from_value(of["out"].clone()).expect("out"),
+        replicas: nodes.map(|nodes| nodes.into_iter().map(seen).collect()),
+        unix_ms: from_value(of["now_ms"].clone()).expect("now_ms"),
     }
 }
 
 fn start(name: &str) -> FleetState {
-    let known = || FleetState { version: 41, orders: ["o".to_string()].into(), ..FleetState::default() };
+    let known =
+        || FleetState { version: 41, recent_orders: ["o".to_string()].into(), ..FleetState::default() };
     match name {
         "running" => FleetState::default(),
         "first" => FleetState::first(None),
@@ -223,7 +224,7 @@
 impl Play {
     fn command(&mut self, command: &str) {
         let act: Command = from_str(command).unwrap_or_else(|e| panic!("{command}: {e}"));
-        let result = match self.document.changed(&act, &self.bounds, &self.view) {
+        let result = match self.document.apply(&act, &self.bounds, &self.view) {
             Ok(document) => {
                 self.document = document;
                 "ok".to_string()
@@ -235,7 +236,7 @@
             }
         };
         let (command, document) = (both_ways(&act), both_ways(&self.document));
-        let out = self.document.out(&self.view);
+        let out = self.document.out_of_service(&self.view);
         writeln!(self.says, "{command}\n= {result}\n{document}\nout {out:?}").expect("text");
     }
 
@@ -247,11 +248,11 @@
             .iter()
             .map(|one| {
                 let counts: AnswerCounts = from_value(one.get("counts")?.clone()).expect("counts");
-                Some(RouterReport { life: one["life"].as_u64().expect("a life"), counts })
+                Some(RouterReport { incarnation: one["life"].as_u64().expect("a life"), counts })
             })
             .collect();
         let now = of["now_ms"].as_u64().expect("a time") * 1_000_000;
-        let asks = self.watch.next(now, &self.document, &self.bounds, &heard);
+        let asks = self.watch.next_command(now, &self.document, &self.bounds, &heard);
         writeln!(self.says, "watch {text}\n= {}", json(&asks)).expect("text");
     }
 
@@ -303,11 +304,11 @@
 type Small = RegisterValue<u64>;
 
 fn ballot(number: u64, by: u16, life: u64) -> Ballot {
-    Ballot { number, by, life }
+    Ballot { number, proposer: by, incarnation: life }
 }
 
 fn small(lives: &[u64], document: u64) -> Small {
-    RegisterValue { lives: lives.to_vec(), document }
+    RegisterValue { incarnations: lives.to_vec(), state: document }
 }
 
 #[test]
@@ -320,17 +321,17 @@
         AcceptorRequest::Bootstrap(b, v.clone()),
     ];
     let answers = [
-        AcceptorReply::Current { life: 7, taken: None },
-        AcceptorReply::Current { life: 7, taken: Some((b, v.clone())) },
-        AcceptorReply::Promised { life: 7, taken: None },
-        AcceptorReply::Promised { life: 7, taken: Some((b, v.clone())) },
-        AcceptorReply::Accepted { life: 7 },
+        AcceptorReply::Current { incarnation: 7, accepted: None },
+        AcceptorReply::Current { incarnation: 7, accepted: Some((b, v.clone())) },
+        AcceptorReply::Promised { incarnation: 7, accepted: None },
+        AcceptorReply::Promised { incarnation: 7, accepted: Some((b, v.clone())) },
+        AcceptorReply::Accepted { incarnation: 7 },
         AcceptorReply::Superseded(b),
-        AcceptorReply::Uninitialized { life: 7, stored: None },
-        AcceptorReply::Uninitialized { life: 7, stored: Some(44) },
+        AcceptorReply::Uninitialized { incarnation: 7, stored: None },
+        AcceptorReply::Uninitialized { incarnation: 7, stored: Some(44) },
     ];
     let whole =
-        AcceptorRequest::Accept(b, RegisterValue { lives: vec![1], document: FleetState::first(None) });
+        AcceptorRequest::Accept(b, RegisterValue { incarnations: vec![1], state: FleetState::first(None) });
     compare("register-messages.txt", &(lines(&asks) + &lines(&answers) + &lines(&[whole])));
 }
 
@@ -378,7 +379,7 @@
                 let ask: AcceptorRequest<u64> = from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
                 writeln!(says, "{}\n= {}", both_ways(&ask), both_ways(&keeper.handle(ask))).expect("text");
             }
-            let (joined, taken) = (keeper.joined(), json(&keeper.taken()));
+            let (joined, taken) = (keeper.joined(), json(&keeper.accepted()));
             writeln!(says, "  joined {joined}, taken {taken}").expect("text");
         }
     }
@@ -440,7 +441,7 @@
     let mut says = String::new();
     for k in 0..7 * 7 * 7 {
         let all: Vec<_> = [k / 49, k / 7 % 7, k % 7].into_iter().zip(0..).map(|(k, m)| told(m, k)).collect();
-        let found = chosen_value(&all).map(|(ballot, value)| (ballot.number, value.document));
+        let found = chosen_value(&all).map(|(ballot, value)| (ballot.number, value.state));
         let begins = bootstrap_value(&all, |known| known.map_or(0, |d| d + 1));
         writeln!(says, "{} {} {}", json(&all.len()), json(&found), json(&begins)).expect("text");
     }
@@ -451,7 +452,7 @@
 }
 
 const S: u64 = 1_000_000_000;
-const FIGURES: LeaseTiming = LeaseTiming { lease: 5 * S, drift: 20, again: S };
+const FIGURES: LeaseTiming = LeaseTiming { duration: 5 * S, drift_divisor: 20, retry_after: S };
 
 fn next(next: NextStep) -> String {
     match next {
@@ -469,7 +470,7 @@
     let leaver = |asked: Option<(u64, u64, Command, bool)>| {
         let mut leaver = LeaseHolder::new(FIGURES, 3, 9);
         if let Some((at, now, act, done)) = asked {
-            leaver.asked(at, now, &act, done);
+            leaver.record_outcome(at, now, &act, done);
         }
         leaver
     };
@@ -510,22 +511,22 @@
                 let entry = stage.map(|stage| DrainEntry {
                     stage,
                     order: "d".into(),
-                    to: to.map(str::to_string),
-                    tries: 0,
+                    target_digest: to.map(str::to_string),
+                    attempts: 0,
                 });
-                document.entries.extend(entry.map(|e| (3, e)));
+                document.drains.extend(entry.map(|e| (3, e)));
                 let serves = if own == LocalPhase::Serving { "serving" } else { "out" };
                 let stage = json(&stage);
                 writeln!(says, "{stage} to {to:?} runs {runs:?} {serves} halted {halted}").expect("text");
-                let all = leavers.iter().map(|l| next(l.next(10 * S, &document, own, runs)));
+                let all = leavers.iter().map(|l| next(l.next_step(10 * S, &document, own, runs)));
                 writeln!(says, "  {}", all.collect::<Vec<_>>().join(" | ")).expect("text");
-                let holds = [0, FIGURES.over(), FIGURES.over() + 1];
+                let holds = [0, FIGURES.safe_expiry(), FIGURES.safe_expiry() + 1];
                 writeln!(says, "  {:?}", holds.map(|since| halt_is_effective(&FIGURES, since, &document)))
                     .expect("text");
             }
         }
     }
-    let over = [FIGURES.over(), LeaseTiming { drift: 0, ..FIGURES }.over()];
+    let over = [FIGURES.safe_expiry(), LeaseTiming { drift_divisor: 0, ..FIGURES }.safe_expiry()];
     writeln!(says, "a leave is over after {over:?}").expect("text");
     compare("leave.txt", &says);
 }
@@ -559,13 +560,13 @@
     let standings: Vec<_> =
         [PeerStatus::Unknown, PeerStatus::Silent].into_iter().chain(every.map(PeerStatus::Here)).collect();
     let mut says = lines(&every) + &lines(&standings);
-    standings.iter().for_each(|s| writeln!(says, "{} out {}", json(s), s.out()).expect("text"));
-    let mut presence = FailureDetector::new(BeatFigures { every: S / 2, silent: 2 * S }, 5, 0);
+    standings.iter().for_each(|s| writeln!(says, "{} out {}", json(s), s.is_out_of_service()).expect("text"));
+    let mut presence = FailureDetector::new(BeatFigures { interval: S / 2, silence_limit: 2 * S }, 5, 0);
     // By half seconds: router 0 beats on, 1 stops, 2 ends, 3 starts anew and is heard late, 4 never is. The member
     // that listens is stopped itself from 8 s to 14 s.
     for half in (0..=16).chain(28..=36) {
         let now = half * S / 2;
-        let mut beat = |from, life, tells| presence.beat(now, from, life, tells);
+        let mut beat = |from, life, tells| presence.record_heartbeat(now, from, life, tells);
         let mut taken = vec![beat(0, 7, AdvertisedStatus::Serving)];
         if half < 5 {
             taken.push(beat(1, 7, AdvertisedStatus::Draining));
@@ -580,10 +581,10 @@
             taken.push(beat(3, half.saturating_sub(1), AdvertisedStatus::Serving));
             taken.push(beat(5, 1, AdvertisedStatus::Serving));
         }
-        let standings: Vec<_> = (0..6).map(|r| presence.standing(now, r)).collect();
-        let here: Vec<_> = (0..6).map(|r| presence.here(now, r)).collect();
-        let gone: Vec<_> = (0..6).map(|r| presence.gone(now, r)).collect();
-        let (knows, out) = (presence.knows(now), presence.out(now));
+        let standings: Vec<_> = (0..6).map(|r| presence.status(now, r)).collect();
+        let here: Vec<_> = (0..6).map(|r| presence.live_incarnation(now, r)).collect();
+        let gone: Vec<_> = (0..6).map(|r| presence.has_left(now, r)).collect();
+        let (knows, out) = (presence.can_detect_silence(now), presence.out_of_service(now));
         writeln!(says, "{half}: taken {taken:?} knows {knows} out {out:?} gone {gone:?}").expect("text");
         writeln!(says, "  {}\n  {}", json(&standings), json(&here)).expect("text");
     }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -44,7 +44,7 @@
 
 impl PeerStatus {
     /// Whether it counts as out of service: all but one that serves, or that nothing is known of yet.
-    pub fn out(self) -> bool {
+    pub fn is_out_of_service(self) -> bool {
         !matches!(self, PeerStatus::Here(AdvertisedStatus::Serving) | PeerStatus::Unknown)
     }
 }
@@ -53,97 +53,104 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatTiming {
     /// A beat comes so often.
-    pub every: Nanos,
+    pub interval: Nanos,
     /// Without one for so long a router is silent. Several beats, so that one that is lost or late is no silence.
-    pub silent: Nanos,
+    pub silence_limit: Nanos,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct LastHeartbeat {
-    life: u64,
-    at: Nanos,
-    says: AdvertisedStatus,
+    incarnation: u64,
+    received_at: Nanos,
+    advertised: AdvertisedStatus,
 }
 
 /// What one member of the council has heard.
 #[derive(Debug)]
 pub struct FailureDetector {
-    figures: HeartbeatTiming,
+    timing: HeartbeatTiming,
     heard: Vec<Option<LastHeartbeat>>,
     /// Since when it listens without a gap of its own.
-    listening: Nanos,
-    looked: Nanos,
+    listening_since: Nanos,
+    last_clock: Nanos,
 }
 
 impl FailureDetector {
     /// A table of so many routers, from `now` on.
     pub fn new(figures: HeartbeatTiming, routers: usize, now: Nanos) -> FailureDetector {
-        FailureDetector { figures, heard: vec![None; routers], listening: now, looked: now }
+        FailureDetector { timing: figures, heard: vec![None; routers], listening_since: now, last_clock: now }
     }
 
     /// Called at least once a beat, and before anything is told. Who was stopped itself for longer has heard nobody in
     /// that time, and that is its own fault: all get a whole term again before any is called silent.
-    pub fn look(&mut self, now: Nanos) {
-        if now.saturating_sub(self.looked) > self.figures.silent / 2 {
-            self.listening = now;
+    pub fn note_clock(&mut self, now: Nanos) {
+        if now.saturating_sub(self.last_clock) > self.timing.silence_limit / 2 {
+            self.listening_since = now;
         }
-        self.looked = self.looked.max(now);
+        self.last_clock = self.last_clock.max(now);
     }
 
     /// A router's beat. False: of an earlier life than one known, or of no router of the fleet.
-    pub fn beat(&mut self, now: Nanos, from: RouterIndex, life: u64, says: AdvertisedStatus) -> bool {
-        self.look(now);
+    pub fn record_heartbeat(
+        &mut self,
+        now: Nanos,
+        from: RouterIndex,
+        life: u64,
+        says: AdvertisedStatus,
+    ) -> bool {
+        self.note_clock(now);
         let Some(heard) = self.heard.get_mut(usize::from(from)) else { return false };
-        if heard.is_some_and(|h| h.life > life) {
+        if heard.is_some_and(|h| h.incarnation > life) {
             return false;
         }
-        *heard = Some(LastHeartbeat { life, at: now, says });
+        *heard = Some(LastHeartbeat { incarnation: life, received_at: now, advertised: says });
         true
     }
 
     /// What is believed of a router.
-    pub fn standing(&self, now: Nanos, of: RouterIndex) -> PeerStatus {
+    pub fn status(&self, now: Nanos, of: RouterIndex) -> PeerStatus {
         let heard = self.heard.get(usize::from(of)).copied().flatten();
-        let since = heard.map_or(self.listening, |h| h.at.max(self.listening));
-        let silent = now.saturating_sub(since) > self.figures.silent;
+        let since = heard.map_or(self.listening_since, |h| h.received_at.max(self.listening_since));
+        let silent = now.saturating_sub(since) > self.timing.silence_limit;
         match heard {
             // It has said that it goes: its silence is no news, and it is out either way.
-            Some(LastHeartbeat { says: AdvertisedStatus::Ending, .. }) => {
+            Some(LastHeartbeat { advertised: AdvertisedStatus::Ending, .. }) => {
                 PeerStatus::Here(AdvertisedStatus::Ending)
             }
             _ if silent => PeerStatus::Silent,
-            Some(h) => PeerStatus::Here(h.says),
+            Some(h) => PeerStatus::Here(h.advertised),
             None => PeerStatus::Unknown,
         }
     }
 
     /// Whether a router has said that it ends, and has not been heard for a whole term since: nothing of it runs.
-    pub fn gone(&self, now: Nanos, of: RouterIndex) -> bool {
+    pub fn has_left(&self, now: Nanos, of: RouterIndex) -> bool {
         let heard = self.heard.get(usize::from(of)).copied().flatten();
         heard.is_some_and(|h| {
-            h.says == AdvertisedStatus::Ending && now.saturating_sub(h.at) > self.figures.silent
+            h.advertised == AdvertisedStatus::Ending
+                && now.saturating_sub(h.received_at) > self.timing.silence_limit
         })
     }
 
     /// The life in which a router was heard last, if it is not silent, and whether it serves.
-    pub fn here(&self, now: Nanos, of: RouterIndex) -> Option<(u64, bool)> {
+    pub fn live_incarnation(&self, now: Nanos, of: RouterIndex) -> Option<(u64, bool)> {
         let heard = self.heard.get(usize::from(of)).copied().flatten()?;
-        match self.standing(now, of) {
-            PeerStatus::Here(says) => Some((heard.life, says == AdvertisedStatus::Serving)),
+        match self.status(now, of) {
+            PeerStatus::Here(says) => Some((heard.incarnation, says == AdvertisedStatus::Serving)),
             _ => None,
         }
     }
 
     /// All routers that count as out.
-    pub fn out(&mut self, now: Nanos) -> Vec<RouterIndex> {
-        self.look(now);
+    pub fn out_of_service(&mut self, now: Nanos) -> Vec<RouterIndex> {
+        self.note_clock(now);
         let all = 0..self.heard.len() as RouterIndex;
-        all.filter(|&r| self.standing(now, r).out()).collect()
+        all.filter(|&r| self.status(now, r).is_out_of_service()).collect()
     }
 
     /// Whether this table may be asked at all: one that has just begun, or was stopped, knows nobody's silence.
-    pub fn knows(&self, now: Nanos) -> bool {
-        now.saturating_sub(self.listening) > self.figures.silent
+    pub fn can_detect_silence(&self, now: Nanos) -> bool {
+        now.saturating_sub(self.listening_since) > self.timing.silence_limit
     }
 }
 
--- a/router/src/duty.rs
+++ b/router/src/duty.rs
@@ -74,7 +74,7 @@
             answered: t.served + t.broken + t.refused + t.failed,
             failed: t.failed + t.broken,
             late,
-            refused: t.refused - t.refused_share,
+            rejected: t.refused - t.refused_share,
         }
     }
 
@@ -92,7 +92,7 @@
             let out = row.state != ReplicaState::Ready || seen.get(&row.replica) == Some(&true);
             let (zone, kind) =
                 (word(&host.deployment.zones, row.zone.0), word(&host.deployment.kinds, row.kind));
-            (host.nodes.named(row.replica).to_string(), ReplicaView { zone, kind, out })
+            (host.nodes.named(row.replica).to_string(), ReplicaView { zone, kind, out_of_service: out })
         });
         Some(nodes.collect())
     }
--- a/router/src/fleet/conduct.rs
+++ b/router/src/fleet/conduct.rs
@@ -19,7 +19,7 @@
 impl Fleet {
     /// Ends never.
     pub(super) async fn conduct(self: Rc<Self>) {
-        let every = self.settings.members.every;
+        let every = self.settings.members.interval;
         let place = self.settings.council.iter().position(|&p| p == self.settings.me).unwrap_or(0) as u64;
         let round = self.settings.council.len() as u64 * TURN * every;
         let mut watch = ReleaseMonitor::default();
@@ -49,19 +49,19 @@
         let now = self.now();
         let Some(document) = self.document.borrow().clone() else { return vec![] };
         let mut presence = self.presence.borrow_mut();
-        presence.look(now);
+        presence.note_clock(now);
         // One that was stopped knows nobody's silence, and would call a crash what is none.
-        if !presence.knows(now) {
+        if !presence.can_detect_silence(now) {
             return vec![];
         }
         let told = self.told.borrow();
         let heard = (0..).zip(told.iter()).map(|(place, told): (RouterIndex, _)| {
-            let (life, _) = presence.here(now, place)?;
+            let (life, _) = presence.live_incarnation(now, place)?;
             let told = told.as_ref().filter(|(of, _)| *of == life);
-            Some(RouterReport { life, counts: told.map(|(_, t)| t.counts).unwrap_or_default() })
+            Some(RouterReport { incarnation: life, counts: told.map(|(_, t)| t.counts).unwrap_or_default() })
         });
         let heard: Vec<Option<RouterReport>> = heard.collect();
-        let release = watch.next(now, &document, &self.settings.bounds, &heard);
+        let release = watch.next_command(now, &document, &self.settings.bounds, &heard);
         let key =
             |act: &Command| if matches!(act, Command::FailWave(..)) { "fail" } else { "wave" }.to_string();
         let release = release.map(|act| (key(&act), act));
@@ -71,7 +71,7 @@
 
 fn nodes(document: &FleetState) -> Vec<(String, Command)> {
     let now = now_ms();
-    let due = document.nodes.iter().filter(|(_, e)| match e.stage {
+    let due = document.replicas.iter().filter(|(_, e)| match e.stage {
         ReplicaStage::Requested => document.halted.is_none() || e.until.is_some_and(|at| now >= at),
         ReplicaStage::OutOfService(_) => e.until.is_some_and(|at| now >= at),
         ReplicaStage::Restored(_) => false,
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -221,11 +221,11 @@
     fn tells(&self) -> Tells {
         let document = self.document.borrow();
         let follows = document.as_ref().map_or(AppliedState::default(), |d| {
-            let out = d.nodes.iter().filter(|(_, e)| matches!(e.stage, ReplicaStage::OutOfService(_)));
+            let out = d.replicas.iter().filter(|(_, e)| matches!(e.stage, ReplicaStage::OutOfService(_)));
             let open = out.map(|(id, _)| id.clone()).filter(|id| self.duty.open_at(id));
-            AppliedState { version: d.version, open: open.collect() }
+            AppliedState { version: d.version, in_flight: open.collect() }
         });
-        let what = document.as_ref().and_then(|d| d.release.as_ref()).map(|r| r.what.as_str());
+        let what = document.as_ref().and_then(|d| d.release.as_ref()).map(|r| r.artifact.as_str());
         let runs = what.and_then(|what| self.runs.get(what)).cloned();
         Tells { counts: self.duty.counts(), follows, runs }
     }
@@ -278,7 +278,7 @@
     async fn serve(self: &Rc<Self>, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         // Whoever says nothing for so long is gone, or has another connection by now.
-        let idle = Duration::from_nanos(self.settings.members.silent);
+        let idle = Duration::from_nanos(self.settings.members.silence_limit);
         loop {
             let bytes = tokio::time::timeout(idle, wire::read(&mut stream)).await??;
             let call: Call = self.keys.borrow().open(Way::Call, &bytes)?;
@@ -329,7 +329,7 @@
         match &call.what {
             What::Change(_) | What::Life => None,
             What::Beat(says) => {
-                self.presence.borrow_mut().beat(self.now(), call.from, call.life, *says);
+                self.presence.borrow_mut().record_heartbeat(self.now(), call.from, call.life, *says);
                 self.tell(call.from, call.life, call.tells.clone().unwrap_or_default());
                 Some((Said::Heard(self.taken()), vec![]))
             }
@@ -341,7 +341,7 @@
     }
 
     fn tell(&self, from: RouterIndex, life: u64, mut tells: Tells) {
-        tells.follows.open.truncate(tallypin_consensus::replica_drains::MOST_NODES);
+        tells.follows.in_flight.truncate(tallypin_consensus::replica_drains::MAX_REPLICA_DRAINS);
         if let Some(told) = self.told.borrow_mut().get_mut(usize::from(from)) {
             *told = Some((life, tells));
         }
@@ -351,16 +351,16 @@
     fn unclear_here(&self) -> Vec<Unclear> {
         let (now, presence, told) = (self.now(), self.presence.borrow(), self.told.borrow());
         let keeper = self.keeper.borrow();
-        let Some(value) = keeper.as_ref().and_then(|k| k.taken()) else { return vec![] };
+        let Some(value) = keeper.as_ref().and_then(|k| k.accepted()) else { return vec![] };
         // What an earlier life told says nothing of this one.
         let said = |(place, told): (RouterIndex, &Option<(u64, Tells)>)| {
-            let here = presence.here(now, place).map(|(life, _)| life);
+            let here = presence.live_incarnation(now, place).map(|(life, _)| life);
             let told = told.as_ref().filter(|(life, _)| Some(*life) == here);
-            (told.map(|(_, tells)| tells.follows.clone()), presence.gone(now, place))
+            (told.map(|(_, tells)| tells.follows.clone()), presence.has_left(now, place))
         };
         let said: Vec<_> = (0..).zip(told.iter()).map(said).collect();
         let said: Vec<_> = said.iter().map(|(f, gone)| (f.as_ref(), *gone)).collect();
-        let out = value.document.nodes.iter().filter_map(|(id, e)| match e.stage {
+        let out = value.state.replicas.iter().filter_map(|(id, e)| match e.stage {
             ReplicaStage::OutOfService(since) => Some((id, since)),
             _ => None,
         });
@@ -376,15 +376,15 @@
     /// The version that this member took last.
     fn taken(&self) -> Option<u64> {
         let keeper = self.keeper.borrow();
-        keeper.as_ref().and_then(|k| k.taken()).map(|value| value.document.version)
+        keeper.as_ref().and_then(|k| k.accepted()).map(|value| value.state.version)
     }
 
     fn ask_here(&self, ask: AcceptorRequest<FleetState>) -> Heard {
         let looks = ask == AcceptorRequest::Read;
         let answer = self.keeper.borrow_mut().as_mut()?.handle(ask);
         let (now, mut presence) = (self.now(), self.presence.borrow_mut());
-        presence.look(now);
-        let out = presence.knows(now).then(|| presence.out(now));
+        presence.note_clock(now);
+        let out = presence.can_detect_silence(now).then(|| presence.out_of_service(now));
         drop(presence);
         Some((answer, out, if looks { self.unclear_here() } else { vec![] }))
     }
@@ -425,8 +425,12 @@
             acts.iter().any(|act| matches!(act, Command::DrainReplicas { .. } | Command::AdvanceReplica(_)));
         let nodes = if listed { self.duty.nodes() } else { None };
         let now_ms = now_ms();
-        let mut view =
-            CouncilView { wanted: self.links.len() / 2 + 1, nodes, now_ms, ..CouncilView::default() };
+        let mut view = CouncilView {
+            majority: self.links.len() / 2 + 1,
+            replicas: nodes,
+            unix_ms: now_ms,
+            ..CouncilView::default()
+        };
         let mut results: Vec<Result<(), Rejection>> = vec![];
         let mut told = self.ask_all(&round.request());
         while let Some((member, ask, answer)) = told.recv().await {
@@ -435,15 +439,15 @@
                 self.seen.set(self.seen.get().max(*seen));
             }
             if let (AcceptorReply::Promised { .. }, Some(out)) = (&answer, out) {
-                view.knowing += 1;
-                view.out.extend(out);
+                view.informed_members += 1;
+                view.out_of_service.extend(out);
             }
             match round.handle_reply(member, &ask, answer) {
                 RoundStep::Wait => {}
                 RoundStep::Superseded(_) => return None,
                 RoundStep::Propose(mut document) => {
                     let change = |act| {
-                        document = document.changed(act, &self.settings.bounds, &view)?;
+                        document = document.apply(act, &self.settings.bounds, &view)?;
                         Ok(())
                     };
                     results = acts.iter().map(change).collect();
@@ -456,7 +460,7 @@
                     told = self.ask_all(&round.request());
                 }
                 RoundStep::Chosen(value) => {
-                    let document = value.document.clone();
+                    let document = value.state.clone();
                     if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
                         keeper.join(round.ballot(), value);
                     }
@@ -469,7 +473,8 @@
     }
 
     fn ballot(&self) -> Ballot {
-        let ballot = Ballot { number: 0, by: self.settings.me, life: self.life }.above(self.seen.get());
+        let ballot =
+            Ballot { number: 0, proposer: self.settings.me, incarnation: self.life }.above(self.seen.get());
         self.seen.set(ballot);
         ballot
     }
@@ -480,7 +485,10 @@
         let mut told = self.ask_all(&AcceptorRequest::Read);
         let mut unclear: BTreeMap<String, Unclear> = BTreeMap::new();
         while let Some((member, _, answer)) = told.recv().await {
-            let Some((AcceptorReply::Current { life, taken }, _, said)) = answer else { continue };
+            let Some((AcceptorReply::Current { incarnation: life, accepted: taken }, _, said)) = answer
+            else {
+                continue;
+            };
             all[usize::from(member)] = Some((life, taken));
             // What one has heard a router say is so, though another has not.
             for u in said {
@@ -494,8 +502,8 @@
                     keeper.join(ballot, value.clone());
                 }
                 self.unclear.replace(std::mem::take(&mut unclear));
-                self.learn(&value.document);
-                return Some(value.document);
+                self.learn(&value.state);
+                return Some(value.state);
             }
         }
         None
@@ -543,7 +551,7 @@
 
     /// Waits until a member is seen not to answer, and has been asked at least once more by then.
     async fn lost(&self, member: usize) {
-        let beat = Duration::from_nanos(self.settings.members.every);
+        let beat = Duration::from_nanos(self.settings.members.interval);
         sleep(beat + self.settings.answer).await;
         while self.reaches(member) {
             sleep(beat).await;
@@ -573,7 +581,7 @@
         // Nobody waits for these any more.
         queue.retain(|(_, tell)| !tell.is_closed());
         // Operators' orders first: a halt does not wait for what it is to stop.
-        queue.sort_by_key(|(act, _)| !act.is_order());
+        queue.sort_by_key(|(act, _)| !act.is_operator_order());
         let most = queue.len().min(BATCH);
         queue.drain(..most).collect()
     }
@@ -620,13 +628,13 @@
         let mut known = self.document.borrow_mut();
         if known.as_ref().is_none_or(|k| k.version < document.version) {
             tracing::info!(target: "fleet", version = document.version, halted = document.halted.as_deref().unwrap_or("no"),
-                entries = document.entries.len(), "agreed on");
+                entries = document.drains.len(), "agreed on");
             *known = Some(document.clone());
             self.first.notify_one();
             self.news.notify_one();
             drop(known);
             let (mut out, mut back) = (Vec::new(), Vec::new());
-            for (id, e) in &document.nodes {
+            for (id, e) in &document.replicas {
                 match e.stage {
                     ReplicaStage::OutOfService(_) => out.push(id.clone()),
                     ReplicaStage::Restored(at) => back.push((id.clone(), at)),
@@ -642,7 +650,7 @@
     /// A member that has started takes part once the others have agreed on its life, or, where all are blank, begins
     /// anew with them.
     async fn join(self: Rc<Self>) {
-        let every = Duration::from_nanos(self.settings.members.every);
+        let every = Duration::from_nanos(self.settings.members.interval);
         let member = self.settings.council.iter().position(|&p| p == self.settings.me).unwrap_or(0);
         while self.keeper.borrow().as_ref().is_some_and(|k| !k.joined()) {
             // By whoever makes changes: a round of its own would be overtaken by them, again and again.
@@ -669,11 +677,13 @@
         let mut told = self.ask_all(&AcceptorRequest::Prepare(ballot));
         while let Some((member, _, answer)) = told.recv().await {
             members[usize::from(member)] = match answer {
-                Some((AcceptorReply::Uninitialized { life, stored }, ..)) => {
+                Some((AcceptorReply::Uninitialized { incarnation: life, stored }, ..)) => {
                     documents.extend(stored);
                     Some((life, None))
                 }
-                Some((AcceptorReply::Promised { life, taken }, ..)) => Some((life, taken)),
+                Some((AcceptorReply::Promised { incarnation: life, accepted: taken }, ..)) => {
+                    Some((life, taken))
+                }
                 Some((AcceptorReply::Superseded(seen), ..)) => {
                     self.seen.set(self.seen.get().max(seen));
                     None
@@ -685,7 +695,7 @@
             FleetState::first(held.into_iter().chain(&documents).max_by_key(|d| d.version))
         };
         let Some(value) = bootstrap_value(&members, newest) else { return };
-        let document = value.document.clone();
+        let document = value.state.clone();
         let mut told = self.ask_all(&AcceptorRequest::Bootstrap(ballot, value));
         let mut taken = 0;
         while let Some((_, _, answer)) = told.recv().await {
@@ -700,12 +710,12 @@
     // ---- Its own part ----
 
     async fn beat(self: Rc<Self>) {
-        let mut every = tokio::time::interval(Duration::from_nanos(self.settings.members.every));
+        let mut every = tokio::time::interval(Duration::from_nanos(self.settings.members.interval));
         // After a stop one beat, not all that were missed.
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             every.tick().await;
-            self.presence.borrow_mut().look(self.now());
+            self.presence.borrow_mut().note_clock(self.now());
             let says = match self.keeper.borrow().as_ref().is_none_or(Acceptor::joined) {
                 true => self.duty.says(),
                 // A member that has forgotten counts as out until it takes part: else the next one could forget as well.
@@ -717,7 +727,12 @@
                     let version = match &fleet.links[member] {
                         None => {
                             let now = fleet.now();
-                            fleet.presence.borrow_mut().beat(now, fleet.settings.me, fleet.life, says);
+                            fleet.presence.borrow_mut().record_heartbeat(
+                                now,
+                                fleet.settings.me,
+                                fleet.life,
+                                says,
+                            );
                             fleet.tell(fleet.settings.me, fleet.life, fleet.tells());
                             fleet.taken()
                         }
@@ -737,7 +752,7 @@
 
     /// AppliedState the document and does its own part, again and again.
     async fn follow(self: Rc<Self>) {
-        let every = Duration::from_nanos(self.settings.members.every);
+        let every = Duration::from_nanos(self.settings.members.interval);
         loop {
             // News, or time: a leave may have run out, a refused one may be asked for again.
             let _ = tokio::time::timeout(every, self.news.notified()).await;
@@ -758,9 +773,9 @@
     async fn step(self: &Rc<Self>) {
         loop {
             let Some(document) = self.document.borrow().clone() else { return };
-            let what = document.release.as_ref().map(|r| r.what.clone());
+            let what = document.release.as_ref().map(|r| r.artifact.clone());
             let runs = what.as_ref().and_then(|what| self.runs.get(what)).map(String::as_str);
-            let next = self.leaver.borrow().next(self.now(), &document, self.own.get(), runs);
+            let next = self.leaver.borrow().next_step(self.now(), &document, self.own.get(), runs);
             match next {
                 NextStep::Wait => return,
                 NextStep::BeginDrain => {
@@ -798,7 +813,7 @@
                 }
                 NextStep::Submit(act) => {
                     if let (Command::AcquireReleaseLease(..), Some(what)) = (&act, &what) {
-                        let to = document.entries.get(&self.settings.me).and_then(|e| e.to.clone());
+                        let to = document.drains.get(&self.settings.me).and_then(|e| e.target_digest.clone());
                         if let Err(why) = self.fits(what.clone(), to.unwrap_or_default()).await {
                             match self.unfit(why).await {
                                 true => continue,
@@ -816,7 +831,7 @@
                     if let Err(Failed::Rejected(no)) = &done {
                         tracing::debug!(target: "fleet", ?act, %no, "not now");
                     }
-                    self.leaver.borrow_mut().asked(at, self.now(), &act, done.is_ok());
+                    self.leaver.borrow_mut().record_outcome(at, self.now(), &act, done.is_ok());
                     if done.is_err() {
                         return;
                     }
@@ -912,7 +927,7 @@
 
     /// Routers that the view from here takes to be out: only a member of the council has one.
     fn out_here(&self) -> BTreeSet<RouterIndex> {
-        self.presence.borrow_mut().out(self.now()).into_iter().collect()
+        self.presence.borrow_mut().out_of_service(self.now()).into_iter().collect()
     }
 }
 
--- a/router/src/fleet/orders.rs
+++ b/router/src/fleet/orders.rs
@@ -8,7 +8,7 @@
 use tallypin_consensus::drain_lease::halt_is_effective;
 use tallypin_consensus::fleet_state::{Command, DrainStage, FleetState, Rejection};
 use tallypin_consensus::release::ReleasePhase;
-use tallypin_consensus::replica_drains::{ReplicaStage, MOST_NODES};
+use tallypin_consensus::replica_drains::{ReplicaStage, MAX_REPLICA_DRAINS};
 use tallypin_membership::RouterIndex;
 use tokio::time::sleep;
 
@@ -87,7 +87,7 @@
     /// Whether all of these names are model nodes that are out, or to go, by order.
     fn are_nodes(&self, names: &[String]) -> bool {
         let known = self.document.borrow();
-        let out = |id: &String| known.as_ref().is_some_and(|d| d.nodes.contains_key(id));
+        let out = |id: &String| known.as_ref().is_some_and(|d| d.replicas.contains_key(id));
         names.iter().all(|name| out(name) && self.settings.place(name).is_none())
     }
 
@@ -102,14 +102,14 @@
         let act = match &order {
             Order::Status => Command::Read,
             Order::PutBack(names) if self.are_nodes(names) => {
-                Command::RestoreReplicas { order: id.clone(), nodes: names.clone() }
+                Command::RestoreReplicas { order: id.clone(), replicas: names.clone() }
             }
-            Order::TakeOut(names, _) if names.len() > MOST_NODES => {
+            Order::TakeOut(names, _) if names.len() > MAX_REPLICA_DRAINS => {
                 return no(Rejection::TooManyReplicas.to_string())
             }
             Order::TakeOut(names, time) => {
                 let until = time.map(|t| now_ms().saturating_add(t.as_millis() as u64));
-                Command::DrainReplicas { order: id.clone(), nodes: names.clone(), until }
+                Command::DrainReplicas { order: id.clone(), replicas: names.clone(), until }
             }
             Order::Release(said) => {
                 let waves = match plan::waves(&said.waves, &self.settings) {
@@ -163,7 +163,7 @@
     /// Waits until nobody can begin to go out any more by a leave from before.
     async fn holds(self: &Rc<Self>, asked: Instant, mut document: FleetState) -> bool {
         let nanos = |d: Duration| d.as_nanos() as u64;
-        let give_up = self.settings.within + Duration::from_nanos(self.settings.leave.over());
+        let give_up = self.settings.within + Duration::from_nanos(self.settings.leave.safe_expiry());
         while !halt_is_effective(&self.settings.leave, nanos(asked.elapsed()), &document) {
             if asked.elapsed() > give_up {
                 return false;
@@ -196,17 +196,17 @@
             DrainStage::Returning(_) => "back",
         };
         let entries: Vec<Value> = document
-            .entries
+            .drains
             .iter()
             .map(|(place, e)| {
                 let mut said = json!({"router": name(place), "stage": stage(&e.stage), "order": e.order});
-                e.to.iter().for_each(|to| said["to"] = to.as_str().into());
+                e.target_digest.iter().for_each(|to| said["to"] = to.as_str().into());
                 said
             })
             .collect();
         let mut told = json!({
             "done": true, "id": id, "version": document.version, "halted": document.halted, "entries": entries,
-            "bounds": {"all": self.settings.bounds.all, "zone": self.settings.bounds.zone},
+            "bounds": {"all": self.settings.bounds.total, "zone": self.settings.bounds.per_zone},
             "council": self.reached(), "spoilt": self.spoilt.get(),
         });
         let unclear = self.unclear.borrow();
@@ -225,7 +225,7 @@
             }
             said
         };
-        told["nodes"] = document.nodes.iter().map(node).collect();
+        told["nodes"] = document.replicas.iter().map(node).collect();
         if let Some(r) = &document.release {
             let (phase, cause) = match &r.phase {
                 ReleasePhase::Running => ("running", None),
@@ -235,8 +235,8 @@
                 ReleasePhase::RolledBack(why) => ("undone", Some(why)),
             };
             told["release"] = json!({
-                "order": r.order, "what": r.what, "digest": r.digest, "phase": phase, "cause": cause,
-                "wave": r.wave + 1, "waves": r.waves.len(), "runs_here": self.runs.get(&r.what),
+                "order": r.order, "what": r.artifact, "digest": r.digest, "phase": phase, "cause": cause,
+                "wave": r.wave + 1, "waves": r.waves.len(), "runs_here": self.runs.get(&r.artifact),
             });
         }
         if self.keeper.borrow().is_some() {
--- a/router/src/fleet/plan.rs
+++ b/router/src/fleet/plan.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use serde::{Deserialize, Serialize};
-use tallypin_consensus::release::{ReleasePlan, MOST_WAVES};
+use tallypin_consensus::release::{ReleasePlan, MAX_WAVES};
 use tallypin_membership::RouterIndex;
 use tallypin_settings_schema::{
     check, load, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
@@ -120,8 +120,8 @@
     };
     let words = |e: &Entry| (0..e.values.len()).map(|w| e.text(w).to_string()).collect::<Vec<_>>();
     let waves: Vec<Vec<String>> = s.all("wave").map(words).collect();
-    if waves.len() > MOST_WAVES {
-        problems.push(Problem::new(s.place, format!("a release has {MOST_WAVES} waves at the most")));
+    if waves.len() > MAX_WAVES {
+        problems.push(Problem::new(s.place, format!("a release has {MAX_WAVES} waves at the most")));
     }
     let per_mille = |name: &str| (s.share(name) * 1000.0).round() as u64;
     let ms = |name: &str| s.duration(name).as_millis() as u64;
@@ -132,11 +132,11 @@
         plan: ReleasePlan {
             watch_ms: ms("watch"),
             ready_ms: ms("ready"),
-            failed_most: per_mille("failed"),
-            late_most: per_mille("late"),
-            refused_most: per_mille("refused"),
-            enough: s.number("enough"),
-            back: s.text("on-failure") == "back",
+            max_extra_failed: per_mille("failed"),
+            max_extra_late: per_mille("late"),
+            max_extra_rejected: per_mille("refused"),
+            min_answers: s.number("enough"),
+            rolls_back: s.text("on-failure") == "back",
         },
     }
 }
--- a/router/src/fleet/plan/tests.rs
+++ b/router/src/fleet/plan/tests.rs
@@ -11,7 +11,7 @@
     let good =
         format!("release {{\n what settings\n digest {digest}\n wave r0\n wave zone a\n failed 0.5%\n}}\n");
     let plan = said(&good).unwrap();
-    assert_eq!((plan.waves.len(), plan.plan.failed_most, plan.plan.watch_ms), (2, 5, 60_000));
+    assert_eq!((plan.waves.len(), plan.plan.max_extra_failed, plan.plan.watch_ms), (2, 5, 60_000));
     assert_eq!(plan.waves[1], ["zone", "a"]);
     for (from, to, why) in [
         ("what settings", "what else", "2:"),
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -7,7 +7,7 @@
 
 use tallypin_consensus::drain_lease;
 use tallypin_consensus::fleet_state::DrainLimits;
-use tallypin_consensus::register::MOST_MEMBERS;
+use tallypin_consensus::register::MAX_MEMBERS;
 use tallypin_consensus::replica_drains::{Limit, ReplicaLimits};
 use tallypin_membership::RouterIndex;
 use tallypin_settings_schema::{nearest, Checked, Directive, Entry, Kind, Problem, Section};
@@ -148,7 +148,7 @@
             .entry("council")
             .map_or(vec![], |e| (0..e.values.len()).map(|word| find(e, word, problems)).collect());
         let apart: BTreeSet<RouterIndex> = council.iter().copied().collect();
-        if council.len() > MOST_MEMBERS || council.len() % 2 == 0 || apart.len() < council.len() {
+        if council.len() > MAX_MEMBERS || council.len() % 2 == 0 || apart.len() < council.len() {
             problems.push(wrong("a council has 1, 3, 5 or 7 members, each once".into()));
         }
         let mut zones: Vec<&str> = routers.iter().map(|r| r.zone.as_str()).collect();
@@ -192,20 +192,23 @@
             bounds: DrainLimits {
                 names: routers.iter().map(|r| r.name.clone()).collect(),
                 zones: routers.iter().map(zone_of).collect(),
-                all,
-                zone,
+                total: all,
+                per_zone: zone,
                 council: council.clone(),
-                nodes,
+                replicas: nodes,
             },
             store: s.path("store").map(PathBuf::from),
             released,
             routers,
             council,
-            members: tallypin_membership::HeartbeatTiming { every: nanos(beat), silent: nanos(silent) },
+            members: tallypin_membership::HeartbeatTiming {
+                interval: nanos(beat),
+                silence_limit: nanos(silent),
+            },
             leave: drain_lease::LeaseTiming {
-                lease: nanos(s.duration("lease")),
-                drift: 20,
-                again: nanos(beat),
+                duration: nanos(s.duration("lease")),
+                drift_divisor: 20,
+                retry_after: nanos(beat),
             },
             answer: s.duration("answer"),
             within: s.duration("within"),
@@ -247,7 +250,7 @@
             "`nodes-out-zone` and `nodes-out-kind` want `nodes-out-most`".to_string(),
         ));
     }
-    all.map(|all| ReplicaLimits { all, zone: zone.unwrap_or(all), kind: kind.unwrap_or(all) })
+    all.map(|all| ReplicaLimits { total: all, per_zone: zone.unwrap_or(all), per_kind: kind.unwrap_or(all) })
 }
 
 /// `3`, or `10%`, up to so large a share.
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -181,7 +181,7 @@
     }
     if let Some(fleet) = &installation.fleet {
         let (of, b) = (fleet.routers.len(), &fleet.bounds);
-        println!("of fleet {}: {} of {of} routers may be out, {} of a zone", fleet.name, b.all, b.zone);
+        println!("of fleet {}: {} of {of} routers may be out, {} of a zone", fleet.name, b.total, b.per_zone);
     }
 }
 
