--- a/router/src/by_hand/tests.rs
+++ b/router/src/by_hand/tests.rs
@@ -1,28 +1,28 @@
 use super::*;
 
-fn row(id: u64, state: ReplicaState, last_start: Nanos) -> ReplicaRow {
-    ReplicaRow { replica: ReplicaId(id), state, last_start, ..ReplicaRow::default() }
+fn row(id: u64, state: EndpointState, last_start: Nanos) -> EndpointEntry {
+    EndpointEntry { replica: ReplicaId(id), state, started_at: last_start, ..EndpointEntry::default() }
 }
 
 #[test]
 fn what_is_out_by_hand_stays_so_whatever_the_list_says_and_comes_back_as_just_started() {
-    use ReplicaState::{Draining, Gone, Ready};
+    use EndpointState::{Draining, Gone, Ready};
     let mut l = Listed::default();
     let all = vec![row(1, Ready, 5), row(2, Ready, 5)];
-    assert_eq!(l.told(ListKind::Full, all.clone()), all, "nothing is laid over it");
+    assert_eq!(l.told(ListUpdate::Full, all.clone()), all, "nothing is laid over it");
     assert_eq!(l.by_hand(&[ReplicaId(1), ReplicaId(9)], &[]), [row(1, Draining, 5)]);
     assert_eq!(l.by_hand(&[ReplicaId(1), ReplicaId(9)], &[]), [], "once");
     // It starts again, elsewhere: it is still out. Another that takes its address is another.
-    assert_eq!(l.told(ListKind::Delta, vec![row(1, Ready, 8)]), [row(1, Draining, 8)]);
-    assert_eq!(l.told(ListKind::Full, vec![row(1, Ready, 8), row(3, Ready, 1)])[1], row(3, Ready, 1));
+    assert_eq!(l.told(ListUpdate::Delta, vec![row(1, Ready, 8)]), [row(1, Draining, 8)]);
+    assert_eq!(l.told(ListUpdate::Full, vec![row(1, Ready, 8), row(3, Ready, 1)])[1], row(3, Ready, 1));
     assert_eq!(l.by_hand(&[], &[(ReplicaId(1), 20)]), [row(1, Ready, 20)]);
     assert_eq!(
-        l.told(ListKind::Delta, vec![row(1, Ready, 8)]),
+        l.told(ListUpdate::Delta, vec![row(1, Ready, 8)]),
         [row(1, Ready, 20)],
         "no start by the list's word"
     );
     assert_eq!(l.by_hand(&[], &[]), [], "no longer told, and still the same start");
-    assert_eq!(l.told(ListKind::Delta, vec![row(1, Ready, 30)]), [row(1, Ready, 30)], "a real one");
-    assert_eq!(l.told(ListKind::Delta, vec![row(1, Gone, 30)]), [row(1, Gone, 30)]);
+    assert_eq!(l.told(ListUpdate::Delta, vec![row(1, Ready, 30)]), [row(1, Ready, 30)], "a real one");
+    assert_eq!(l.told(ListUpdate::Delta, vec![row(1, Gone, 30)]), [row(1, Gone, 30)]);
     assert_eq!((l.by_hand(&[ReplicaId(1)], &[]), l.rows().count()), (vec![], 1));
 }
--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -92,7 +92,7 @@
             list_lost: host.list_silence(),
         };
         let health = board.health();
-        let gateways = host.deployment.decisions.gateways.max(1) as usize;
+        let gateways = host.deployment.decisions.router_count.max(1) as usize;
         let free = |used: usize, most: usize| 1.0 - used.min(most) as f64 / most.max(1) as f64;
         let (links, idle) = host.nodes.links();
         let signals = Signals {
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -134,7 +134,7 @@
             return Err(Malformed::new("limits.memory_mb", "fewer than 16 leave no room for traffic"));
         }
         let limits = Limits::new(file.limits.memory_mb, file.limits.sockets, &deployment);
-        let peers = file.peer_listen.filter(|_| deployment.decisions.peers).map(|listen| PeerAddresses {
+        let peers = file.peer_listen.filter(|_| deployment.decisions.has_peers).map(|listen| PeerAddresses {
             listen,
             each: file.peers,
             all: file.peers_all,
--- a/router/src/core/answer.rs
+++ b/router/src/core/answer.rs
@@ -1,6 +1,6 @@
 //! Final answers, why they were given, and the counts of both.
 
-use tallypin::api::{Nanos, Outcome, Refusal};
+use tallypin::api::{Nanos, Outcome, RejectReason};
 
 /// The final answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// The stream broke after it had begun.
     Broken,
     /// Refused: trying again is harmless, best after so long (0: no advice); and for what.
-    Refused(Nanos, Refusal),
+    Refused(Nanos, RejectReason),
     /// Failed; in time, or for want of time.
     Failed {
         /// The client's deadline had come.
@@ -24,7 +24,7 @@
     /// Its stream ended, whole or not.
     StreamEnded,
     /// The decision module refused it.
-    Refused(Refusal),
+    Refused(RejectReason),
     /// The decision module gave it up: no further attempt may be made, or none would be in time.
     NoAttemptLeft,
     /// The decision module had not decided by the client's deadline.
@@ -87,14 +87,14 @@
 
 /// The outcomes in the order in which [`Tallies::outcomes`] counts them.
 pub const TALLIED: [Outcome; 8] = [
-    Outcome::Done,
-    Outcome::Error,
-    Outcome::Busy,
+    Outcome::Completed,
+    Outcome::ReplicaError,
+    Outcome::Rejected,
     Outcome::TimedOut,
-    Outcome::Refused,
-    Outcome::Reset,
+    Outcome::ConnectionRefused,
+    Outcome::ConnectionReset,
     Outcome::Cancelled,
-    Outcome::Skipped,
+    Outcome::NotSent,
 ];
 
 impl Tallies {
@@ -122,7 +122,7 @@
             }
             FinalAnswer::Refused(_, why) => {
                 self.refused += 1;
-                self.refused_share += u64::from(why == Refusal::Share);
+                self.refused_share += u64::from(why == RejectReason::QuotaExceeded);
                 self.refused_shutdown += shutdown;
             }
             FinalAnswer::Failed { late } => {
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -71,7 +71,7 @@
 impl Core {
     /// A core that decides by a module; it answers `slack` after a deadline if the module has not.
     pub fn new(settings: Settings, seed: u64, slack: Nanos) -> Result<Core, SettingsError> {
-        let try_limit = settings.try_limit;
+        let try_limit = settings.max_attempts;
         let effects = settings.classes.iter().map(|c| c.effect).collect();
         Ok(Core {
             effects,
@@ -133,7 +133,7 @@
         let waits = open.deadline.saturating_sub(open.taken);
         self.late += u64::from(now.saturating_sub(open.taken) > waits / 2);
         let after = now.saturating_sub(begun);
-        self.tell(now, Event::FirstToken { request: id, attempt, after });
+        self.tell(now, Event::FirstToken { request: id, attempt, elapsed: after });
         self.close_attempts(now, id, Some(attempt), CloseReason::AnotherBegan);
         self.work_off(now);
         true
@@ -146,7 +146,7 @@
             return;
         }
         if open.bound == Some(attempt) && !open.answered {
-            let whole = end.outcome == Outcome::Done;
+            let whole = end.outcome == Outcome::Completed;
             let answer = if whole { FinalAnswer::Served } else { FinalAnswer::Broken };
             self.answer(now, id, answer, AnswerCause::StreamEnded);
         }
@@ -159,7 +159,7 @@
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.answered) else { return };
         open.answered = true;
         self.tallies.left += 1;
-        self.tell(now, Event::ClientGone(id));
+        self.tell(now, Event::ClientLeft(id));
         self.close_attempts(now, id, None, CloseReason::ClientLeft);
         self.work_off(now);
     }
@@ -177,25 +177,26 @@
         ends.sort_unstable();
         for id in ends {
             let begun = self.open.get(&id).is_some_and(|o| o.bound.is_some());
-            let answer = if begun { FinalAnswer::Broken } else { FinalAnswer::Refused(0, Refusal::Room) };
+            let answer =
+                if begun { FinalAnswer::Broken } else { FinalAnswer::Refused(0, RejectReason::NoCapacity) };
             self.answer(now, id, answer, AnswerCause::Shutdown);
-            self.tell(now, Event::ClientGone(id));
+            self.tell(now, Event::ClientLeft(id));
             self.close_attempts(now, id, None, CloseReason::Shutdown);
             self.work_off(now);
         }
     }
 
     /// News of the node list.
-    pub fn list(&mut self, now: Nanos, kind: ListKind, rows: Vec<ReplicaRow>) {
+    pub fn list(&mut self, now: Nanos, kind: ListUpdate, rows: Vec<EndpointEntry>) {
         let rows = self.listed.told(kind, rows);
-        self.tell(now, Event::List { kind, rows });
+        self.tell(now, Event::EndpointList { kind, rows });
     }
 
     /// Which model nodes are out by hand, and which were put back and when, from now on.
     pub fn by_hand(&mut self, now: Nanos, out: &[ReplicaId], back: &[(ReplicaId, Nanos)]) {
         let rows = self.listed.by_hand(out, back);
         if !rows.is_empty() {
-            self.tell(now, Event::List { kind: ListKind::Delta, rows });
+            self.tell(now, Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
     }
 
@@ -205,18 +206,18 @@
     }
 
     /// The rows of the list as they came, whatever is out by hand.
-    pub fn listed(&self) -> impl Iterator<Item = &ReplicaRow> {
+    pub fn listed(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.listed.rows()
     }
 
     /// Another router has said something.
     pub fn peer(&mut self, now: Nanos, from: PeerId, bytes: Vec<u8>) {
-        self.tell(now, Event::Peer { from, bytes });
+        self.tell(now, Event::PeerMessage { from, bytes });
     }
 
     /// A probe has ended.
     pub fn probed(&mut self, now: Nanos, node: ReplicaId, end: AttemptEnd) {
-        self.tell(now, Event::Probed { replica: node, outcome: end.outcome, load: end.load });
+        self.tell(now, Event::ProbeEnded { replica: node, outcome: end.outcome, load: end.load });
     }
 
     /// Does what has fallen due.
@@ -238,7 +239,7 @@
                     let Some(open) = self.open.get(&id) else { continue };
                     if !open.answered && open.bound.is_none() {
                         self.answer(now, id, FinalAnswer::Failed { late: true }, AnswerCause::Deadline);
-                        self.tell(now, Event::ClientGone(id));
+                        self.tell(now, Event::ClientLeft(id));
                         self.close_attempts(now, id, None, CloseReason::Answered);
                         self.work_off(now);
                     }
@@ -286,8 +287,8 @@
 
     fn act(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::Send { request, replica, limit } => self.begin(now, request, replica, limit),
-            Action::Refuse { request, retry_after, why } => {
+            Action::Send { request, replica, timeout: limit } => self.begin(now, request, replica, limit),
+            Action::Reject { request, retry_after, reason: why } => {
                 self.answer(now, request, FinalAnswer::Refused(retry_after, why), AnswerCause::Refused(why));
                 self.close_attempts(now, request, None, CloseReason::Answered);
             }
@@ -304,8 +305,8 @@
                 }
             }
             Action::Probe(node) => self.orders.push(Order::Probe(node)),
-            Action::Watch => self.orders.push(Order::Watch),
-            Action::Tell(bytes) => self.orders.push(Order::Tell(bytes)),
+            Action::WatchEndpoints => self.orders.push(Order::Watch),
+            Action::Gossip(bytes) => self.orders.push(Order::Tell(bytes)),
             Action::WakeAt { at, token } => self.due.push(Reverse((at, Due::Module(token)))),
         }
     }
@@ -316,7 +317,7 @@
         let attempt = open.begin_attempt(now);
         let over = open.answered || open.bound.is_some();
         if over || now >= open.deadline || open.attempts() > try_limit {
-            return self.settle(now, id, attempt, Outcome::Skipped.into());
+            return self.settle(now, id, attempt, Outcome::NotSent.into());
         }
         let until = match limit {
             0 => open.deadline,
@@ -343,13 +344,13 @@
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(begun) = open.settle(attempt, end.outcome) else { return };
         self.tallies.note_outcome(end.outcome);
-        self.news.push_back(Event::Ended(Ended {
+        self.news.push_back(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
             outcome: end.outcome,
-            after: now.saturating_sub(begun),
-            over: open.answered,
-            kept_tokens: (end.outcome == Outcome::Done).then(|| end.kept.unwrap_or(0)),
+            elapsed: now.saturating_sub(begun),
+            request_over: open.answered,
+            cached_tokens: (end.outcome == Outcome::Completed).then(|| end.kept.unwrap_or(0)),
             load: end.load,
         }));
         self.forget_if_over(id);
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -34,13 +34,13 @@
             id,
             class: self.class,
             tenant: self.partner,
-            left: self.left,
+            time_left: self.left,
             prompt_tokens: self.prompt_tokens,
             prefix_tokens: self.beginning_tokens,
             session: self.session,
             prefix: self.beginning,
-            returned: self.returned,
-            again: self.again,
+            resumes_stream: self.returned,
+            is_client_retry: self.again,
         }
     }
 }
--- a/router/src/duty.rs
+++ b/router/src/duty.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use rustc_hash::FxHashMap;
-use tallypin::api::{Nanos, ReplicaState};
+use tallypin::api::{EndpointState, Nanos};
 use tallypin::names;
 use tallypin_consensus::release_monitor::AnswerCounts;
 use tallypin_consensus::replica_drains::{ReplicaView, UnixMs};
@@ -89,7 +89,7 @@
         let seen: FxHashMap<_, bool> =
             view.into_iter().map(|s| (s.replica, s.cold || s.excluded > 0)).collect();
         let nodes = rows.into_iter().map(|row| {
-            let out = row.state != ReplicaState::Ready || seen.get(&row.replica) == Some(&true);
+            let out = row.state != EndpointState::Ready || seen.get(&row.replica) == Some(&true);
             let (zone, kind) =
                 (word(&host.deployment.zones, row.zone.0), word(&host.deployment.kinds, row.kind));
             (host.nodes.named(row.replica).to_string(), ReplicaView { zone, kind, out_of_service: out })
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use serde_json::json;
-use tallypin::api::{ClassId, Nanos, Refusal, TenantId};
+use tallypin::api::{ClassId, Nanos, RejectReason, TenantId};
 use tallypin::names;
 
 use super::{next, opening, retry_after, write, write_chunk, write_whole, Incoming, Next, Rejection, Then};
@@ -206,15 +206,15 @@
                     return error(host, wire, 500, "", "the answer broke off").await;
                 }
                 // Refused only when its time was up: that is what the client has to know.
-                Piece::Answer(FinalAnswer::Refused(advice, Refusal::Room))
+                Piece::Answer(FinalAnswer::Refused(advice, RejectReason::NoCapacity))
                     if host.clock.now() >= deadline =>
                 {
                     return error(host, wire, 504, &come_back(host, advice), LATE).await;
                 }
                 Piece::Answer(FinalAnswer::Refused(advice, why)) => {
                     let (status, why) = match why {
-                        Refusal::Share => (429, "over the partner's share"),
-                        Refusal::Room => (529, "no model node would begin in time"),
+                        RejectReason::QuotaExceeded => (429, "over the partner's share"),
+                        RejectReason::NoCapacity => (529, "no model node would begin in time"),
                     };
                     return error(host, wire, status, &come_back(host, advice), why).await;
                 }
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use tallypin::api::{ClassId, Nanos, Refusal, TenantId};
+use tallypin::api::{ClassId, Nanos, RejectReason, TenantId};
 use tallypin::names;
 
 use super::{next, opening, retry_after, write, write_chunk, write_whole, Incoming, Next, Rejection, Then};
@@ -135,7 +135,7 @@
             Next::Piece(Piece::Answer(FinalAnswer::Broken)) | Next::Left => return Ok(Then::Close),
             Next::Piece(Piece::Answer(FinalAnswer::Refused(advice, why))) => {
                 let fields = format!("Retry-After: {:.3}\r\n", retry_after(host, advice));
-                let status = if why == Refusal::Share { 429 } else { 503 };
+                let status = if why == RejectReason::QuotaExceeded { 429 } else { 503 };
                 write_whole(host, wire, status, &fields, Bytes::from_static(b"refused\n")).await?;
                 return Ok(Then::Refused);
             }
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tallypin::api::LONGEST_LIST_WAIT;
+use tallypin::api::MAX_LIST_POLL_DELAY;
 use tallypin::settings::Deployment;
 
 /// The limits of one router.
@@ -153,7 +153,7 @@
             list_silence: Duration::from_secs(4),
             list_answer: Duration::from_millis(2200),
             list_again: Duration::from_millis(300),
-            list_again_most: nanos(LONGEST_LIST_WAIT),
+            list_again_most: nanos(MAX_LIST_POLL_DELAY),
             agent_answer: Duration::from_millis(250),
             agent_again: Duration::from_millis(200),
             grace: Duration::from_millis(500),
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -206,7 +206,7 @@
     let peers = match config.peers.clone() {
         Some(addresses) => {
             let decisions = &config.deployment.decisions;
-            Some(Peers::new(addresses, decisions.me, decisions.digest).await?)
+            Some(Peers::new(addresses, decisions.own_index, decisions.digest).await?)
         }
         None => None,
     };
@@ -215,7 +215,7 @@
     let host = Host::new(config, dialect, peers)?;
     // Old or empty, it sets the module going.
     let known = known.unwrap_or(Page { version: 0, full: true, servers: Vec::new() });
-    node_list::take(&host, &known, tallypin::api::ListKind::Cached);
+    node_list::take(&host, &known, tallypin::api::ListUpdate::Cached);
     host.start();
     let mut board = None;
     let (mut adopting, mut _listening) = (None, None);
--- a/router/src/node/attempt.rs
+++ b/router/src/node/attempt.rs
@@ -42,7 +42,7 @@
             node = %self.host.nodes.named(self.node), outcome = ?end.outcome,
             kept = end.kept, "attempt ended");
         let answer = match end.outcome {
-            Outcome::Done => FinalAnswer::Served,
+            Outcome::Completed => FinalAnswer::Served,
             _ => FinalAnswer::Broken,
         };
         let (id, attempt, bound) = (self.id, self.attempt, self.bound());
@@ -63,15 +63,15 @@
             Err(outcome) => return outcome.into(),
         };
         // Broken before its last byte was written, the request cannot have run.
-        let Some((head, body)) = self.message() else { return Outcome::Skipped.into() };
+        let Some((head, body)) = self.message() else { return Outcome::NotSent.into() };
         if !self.host.with(|core, now| core.may_write(now, self.id, self.attempt)) {
             self.host.nodes.give_back(link);
-            return Outcome::Skipped.into();
+            return Outcome::NotSent.into();
         }
         if let Err(e) = link.wire.write(head.chain(body)).await {
             tracing::debug!(target: "node", request = self.id.0, attempt = self.attempt, why = %e,
                 "attempt not written whole");
-            return Outcome::Refused.into();
+            return Outcome::ConnectionRefused.into();
         }
         tracing::debug!(target: "node", request = self.id.0, attempt = self.attempt, reused = link.reused,
             "attempt written");
@@ -83,28 +83,28 @@
             Ok(true) => read_head(&mut link.wire, &self.host.limits).await,
             _ => None,
         };
-        let Some(head) = head else { return Outcome::Reset.into() };
+        let Some(head) = head else { return Outcome::ConnectionReset.into() };
         let names = &self.host.deployment.report;
         let load = head.text("srv-load").ok().flatten().map(|l| dialect::read_load(l, names));
         let load = load.unwrap_or_default();
         let framing = match head.framing() {
             Ok(framing) => framing,
-            Err(_) => return Outcome::Reset.into(),
+            Err(_) => return Outcome::ConnectionReset.into(),
         };
         match head.start {
             Start::Status(200) => {}
             Start::Status(status) => {
                 let declined = matches!(head.text("srv-declined"), Ok(Some("1")));
                 let outcome = match status {
-                    503 | 504 if declined => Outcome::Busy,
-                    _ => Outcome::Error,
+                    503 | 504 if declined => Outcome::Rejected,
+                    _ => Outcome::ReplicaError,
                 };
                 if head.keeps() && drained(&mut link.wire, framing, self.host.limits.event) {
                     self.host.nodes.give_back(link);
                 }
                 return AttemptEnd { outcome, kept: None, load };
             }
-            Start::Request(..) => return Outcome::Reset.into(),
+            Start::Request(..) => return Outcome::ConnectionReset.into(),
         }
         let (end, reusable) = self.pass_on(&mut link.wire, framing, load).await;
         if reusable && head.keeps() && link.wire.buf.is_empty() {
@@ -122,7 +122,7 @@
             let mut link = nodes.reach(self.node).await?;
             tokio::task::yield_now().await;
             if !nodes.takes_work(&link.to) {
-                return Err(Outcome::Skipped);
+                return Err(Outcome::NotSent);
             }
             if !link.reused || !link.wire.spoilt() {
                 return Ok(link);
@@ -156,7 +156,7 @@
         let host = self.host.clone();
         let (mut body, mut events) = (Body::of_answer(framing, host.limits.event), Events::default());
         let (mut held, mut held_told) = (BytesMut::new(), Vec::new());
-        let mut end = AttemptEnd { outcome: Outcome::Reset, kept: None, load };
+        let mut end = AttemptEnd { outcome: Outcome::ConnectionReset, kept: None, load };
         // A messages stream says itself that it is complete; the others are so at the last chunk.
         let mut complete = host.nodes.dialect == Dialect::Chat;
         let silence = |quiet_since: Instant| (quiet_since + host.limits.silence).into();
@@ -206,7 +206,7 @@
                     let (id, attempt) = (self.id, self.attempt);
                     // Another attempt was first, or the client has gone: nothing of this one is wanted.
                     if failed || !host.with(|core, now| core.started(now, id, attempt)) {
-                        return (AttemptEnd { outcome: Outcome::Error, ..end }, false);
+                        return (AttemptEnd { outcome: Outcome::ReplicaError, ..end }, false);
                     }
                     tracing::debug!(target: "node", request = id.0, attempt, "stream begun");
                     self.deadline = BOUND;
@@ -222,7 +222,7 @@
             if over {
                 // An empty answer is none.
                 if complete && self.bound() && framing != Framing::Unstated {
-                    end.outcome = Outcome::Done;
+                    end.outcome = Outcome::Completed;
                 }
                 return (end, true);
             }
--- a/router/src/node/pool.rs
+++ b/router/src/node/pool.rs
@@ -209,19 +209,19 @@
     /// A connection to a node. What fails for want of anything here is *skipped*, not *refused*: it says
     /// nothing of the node, which the module would else shun.
     pub(super) async fn reach(&self, id: ReplicaId) -> Result<Link, Outcome> {
-        let to = self.listed.borrow().get(&id).map(|n| n.place).ok_or(Outcome::Skipped)?;
+        let to = self.listed.borrow().get(&id).map(|n| n.place).ok_or(Outcome::NotSent)?;
         if let Some(link) = self.take_idle(id) {
             return Ok(link);
         }
         if !self.make_room() {
-            return Err(Outcome::Skipped);
+            return Err(Outcome::NotSent);
         }
         self.open.set(self.open.get() + 1);
         let count = Count(Some(self.open.clone()));
         match timeout(self.connect_limit, TcpStream::connect(to.addr)).await {
             Ok(Ok(stream)) => Ok(count.into_link(Wire::new(stream), to)),
-            Ok(Err(e)) if is_local(&e) => Err(Outcome::Skipped),
-            _ => Err(Outcome::Refused),
+            Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
+            _ => Err(Outcome::ConnectionRefused),
         }
     }
 }
--- a/router/src/node/probe.rs
+++ b/router/src/node/probe.rs
@@ -28,10 +28,12 @@
     };
     let head = format!("GET {target} HTTP/1.1\r\nHost: backend.local\r\n\r\n");
     if link.wire.write(Bytes::from(head)).await.is_err() {
-        return Outcome::Refused.into();
+        return Outcome::ConnectionRefused.into();
     }
-    let Some(head) = read_head(&mut link.wire, &host.limits).await else { return Outcome::Reset.into() };
-    let Ok(framing) = head.framing() else { return Outcome::Reset.into() };
+    let Some(head) = read_head(&mut link.wire, &host.limits).await else {
+        return Outcome::ConnectionReset.into();
+    };
+    let Ok(framing) = head.framing() else { return Outcome::ConnectionReset.into() };
     let (mut body, mut report) = (Body::of_answer(framing, host.limits.head), Vec::new());
     loop {
         match body.next(&mut link.wire.buf) {
@@ -40,10 +42,10 @@
             }
             Ok(Some(Part::End)) => break,
             Ok(None) if matches!(link.wire.more().await, Ok(true)) => {}
-            _ => return Outcome::Reset.into(),
+            _ => return Outcome::ConnectionReset.into(),
         }
     }
-    let outcome = if head.start == Start::Status(200) { Outcome::Done } else { Outcome::Error };
+    let outcome = if head.start == Start::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
     let load = dialect::read_load(&String::from_utf8_lossy(&report), names);
     if head.keeps() && link.wire.buf.is_empty() {
         host.nodes.give_back(link);
--- a/router/src/node_list.rs
+++ b/router/src/node_list.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use rustc_hash::FxHashSet;
 use serde::Deserialize;
-use tallypin::api::{ListKind, ListMode, Nanos, ReplicaId, ReplicaRow, ReplicaState, ZoneId};
+use tallypin::api::{EndpointEntry, EndpointListMode, EndpointState, ListUpdate, Nanos, ReplicaId, ZoneId};
 use tallypin::names;
 use tallypin::settings::Deployment;
 use tokio::net::TcpStream;
@@ -59,22 +59,22 @@
 
 impl Row {
     /// The row as the module reads it.
-    pub fn decode(&self, of: &Deployment) -> ReplicaRow {
+    pub fn decode(&self, of: &Deployment) -> EndpointEntry {
         // A name that the settings lack is none of theirs: not the first zone, which may be the own one. A row that
         // names none is of a deployment that tells none apart.
         let place = |list: &[String], name: &str| match name {
             "" => 0,
             _ => list.iter().position(|n| n == name).unwrap_or(list.len()) as u32,
         };
-        ReplicaRow {
+        EndpointEntry {
             replica: names::node(&self.id),
             state: match self.state.as_str() {
-                "active" => ReplicaState::Ready,
-                "left" => ReplicaState::Gone,
+                "active" => EndpointState::Ready,
+                "left" => EndpointState::Gone,
                 // A state that is not known is no invitation to send.
-                _ => ReplicaState::Draining,
+                _ => EndpointState::Draining,
             },
-            last_start: (self.started_ms as Nanos).saturating_mul(1_000_000),
+            started_at: (self.started_ms as Nanos).saturating_mul(1_000_000),
             zone: ZoneId(place(&of.zones, &self.zone)),
             cell: self.cell,
             kind: place(&of.kinds, &self.kind),
@@ -83,7 +83,7 @@
 }
 
 /// Takes news of the list.
-pub fn take(host: &Rc<Host>, page: &Page, kind: ListKind) {
+pub fn take(host: &Rc<Host>, page: &Page, kind: ListUpdate) {
     let rows = last_rows(page, &host.deployment);
     if rows.len() < page.servers.len() {
         tracing::warn!(target: "node_list", version = page.version, rows = page.servers.len(), nodes = rows.len(),
@@ -92,25 +92,25 @@
     for (row, decoded) in &rows {
         tracing::debug!(target: "node_list", version = page.version, ?kind, node = %row.id, state = %row.state,
             started_ms = row.started_ms, machine = %row.kind, "node list: a row");
-        if decoded.state != ReplicaState::Gone {
-            let ready = decoded.state == ReplicaState::Ready;
+        if decoded.state != EndpointState::Gone {
+            let ready = decoded.state == EndpointState::Ready;
             host.nodes.set(decoded.replica, row.addr, row.started_ms, ready);
             host.nodes.name(decoded.replica, &row.id);
         }
     }
-    let (gone, there): (Vec<&ReplicaRow>, Vec<&ReplicaRow>) =
-        rows.iter().map(|(_, decoded)| decoded).partition(|r| r.state == ReplicaState::Gone);
+    let (gone, there): (Vec<&EndpointEntry>, Vec<&EndpointEntry>) =
+        rows.iter().map(|(_, decoded)| decoded).partition(|r| r.state == EndpointState::Gone);
     let gone: Vec<ReplicaId> = gone.iter().map(|r| r.replica).collect();
     let there: FxHashSet<ReplicaId> = there.iter().map(|r| r.replica).collect();
     host.with(|core, now| core.list(now, kind, rows.into_iter().map(|(_, decoded)| decoded).collect()));
     match kind {
-        ListKind::Delta => host.nodes.remove(&gone),
+        ListUpdate::Delta => host.nodes.remove(&gone),
         _ => host.nodes.retain(|id| there.contains(&id)),
     }
 }
 
 /// The rows of a page in their order, of each node the last one.
-fn last_rows<'a>(page: &'a Page, of: &Deployment) -> Vec<(&'a Row, ReplicaRow)> {
+fn last_rows<'a>(page: &'a Page, of: &Deployment) -> Vec<(&'a Row, EndpointEntry)> {
     let mut seen = FxHashSet::default();
     let from_the_end = page.servers.iter().rev().map(|row| (row, row.decode(of)));
     let mut rows: Vec<_> = from_the_end.filter(|(_, decoded)| seen.insert(decoded.replica)).collect();
@@ -205,7 +205,7 @@
 /// what the agent holds counts as told: there is one from the start, whatever the module asks. Ends never.
 pub async fn keep(host: Rc<Host>) {
     let limits = &host.limits;
-    let pushed = host.deployment.decisions.list == ListMode::Pushed;
+    let pushed = host.deployment.decisions.list_mode == EndpointListMode::Pushed;
     let asked = Terms { answer: limits.list_answer, silence: limits.list_silence, again: None };
     // The agent is the router's own: no others ask it, and it is asked as often as ever.
     let steady = Backoff { first: limits.agent_again, most: limits.agent_again };
@@ -252,7 +252,7 @@
             }
             why = current.run(&host) => {
                 tracing::warn!(target: "node_list", at = %current.place.at, why, "node list: watch lost");
-                host.with(|core, now| core.list(now, ListKind::Failed, Vec::new()));
+                host.with(|core, now| core.list(now, ListUpdate::Failed, Vec::new()));
             }
         }
     }
@@ -323,7 +323,7 @@
                         former.retired.set(true);
                     }
                     place.version.set(Some(page.version));
-                    take(host, &page, if page.full { ListKind::Full } else { ListKind::Delta });
+                    take(host, &page, if page.full { ListUpdate::Full } else { ListUpdate::Delta });
                     place.answered.notify_one();
                 }
                 if held.held() > limits.list_line {
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -171,7 +171,7 @@
 /// restart that takes the last router down before the one before it is back.
 fn alone(host: &Host) -> bool {
     let silent = host.peers.as_ref().is_some_and(|p| !p.heard_within(host.limits.peer_heard));
-    host.deployment.resume && (host.deployment.decisions.gateways == 1 || silent)
+    host.deployment.resume && (host.deployment.decisions.router_count == 1 || silent)
 }
 
 /// Goes through the stages to the end.
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use common::*;
-use tallypin::api::{Effect, ListKind, PeerId};
+use tallypin::api::{Effect, ListUpdate, PeerId};
 use tallypin_health::plan::{Phase, Wish};
 use tallypin_health::state::{Order, State};
 use tallypin_health::{grpc, orca};
@@ -82,7 +82,7 @@
     let host = Host::new(config, Chat, peers).unwrap();
     host.start();
     host.outward.guard(installation.gate.clone());
-    node_list::take(&host, &Page { version: 1, full: true, servers: rows }, ListKind::Cached);
+    node_list::take(&host, &Page { version: 1, full: true, servers: rows }, ListUpdate::Cached);
     let board = Board::new(&installation, host.outward.clone());
     let listening = checks::start(&host, &board).await.unwrap();
     let (listener, second) =
@@ -241,7 +241,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
         let cold = Row { started_ms: now, ..row("s-9", node.addr, "active") };
         let list = |servers| {
-            node_list::take(&router.host, &Page { version: 1, full: true, servers }, ListKind::Full)
+            node_list::take(&router.host, &Page { version: 1, full: true, servers }, ListUpdate::Full)
         };
         list(vec![cold]);
         router.until(|s| s == State::Degraded).await;
--- a/router/tests/cold_budget.rs
+++ b/router/tests/cold_budget.rs
@@ -22,20 +22,20 @@
 const COLD_S: f64 = 10.0;
 const COLD_SHARE: f64 = 0.2;
 
-fn row(n: u32, last_start: Nanos) -> ReplicaRow {
+fn row(n: u32, last_start: Nanos) -> EndpointEntry {
     let replica = names::node(&format!("s-{n}"));
-    ReplicaRow { replica, state: ReplicaState::Ready, last_start, ..ReplicaRow::default() }
+    EndpointEntry { replica, state: EndpointState::Ready, started_at: last_start, ..EndpointEntry::default() }
 }
 
 fn settings(cores: u32, me: u32) -> Settings {
     Settings {
-        me: PeerId(me),
-        gateways: cores,
-        cold: (COLD_S * SECOND as f64) as Nanos,
-        cold_share: COLD_SHARE,
-        fall: (FALL_S * SECOND as f64) as Nanos,
-        fall_multiple: FALL,
-        idle_close: 5 * SECOND,
+        own_index: PeerId(me),
+        router_count: cores,
+        warm_up_time: (COLD_S * SECOND as f64) as Nanos,
+        initial_capacity_share: COLD_SHARE,
+        overload_window: (FALL_S * SECOND as f64) as Nanos,
+        overload_multiple: FALL,
+        idle_timeout: 5 * SECOND,
         // What is over a share is another test.s matter.
         tenants: Vec::new(),
         digest: Digest::default(),
@@ -67,7 +67,7 @@
     fn core(cores: u32, me: u32, now: Nanos, last_start: Nanos) -> Core {
         let mut core = Core::new(settings(cores, me), u64::from(me), 10 * MS).unwrap();
         let start = |n| if n < STARTED { last_start } else { 0 };
-        core.list(now, ListKind::Cached, (0..NODES).map(|n| row(n, start(n))).collect());
+        core.list(now, ListUpdate::Cached, (0..NODES).map(|n| row(n, start(n))).collect());
         core
     }
 
@@ -93,7 +93,7 @@
                     c
                 }
                 Due::End(c, id, attempt) => {
-                    self.cores[c].ended(at, id, attempt, Outcome::Done.into());
+                    self.cores[c].ended(at, id, attempt, Outcome::Completed.into());
                     c
                 }
             };
@@ -121,7 +121,7 @@
         let now = START + step * 10 * MS;
         if now == told {
             for core in &mut fleet.cores {
-                core.list(now, ListKind::Delta, (0..STARTED).map(|n| row(n, last_start)).collect());
+                core.list(now, ListUpdate::Delta, (0..STARTED).map(|n| row(n, last_start)).collect());
             }
         }
         if restarts && now > told && step % (1200 / u64::from(cores)).max(1) == 0 {
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use tallypin::api::ListKind;
+use tallypin::api::ListUpdate;
 use tallypin_router::config::Config;
 use tallypin_router::core::Tallies;
 use tallypin_router::dialect::Dialect;
@@ -419,13 +419,13 @@
         let router = Router { host, addr, messages, _ports: ports };
         let servers = nodes.iter().enumerate();
         let servers = servers.map(|(i, n)| row(&format!("s-{i}"), n.addr, "active")).collect();
-        node_list::take(&router.host, &Page { version: 1, full: true, servers }, ListKind::Cached);
+        node_list::take(&router.host, &Page { version: 1, full: true, servers }, ListUpdate::Cached);
         router
     }
 
     pub fn list(&self, rows: impl IntoIterator<Item = Row>) {
         let page = Page { version: 1, full: true, servers: rows.into_iter().collect() };
-        node_list::take(&self.host, &page, ListKind::Full);
+        node_list::take(&self.host, &page, ListUpdate::Full);
     }
 
     pub fn tallies(&self) -> Tallies {
--- a/router/tests/core.rs
+++ b/router/tests/core.rs
@@ -24,12 +24,12 @@
 
 fn core_by(settings: Settings, nodes: u32) -> Core {
     let mut core = Core::new(settings, 7, 10 * MS).unwrap();
-    let row = |n: u32| ReplicaRow {
+    let row = |n: u32| EndpointEntry {
         replica: names::node(&format!("s-{n}")),
-        state: ReplicaState::Ready,
-        ..ReplicaRow::default()
+        state: EndpointState::Ready,
+        ..EndpointEntry::default()
     };
-    core.list(START, ListKind::Full, (0..nodes).map(row).collect());
+    core.list(START, ListUpdate::Full, (0..nodes).map(row).collect());
     core.orders();
     core
 }
@@ -51,16 +51,21 @@
     core.tick(START + 100 * MS);
     let orders = core.orders();
     assert!(matches!(orders[0], Order::Close(_, 0, _)), "{orders:?}");
-    assert!(matches!(answers(&orders)[..], [FinalAnswer::Refused(1.., Refusal::Room)]), "{orders:?}");
+    assert!(
+        matches!(answers(&orders)[..], [FinalAnswer::Refused(1.., RejectReason::NoCapacity)]),
+        "{orders:?}"
+    );
     assert!(!core.started(START + 101 * MS, id, 0));
-    core.ended(START + 102 * MS, id, 0, Outcome::Done.into());
+    core.ended(START + 102 * MS, id, 0, Outcome::Completed.into());
     core.client_left(START + 103 * MS, id);
     assert_eq!((core.orders().len(), core.open(), core.tallies().left), (0, 0, 0));
 }
 
 #[test]
 fn a_begun_stream_has_no_deadline_and_one_end() {
-    for (outcome, wanted) in [(Outcome::Done, FinalAnswer::Served), (Outcome::Reset, FinalAnswer::Broken)] {
+    for (outcome, wanted) in
+        [(Outcome::Completed, FinalAnswer::Served), (Outcome::ConnectionReset, FinalAnswer::Broken)]
+    {
         let mut core = core(2);
         let id = core.take(START, ask(100 * MS));
         assert!(core.started(START + 50 * MS, id, 0));
@@ -82,7 +87,7 @@
     core.orders();
     core.client_left(START + MS, id);
     core.client_left(START + MS, id);
-    core.ended(START + 2 * MS, id, 0, Outcome::Error.into());
+    core.ended(START + 2 * MS, id, 0, Outcome::ReplicaError.into());
     let orders = core.orders();
     assert!(matches!(orders[..], [Order::Close(_, 0, _)]), "{orders:?}");
     assert_eq!((core.open(), core.tallies().left), (0, 1));
@@ -95,9 +100,9 @@
     for attempt in 0..4 {
         let orders = core.orders();
         assert!(matches!(orders[..], [Order::Begin(_, n, ..)] if n == attempt), "{attempt}: {orders:?}");
-        core.ended(START + MS, id, attempt, Outcome::Busy.into());
+        core.ended(START + MS, id, attempt, Outcome::Rejected.into());
     }
-    assert!(matches!(answers(&core.orders())[..], [FinalAnswer::Refused(1.., Refusal::Room)]));
+    assert!(matches!(answers(&core.orders())[..], [FinalAnswer::Refused(1.., RejectReason::NoCapacity)]));
     assert_eq!(core.tallies().outcomes, [0, 0, 4, 0, 0, 0, 0, 0]);
 }
 
@@ -156,7 +161,7 @@
         let id = core.take(START, ask(4 * SECOND));
         assert!(core.may_write(START, id, 0));
         core.orders();
-        core.ended(START + later, id, 0, Outcome::Reset.into());
+        core.ended(START + later, id, 0, Outcome::ConnectionReset.into());
         let orders = core.orders();
         assert!(matches!(orders[..], [Order::Begin(_, 1, ..)]), "{orders:?}");
         assert_eq!(core.may_write(written_at, id, 1), may, "{} ms", (written_at - START) / MS);
@@ -164,7 +169,7 @@
     // Without an attempt that may have run there is no window.
     let mut core = core_of(token(Group::All), 2);
     let id = core.take(START, ask(4 * SECOND));
-    core.ended(START + WINDOW, id, 0, Outcome::Refused.into());
+    core.ended(START + WINDOW, id, 0, Outcome::ConnectionRefused.into());
     assert!(core.may_write(START + 2 * WINDOW, id, 1));
     // And nobody is written for whose time is up.
     assert!(!core.may_write(START + 4 * SECOND, id, 1));
@@ -178,7 +183,7 @@
         let now = START + n * MS;
         let id = core.take(now, ask(86_400 * SECOND));
         assert!(core.started(now, id, 0));
-        core.ended(now, id, 0, Outcome::Done.into());
+        core.ended(now, id, 0, Outcome::Completed.into());
         core.orders();
         core.tick(now);
     }
@@ -228,16 +233,16 @@
     assert_eq!(of.impossible(), None, "{settings}");
     let (set, resumed) = (of.decisions.clone(), of.resume);
     let mut core = Core::new(set.clone(), seed, 10 * MS).expect("usable");
-    let row = |n: u32, state, started| ReplicaRow {
+    let row = |n: u32, state, started| EndpointEntry {
         replica: names::node(&format!("s-{n}")),
         state,
-        last_start: started,
+        started_at: started,
         zone: ZoneId(n % 3),
         cell: n / 2,
         kind: n % 4,
     };
     let (mut now, mut all, mut out, mut drained) = (START, Vec::new(), Vec::new(), Vec::new());
-    core.list(now, ListKind::Cached, (0..8).map(|n| row(n, ReplicaState::Ready, 0)).collect());
+    core.list(now, ListUpdate::Cached, (0..8).map(|n| row(n, EndpointState::Ready, 0)).collect());
     let (mut taken, mut answered) = (0u64, std::collections::BTreeMap::new());
     // The effect of each request, and of its attempts those that may have run.
     let (mut effects, mut ran) = (std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
@@ -270,13 +275,13 @@
             9 if rng.u8(..20) == 0 => core.answer_before_end(now, rng.bool().then_some(now - SECOND)),
             6 => {
                 let (n, state) =
-                    (rng.u32(..8), [ReplicaState::Ready, ReplicaState::Draining][rng.usize(..2)]);
+                    (rng.u32(..8), [EndpointState::Ready, EndpointState::Draining][rng.usize(..2)]);
                 let id = names::node(&format!("s-{n}"));
                 drained.retain(|d| *d != id);
-                drained.extend((state != ReplicaState::Ready).then_some(id));
-                core.list(now, ListKind::Delta, vec![row(n, state, now - rng.u64(..9) * SECOND)]);
+                drained.extend((state != EndpointState::Ready).then_some(id));
+                core.list(now, ListUpdate::Delta, vec![row(n, state, now - rng.u64(..9) * SECOND)]);
             }
-            7 => core.list(now, ListKind::Failed, Vec::new()),
+            7 => core.list(now, ListUpdate::Failed, Vec::new()),
             8 => {
                 let noise: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
                 let hits: Vec<_> = (0..rng.u32(..4)).map(|tenant| (rng.u32(..2_000_000), tenant)).collect();
@@ -298,9 +303,14 @@
                     }
                 }
                 _ => {
-                    let outcomes =
-                        [Outcome::Done, Outcome::Error, Outcome::Busy, Outcome::Refused, Outcome::Reset];
-                    let outcome = if begun { Outcome::Done } else { outcomes[rng.usize(1..5)] };
+                    let outcomes = [
+                        Outcome::Completed,
+                        Outcome::ReplicaError,
+                        Outcome::Rejected,
+                        Outcome::ConnectionRefused,
+                        Outcome::ConnectionReset,
+                    ];
+                    let outcome = if begun { Outcome::Completed } else { outcomes[rng.usize(1..5)] };
                     if outcome.never_ran() {
                         ran.remove(&(id, attempt));
                     }
@@ -313,7 +323,7 @@
             match &order {
                 Order::Begin(id, attempt, node, _) => {
                     assert!(!drained.contains(node), "rule 3: {order:?}");
-                    assert!(*attempt < set.try_limit && !answered.contains_key(id), "rule 1: {order:?}");
+                    assert!(*attempt < set.max_attempts && !answered.contains_key(id), "rule 1: {order:?}");
                     out.push((*id, *attempt, false));
                     if rng.u8(..5) > 0 && core.may_write(now, *id, *attempt) {
                         let repeat = ran.iter().any(|(of, _)| of == id);
@@ -325,9 +335,9 @@
                 Order::Answer(id, with, _) => {
                     assert_eq!(answered.insert(*id, *with), None, "one final answer")
                 }
-                Order::Probe(_) => assert!(set.probes, "no probe where none is allowed"),
-                Order::Tell(bytes) => assert!(set.peers && bytes.len() <= 256),
-                Order::Watch => assert!(set.list != ListMode::Pushed),
+                Order::Probe(_) => assert!(set.can_probe, "no probe where none is allowed"),
+                Order::Tell(bytes) => assert!(set.has_peers && bytes.len() <= 256),
+                Order::Watch => assert!(set.list_mode != EndpointListMode::Pushed),
             }
             all.push(match order {
                 // Its digest is that of the tenants' names, which is all that names may decide.
@@ -345,7 +355,7 @@
     }
     // Streams that have begun have no deadline; all else has been answered by now.
     for (id, attempt, _) in out {
-        core.ended(now, id, attempt, Outcome::Reset.into());
+        core.ended(now, id, attempt, Outcome::ConnectionReset.into());
     }
     let late = core.orders().into_iter().filter(|o| matches!(o, Order::Answer(..))).count() as u64;
     assert_eq!(answered.len() as u64 + late, taken, "each request has its answer");
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use tallypin::api::{ListKind, ReplicaState};
+use tallypin::api::{EndpointState, ListUpdate};
 use tallypin_router::dialect::Dialect::Chat;
 use tallypin_router::node_list::{self, Page, Row};
 use tokio::net::TcpListener;
@@ -14,8 +14,8 @@
 /// So many rows stay within the longest object of the list.
 const MANY: usize = 30_000;
 
-fn pages(kind: ListKind, rows: Vec<Row>) -> Page {
-    Page { version: 1, full: kind == ListKind::Full, servers: rows }
+fn pages(kind: ListUpdate, rows: Vec<Row>) -> Page {
+    Page { version: 1, full: kind == ListUpdate::Full, servers: rows }
 }
 
 /// Guards against a look at all rows for each of them: it held the router up for seconds.
@@ -26,10 +26,10 @@
         let router = Router::new(Chat, &[], |_| {}).await;
         let rows: Vec<Row> = (0..MANY).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
         let began = Instant::now();
-        node_list::take(&router.host, &pages(ListKind::Full, rows.clone()), ListKind::Full);
-        node_list::take(&router.host, &pages(ListKind::Full, rows), ListKind::Full);
+        node_list::take(&router.host, &pages(ListUpdate::Full, rows.clone()), ListUpdate::Full);
+        node_list::take(&router.host, &pages(ListUpdate::Full, rows), ListUpdate::Full);
         let changed = vec![row("s-7", node.addr, "left")];
-        node_list::take(&router.host, &pages(ListKind::Delta, changed), ListKind::Delta);
+        node_list::take(&router.host, &pages(ListUpdate::Delta, changed), ListUpdate::Delta);
         let took = began.elapsed();
         assert!(took < Duration::from_secs(3), "two whole lists of {MANY} rows took {took:?}");
         assert_eq!(router.host.nodes.ready(), MANY - 1);
@@ -41,7 +41,7 @@
 #[test]
 fn of_a_node_s_rows_in_one_page_the_last_counts_everywhere() {
     run(async {
-        for kind in [ListKind::Delta, ListKind::Full] {
+        for kind in [ListUpdate::Delta, ListUpdate::Full] {
             for (states, ready) in [(["left", "active"], true), (["active", "left"], false)] {
                 let node = Node::new(Chat).await;
                 let router = Router::new(Chat, &[&node], |_| {}).await;
@@ -49,7 +49,7 @@
                 node_list::take(&router.host, &pages(kind, rows), kind);
                 let by_module = router
                     .host
-                    .with(|core, _| core.listed().filter(|r| r.state == ReplicaState::Ready).count());
+                    .with(|core, _| core.listed().filter(|r| r.state == EndpointState::Ready).count());
                 let case = format!("{kind:?}, {states:?}");
                 assert_eq!(
                     (by_module, router.host.nodes.ready()),
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -201,14 +201,14 @@
         old_watch.write_all(page(42, false, "s-1", &node, "active").as_bytes()).unwrap();
         arrived(&[&new_watch, &old_watch], Arrival::Data);
         let state = || router.host.with(|core, _| core.listed().map(|r| r.state).next());
-        until(|| state() != Some(tallypin::api::ReplicaState::Ready)).await;
+        until(|| state() != Some(tallypin::api::EndpointState::Ready)).await;
         for _ in 0..50 {
             tokio::task::yield_now().await;
-            assert_eq!(state(), Some(tallypin::api::ReplicaState::Draining), "undone by the former place");
+            assert_eq!(state(), Some(tallypin::api::EndpointState::Draining), "undone by the former place");
         }
         // The new one is followed from now on.
         new_watch.write_all(page(8, false, "s-1", &node, "active").as_bytes()).unwrap();
-        until(|| state() == Some(tallypin::api::ReplicaState::Ready)).await;
+        until(|| state() == Some(tallypin::api::EndpointState::Ready)).await;
     });
 }
 
@@ -232,7 +232,7 @@
         say(page(42, false, "s-1", &node, "active"));
         say(page(44, false, "s-2", &node, "active"));
         until(|| rows("s-2").is_some()).await;
-        assert_eq!(rows("s-1"), Some(tallypin::api::ReplicaState::Draining));
+        assert_eq!(rows("s-1"), Some(tallypin::api::EndpointState::Draining));
         // A service that has started anew counts from the beginning.
         say(page(1, true, "s-3", &node, "active"));
         until(|| rows("s-3").is_some()).await;
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -9,7 +9,7 @@
 
 use common::*;
 use recording::{path, raw_answer, Mask, Recording};
-use tallypin::api::{Effect, ListMode, PeerId, RequestId};
+use tallypin::api::{Effect, EndpointListMode, PeerId, RequestId};
 use tallypin_router::config::PeerAddresses;
 use tallypin_router::dialect::Dialect::{self, Chat, Messages};
 use tallypin_router::limits::Limits;
@@ -452,12 +452,14 @@
 fn calls_of_the_node_list_stay_byte_for_byte() {
     run(async {
         let mut recording = Recording::new("node-list-calls");
-        for (title, mode) in [("asked", config().deployment.decisions.list), ("pushed", ListMode::Pushed)] {
+        for (title, mode) in
+            [("asked", config().deployment.decisions.list_mode), ("pushed", EndpointListMode::Pushed)]
+        {
             let node = Node::new(Chat).await;
             let ports = [(); 2].map(|()| ReservedPort::new());
             let (old, new) = (ports[0].listen().await, ports[1].listen().await);
             let mut config = config();
-            (config.deployment.decisions.list, config.node_list) = (mode, ports[0].addr());
+            (config.deployment.decisions.list_mode, config.node_list) = (mode, ports[0].addr());
             config.limits.list_again = 10 * MS;
             let (running, mut moved) = (Running::of(&config), config.clone());
             let router = Router::by(config, Chat, &[], None).await;
@@ -488,7 +490,7 @@
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let mine = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let mut config = config();
-        config.deployment.decisions.gateways = 2;
+        config.deployment.decisions.router_count = 2;
         let digest = config.deployment.decisions.digest;
         let each = vec![mine, other.local_addr().unwrap()];
         let addresses = PeerAddresses { listen: mine, each, all: None };
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -255,7 +255,7 @@
         let node = Node::new(Chat).await;
         let mut config = config();
         // A node that has just started takes work at once here: this is about connections.
-        config.deployment.decisions.cold = 0;
+        config.deployment.decisions.warm_up_time = 0;
         let router = Router::by(config, Chat, &[&node], None).await;
         let mut client = Client::to(router.addr).await;
         assert_eq!(client.ask("").await.0, 200);
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -7,7 +7,7 @@
 
 use common::*;
 use tallypin::api::Digest;
-use tallypin::api::{ListMode, PeerId};
+use tallypin::api::{EndpointListMode, PeerId};
 use tallypin::report;
 use tallypin_router::config::PeerAddresses;
 use tallypin_router::dialect::Dialect::Chat;
@@ -567,7 +567,7 @@
         let node = Node::new(Chat).await;
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
-        config.deployment.decisions.list = ListMode::Pushed;
+        config.deployment.decisions.list_mode = EndpointListMode::Pushed;
         config.node_list = agent.local_addr().unwrap();
         (config.limits.list_silence, config.limits.agent_answer) = (100 * MS, 50 * MS);
         let router = Router::by(config, Chat, &[], None).await;
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -84,7 +84,7 @@
                 Err(e) => return Ok(Err(Malformed { who: Some(who), ..e })),
             }
         }
-        self.handle(who, Event::List { kind, rows });
+        self.handle(who, Event::EndpointList { kind, rows });
         Ok(Ok(()))
     }
 
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -110,14 +110,14 @@
 
     fn outcome(&self) -> Result<Outcome, Malformed> {
         Ok(match self.need("How")? {
-            "done" => Outcome::Done,
-            "err" => Outcome::Error,
-            "busy" => Outcome::Busy,
+            "done" => Outcome::Completed,
+            "err" => Outcome::ReplicaError,
+            "busy" => Outcome::Rejected,
             "etimedout" => Outcome::TimedOut,
-            "econnrefused" => Outcome::Refused,
-            "econnreset" => Outcome::Reset,
+            "econnrefused" => Outcome::ConnectionRefused,
+            "econnreset" => Outcome::ConnectionReset,
             "ecanceled" => Outcome::Cancelled,
-            "skipped" => Outcome::Skipped,
+            "skipped" => Outcome::NotSent,
             _ => return Err(self.bad("How", "unknown outcome")),
         })
     }
@@ -147,18 +147,18 @@
 }
 
 /// A row of a list event.
-pub fn parse_row(line: &str, names: &mut Names) -> Result<ReplicaRow, Malformed> {
+pub fn parse_row(line: &str, names: &mut Names) -> Result<EndpointEntry, Malformed> {
     let f = Fields::new(line);
     let state = match f.need("Status")? {
-        "0" => ReplicaState::Gone,
-        "1" => ReplicaState::Ready,
-        "2" => ReplicaState::Draining,
+        "0" => EndpointState::Gone,
+        "1" => EndpointState::Ready,
+        "2" => EndpointState::Draining,
         _ => return Err(f.bad("Status", "none of 0, 1, 2")),
     };
-    Ok(ReplicaRow {
+    Ok(EndpointEntry {
         replica: names.id(f.need("Replica")?),
         state,
-        last_start: f.number_or("LastStartNs", 0)?,
+        started_at: f.number_or("LastStartNs", 0)?,
         zone: ZoneId(f.number_or("FailureDomain", 0)?),
         cell: f.number_or("Stripe", 0)?,
         kind: f.number_or("ClassOfHost", 0)?,
@@ -166,12 +166,12 @@
 }
 
 /// The head of a list event: its kind and how many rows follow.
-pub fn parse_list(f: &Fields) -> Result<(ListKind, usize), Malformed> {
+pub fn parse_list(f: &Fields) -> Result<(ListUpdate, usize), Malformed> {
     let kind = match f.need("Form")? {
-        "0" => ListKind::Delta,
-        "1" => ListKind::Full,
-        "2" => ListKind::Cached,
-        "3" => ListKind::Failed,
+        "0" => ListUpdate::Delta,
+        "1" => ListUpdate::Full,
+        "2" => ListUpdate::Cached,
+        "3" => ListUpdate::Failed,
         _ => return Err(f.bad("Form", "none of 0, 1, 2, 3")),
     };
     Ok((kind, f.number_or("RowsIn", 0)?))
@@ -184,40 +184,40 @@
             id: RequestId(f.number("Ref")?),
             class: ClassId(f.number("Kind")?),
             tenant: TenantId(f.number_or("UserGroup", 0)?),
-            left: f.number("LeftNs")?,
+            time_left: f.number("LeftNs")?,
             prompt_tokens: f.tokens("NPrompt")?,
             prefix_tokens: f.tokens("NPrefix")?,
             session: f.get("Resource").map(|s| names::session(s.as_bytes())),
             prefix: f.get("PrefixId").map(|s| names::beginning(s.as_bytes())),
-            returned: f.flag("Returned")?,
-            again: f.flag("AgainByClient")?,
+            resumes_stream: f.flag("Returned")?,
+            is_client_retry: f.flag("AgainByClient")?,
         }),
         "STREAMING" => Event::FirstToken {
             request: RequestId(f.number("Ref")?),
             attempt: f.number("N")?,
-            after: f.number("DurationNs")?,
+            elapsed: f.number("DurationNs")?,
         },
-        "FINISHED" => Event::Ended(Ended {
+        "FINISHED" => Event::AttemptEnded(AttemptEnded {
             request: RequestId(f.number("Ref")?),
             attempt: f.number("N")?,
             outcome: f.outcome()?,
-            after: f.number_or("DurationNs", 0)?,
-            over: f.flag("DoneFlag")?,
+            elapsed: f.number_or("DurationNs", 0)?,
+            request_over: f.flag("DoneFlag")?,
             // A zero is not written: an answer without a note found nothing kept.
-            kept_tokens: Some(f.tokens("Note")?).filter(|_| f.get("How") == Some("done")),
+            cached_tokens: Some(f.tokens("Note")?).filter(|_| f.get("How") == Some("done")),
             load: f.row("Telemetry")?,
         }),
-        "VANISHED" => Event::ClientGone(RequestId(f.number("Ref")?)),
+        "VANISHED" => Event::ClientLeft(RequestId(f.number("Ref")?)),
         "WAKEUP" => match f.need("KeyBack")?.parse() {
             Ok(token) => Event::Timer(token),
             Err(_) => return Ok(None), // Not one of ours.
         },
-        "PROBE_DONE" => Event::Probed {
+        "PROBE_DONE" => Event::ProbeEnded {
             replica: names.id(f.need("Replica")?),
             outcome: f.outcome()?,
             load: f.row("Telemetry")?,
         },
-        "PEER" => Event::Peer { from: PeerId(f.number("From")?), bytes: parse_hex(f)? },
+        "PEER" => Event::PeerMessage { from: PeerId(f.number("From")?), bytes: parse_hex(f)? },
         _ => return Ok(None),
     }))
 }
@@ -236,14 +236,14 @@
 pub fn write_action(who: u32, action: &Action, names: &Names, to: &mut String) {
     let name = |r: &ReplicaId| names.name(*r);
     let written = match action {
-        Action::Send { request, replica, limit } => {
+        Action::Send { request, replica, timeout: limit } => {
             let replica = name(replica);
             writeln!(to, "ISSUE Who=gateway-{who} Ref={} Replica={replica} LimitNs={limit}", request.0)
         }
-        Action::Refuse { request, retry_after: 0, .. } => {
+        Action::Reject { request, retry_after: 0, .. } => {
             writeln!(to, "REJECT Who=gateway-{who} Ref={}", request.0)
         }
-        Action::Refuse { request, retry_after, .. } => {
+        Action::Reject { request, retry_after, .. } => {
             writeln!(to, "REJECT Who=gateway-{who} Ref={} ComeBackNs={retry_after}", request.0)
         }
         Action::Fail(request) => writeln!(to, "LOSE Who=gateway-{who} Ref={}", request.0),
@@ -251,8 +251,8 @@
             writeln!(to, "REVOKE Who=gateway-{who} Ref={} N={attempt}", request.0)
         }
         Action::Probe(replica) => writeln!(to, "PROBE Who=gateway-{who} Replica={}", name(replica)),
-        Action::Watch => writeln!(to, "KEEP_INFORMED Who=gateway-{who} Active=1"),
-        Action::Tell(bytes) => {
+        Action::WatchEndpoints => writeln!(to, "KEEP_INFORMED Who=gateway-{who} Active=1"),
+        Action::Gossip(bytes) => {
             let _ = write!(to, "TELL Who=gateway-{who} To=* Content=");
             if bytes.is_empty() {
                 to.push('-');
--- a/simhost/src/wire/tests.rs
+++ b/simhost/src/wire/tests.rs
@@ -11,8 +11,8 @@
                     NPrompt=1800 NPrefix=1200 UserGroup=2 Resource=conv:y Returned=1 NMax=256 Novel=7";
     let Ok(Some(Event::Request(r))) = event(full) else { panic!("not a request") };
     assert_eq!((r.id, r.class, r.tenant), (RequestId(2554927284654532), ClassId(1), TenantId(2)));
-    assert_eq!((r.left, r.prompt_tokens, r.prefix_tokens), (240_000_000, 1800, 1200));
-    assert!(r.returned && r.session.is_some() && r.prefix.is_some());
+    assert_eq!((r.time_left, r.prompt_tokens, r.prefix_tokens), (240_000_000, 1800, 1200));
+    assert!(r.resumes_stream && r.session.is_some() && r.prefix.is_some());
     let Ok(Some(Event::Request(r))) = event("DEMAND Who=gateway-3 Ref=7 Kind=0 LeftNs=5") else { panic!() };
     assert_eq!((r.tenant, r.prompt_tokens, r.session, r.prefix), (TenantId(0), 0, None, None));
 }
@@ -20,11 +20,11 @@
 #[test]
 fn an_outcome_without_a_note_found_nothing_kept() {
     let line = "FINISHED Who=gateway-3 Ref=2 N=0 Replica=10.1.1.1:5 How=done DurationNs=1 DoneFlag=1";
-    let Ok(Some(Event::Ended(e))) = event(line) else { panic!() };
-    assert_eq!((e.kept_tokens, e.over, e.load), (Some(0), true, vec![]));
+    let Ok(Some(Event::AttemptEnded(e))) = event(line) else { panic!() };
+    assert_eq!((e.cached_tokens, e.request_over, e.load), (Some(0), true, vec![]));
     let line = "FINISHED Who=gateway-3 Ref=2 N=0 Replica=a:5 How=busy DurationNs=1 Telemetry=0.5,3,1.25";
-    let Ok(Some(Event::Ended(e))) = event(line) else { panic!() };
-    assert_eq!((e.kept_tokens, e.outcome, e.load), (None, Outcome::Busy, vec![0.5, 3.0, 1.25]));
+    let Ok(Some(Event::AttemptEnded(e))) = event(line) else { panic!() };
+    assert_eq!((e.cached_tokens, e.outcome, e.load), (None, Outcome::Rejected, vec![0.5, 3.0, 1.25]));
 }
 
 #[test]
@@ -57,14 +57,14 @@
     let mut names = Names::default();
     let line = "M Status=1 Replica=10.18.74.7:5003 LastStartNs=6 FailureDomain=2 ClassOfHost=1 Stripe=4";
     let row = parse_row(line, &mut names).unwrap();
-    assert_eq!((row.state, row.zone, row.kind, row.cell), (ReplicaState::Ready, ZoneId(2), 1, 4));
+    assert_eq!((row.state, row.zone, row.kind, row.cell), (EndpointState::Ready, ZoneId(2), 1, 4));
     let mut text = String::new();
     let request = RequestId(9);
-    let send = Action::Send { request, replica: row.replica, limit: 80 };
+    let send = Action::Send { request, replica: row.replica, timeout: 80 };
     for a in [
         send,
-        Action::Refuse { request, retry_after: 5, why: Refusal::Share },
-        Action::Tell(vec![0x68, 0x0a]),
+        Action::Reject { request, retry_after: 5, reason: RejectReason::QuotaExceeded },
+        Action::Gossip(vec![0x68, 0x0a]),
     ] {
         write_action(3, &a, &names, &mut text);
     }
@@ -87,6 +87,12 @@
     assert_eq!((seed, s.classes.len(), s.tenants.len()), (5, 2, 0));
     assert_eq!(s.classes[0].effect, Effect::Token { group: Group::Zone, window: 7 });
     assert_eq!(s.classes[1].effect, Effect::SideEffect, "what is not said to be repeatable is not");
-    assert!(!s.peers && !s.probes && !s.cancel && !s.parallel_tries && s.list == ListMode::Pushed);
+    assert!(
+        !s.has_peers
+            && !s.can_probe
+            && !s.can_cancel
+            && !s.concurrent_attempts
+            && s.list_mode == EndpointListMode::Pushed
+    );
     assert_eq!(born("{oops").unwrap_err().field, "ProfileData");
 }
--- a/simulator/src/file.rs
+++ b/simulator/src/file.rs
@@ -232,12 +232,12 @@
         let token_aim = time(classes, "token-aim");
         (
             Class {
-                aim,
-                aim_per_1000_tokens: per_1000,
-                token_aim,
+                latency_objective: aim,
+                latency_objective_per_1000_tokens: per_1000,
+                token_interval_objective: token_aim,
                 effect: Effect::Pure,
-                worth: 1.0,
-                late_share: 0.0,
+                priority_weight: 1.0,
+                late_value_share: 0.0,
             },
             deadline,
         )
--- a/simulator/src/plans.rs
+++ b/simulator/src/plans.rs
@@ -34,12 +34,12 @@
 /// A fleet of so many nodes behind so many routers, asked for `load` of what it can about bear, for `length` s.
 pub fn fleet(seed: u64, nodes: u32, routers: u32, load: f64, length: u64) -> Plan {
     let class = |aim: u64| Class {
-        aim: aim * MS,
-        aim_per_1000_tokens: 45 * MS,
-        token_aim: 80 * MS,
+        latency_objective: aim * MS,
+        latency_objective_per_1000_tokens: 45 * MS,
+        token_interval_objective: 80 * MS,
         effect: Effect::Pure,
-        worth: 1.0,
-        late_share: 0.0,
+        priority_weight: 1.0,
+        late_value_share: 0.0,
     };
     // About what a node of the older kind serves with a batch that keeps the pace, sessions finding what they left.
     let bears = 4.0 * f64::from(nodes);
--- a/simulator/src/policy.rs
+++ b/simulator/src/policy.rs
@@ -144,10 +144,10 @@
 impl Policy for Plain {
     fn handle(&mut self, _: Nanos, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::List { rows, .. } => {
+            Event::EndpointList { rows, .. } => {
                 for row in rows {
                     let at = self.ready.iter().position(|id| *id == row.replica);
-                    match (at, row.state == ReplicaState::Ready) {
+                    match (at, row.state == EndpointState::Ready) {
                         (None, true) => self.ready.push(row.replica),
                         (Some(i), false) => {
                             self.ready.swap_remove(i);
@@ -160,11 +160,15 @@
                 Some(replica) => {
                     *self.open.entry(replica).or_default() += 1;
                     self.at.insert(r.id, replica);
-                    out.push(Action::Send { request: r.id, replica, limit: r.left });
+                    out.push(Action::Send { request: r.id, replica, timeout: r.time_left });
                 }
-                None => out.push(Action::Refuse { request: r.id, retry_after: 0, why: Refusal::Room }),
+                None => out.push(Action::Reject {
+                    request: r.id,
+                    retry_after: 0,
+                    reason: RejectReason::NoCapacity,
+                }),
             },
-            Event::Ended(e) => {
+            Event::AttemptEnded(e) => {
                 if let Some(replica) = self.at.remove(&e.request) {
                     match self.open.get_mut(&replica) {
                         Some(n) if *n > 1 => *n -= 1,
@@ -173,7 +177,7 @@
                         }
                     }
                 }
-                if !e.over {
+                if !e.request_over {
                     out.push(Action::Fail(e.request));
                 }
             }
--- a/simulator/src/world.rs
+++ b/simulator/src/world.rs
@@ -169,7 +169,7 @@
     pushed: VecDeque<(Time, f64)>,
     /// Pushed over: nothing more comes of it.
     down: bool,
-    row: ReplicaRow,
+    row: EndpointEntry,
 }
 
 struct Try {
@@ -211,7 +211,7 @@
     open: u64,
     sessions: Vec<Session>,
     next_session: u64,
-    changes: Vec<ReplicaRow>,
+    changes: Vec<EndpointEntry>,
     messages: Vec<(u32, PeerId, Vec<u8>)>,
     arrivals: ChaCha8Rng,
     prompts: ChaCha8Rng,
@@ -240,26 +240,26 @@
     pub fn new(plan: &'a Plan, policy: impl Fn(Settings, u64) -> Box<dyn Policy>) -> Self {
         let mut seeds = draw::stream(plan.seed, "routers");
         let settings = |me| Settings {
-            me: PeerId(me),
-            gateways: plan.routers,
+            own_index: PeerId(me),
+            router_count: plan.routers,
             zone: ZoneId(0),
             tenants: plan.tenants.clone(),
             digest: Digest::default(),
             classes: plan.classes.clone(),
-            try_limit: 4,
-            parallel_tries: true,
-            cancel: true,
-            peers: plan.routers > 1,
-            probes: false,
+            max_attempts: 4,
+            concurrent_attempts: true,
+            can_cancel: true,
+            has_peers: plan.routers > 1,
+            can_probe: false,
             max_retry_after: 2 * SECOND,
-            list: ListMode::Pushed,
-            report: vec![],
-            cold_share: plan.cold_share,
-            cold: plan.cold,
-            fall: PUSH.1,
-            fall_multiple: PUSH.0,
-            cross_zone_price: 0.0,
-            idle_close: 5 * SECOND,
+            list_mode: EndpointListMode::Pushed,
+            report_fields: vec![],
+            initial_capacity_share: plan.cold_share,
+            warm_up_time: plan.cold,
+            overload_window: PUSH.1,
+            overload_multiple: PUSH.0,
+            cross_zone_cost: 0.0,
+            idle_timeout: 5 * SECOND,
         };
         let routers = (0..plan.routers).map(|me| policy(settings(me), seeds.random())).collect();
         let stream = |name| draw::stream(plan.seed, name);
@@ -288,9 +288,9 @@
         for _ in 0..plan.nodes {
             world.add_node(0);
         }
-        let rows: Vec<ReplicaRow> = world.nodes.iter().map(|n| n.row.clone()).collect();
+        let rows: Vec<EndpointEntry> = world.nodes.iter().map(|n| n.row.clone()).collect();
         for router in 0..plan.routers {
-            world.tell(router, Event::List { kind: ListKind::Full, rows: rows.clone() });
+            world.tell(router, Event::EndpointList { kind: ListUpdate::Full, rows: rows.clone() });
         }
         let start = world.now;
         world.queue.put(start, What::Arrival);
@@ -307,10 +307,10 @@
     fn add_node(&mut self, started: Time) -> u32 {
         let number = self.nodes.len() as u32;
         let kind = &self.plan.kinds[number as usize % self.plan.kinds.len()];
-        let row = ReplicaRow {
+        let row = EndpointEntry {
             replica: ReplicaId(u64::from(number) + 1),
-            state: ReplicaState::Ready,
-            last_start: started,
+            state: EndpointState::Ready,
+            started_at: started,
             zone: ZoneId(0),
             cell: 0,
             kind: number % self.plan.kinds.len() as u32,
@@ -380,23 +380,26 @@
                 if !r.over && !r.tries.iter().any(|t| t.first.is_some()) {
                     self.answer(request, |result| &mut result.failed);
                     let router = self.requests[request as usize].router;
-                    self.tell(router, Event::ClientGone(RequestId(u64::from(request))));
+                    self.tell(router, Event::ClientLeft(RequestId(u64::from(request))));
                 }
             }
             What::Again { request } => self.again(request),
             What::List { change } => {
                 let row = self.changes[change as usize].clone();
-                if row.state != ReplicaState::Ready {
+                if row.state != EndpointState::Ready {
                     let node = &mut self.nodes[row.replica.0 as usize - 1];
                     node.closed = node.closed.or(Some(self.now + DRAIN_KEPT));
                 }
                 for router in 0..self.routers.len() as u32 {
-                    self.tell(router, Event::List { kind: ListKind::Delta, rows: vec![row.clone()] });
+                    self.tell(
+                        router,
+                        Event::EndpointList { kind: ListUpdate::Delta, rows: vec![row.clone()] },
+                    );
                 }
             }
             What::Peer { message } => {
                 let (to, from, bytes) = std::mem::take(&mut self.messages[message as usize]);
-                self.tell(to, Event::Peer { from, bytes });
+                self.tell(to, Event::PeerMessage { from, bytes });
             }
             What::Deploy { step } => self.deploy(step),
             What::Gone { node } => self.gone(node),
@@ -467,13 +470,13 @@
             id: RequestId(u64::from(id)),
             class: ClassId(open.class),
             tenant: TenantId(open.tenant),
-            left: deadline - self.now,
+            time_left: deadline - self.now,
             prompt_tokens: job.prompt,
             prefix_tokens: job.prefix_tokens,
             session: Some(SessionKey(job.session)),
             prefix: Some(PrefixKey(job.prefix)),
-            returned: false,
-            again: false,
+            resumes_stream: false,
+            is_client_retry: false,
         };
         self.requests.push(open);
         self.open += 1;
@@ -504,7 +507,7 @@
 
     fn act(&mut self, router: u32, action: Action) {
         match action {
-            Action::Send { request, replica, limit } => {
+            Action::Send { request, replica, timeout: limit } => {
                 let (request, node) = (request.0 as u32, replica.0 as u32 - 1);
                 let r = &mut self.requests[request as usize];
                 let attempt = r.tries.len() as u32;
@@ -521,7 +524,7 @@
                 self.queue.put(self.now + self.plan.latency, What::Reach { request, attempt });
                 self.queue.put(self.now + limit, What::Limit { request, attempt });
             }
-            Action::Refuse { request, retry_after, .. } => self.refuse(request.0 as u32, retry_after),
+            Action::Reject { request, retry_after, .. } => self.refuse(request.0 as u32, retry_after),
             Action::Fail(request) => self.answer(request.0 as u32, |result| &mut result.failed),
             Action::Cancel { request, attempt } => {
                 let request = request.0 as u32;
@@ -532,7 +535,7 @@
                     self.queue.put(self.now, What::Done { request, attempt, outcome: Outcome::Cancelled });
                 }
             }
-            Action::Tell(bytes) => {
+            Action::Gossip(bytes) => {
                 for to in (0..self.plan.routers).filter(|&to| to != router) {
                     if !self.net.random_bool(self.plan.peer_loss) {
                         self.messages.push((to, PeerId(router), bytes.clone()));
@@ -543,7 +546,7 @@
             }
             Action::WakeAt { at, token } => self.queue.put(at.max(self.now), What::Timer { router, token }),
             // The list is pushed, and probes are not allowed here.
-            Action::Watch | Action::Probe(_) => {}
+            Action::WatchEndpoints | Action::Probe(_) => {}
         }
     }
 
@@ -594,10 +597,10 @@
         self.push(node, &job);
         let n = &mut self.nodes[node as usize];
         let outcome = match n.row.state {
-            _ if n.down => Outcome::Refused,
-            ReplicaState::Gone => Outcome::Refused,
+            _ if n.down => Outcome::ConnectionRefused,
+            EndpointState::Gone => Outcome::ConnectionRefused,
             _ if n.engine.offer(self.now, job) => return self.plan_step(node),
-            _ => Outcome::Busy,
+            _ => Outcome::Rejected,
         };
         self.queue.put(self.now + self.plan.latency, What::Done { request, attempt, outcome });
     }
@@ -618,7 +621,7 @@
         // Capacity within the window, as it was in its middle, and two requests of slack for chance.
         let able = times
             * window as f64
-            * n.engine.warmth(self.now.saturating_sub(window / 2).max(n.row.last_start));
+            * n.engine.warmth(self.now.saturating_sub(window / 2).max(n.row.started_at));
         if work > able + 2.0 * work / n.pushed.len() as f64 {
             n.down = true;
             self.result.pushed_over += 1;
@@ -636,7 +639,7 @@
         n.engine = Engine::new(self.plan.kinds[node as usize % self.plan.kinds.len()].clone());
         (n.planned, n.life) = (None, n.life + 1);
         for id in broken {
-            self.end((id / TRIES) as u32, (id % TRIES) as u32, Outcome::Reset);
+            self.end((id / TRIES) as u32, (id % TRIES) as u32, Outcome::ConnectionReset);
         }
     }
 
@@ -667,7 +670,7 @@
             match t {
                 Told::First { .. } => self.queue.put(at, What::First { request, attempt }),
                 Told::Done { .. } => {
-                    self.queue.put(at, What::Done { request, attempt, outcome: Outcome::Done })
+                    self.queue.put(at, What::Done { request, attempt, outcome: Outcome::Completed })
                 }
             }
         }
@@ -684,7 +687,7 @@
         }
         t.first = Some(self.now);
         let (router, after) = (r.router, self.now - t.sent);
-        let event = Event::FirstToken { request: RequestId(u64::from(request)), attempt, after };
+        let event = Event::FirstToken { request: RequestId(u64::from(request)), attempt, elapsed: after };
         // The others have lost: as the router's core does, they are called off.
         let others: Vec<u32> =
             (0..r.tries.len() as u32).filter(|&a| a != attempt && !r.tries[a as usize].ended).collect();
@@ -704,7 +707,7 @@
     fn end(&mut self, request: u32, attempt: u32, outcome: Outcome) {
         let aim = {
             let r = &self.requests[request as usize];
-            self.plan.classes[r.class as usize].aim_for(r.job.prompt)
+            self.plan.classes[r.class as usize].latency_objective_for(r.job.prompt)
         };
         let r = &mut self.requests[request as usize];
         let t = &mut r.tries[attempt as usize];
@@ -717,7 +720,7 @@
         if bound {
             // It had begun: its end is the request's, whatever it is.
             let (took, prompt) = (first.map_or(0, |at| at - r.arrived), r.job.prompt);
-            if outcome == Outcome::Done {
+            if outcome == Outcome::Completed {
                 self.result.first.push(took);
                 self.result.prompt += u64::from(prompt);
                 self.result.kept += u64::from(kept);
@@ -727,19 +730,19 @@
                 self.answer(request, |result| &mut result.failed);
             }
         }
-        let ended = Ended {
+        let ended = AttemptEnded {
             request: RequestId(u64::from(request)),
             attempt,
             outcome,
-            after,
-            over: self.requests[request as usize].over,
-            kept_tokens: (outcome == Outcome::Done).then_some(kept),
+            elapsed: after,
+            request_over: self.requests[request as usize].over,
+            cached_tokens: (outcome == Outcome::Completed).then_some(kept),
             load: vec![],
         };
-        self.tell(router, Event::Ended(ended));
+        self.tell(router, Event::AttemptEnded(ended));
     }
 
-    fn list(&mut self, node: u32, state: ReplicaState) {
+    fn list(&mut self, node: u32, state: EndpointState) {
         let n = &mut self.nodes[node as usize];
         n.row.state = state;
         self.changes.push(n.row.clone());
@@ -755,15 +758,15 @@
             return;
         }
         self.add_node(self.now);
-        self.list(self.nodes.len() as u32 - 1, ReplicaState::Ready);
-        self.list(step, ReplicaState::Draining);
+        self.list(self.nodes.len() as u32 - 1, EndpointState::Ready);
+        self.list(step, EndpointState::Draining);
         self.queue.put(self.now + self.plan.drain, What::Gone { node: step });
         let gap = (to - from) / Time::from(count.max(1));
         self.queue.put(self.now + gap, What::Deploy { step: step + 1 });
     }
 
     fn gone(&mut self, node: u32) {
-        self.list(node, ReplicaState::Gone);
+        self.list(node, EndpointState::Gone);
         self.empty(node);
     }
 
@@ -771,7 +774,7 @@
         let Some((_, _, share, times)) = self.plan.slow else { return };
         if begins {
             let ready: Vec<u32> = (self.nodes.iter().zip(0..))
-                .filter(|(n, _)| n.row.state == ReplicaState::Ready)
+                .filter(|(n, _)| n.row.state == EndpointState::Ready)
                 .map(|(_, i)| i)
                 .collect();
             self.slowed = ready.into_iter().filter(|_| self.troubles.random_bool(share)).collect();
--- a/src/api.rs
+++ b/src/api.rs
@@ -14,7 +14,7 @@
 
 /// The longest wait for the next call for the node list: half of the 6 s after which what it has to tell counts as told. The
 /// other half is for a call that was out when the list came back, and for the answer.
-pub const LONGEST_LIST_WAIT: Nanos = 3 * SECOND;
+pub const MAX_LIST_POLL_DELAY: Nanos = 3 * SECOND;
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
@@ -62,23 +62,24 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// The first token is worth the full worth within this time.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// Added to the aim for every 1,000 tokens of the prompt.
-    pub aim_per_1000_tokens: Nanos,
+    pub latency_objective_per_1000_tokens: Nanos,
     /// The wanted gap between tokens; 0 if none is stated.
-    pub token_aim: Nanos,
+    pub token_interval_objective: Nanos,
     /// What repeating does.
     pub effect: Effect,
     /// Worth of one request, in any unit common to all classes.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of it that an answer after the aim earns, 0 to 1.
-    pub late_share: f64,
+    pub late_value_share: f64,
 }
 
 impl Class {
     /// The aim for a prompt of so many tokens, ns.
-    pub fn aim_for(&self, prompt_tokens: u32) -> f64 {
-        self.aim as f64 + self.aim_per_1000_tokens as f64 * f64::from(prompt_tokens) / 1000.0
+    pub fn latency_objective_for(&self, prompt_tokens: u32) -> f64 {
+        self.latency_objective as f64
+            + self.latency_objective_per_1000_tokens as f64 * f64::from(prompt_tokens) / 1000.0
     }
 }
 
@@ -95,22 +96,22 @@
     /// Requests queued.
     Queue,
     /// Busy share of the replica, 0 to 1.
-    Busy,
+    Utilization,
     /// Thousands of prompt tokens waiting to be read.
-    UnreadThousands,
+    PrefillBacklogThousands,
     /// Anything else: skipped.
     Other,
 }
 
 /// How the list of replicas comes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListMode {
+pub enum EndpointListMode {
     /// Changes arrive unprompted.
     Pushed,
     /// Changes arrive after a [`Action::Watch`] only.
-    Asked {
+    Polled {
         /// A gateway that has neither a subscription nor asked for this long is held to know the list.
-        must_ask_in: Nanos,
+        max_poll_interval: Nanos,
     },
 }
 
@@ -118,9 +119,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// This gateway's place among the gateways.
-    pub me: PeerId,
+    pub own_index: PeerId,
     /// How many gateways there are.
-    pub gateways: u32,
+    pub router_count: u32,
     /// This gateway's zone.
     pub zone: ZoneId,
     /// The tenants; may be empty.
@@ -130,33 +131,33 @@
     /// The classes; at least one.
     pub classes: Vec<Class>,
     /// The most attempts for a request. At least one.
-    pub try_limit: u32,
+    pub max_attempts: u32,
     /// Two attempts of one request may be out together.
-    pub parallel_tries: bool,
+    pub concurrent_attempts: bool,
     /// Attempts can be called off.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// Messages to peers are possible.
-    pub peers: bool,
+    pub has_peers: bool,
     /// Probes are possible.
-    pub probes: bool,
+    pub can_probe: bool,
     /// The longest wait that clients follow.
     pub max_retry_after: Nanos,
     /// How the list comes.
-    pub list: ListMode,
+    pub list_mode: EndpointListMode,
     /// The values of a load report, in order.
-    pub report: Vec<LoadField>,
+    pub report_fields: Vec<LoadField>,
     /// A replica starts at this share of its capacity or more, 0 to 1.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// It is warm after this time.
-    pub cold: Nanos,
+    pub warm_up_time: Nanos,
     /// A cold replica that is sent too much for this time falls over.
-    pub fall: Nanos,
+    pub overload_window: Nanos,
     /// Too much: more than so many times what it can do then.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// What crossing zones costs, as a share of a request's worth.
-    pub cross_zone_price: f64,
+    pub cross_zone_cost: f64,
     /// A connection to a replica that carries nothing is closed after this.
-    pub idle_close: Nanos,
+    pub idle_timeout: Nanos,
 }
 
 impl Settings {
@@ -168,22 +169,24 @@
         if self.tenants.iter().any(|t| !usable(t.quota_per_s) || t.quota_per_s == 0.0) {
             return Err(SettingsError::BadNumber("quota_per_s"));
         }
-        if !usable(self.fall_multiple) {
+        if !usable(self.overload_multiple) {
             return Err(SettingsError::BadNumber("fall_multiple"));
         }
-        if self.classes.iter().any(|c| c.aim == 0) {
+        if self.classes.iter().any(|c| c.latency_objective == 0) {
             return Err(SettingsError::BadNumber("aim"));
         }
-        if self.try_limit == 0 {
+        if self.max_attempts == 0 {
             return Err(SettingsError::BadNumber("try_limit"));
         }
-        for (x, name) in [(self.cold_share, "cold_share"), (self.cross_zone_price, "cross_zone_price")] {
+        for (x, name) in
+            [(self.initial_capacity_share, "cold_share"), (self.cross_zone_cost, "cross_zone_price")]
+        {
             if !usable(x) {
                 return Err(SettingsError::BadNumber(name));
             }
         }
-        if self.gateways == 0 || self.me.0 >= self.gateways {
-            return Err(SettingsError::NotAGateway);
+        if self.router_count == 0 || self.own_index.0 >= self.router_count {
+            return Err(SettingsError::InvalidRouterIndex);
         }
         Ok(())
     }
@@ -202,7 +205,7 @@
     /// A number is missing, zero where it must not be, negative or not finite. Names the setting.
     BadNumber(&'static str),
     /// This gateway's number is not below the number of gateways.
-    NotAGateway,
+    InvalidRouterIndex,
 }
 
 impl fmt::Display for SettingsError {
@@ -210,7 +213,7 @@
         match self {
             SettingsError::NoClasses => write!(f, "no class of requests"),
             SettingsError::BadNumber(name) => write!(f, "{name}: not a usable number"),
-            SettingsError::NotAGateway => write!(f, "me: not among the gateways"),
+            SettingsError::InvalidRouterIndex => write!(f, "me: not among the gateways"),
         }
     }
 }
@@ -219,7 +222,7 @@
 
 /// What the list says of a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum ReplicaState {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Finishes its work; nothing new.
@@ -231,13 +234,13 @@
 
 /// A row of the list.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ReplicaRow {
+pub struct EndpointEntry {
     /// Which replica.
     pub replica: ReplicaId,
     /// Its state.
-    pub state: ReplicaState,
+    pub state: EndpointState,
     /// When it last started; 0 if long ago.
-    pub last_start: Nanos,
+    pub started_at: Nanos,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell: a small set of replicas.
@@ -248,7 +251,7 @@
 
 /// What a list event holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// Changed rows only.
     Delta,
     /// The whole list.
@@ -269,7 +272,7 @@
     /// Its tenant; ignored without tenants.
     pub tenant: TenantId,
     /// Time until the client gives up.
-    pub left: Nanos,
+    pub time_left: Nanos,
     /// Tokens in the prompt.
     pub prompt_tokens: u32,
     /// How many of them are the shared beginning.
@@ -279,42 +282,42 @@
     /// The shared beginning.
     pub prefix: Option<PrefixKey>,
     /// The client comes back for the rest of a broken or moved stream.
-    pub returned: bool,
+    pub resumes_stream: bool,
     /// The client marks this as another try of what it asked before, where clients do.
-    pub again: bool,
+    pub is_client_retry: bool,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
-    Done,
+    Completed,
     /// The replica gave an error; it may have run.
-    Error,
+    ReplicaError,
     /// Sent back unseen.
-    Busy,
+    Rejected,
     /// No reply in time; may have run.
     TimedOut,
     /// No connection; it never ran.
-    Refused,
+    ConnectionRefused,
     /// The connection broke; it may have run.
-    Reset,
+    ConnectionReset,
     /// Called off; it may have run.
     Cancelled,
     /// Not sent.
-    Skipped,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether it proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Busy | Outcome::Refused | Outcome::Skipped)
+        matches!(self, Outcome::Rejected | Outcome::ConnectionRefused | Outcome::NotSent)
     }
 }
 
 /// The end of an attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
     /// The attempt, counted from 0.
@@ -322,11 +325,11 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since its send.
-    pub after: Nanos,
+    pub elapsed: Nanos,
     /// The request is over, by this or before it: no answer is owed.
-    pub over: bool,
+    pub request_over: bool,
     /// Prompt tokens the replica still had, if told.
-    pub kept_tokens: Option<u32>,
+    pub cached_tokens: Option<u32>,
     /// The replica's load report, in the order of [`Settings::report`]; empty if none came.
     pub load: Vec<f64>,
 }
@@ -335,11 +338,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the list.
-    List {
+    EndpointList {
         /// What kind of news.
-        kind: ListKind,
+        kind: ListUpdate,
         /// The rows.
-        rows: Vec<ReplicaRow>,
+        rows: Vec<EndpointEntry>,
     },
     /// A request.
     Request(Request),
@@ -350,25 +353,25 @@
         /// The attempt, counted from 0.
         attempt: u32,
         /// Time since its send.
-        after: Nanos,
+        elapsed: Nanos,
     },
     /// An attempt has ended. Each has exactly one.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// The client has left: no answer is owed.
-    ClientGone(RequestId),
+    ClientLeft(RequestId),
     /// A timer set by [`Action::WakeAt`].
     Timer(u64),
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// The replica.
         replica: ReplicaId,
         /// How it went.
         outcome: Outcome,
-        /// The load report, as in [`Event::Ended`].
+        /// The load report, as in [`Event::AttemptEnded`].
         load: Vec<f64>,
     },
     /// A message from a peer.
-    Peer {
+    PeerMessage {
         /// Its sender.
         from: PeerId,
         /// What it sent.
@@ -378,11 +381,11 @@
 
 /// What a request is refused for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectReason {
     /// Its tenant has used up its share.
-    Share,
+    QuotaExceeded,
     /// No replica would begin in time, or none did.
-    Room,
+    NoCapacity,
 }
 
 /// What a gateway is to do, in this order.
@@ -395,16 +398,16 @@
         /// Where to.
         replica: ReplicaId,
         /// Its time-out.
-        limit: Nanos,
+        timeout: Nanos,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When the client may come back; 0 gives no advice.
         retry_after: Nanos,
         /// What for.
-        why: Refusal,
+        reason: RejectReason,
     },
     /// Final answer: failed; promises nothing.
     Fail(RequestId),
@@ -418,9 +421,9 @@
     /// Probe a replica.
     Probe(ReplicaId),
     /// Subscribe to the list.
-    Watch,
+    WatchEndpoints,
     /// Send a message of at most 256 bytes to all peers.
-    Tell(Vec<u8>),
+    Gossip(Vec<u8>),
     /// Deliver [`Event::Timer`] with this token at this time.
     WakeAt {
         /// When.
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -145,7 +145,7 @@
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
         set.check()?;
         let mut rng = Rng::with_seed(seed);
-        let n = set.gateways as f64;
+        let n = set.router_count as f64;
         let period = (PERIOD_PER_GATEWAY_S * n).clamp(PERIOD_S.0, PERIOD_S.1);
         // Without tenants all traffic is one tenant without a limit: same path, bucket never empty.
         let quotas: Vec<f64> = match set.tenants.is_empty() {
@@ -162,7 +162,7 @@
             own_rate: 0.0,
             peer_rate: 0.0,
             scale_sum: 0.0,
-            peers: vec![PeerRate::default(); set.gateways as usize],
+            peers: vec![PeerRate::default(); set.router_count as usize],
         };
         let buckets = quotas.iter().map(|&q| bucket(q, &mut rng)).collect();
         Ok(Balancer {
@@ -171,7 +171,7 @@
             replicas: Vec::new(),
             index: FxHashMap::default(),
             members: Membership::default(),
-            far_weight: (-set.cross_zone_price / CROSS_SCALE).exp().max(1e-6),
+            far_weight: (-set.cross_zone_cost / CROSS_SCALE).exp().max(1e-6),
             cold: Members::default(),
             found: Vec::with_capacity(MOST_HOMES + SAMPLED * 2 + COLD_SEEN + 1),
             sessions: Sessions::default(),
@@ -195,20 +195,22 @@
             self.start(now, out);
         }
         match event {
-            Event::List { kind, rows } => self.on_list(now, kind, rows, out),
+            Event::EndpointList { kind, rows } => self.on_list(now, kind, rows, out),
             Event::Request(request) => self.on_request(now, request, out),
-            Event::FirstToken { request, attempt, after } => self.on_first(now, request, attempt, after),
-            Event::Ended(ended) => self.on_ended(now, ended, out),
-            Event::ClientGone(id) => self.close(id),
+            Event::FirstToken { request, attempt, elapsed: after } => {
+                self.on_first(now, request, attempt, after)
+            }
+            Event::AttemptEnded(ended) => self.on_ended(now, ended, out),
+            Event::ClientLeft(id) => self.close(id),
             Event::Timer(TICK) => self.on_tick(now, out),
             Event::Timer(WATCH) => self.on_watch(now, out),
             Event::Timer(CHECK) => self.on_check(now, out),
             Event::Timer(_) => {}
-            Event::Probed { replica, outcome, load } => match self.index.get(&replica) {
-                Some(&i) if outcome == Outcome::Done => self.note_load(now, i, &load),
+            Event::ProbeEnded { replica, outcome, load } => match self.index.get(&replica) {
+                Some(&i) if outcome == Outcome::Completed => self.note_load(now, i, &load),
                 _ => {}
             },
-            Event::Peer { from, bytes } => self.on_report(now, from, &bytes),
+            Event::PeerMessage { from, bytes } => self.on_report(now, from, &bytes),
         }
     }
 
@@ -220,9 +222,9 @@
             b.peers.iter_mut().for_each(|p| p.at = now);
         }
         // Staggered, so that peers' reports do not land together.
-        let phase = self.period * u64::from(self.set.me.0) / u64::from(self.set.gateways);
+        let phase = self.period * u64::from(self.set.own_index.0) / u64::from(self.set.router_count);
         out.push(Action::WakeAt { at: now + self.period / 2 + phase, token: TICK });
-        if let ListMode::Asked { must_ask_in } = self.set.list {
+        if let EndpointListMode::Polled { max_poll_interval: must_ask_in } = self.set.list_mode {
             // All gateways may have started together: the list could not answer them at once.
             let jitter = 0.3 * self.rng.f64();
             self.ask_at(now + (must_ask_in as f64 * jitter) as Nanos, out);
@@ -231,30 +233,30 @@
 
     // ---- Membership ----
 
-    fn on_list(&mut self, now: Nanos, kind: ListKind, rows: Vec<ReplicaRow>, out: &mut Vec<Action>) {
-        if kind == ListKind::Failed {
+    fn on_list(&mut self, now: Nanos, kind: ListUpdate, rows: Vec<EndpointEntry>, out: &mut Vec<Action>) {
+        if kind == ListUpdate::Failed {
             self.list_held.ended(now);
             // Either a call failed or the subscription ended, which is not said: ask again, later each time.
-            if let ListMode::Asked { must_ask_in } = self.set.list {
+            if let EndpointListMode::Polled { max_poll_interval: must_ask_in } = self.set.list_mode {
                 self.watch.on = false;
                 self.watch.fails = (self.watch.fails + 1).min(4);
                 let wait = must_ask_in as f64 * 0.1 * f64::from(self.watch.fails);
-                let wait = wait.min(LONGEST_LIST_WAIT as f64) * (0.5 + 0.5 * self.rng.f64());
+                let wait = wait.min(MAX_LIST_POLL_DELAY as f64) * (0.5 + 0.5 * self.rng.f64());
                 self.ask_at(now + wait as Nanos, out);
             }
             return;
         }
-        if kind != ListKind::Cached {
+        if kind != ListUpdate::Cached {
             self.watch.on = true;
             self.watch.fails = 0;
         }
-        if kind != ListKind::Delta {
+        if kind != ListUpdate::Delta {
             // Whoever is not in a full list is gone.
             let listed: FxHashSet<_> = rows.iter().map(|r| r.replica).collect();
             for i in 0..self.replicas.len() {
                 let row = &self.replicas[i].row;
                 if !listed.contains(&row.replica) {
-                    self.enlist(i, ReplicaRow { state: ReplicaState::Gone, ..row.clone() });
+                    self.enlist(i, EndpointEntry { state: EndpointState::Gone, ..row.clone() });
                 }
             }
         }
@@ -262,13 +264,13 @@
             match self.index.get(&row.replica) {
                 Some(&i) => {
                     // Another start, earlier or later: a clock that was set back tells an earlier one.
-                    let restarted = row.last_start != self.replicas[i].row.last_start && row.last_start > 0;
+                    let restarted = row.started_at != self.replicas[i].row.started_at && row.started_at > 0;
                     self.enlist(i, row);
                     if restarted {
                         self.reset(now, i);
                     }
                 }
-                None if row.state == ReplicaState::Gone => {}
+                None if row.state == EndpointState::Gone => {}
                 None => {
                     let i = self.free_slot();
                     self.index.insert(row.replica, i);
@@ -277,14 +279,14 @@
                 }
             }
         }
-        if kind != ListKind::Cached {
+        if kind != ListUpdate::Cached {
             self.list_held.told();
         }
         self.fleet.first_nodes(self.members.ready.all().len());
     }
 
     /// The list's word on a replica.
-    fn enlist(&mut self, i: usize, row: ReplicaRow) {
+    fn enlist(&mut self, i: usize, row: EndpointEntry) {
         let was = std::mem::replace(&mut self.replicas[i].row, row);
         self.members.told(i, &was, &self.replicas[i].row, self.set.zone);
         self.note_cold(i);
@@ -293,7 +295,7 @@
     /// Keeps the cold apart: those that are ready and taken for cold. Rule 3: no others.
     fn note_cold(&mut self, i: usize) {
         let r = &self.replicas[i];
-        match r.row.state == ReplicaState::Ready && r.cold_from.is_some() {
+        match r.row.state == EndpointState::Ready && r.cold_from.is_some() {
             true => self.cold.add(i),
             false => self.cold.remove(i),
         };
@@ -314,13 +316,13 @@
     fn reset(&mut self, now: Nanos, i: usize) {
         // Spaced evenly short of a request: somewhere one can be sent at any time, and never by all at once.
         let row = &self.replicas[i].row;
-        let turn = turn(mix(row.replica.0, row.last_start), self.set.me.0, self.set.gateways);
-        let (cold, peak) = (self.set.cold, self.fleet.peak);
+        let turn = turn(mix(row.replica.0, row.started_at), self.set.own_index.0, self.set.router_count);
+        let (cold, peak) = (self.set.warm_up_time, self.fleet.peak);
         let r = &mut self.replicas[i];
         (r.wait, r.sampled_at, r.pace) = (peak, 0, Pace::default());
         (r.fails, r.eject_for, r.ejected_until, r.trial) = (0, EJECT.0, 0, false);
         (r.unread, r.reported_at, r.served_at) = (0.0, 0, 0);
-        let start = r.row.last_start;
+        let start = r.row.started_at;
         let believed = self.list_held.believed(now, start);
         r.cold_from = (start > 0 && now < believed.saturating_add(cold)).then_some(believed);
         (r.cold_credit, r.cold_at) = (1.0 - turn, now);
@@ -328,9 +330,11 @@
     }
 
     fn on_watch(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        match self.set.list {
-            ListMode::Asked { must_ask_in } if !self.watch.on && now >= self.watch.at => {
-                out.push(Action::Watch);
+        match self.set.list_mode {
+            EndpointListMode::Polled { max_poll_interval: must_ask_in }
+                if !self.watch.on && now >= self.watch.at =>
+            {
+                out.push(Action::WatchEndpoints);
                 self.ask_at(now + must_ask_in / 2, out); // The answer may be lost: ask again in good time.
             }
             _ => {}
@@ -354,7 +358,7 @@
     }
 
     fn refill(&mut self, now: Nanos, tenant: usize) {
-        let n = f64::from(self.set.gateways);
+        let n = f64::from(self.set.router_count);
         // Exception: what is late, lost or refused by chance leaves a tenant short of its quota. While first
         // tokens come early there is room to make up for it.
         let headroom = HEADROOM * (1.0 - self.fleet.strain / STRAINED).max(0.0);
@@ -386,9 +390,9 @@
         // The share of each beginning in the traffic, over some seconds, decides how many homes it gets.
         self.beginnings.hit(now, request.prefix);
         self.fleet.note_request();
-        let deadline = now.saturating_add(request.left);
+        let deadline = now.saturating_add(request.time_left);
         // A stream that comes back was paid for when it first came.
-        let returned = request.returned;
+        let returned = request.resumes_stream;
         let paid = returned || self.take(now, tenant);
         let open = Open { paid: paid && !returned, ..Open::new(now, deadline, request) };
         // Refused early: no token, or no replica that would begin in time.
@@ -404,7 +408,7 @@
     }
 
     fn aim(&self, r: &Request) -> f64 {
-        self.set.classes[r.class.0 as usize].aim_for(r.prompt_tokens)
+        self.set.classes[r.class.0 as usize].latency_objective_for(r.prompt_tokens)
     }
 
     /// Whether an attempt is likely to begin in time: the replica is not known to take longer, and there is
@@ -419,7 +423,7 @@
     /// where late answers earn less. Those that lost their kept tokens would delay the others.
     fn wanted_in(&self, now: Nanos, open: &Open) -> f64 {
         let (r, left) = (&open.request, open.deadline.saturating_sub(now) as f64);
-        let late_pays = r.returned || self.set.classes[r.class.0 as usize].late_share >= 1.0;
+        let late_pays = r.resumes_stream || self.set.classes[r.class.0 as usize].late_value_share >= 1.0;
         let bound = !late_pays && self.fleet.strain_at(now) >= HEDGE_STRAIN;
         left.min(if bound { self.aim(r) - now.saturating_sub(open.arrived) as f64 } else { left })
     }
@@ -539,7 +543,7 @@
             // What has waited longest without a token tells the least that the next one may wait.
             let oldest = c.waiting.first().map_or(0.0, |&t| now.saturating_sub(t) as f64);
             let far = c.row.zone != self.set.zone;
-            let cross = if far { CROSS_AIMS * self.set.cross_zone_price * aim } else { 0.0 };
+            let cross = if far { CROSS_AIMS * self.set.cross_zone_cost * aim } else { 0.0 };
             // Without a sample no more than the reading is known.
             let wait = (if c.sampled_at > 0 { base + read } else { read }).max(oldest);
             // Ranked by what is believed, admitted by what was sampled: the first compares replicas,
@@ -548,7 +552,7 @@
             // at a cold one counts for less, where it still begins within the aim.
             let early = self.is_cold(now, c) && base + read / self.warmth(now, c) < aim;
             let reading = if early { read * spared } else { read };
-            let connected = !many || c.is_connected(now, self.set.idle_close);
+            let connected = !many || c.is_connected(now, self.set.idle_timeout);
             let connect = if connected { 0.0 } else { CONNECT_SHARE * aim };
             let rank = estimate::ranked(smoothed, aim, c.open) + reading + cross + queued + connect;
             let pick = Pick { replica: i, unread, wait };
@@ -569,7 +573,7 @@
         let r = &self.replicas[i];
         let tried = open.attempts.iter().any(|a| a.row.replica == r.row.replica);
         // Rules 2 and 4.
-        let repeats = open.may_repeat(now, self.effect(open), &r.row, self.set.parallel_tries);
+        let repeats = open.may_repeat(now, self.effect(open), &r.row, self.set.concurrent_attempts);
         !tried && repeats && (!self.is_cold(now, r) || self.cold_credit(now, r) >= 1.0)
     }
 
@@ -583,13 +587,15 @@
 
     /// Whether a replica is within its cold time.
     pub(crate) fn is_cold(&self, now: Nanos, r: &Replica) -> bool {
-        r.cold_from.is_some_and(|from| now < from.saturating_add(self.set.cold))
+        r.cold_from.is_some_and(|from| now < from.saturating_add(self.set.warm_up_time))
     }
 
     /// What a replica is taken to be able to do, as a share of what it can when warm.
     pub(crate) fn warmth(&self, now: Nanos, r: &Replica) -> f64 {
         let age = |from| now.saturating_sub(from);
-        r.cold_from.map_or(1.0, |from| estimate::warmth(age(from), self.set.cold, self.set.cold_share))
+        r.cold_from.map_or(1.0, |from| {
+            estimate::warmth(age(from), self.set.warm_up_time, self.set.initial_capacity_share)
+        })
     }
 
     /// Rule 4: this gateway sends a cold replica at most its part of what the rule allows: the stated
@@ -601,12 +607,12 @@
     /// that leave at once don't raise the mean flow of the others: what is left of a fleet can do no more
     /// than before.
     fn cold_credit(&self, now: Nanos, r: &Replica) -> f64 {
-        let fall = self.set.fall as f64 / SECOND as f64;
+        let fall = self.set.overload_window as f64 / SECOND as f64;
         let since = now.saturating_sub(self.last_tick);
         let flow = self.fleet.flow(now, since);
         let used = (1.0 - (-self.fleet.demand(since).max(flow) * fall).exp()).max(LEAST_USED);
         let share = self.warmth(now, r) * self.fleet.speed(r.row.kind).min(1.0);
-        let gain = self.set.fall_multiple * flow / self.fleet.nodes.max(1.0) * share / used;
+        let gain = self.set.overload_multiple * flow / self.fleet.nodes.max(1.0) * share / used;
         let dt = now.saturating_sub(r.cold_at) as f64 / SECOND as f64;
         let saved = r.cold_credit + dt * gain;
         let most = (1.0 + gain * fall).min(MOST_CREDIT);
@@ -621,7 +627,7 @@
         let Some(open) = self.open.get(&id) else { return };
         let left = open.deadline.saturating_sub(now);
         let aim = self.aim(&open.request);
-        let more = (open.attempts.len() as u32 + 1) < self.set.try_limit;
+        let more = (open.attempts.len() as u32 + 1) < self.set.max_attempts;
         // Leave room for another attempt, unless there will be none. Where attempts can be called off,
         // a check after this time tells silence from slowness; elsewhere it is the time-out.
         let spent = now.saturating_sub(open.arrived) as f64;
@@ -631,11 +637,11 @@
         let patience =
             (TRY_SHARE * aim + unsure).max(3.0 * pick.wait).max(PATIENCE * self.fleet.strain * aim);
         let patience = patience.max(0.5 * (aim - spent)).min(left as f64 * 0.7);
-        let limit = if more && !self.set.cancel { patience } else { left as f64 };
+        let limit = if more && !self.set.can_cancel { patience } else { left as f64 };
         let patient_until = now + patience as Nanos;
-        if more && self.set.cancel {
+        if more && self.set.can_cancel {
             let hedge = (HEDGE_SHARE * aim + unsure).max(3.0 * pick.wait);
-            let hedges = self.set.parallel_tries && self.fleet.strain < HEDGE_STRAIN && hedge < patience;
+            let hedges = self.set.concurrent_attempts && self.fleet.strain < HEDGE_STRAIN && hedge < patience;
             let hedge = hedges.then_some(now + hedge as Nanos);
             for at in hedge.into_iter().chain([patient_until]) {
                 self.checks.push(Reverse((at, id, open.attempts.len() as u32)));
@@ -673,7 +679,7 @@
             patient_until,
             outcome: None,
         });
-        out.push(Action::Send { request: id, replica, limit: (limit as Nanos).max(1) });
+        out.push(Action::Send { request: id, replica, timeout: (limit as Nanos).max(1) });
     }
 
     /// Attempts without a first token after their patience: called off if their replica is silent.
@@ -692,8 +698,8 @@
             // does where no other is likely to be in time, if late answers earn anything and it can be told.
             let silent = self.replicas[a.replica].heard < a.sent;
             let waits = !o.answered && !o.started && a.outcome.is_none() && silent;
-            let earns = self.set.classes[o.request.class.0 as usize].late_share > 0.0;
-            let asks = earns && self.set.parallel_tries;
+            let earns = self.set.classes[o.request.class.0 as usize].late_value_share > 0.0;
+            let asks = earns && self.set.concurrent_attempts;
             if waits && self.retry_budget >= 1.0 && (!asks || self.another(now, id).is_some()) {
                 out.push(Action::Cancel { request: id, attempt });
             }
@@ -715,10 +721,10 @@
         }
     }
 
-    fn refuse(&mut self, id: RequestId, retry_after: Nanos, why: Refusal, out: &mut Vec<Action>) {
+    fn refuse(&mut self, id: RequestId, retry_after: Nanos, why: RejectReason, out: &mut Vec<Action>) {
         self.unpay(id);
         self.close(id);
-        out.push(Action::Refuse { request: id, retry_after, why });
+        out.push(Action::Reject { request: id, retry_after, reason: why });
     }
 
     /// The next token of the tenant's bucket tells when to come back; up to twice as late, so that those
@@ -726,14 +732,14 @@
     fn refuse_for_share(&mut self, id: RequestId, tenant: usize, out: &mut Vec<Action>) {
         let b = &self.buckets[tenant];
         let wait = (1.0 - b.level) / b.quota * SECOND as f64 * (1.0 + self.rng.f64());
-        self.refuse(id, (wait as Nanos).min(self.set.max_retry_after), Refusal::Share, out);
+        self.refuse(id, (wait as Nanos).min(self.set.max_retry_after), RejectReason::QuotaExceeded, out);
     }
 
     /// No share is short, so no bucket tells when to come back: what first tokens wait for now does, spread
     /// out so that those refused together do not come back together.
     fn refuse_for_room(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let wait = self.fleet.wait.max(LEAST_ADVICE as f64) * (0.5 + self.rng.f64());
-        self.refuse(id, (wait as Nanos).min(self.set.max_retry_after), Refusal::Room, out);
+        self.refuse(id, (wait as Nanos).min(self.set.max_retry_after), RejectReason::NoCapacity, out);
     }
 
     /// A token comes back when an admitted request ends unserved.
@@ -760,9 +766,9 @@
         let Some(o) = self.open.get_mut(&id) else { return };
         let Some(a) = o.attempts.get_mut(attempt as usize).filter(|a| a.outcome.is_none()) else { return };
         a.first = after;
-        let (i, sent, unread, crowd, life) = (a.replica, a.sent, a.unread, a.crowd, a.row.last_start);
+        let (i, sent, unread, crowd, life) = (a.replica, a.sent, a.unread, a.crowd, a.row.started_at);
         o.started = true;
-        let aim = self.set.classes[o.request.class.0 as usize].aim_for(o.request.prompt_tokens);
+        let aim = self.set.classes[o.request.class.0 as usize].latency_objective_for(o.request.prompt_tokens);
         let taken = now.saturating_sub(o.arrived) as f64 / aim;
         if o.paid && !o.counted {
             o.counted = true;
@@ -776,7 +782,7 @@
         // What is sent in a jam is no measure of what replicas can do; what they begin is.
         self.fleet.note_begun(now);
         self.fleet.note_taken(now, taken);
-        if life != self.replicas[i].row.last_start {
+        if life != self.replicas[i].row.started_at {
             return; // An earlier life's answer tells nothing of this one.
         }
         self.replicas[i].pace.begun(now);
@@ -796,30 +802,30 @@
         self.fleet.note_wait(now, kind, wait, crowd);
     }
 
-    fn on_ended(&mut self, now: Nanos, e: Ended, out: &mut Vec<Action>) {
-        let (id, outcome, after) = (e.request, e.outcome, e.after);
+    fn on_ended(&mut self, now: Nanos, e: AttemptEnded, out: &mut Vec<Action>) {
+        let (id, outcome, after) = (e.request, e.outcome, e.elapsed);
         let Some(o) = self.open.get_mut(&id) else { return };
         let Some(a) = o.attempts.get_mut(e.attempt as usize).filter(|a| a.outcome.is_none()) else { return };
         a.outcome = Some(outcome);
         let (i, sent, first, guess, kind) = (a.replica, a.sent, a.first, a.unread, a.row.kind);
         let (started, prompt, prefix) = (o.started, o.request.prompt_tokens, o.request.prefix_tokens);
         // What became of an earlier life's attempts tells nothing of this one: above all not that it is ill.
-        let same = a.row.last_start == self.replicas[i].row.last_start;
+        let same = a.row.started_at == self.replicas[i].row.started_at;
         self.replicas[i].open = self.replicas[i].open.saturating_sub(1);
         self.replicas[i].unwait(sent);
         if same {
             if first > 0 {
-                self.replicas[i].pace.ended(now, outcome == Outcome::Done);
+                self.replicas[i].pace.ended(now, outcome == Outcome::Completed);
             }
             self.note_load(now, i, &e.load);
         }
         match outcome {
-            Outcome::Done => {
+            Outcome::Completed => {
                 if same {
                     (self.replicas[i].heard, self.replicas[i].asked) = (now, 0);
                     self.replicas[i].served_at = now;
                 }
-                if let Some(kept) = e.kept_tokens {
+                if let Some(kept) = e.cached_tokens {
                     let unread = f64::from(prompt.saturating_sub(kept));
                     if guess > 0.5 * f64::from(prefix) && prefix > 0 {
                         let share = f64::from(kept.min(prefix)) / f64::from(prefix);
@@ -833,20 +839,23 @@
             }
             _ if !same => {}
             // Called off by a check: as good as timed out.
-            Outcome::Cancelled if !e.over && !started => self.ill(now, i, Outcome::TimedOut, started, after),
+            Outcome::Cancelled if !e.request_over && !started => {
+                self.ill(now, i, Outcome::TimedOut, started, after)
+            }
             // Its copy was faster: what it would have taken is at least this.
-            Outcome::Cancelled if !e.over && first == 0 && self.replicas[i].heard < sent => {
+            Outcome::Cancelled if !e.request_over && first == 0 && self.replicas[i].heard < sent => {
                 self.sample(now, i, after as f64, 1.0)
             }
-            Outcome::TimedOut | Outcome::Reset | Outcome::Refused | Outcome::Error => {
-                self.ill(now, i, outcome, started, after)
-            }
-            Outcome::Busy => self.sample(now, i, self.fleet.peak.max(after as f64), 1.0),
-            Outcome::Cancelled | Outcome::Skipped => {}
+            Outcome::TimedOut
+            | Outcome::ConnectionReset
+            | Outcome::ConnectionRefused
+            | Outcome::ReplicaError => self.ill(now, i, outcome, started, after),
+            Outcome::Rejected => self.sample(now, i, self.fleet.peak.max(after as f64), 1.0),
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
         self.replicas[i].trial &= !same;
-        if e.over || self.open.get(&id).is_none_or(|o| o.answered) {
-            if outcome != Outcome::Done {
+        if e.request_over || self.open.get(&id).is_none_or(|o| o.answered) {
+            if outcome != Outcome::Completed {
                 self.unpay(id);
             }
             return self.close(id);
@@ -879,7 +888,7 @@
     /// Where another attempt is likely to be in time, if there may be one.
     fn another(&mut self, now: Nanos, id: RequestId) -> Option<Pick> {
         let o = self.open.remove(&id)?;
-        let more = (o.attempts.len() as u32) < self.set.try_limit && self.retry_budget >= 1.0;
+        let more = (o.attempts.len() as u32) < self.set.max_attempts && self.retry_budget >= 1.0;
         let pick = if more { self.pick(now, &o) } else { None };
         let pick = pick.filter(|p| self.in_time(now, &o, p));
         self.open.insert(id, o);
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -6,8 +6,8 @@
 impl Balancer {
     pub(super) fn note_load(&mut self, now: Nanos, i: usize, load: &[f64]) {
         let r = &mut self.replicas[i];
-        for (field, &x) in self.set.report.iter().zip(load) {
-            if *field == LoadField::UnreadThousands && x.is_finite() && x >= 0.0 {
+        for (field, &x) in self.set.report_fields.iter().zip(load) {
+            if *field == LoadField::PrefillBacklogThousands && x.is_finite() && x >= 0.0 {
                 r.unread = x * 1000.0;
                 r.reported_at = now;
             }
@@ -33,7 +33,7 @@
             self.sample(now, i, after as f64, 1.0);
         }
         let jitter = 0.75 + 0.5 * self.rng.f64();
-        let silence = self.set.classes[0].aim as f64 * (PATIENCE * self.fleet.strain).max(1.0);
+        let silence = self.set.classes[0].latency_objective as f64 * (PATIENCE * self.fleet.strain).max(1.0);
         let r = &mut self.replicas[i];
         // It answers: one error alone says nothing of its health. Several with nothing else between them do:
         // whoever fails fast always seems free, and would draw all the traffic.
@@ -42,7 +42,7 @@
         // time-out proves only that this prompt was not read yet.
         let silent =
             now.saturating_sub(r.asked.max(r.heard)) as f64 >= silence || outcome != Outcome::TimedOut;
-        if (r.fails >= FAILS && silent) || outcome == Outcome::Refused || r.trial {
+        if (r.fails >= FAILS && silent) || outcome == Outcome::ConnectionRefused || r.trial {
             r.ejected_until = now + (r.eject_for as f64 * jitter) as Nanos;
             r.eject_for = (r.eject_for * 2).min(EJECT.1);
         }
--- a/src/choice/reports.rs
+++ b/src/choice/reports.rs
@@ -12,7 +12,7 @@
         let dt = now.saturating_sub(self.last_tick).max(1) as f64 / SECOND as f64;
         self.last_tick = now;
         self.fleet.note_flow(dt);
-        self.fleet.note_nodes(dt, self.members.ready.all().len(), self.set.cold);
+        self.fleet.note_nodes(dt, self.members.ready.all().len(), self.set.warm_up_time);
         let mut counts = Vec::new();
         let silent = SILENT_PERIODS * self.period as f64;
         for t in 0..self.buckets.len() {
@@ -38,17 +38,17 @@
                 self.fleet.peak = self.fleet.peak.max(self.smoothed(now, r));
             }
         }
-        if self.set.peers && self.set.gateways > 1 && !self.set.tenants.is_empty() {
+        if self.set.has_peers && self.set.router_count > 1 && !self.set.tenants.is_empty() {
             counts.sort_unstable_by_key(|&(c, t)| (Reverse(c), t));
             for bytes in report::encode(self.set.digest, (dt * 1000.0) as u64, &counts) {
-                out.push(Action::Tell(bytes));
+                out.push(Action::Gossip(bytes));
             }
         }
     }
 
     pub(super) fn on_report(&mut self, now: Nanos, from: PeerId, bytes: &[u8]) {
         let peer = from.0 as usize;
-        if from == self.set.me || from.0 >= self.set.gateways || self.set.tenants.is_empty() {
+        if from == self.set.own_index || from.0 >= self.set.router_count || self.set.tenants.is_empty() {
             return;
         }
         let Ok(report) = report::decode(self.set.digest, bytes) else { return };
@@ -67,7 +67,7 @@
             p.rate += RATE_WEIGHT * (count / span - p.rate);
             // The outside hits beyond the forecast, each gateway taking its share of them: N gateways
             // that each took all would be charged, and then reopen, N times over.
-            let (_, share) = b.split(f64::from(self.set.gateways));
+            let (_, share) = b.split(f64::from(self.set.router_count));
             b.level -= share * (count - forecast);
             b.peer_rate = b.peers.iter().map(|p| p.rate).sum();
         }
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -1,6 +1,6 @@
 //! What repeating a request does, and what follows from it: who may be refused, and what may be sent again.
 
-use crate::api::{Nanos, ReplicaRow, SECOND};
+use crate::api::{EndpointEntry, Nanos, SECOND};
 
 /// From the decision to send a further attempt to the arrival of its last byte, ns: a router may be held up between the two.
 const WRITE_TIME: Nanos = 3 * SECOND / 20;
@@ -53,7 +53,7 @@
     }
 
     /// Whether two replicas drop each other's repeats, as far as that depends on where they are.
-    pub fn same_group(self, one: &ReplicaRow, other: &ReplicaRow) -> bool {
+    pub fn same_group(self, one: &EndpointEntry, other: &EndpointEntry) -> bool {
         match self {
             Effect::Token { group: Group::Zone, .. } => one.zone == other.zone,
             Effect::Token { group: Group::Cell, .. } => one.cell == other.cell,
--- a/src/kept.rs
+++ b/src/kept.rs
@@ -5,7 +5,7 @@
 //! remembers where each session's last answer began. What other gateways did with the session it does not know: the
 //! entry is a hint of where to look, beside the homes.
 
-use crate::api::{Nanos, ReplicaId, ReplicaRow, SECOND};
+use crate::api::{EndpointEntry, Nanos, ReplicaId, SECOND};
 use rustc_hash::FxHashMap;
 
 /// The most sessions remembered, in two tables of half as many: 41 bytes for each of 65,536 places, 5.4 MB in all.
@@ -33,8 +33,8 @@
 impl Holder {
     /// Whether a listed replica is this one, in the same life: another life has kept nothing. `cold_from` is since
     /// when it is taken for cold, be it for a silence after which it may have started anew.
-    pub fn is(&self, row: &ReplicaRow, cold_from: Option<Nanos>) -> bool {
-        let same = self.replica == row.replica && self.last_start == row.last_start;
+    pub fn is(&self, row: &EndpointEntry, cold_from: Option<Nanos>) -> bool {
+        let same = self.replica == row.replica && self.last_start == row.started_at;
         same && cold_from.is_none_or(|from| from <= self.at)
     }
 }
@@ -49,11 +49,11 @@
 
 impl Sessions {
     /// An answer to this session has begun at a replica, which has thus read so many tokens.
-    pub fn note(&mut self, now: Nanos, session: u64, row: &ReplicaRow, tokens: u32) {
+    pub fn note(&mut self, now: Nanos, session: u64, row: &EndpointEntry, tokens: u32) {
         if self.young.len() >= MOST_SESSIONS / 2 && !self.young.contains_key(&session) {
             self.old = std::mem::take(&mut self.young);
         }
-        let holder = Holder { replica: row.replica, last_start: row.last_start, tokens, at: now };
+        let holder = Holder { replica: row.replica, last_start: row.started_at, tokens, at: now };
         self.young.insert(session, holder);
     }
 
--- a/src/kept/tests.rs
+++ b/src/kept/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use proptest::prelude::*;
 
-fn row(id: u64, last_start: Nanos) -> ReplicaRow {
-    ReplicaRow { replica: ReplicaId(id), last_start, ..ReplicaRow::default() }
+fn row(id: u64, last_start: Nanos) -> EndpointEntry {
+    EndpointEntry { replica: ReplicaId(id), started_at: last_start, ..EndpointEntry::default() }
 }
 
 #[test]
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -7,7 +7,7 @@
 //! (Karger et al., 1997). One point a replica is enough: a key takes many in a row, so what a replica bears is an
 //! average over the arcs of as many, and not its own arc alone.
 
-use crate::api::{ReplicaRow, ReplicaState, ZoneId};
+use crate::api::{EndpointEntry, EndpointState, ZoneId};
 use crate::stats::{mix, unit_race};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -79,17 +79,17 @@
 
 impl Membership {
     /// The list's word on the replica at a place changed from one row to another.
-    pub fn told(&mut self, place: usize, was: &ReplicaRow, now: &ReplicaRow, own: ZoneId) {
+    pub fn told(&mut self, place: usize, was: &EndpointEntry, now: &EndpointEntry, own: ZoneId) {
         self.rows_told += 1;
         // The same at every gateway, so that they agree on who follows a key.
-        let point = |row: &ReplicaRow| mix(row.replica.0, 0);
-        if was.state == ReplicaState::Ready {
+        let point = |row: &EndpointEntry| mix(row.replica.0, 0);
+        if was.state == EndpointState::Ready {
             self.remove(place, point(was), was.zone != own);
         }
-        if now.state == ReplicaState::Ready {
+        if now.state == EndpointState::Ready {
             self.add(place, point(now), now.zone != own);
         }
-        match (was.state == ReplicaState::Gone, now.state == ReplicaState::Gone) {
+        match (was.state == EndpointState::Gone, now.state == EndpointState::Gone) {
             (false, true) => self.gone.push(place),
             (true, false) => self.gone.retain(|&g| g != place),
             _ => {}
@@ -104,7 +104,7 @@
         key: u64,
         own: ZoneId,
         far: f64,
-        row: impl Fn(usize) -> &'a ReplicaRow,
+        row: impl Fn(usize) -> &'a EndpointEntry,
     ) -> Rc<[usize]> {
         if self.homes.len() > MOST_KEYS {
             self.homes.clear();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -195,44 +195,44 @@
         };
         let per_1000 = d.family_info.aim_us_per_1000_prompt_tokens.get(i).copied().unwrap_or(0.0);
         Class {
-            aim: p.goal_time_ns,
-            aim_per_1000_tokens: (per_1000.max(0.0) * 1000.0) as Nanos,
-            token_aim: d.family_info.token_aim_ns.get(i).copied().unwrap_or(0),
+            latency_objective: p.goal_time_ns,
+            latency_objective_per_1000_tokens: (per_1000.max(0.0) * 1000.0) as Nanos,
+            token_interval_objective: d.family_info.token_aim_ns.get(i).copied().unwrap_or(0),
             effect,
-            worth: p.worth,
-            late_share: p.late_share,
+            priority_weight: p.worth,
+            late_value_share: p.late_share,
         }
     };
     let field = |name: &String| match name.as_str() {
         "q" => LoadField::Queue,
-        "busy" => LoadField::Busy,
-        "x1" => LoadField::UnreadThousands,
+        "busy" => LoadField::Utilization,
+        "x1" => LoadField::PrefillBacklogThousands,
         _ => LoadField::Other,
     };
     let decisions = Settings {
-        me: PeerId(d.me),
-        gateways: d.replicas_of_me,
+        own_index: PeerId(d.me),
+        router_count: d.replicas_of_me,
         zone: ZoneId(d.my_zone),
         tenants: d.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
         digest: Digest::of_tenants(d.tenants.iter().map(|t| t.name.as_str())),
         classes: d.profiles.iter().enumerate().map(class).collect(),
-        try_limit: d.limits.try_limit,
-        parallel_tries: d.limits.parallel_tries,
-        cancel: d.limits.cancel,
-        peers: d.limits.peers,
-        probes: d.limits.probes,
+        max_attempts: d.limits.try_limit,
+        concurrent_attempts: d.limits.parallel_tries,
+        can_cancel: d.limits.cancel,
+        has_peers: d.limits.peers,
+        can_probe: d.limits.probes,
         max_retry_after: if d.limits.retry_after { d.limits.max_retry_after_ns } else { 0 },
-        list: match d.discovery.as_str() {
-            "on_request" => ListMode::Asked { must_ask_in: d.rules.must_ask_in_ns },
-            _ => ListMode::Pushed,
+        list_mode: match d.discovery.as_str() {
+            "on_request" => EndpointListMode::Polled { max_poll_interval: d.rules.must_ask_in_ns },
+            _ => EndpointListMode::Pushed,
         },
-        report: d.report.fields.iter().map(field).collect(),
-        cold_share: d.rules.cold_share,
-        cold: d.rules.cold_ns,
-        fall: d.rules.fall_ns,
-        fall_multiple: d.rules.fall_multiple,
-        cross_zone_price: d.prices.cross_zone,
-        idle_close: d.limits.idle_close_ns,
+        report_fields: d.report.fields.iter().map(field).collect(),
+        initial_capacity_share: d.rules.cold_share,
+        warm_up_time: d.rules.cold_ns,
+        overload_window: d.rules.fall_ns,
+        overload_multiple: d.rules.fall_multiple,
+        cross_zone_cost: d.prices.cross_zone,
+        idle_timeout: d.limits.idle_close_ns,
     };
     let class = |p: Profile| ClassName { name: p.name, deadline: p.deadline_ns };
     Ok(Deployment {
@@ -272,10 +272,10 @@
         let class = |(i, (c, name)): (usize, (&Class, &ClassName))| {
             let at = |field: &str| format!("Profiles[{i}].{field}");
             fault(name.name.is_empty(), &at("Name"), "a name")
-                .or(fault(c.aim == 0, &at("GoalTimeNs"), "a time above 0, ns"))
+                .or(fault(c.latency_objective == 0, &at("GoalTimeNs"), "a time above 0, ns"))
                 .or(fault(name.deadline == 0, &at("DeadlineNs"), "a time above 0, ns"))
-                .or(fault(!usable(c.worth), &at("Worth"), "a number of 0 or more"))
-                .or(fault(!(0.0..=1.0).contains(&c.late_share), &at("LateShare"), "0 to 1"))
+                .or(fault(!usable(c.priority_weight), &at("Worth"), "a number of 0 or more"))
+                .or(fault(!(0.0..=1.0).contains(&c.late_value_share), &at("LateShare"), "0 to 1"))
         };
         let tenant = |(i, (t, name)): (usize, (&Tenant, &String))| {
             let at = |field: &str| format!("Tenants[{i}].{field}");
@@ -298,16 +298,16 @@
                 let i = twice(&mut self.partners.iter().map(|p| &**p))?;
                 fault(true, &format!("Tenants[{i}].Name"), "a name of its own")
             })
-            .or(fault(set.gateways == 0, "ReplicasOfMe", "1 or more"))
-            .or(fault(set.me.0 >= set.gateways, "Me", "a number below ReplicasOfMe"))
+            .or(fault(set.router_count == 0, "ReplicasOfMe", "1 or more"))
+            .or(fault(set.own_index.0 >= set.router_count, "Me", "a number below ReplicasOfMe"))
             .or(fault(
                 set.zone.0 as usize >= self.zones.len().max(1),
                 "MyZone",
                 "a place in Zones, counted from 0",
             ))
-            .or(fault(set.try_limit == 0, "Limits.TryLimit", "1 or more"))
-            .or(fault(!(0.0..=1.0).contains(&set.cold_share), "Rules.ColdShare", "0 to 1"))
-            .or(fault(!usable(set.fall_multiple), "Rules.FallMultiple", "a number of 0 or more"))
-            .or(fault(!usable(set.cross_zone_price), "Prices.CrossZone", "a number of 0 or more"))
+            .or(fault(set.max_attempts == 0, "Limits.TryLimit", "1 or more"))
+            .or(fault(!(0.0..=1.0).contains(&set.initial_capacity_share), "Rules.ColdShare", "0 to 1"))
+            .or(fault(!usable(set.overload_multiple), "Rules.FallMultiple", "a number of 0 or more"))
+            .or(fault(!usable(set.cross_zone_cost), "Prices.CrossZone", "a number of 0 or more"))
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -19,7 +19,7 @@
 
 #[derive(Default)]
 pub(crate) struct Replica {
-    pub(crate) row: ReplicaRow,
+    pub(crate) row: EndpointEntry,
     /// Smoothed first-token wait without the reading of the own prompt, ns, and when it was taken.
     pub(crate) wait: f64,
     pub(crate) sampled_at: Nanos,
@@ -52,7 +52,7 @@
 impl Replica {
     /// Whether it is the listed holder of a session, in the same life.
     pub(crate) fn holds(&self, holder: &Holder) -> bool {
-        self.row.state == ReplicaState::Ready && holder.is(&self.row, self.cold_from)
+        self.row.state == EndpointState::Ready && holder.is(&self.row, self.cold_from)
     }
 
     /// Whether a connection to it rests that carries nothing, where those that do are closed after `idle_close`.
@@ -71,7 +71,7 @@
 pub(crate) struct Attempt {
     /// The replica's place, valid while the attempt is out, and its row at the send.
     pub(crate) replica: usize,
-    pub(crate) row: ReplicaRow,
+    pub(crate) row: EndpointEntry,
     pub(crate) sent: Nanos,
     pub(crate) unread: f64,
     /// One plus the own streams open there at the send.
@@ -165,7 +165,7 @@
     }
 
     /// Rule 2: an attempt that may have run binds later ones to its group and window, or forbids them.
-    pub(crate) fn may_repeat(&self, now: Nanos, effect: Effect, at: &ReplicaRow, parallel: bool) -> bool {
+    pub(crate) fn may_repeat(&self, now: Nanos, effect: Effect, at: &EndpointEntry, parallel: bool) -> bool {
         let allows = |earlier: &Attempt| {
             let alone = parallel || earlier.outcome.is_some();
             alone && effect.may_repeat(now, earlier.sent) && effect.same_group(&earlier.row, at)
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,7 +1,7 @@
 //! What the module holds of its replicas, to be set beside the traffic that a gateway sees. Nothing is
 //! decided by it.
 
-use crate::api::{Nanos, ReplicaId, ReplicaState};
+use crate::api::{EndpointState, Nanos, ReplicaId};
 use crate::estimate::Slowness;
 use crate::Balancer;
 
@@ -32,7 +32,7 @@
 impl Balancer {
     /// The replicas that take work, as the module sees them at `now`.
     pub fn view(&self, now: Nanos) -> Vec<Seen> {
-        let ready = self.replicas.iter().filter(|r| r.row.state == ReplicaState::Ready);
+        let ready = self.replicas.iter().filter(|r| r.row.state == EndpointState::Ready);
         ready
             .map(|r| Seen {
                 replica: r.row.replica,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -23,7 +23,7 @@
         let told = std::mem::take(&mut pair[me].tells);
         for bytes in told {
             let other = &mut pair[1 - me];
-            other.handle(Event::Peer { from: PeerId(me as u32), bytes });
+            other.handle(Event::PeerMessage { from: PeerId(me as u32), bytes });
         }
     }
 }
@@ -86,12 +86,12 @@
 fn an_admitted_request_that_ends_unserved_gives_its_token_back() {
     let mut set = settings(1, 0);
     set.tenants = vec![Tenant { quota_per_s: 1.0 }];
-    set.try_limit = 1;
+    set.max_attempts = 1;
     let mut w = World::with_replicas(set, 3, 4);
     // Far more than any burst, all at one moment: each gives back what it took.
     for n in 1..100 {
         if World::sent_to(&w.demand(request(n))).is_some() {
-            w.end(RequestId(n), 0, Outcome::Busy);
+            w.end(RequestId(n), 0, Outcome::Rejected);
         }
     }
     assert!(World::sent_to(&w.demand(request(1000))).is_some());
@@ -106,7 +106,7 @@
     while World::sent_to(&w.demand(request(n))).is_some() {
         n += 1;
     }
-    let back = Request { returned: true, ..request(n + 1) };
+    let back = Request { resumes_stream: true, ..request(n + 1) };
     assert!(World::sent_to(&w.demand(back)).is_some());
 }
 
@@ -167,14 +167,14 @@
     // An unknown tenant, an unknown peer, and oneself as a peer, in numbers that would empty any bucket.
     let mut w = World::with_replicas(settings(2, 0), 1, 4);
     let huge = |tenant| report::encode(Digest::default(), 1000, &[(900_000, tenant)]).remove(0);
-    w.handle(Event::Peer { from: PeerId(1), bytes: huge(7) });
-    w.handle(Event::Peer { from: PeerId(2), bytes: huge(0) });
-    w.handle(Event::Peer { from: PeerId(0), bytes: huge(0) });
+    w.handle(Event::PeerMessage { from: PeerId(1), bytes: huge(7) });
+    w.handle(Event::PeerMessage { from: PeerId(2), bytes: huge(0) });
+    w.handle(Event::PeerMessage { from: PeerId(0), bytes: huge(0) });
     for b in bad {
-        w.handle(Event::Peer { from: PeerId(1), bytes: b });
+        w.handle(Event::PeerMessage { from: PeerId(1), bytes: b });
     }
     assert!(w.serve(request(1)));
-    w.handle(Event::Peer { from: PeerId(1), bytes: huge(0) });
+    w.handle(Event::PeerMessage { from: PeerId(1), bytes: huge(0) });
     assert!(!w.serve(request(2)), "the same from a peer about a tenant counts");
 }
 
@@ -198,13 +198,13 @@
     for (what, other) in others {
         let bytes = report::encode(other, 1000, &[(900_000, 0), (900_000, 1)]).remove(0);
         assert_eq!(report::decode(mine, &bytes), Err(report::Rejected::Foreign), "{what}");
-        gateway.handle(Event::Peer { from: PeerId(1), bytes });
+        gateway.handle(Event::PeerMessage { from: PeerId(1), bytes });
     }
     // The form of the version before, whose first byte was 1.
-    gateway.handle(Event::Peer { from: PeerId(1), bytes: vec![1, 100, 0, 0xa0, 0xf7, 0x36] });
+    gateway.handle(Event::PeerMessage { from: PeerId(1), bytes: vec![1, 100, 0, 0xa0, 0xf7, 0x36] });
     assert!(gateway.serve(request(1)), "nobody's hits were counted");
     let bytes = report::encode(mine, 1000, &[(900_000, 0)]).remove(0);
-    gateway.handle(Event::Peer { from: PeerId(1), bytes });
+    gateway.handle(Event::PeerMessage { from: PeerId(1), bytes });
     assert!(!gateway.serve(request(2)), "those of a router with the same tenants are");
 }
 
@@ -216,7 +216,7 @@
     // The peer serves all of the quota for a while, then falls silent.
     for _ in 0..80 {
         w.run_to(w.now + 250 * MS);
-        w.handle(Event::Peer {
+        w.handle(Event::PeerMessage {
             from: PeerId(1),
             bytes: report::encode(Digest::default(), 250, &[(3, 0)]).remove(0),
         });
@@ -246,11 +246,14 @@
     assert_eq!(bad(&|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(bad(&|s| s.tenants[0].quota_per_s = 0.0), Some(SettingsError::BadNumber("quota_per_s")));
     assert_eq!(bad(&|s| s.tenants[0].quota_per_s = f64::NAN), Some(SettingsError::BadNumber("quota_per_s")));
-    assert_eq!(bad(&|s| s.cold_share = f64::INFINITY), Some(SettingsError::BadNumber("cold_share")));
-    assert_eq!(bad(&|s| s.classes[0].aim = 0), Some(SettingsError::BadNumber("aim")));
-    assert_eq!(bad(&|s| s.try_limit = 0), Some(SettingsError::BadNumber("try_limit")));
-    assert_eq!(bad(&|s| s.me = PeerId(2)), Some(SettingsError::NotAGateway));
-    assert_eq!(bad(&|s| s.gateways = 0), Some(SettingsError::NotAGateway));
+    assert_eq!(
+        bad(&|s| s.initial_capacity_share = f64::INFINITY),
+        Some(SettingsError::BadNumber("cold_share"))
+    );
+    assert_eq!(bad(&|s| s.classes[0].latency_objective = 0), Some(SettingsError::BadNumber("aim")));
+    assert_eq!(bad(&|s| s.max_attempts = 0), Some(SettingsError::BadNumber("try_limit")));
+    assert_eq!(bad(&|s| s.own_index = PeerId(2)), Some(SettingsError::InvalidRouterIndex));
+    assert_eq!(bad(&|s| s.router_count = 0), Some(SettingsError::InvalidRouterIndex));
     assert_eq!(bad(&|_| ()), None);
 }
 
@@ -270,7 +273,7 @@
                 count += u32::from(w.serve(request(n)));
             }
             if !(lossy && period % 3 == 0) {
-                w.handle(Event::Peer {
+                w.handle(Event::PeerMessage {
                     from: PeerId(1),
                     bytes: report::encode(Digest::default(), 250, &[(3, 0)]).remove(0),
                 });
@@ -290,7 +293,7 @@
     let advice: Vec<Nanos> = (0..200)
         .flat_map(|n| w.demand(request(n)))
         .filter_map(|a| match a {
-            Action::Refuse { retry_after, why: Refusal::Share, .. } => Some(retry_after),
+            Action::Reject { retry_after, reason: RejectReason::QuotaExceeded, .. } => Some(retry_after),
             _ => None,
         })
         .collect();
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -17,17 +17,17 @@
         module.handle(*now, Event::Request(Request { session, ..request(n) }), out);
         sent += out.iter().filter(|a| matches!(a, Action::Send { .. })).count() as u64;
         let id = RequestId(n - 8);
-        module.handle(*now, Event::FirstToken { request: id, attempt: 0, after: 8 * MS }, out);
-        let end = Ended {
+        module.handle(*now, Event::FirstToken { request: id, attempt: 0, elapsed: 8 * MS }, out);
+        let end = AttemptEnded {
             request: id,
             attempt: 0,
-            outcome: Outcome::Done,
-            after: 8 * MS,
-            over: true,
-            kept_tokens: Some(800),
+            outcome: Outcome::Completed,
+            elapsed: 8 * MS,
+            request_over: true,
+            cached_tokens: Some(800),
             load: Vec::new(),
         };
-        module.handle(*now, Event::Ended(end), out);
+        module.handle(*now, Event::AttemptEnded(end), out);
     }
     sent
 }
@@ -38,7 +38,7 @@
         let mut module = Balancer::new(settings(1, 0), 7).expect("the settings are good");
         let (mut now, mut out) = (1_000_000 * MS, Vec::with_capacity(64));
         let rows = (0..nodes).map(row).collect();
-        module.handle(now, Event::List { kind: ListKind::Full, rows }, &mut out);
+        module.handle(now, Event::EndpointList { kind: ListUpdate::Full, rows }, &mut out);
         // Tables grow to their sizes, and sessions' homes are found.
         requests(&mut module, &mut now, 8, 20_000, &mut out);
         let mut sent = 0;
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -34,17 +34,17 @@
     let mut world = World::new(settings(1, 0), 11);
     world.now = BEGIN;
     // All have started some minutes ago: a clock that is set back by an hour tells an earlier start than that.
-    let started = |n| ReplicaRow { last_start: BEGIN - 300 * SECOND, ..row(n) };
-    world.list(ListKind::Full, (0..REPLICAS).map(started).collect());
+    let started = |n| EndpointEntry { started_at: BEGIN - 300 * SECOND, ..row(n) };
+    world.list(ListUpdate::Full, (0..REPLICAS).map(started).collect());
     let (begun, mut sent) = (world.now, vec![0; 20]);
     for n in 0..REQUESTS {
         world.run_to(begun + n * GAP);
         if n == RESTART_AT {
-            let restarted = ReplicaRow { last_start: start_told(world.now), ..started(RESTARTED) };
+            let restarted = EndpointEntry { started_at: start_told(world.now), ..started(RESTARTED) };
             let all = (0..REPLICAS).filter(|r| *r != RESTARTED).map(started).chain([restarted.clone()]);
             match told {
-                Told::Change => world.list(ListKind::Delta, vec![restarted]),
-                Told::Whole => world.list(ListKind::Full, all.collect()),
+                Told::Change => world.list(ListUpdate::Delta, vec![restarted]),
+                Told::Whole => world.list(ListUpdate::Full, all.collect()),
             };
         }
         let replica = World::sent_to(&world.demand(request(n))).expect("there is room for all");
@@ -53,7 +53,7 @@
         }
         world.first(RequestId(n), 0);
         if n >= OUT {
-            world.end(RequestId(n - OUT), 0, Outcome::Done);
+            world.end(RequestId(n - OUT), 0, Outcome::Completed);
         }
     }
     (world.log, sent)
@@ -82,11 +82,11 @@
 fn warmth_after_outage(outage: Nanos, start: impl Fn(Nanos) -> Nanos) -> f64 {
     let mut world = World::new(settings(1, 0), 3);
     world.now = BEGIN;
-    world.list(ListKind::Full, vec![row(0)]);
+    world.list(ListUpdate::Full, vec![row(0)]);
     world.run_to(world.now + 30 * SECOND);
-    world.list(ListKind::Failed, Vec::new());
+    world.list(ListUpdate::Failed, Vec::new());
     world.run_to(world.now + outage);
-    world.list(ListKind::Full, vec![ReplicaRow { last_start: start(world.now), ..row(0) }]);
+    world.list(ListUpdate::Full, vec![EndpointEntry { started_at: start(world.now), ..row(0) }]);
     world.gateway.view(world.now)[0].warmth
 }
 
@@ -104,9 +104,9 @@
     #[test]
     fn no_start_keeps_a_replica_cold_for_longer_than_its_time(start in any::<u64>()) {
         let mut world = World::new(settings(1, 0), 3);
-        world.list(ListKind::Full, vec![row(0)]);
-        world.list(ListKind::Delta, vec![ReplicaRow { last_start: start, ..row(0) }]);
-        world.run_to(world.now + world.set.cold);
+        world.list(ListUpdate::Full, vec![row(0)]);
+        world.list(ListUpdate::Delta, vec![EndpointEntry { started_at: start, ..row(0) }]);
+        world.run_to(world.now + world.set.warm_up_time);
         let seen = world.gateway.view(world.now).into_iter().next().expect("it is ready");
         prop_assert_eq!(seen.warmth, 1.0);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,42 +10,42 @@
 
 pub fn settings(gateways: u32, me: u32) -> Settings {
     let class = Class {
-        aim: 1_000 * MS,
-        aim_per_1000_tokens: 30 * MS,
-        token_aim: 50 * MS,
+        latency_objective: 1_000 * MS,
+        latency_objective_per_1000_tokens: 30 * MS,
+        token_interval_objective: 50 * MS,
         effect: Effect::Pure,
-        worth: 1.0,
-        late_share: 0.2,
+        priority_weight: 1.0,
+        late_value_share: 0.2,
     };
     Settings {
-        me: PeerId(me),
-        gateways,
+        own_index: PeerId(me),
+        router_count: gateways,
         zone: ZoneId(0),
         tenants: vec![Tenant { quota_per_s: 1000.0 }],
         digest: Digest::default(),
         classes: vec![class],
-        try_limit: 3,
-        parallel_tries: false,
-        cancel: true,
-        peers: true,
-        probes: false,
+        max_attempts: 3,
+        concurrent_attempts: false,
+        can_cancel: true,
+        has_peers: true,
+        can_probe: false,
         max_retry_after: 2 * SECOND,
-        list: ListMode::Pushed,
-        report: vec![],
-        cold_share: 0.2,
-        cold: 10 * SECOND,
-        fall: 2 * SECOND,
-        fall_multiple: 2.5,
-        idle_close: 5 * SECOND,
-        cross_zone_price: 0.01,
+        list_mode: EndpointListMode::Pushed,
+        report_fields: vec![],
+        initial_capacity_share: 0.2,
+        warm_up_time: 10 * SECOND,
+        overload_window: 2 * SECOND,
+        overload_multiple: 2.5,
+        idle_timeout: 5 * SECOND,
+        cross_zone_cost: 0.01,
     }
 }
 
-pub fn row(n: u64) -> ReplicaRow {
-    ReplicaRow {
+pub fn row(n: u64) -> EndpointEntry {
+    EndpointEntry {
         replica: ReplicaId(n),
-        state: ReplicaState::Ready,
-        last_start: 0,
+        state: EndpointState::Ready,
+        started_at: 0,
         zone: ZoneId((n % 2) as u32),
         cell: (n / 2) as u32,
         kind: 0,
@@ -57,20 +57,20 @@
         id: RequestId(id),
         class: ClassId(0),
         tenant: TenantId(0),
-        left: 4 * SECOND,
+        time_left: 4 * SECOND,
         prompt_tokens: 1000,
         prefix_tokens: 800,
         session: Some(SessionKey(id * 7919 + 1)),
         prefix: Some(PrefixKey(id % 5 + 1)),
-        returned: false,
-        again: false,
+        resumes_stream: false,
+        is_client_retry: false,
     }
 }
 
 /// One attempt as the world outside the module knows it.
 #[derive(Debug, Clone)]
 pub struct Sent {
-    pub row: ReplicaRow,
+    pub row: EndpointEntry,
     pub at: Nanos,
     pub limit: Nanos,
     pub outcome: Option<Outcome>,
@@ -91,7 +91,7 @@
     pub set: Settings,
     pub gateway: Balancer,
     pub now: Nanos,
-    pub rows: BTreeMap<ReplicaId, ReplicaRow>,
+    pub rows: BTreeMap<ReplicaId, EndpointEntry>,
     pub requests: BTreeMap<RequestId, Known>,
     pub timers: Vec<(Nanos, u64)>,
     pub tells: Vec<Vec<u8>>,
@@ -116,23 +116,23 @@
 
     pub fn with_replicas(set: Settings, seed: u64, n: u64) -> Self {
         let mut w = World::new(set, seed);
-        w.list(ListKind::Cached, (0..n).map(row).collect());
+        w.list(ListUpdate::Cached, (0..n).map(row).collect());
         w
     }
 
-    pub fn list(&mut self, kind: ListKind, rows: Vec<ReplicaRow>) -> Vec<Action> {
-        if kind == ListKind::Full || kind == ListKind::Cached {
+    pub fn list(&mut self, kind: ListUpdate, rows: Vec<EndpointEntry>) -> Vec<Action> {
+        if kind == ListUpdate::Full || kind == ListUpdate::Cached {
             self.rows.clear();
         }
         for r in &rows {
             self.rows.insert(r.replica, r.clone());
         }
-        self.handle(Event::List { kind, rows })
+        self.handle(Event::EndpointList { kind, rows })
     }
 
     pub fn demand(&mut self, request: Request) -> Vec<Action> {
         let known = Known {
-            deadline: self.now + request.left,
+            deadline: self.now + request.time_left,
             request: request.clone(),
             answers: 0,
             over: false,
@@ -146,7 +146,7 @@
         let s = &mut self.requests.get_mut(&id).unwrap().sent[attempt as usize];
         s.started = true;
         let after = self.now - s.at;
-        self.handle(Event::FirstToken { request: id, attempt, after })
+        self.handle(Event::FirstToken { request: id, attempt, elapsed: after })
     }
 
     pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
@@ -155,7 +155,7 @@
         let s = &mut k.sent[attempt as usize];
         s.outcome = Some(outcome);
         let after = now - s.at;
-        if outcome == Outcome::Done && !k.over {
+        if outcome == Outcome::Completed && !k.over {
             k.answers += 1;
             k.over = true;
         }
@@ -163,9 +163,17 @@
             k.over = true; // A break in a started stream ends the request, too.
         }
         let over = k.over;
-        let kept_tokens = (outcome == Outcome::Done).then_some(0);
+        let kept_tokens = (outcome == Outcome::Completed).then_some(0);
         let load = vec![];
-        self.handle(Event::Ended(Ended { request: id, attempt, outcome, after, over, kept_tokens, load }))
+        self.handle(Event::AttemptEnded(AttemptEnded {
+            request: id,
+            attempt,
+            outcome,
+            elapsed: after,
+            request_over: over,
+            cached_tokens: kept_tokens,
+            load,
+        }))
     }
 
     /// Lets time pass to `to`, delivering timers on the way.
@@ -199,18 +207,18 @@
     fn check(&mut self, action: &Action) {
         let now = self.now;
         match action {
-            Action::Send { request, replica, limit } => {
+            Action::Send { request, replica, timeout: limit } => {
                 let rows = &self.rows;
                 let k = self.requests.get_mut(request).expect("a request that was given");
                 assert!(!k.over, "rule 1: nothing after the end");
                 assert!(now <= k.deadline, "rule 1: not after the deadline");
-                assert!(k.sent.len() < self.set.try_limit as usize, "within the limit of tries");
+                assert!(k.sent.len() < self.set.max_attempts as usize, "within the limit of tries");
                 assert!(*limit > 0 && now + limit <= k.deadline + MS, "ends by the deadline");
                 let to = rows.get(replica).expect("a replica that was listed");
-                assert_eq!(to.state, ReplicaState::Ready, "rule 3: only to ready replicas");
+                assert_eq!(to.state, EndpointState::Ready, "rule 3: only to ready replicas");
                 let class = &self.set.classes[(k.request.class.0 as usize).min(self.set.classes.len() - 1)];
                 for s in &k.sent {
-                    assert!(s.outcome.is_some() || self.set.parallel_tries, "rule 2: one at a time");
+                    assert!(s.outcome.is_some() || self.set.concurrent_attempts, "rule 2: one at a time");
                     if s.outcome.is_some_and(Outcome::never_ran) {
                         continue;
                     }
@@ -231,7 +239,7 @@
                 let (row, limit) = (to.clone(), *limit);
                 k.sent.push(Sent { row, at: now, limit, outcome: None, started: false });
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 assert!(*retry_after <= self.set.max_retry_after);
                 let k = self.requests.get_mut(request).expect("a request that was given");
                 let ran = k.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
@@ -246,20 +254,20 @@
             }
             Action::Fail(request) => Self::answer(self.requests.get_mut(request).expect("given")),
             Action::Cancel { request, attempt } => {
-                assert!(self.set.cancel, "only where it is allowed");
+                assert!(self.set.can_cancel, "only where it is allowed");
                 let k = &self.requests[request];
                 assert!((*attempt as usize) < k.sent.len(), "of an attempt that was made");
             }
-            Action::Tell(bytes) => {
-                assert!(bytes.len() <= 256 && self.set.peers);
+            Action::Gossip(bytes) => {
+                assert!(bytes.len() <= 256 && self.set.has_peers);
                 self.tells.push(bytes.clone());
             }
             Action::WakeAt { at, token } => {
                 assert!(*at >= now);
                 self.timers.push((*at, *token));
             }
-            Action::Watch => self.watches += 1,
-            Action::Probe(_) => assert!(self.set.probes),
+            Action::WatchEndpoints => self.watches += 1,
+            Action::Probe(_) => assert!(self.set.can_probe),
         }
     }
 
@@ -279,7 +287,7 @@
 
     pub fn refused(actions: &[Action]) -> Option<Nanos> {
         actions.iter().find_map(|a| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
     }
@@ -291,7 +299,7 @@
             return false;
         }
         self.first(id, 0);
-        self.end(id, 0, Outcome::Done);
+        self.end(id, 0, Outcome::Completed);
         true
     }
 }
--- a/tests/common/played.rs
+++ b/tests/common/played.rs
@@ -63,7 +63,7 @@
 
 #[derive(Clone)]
 struct Server {
-    row: ReplicaRow,
+    row: EndpointEntry,
     alive: bool,
     frozen_until: Nanos,
     began: Nanos,
@@ -102,14 +102,14 @@
 }
 
 const OUTCOMES: [Outcome; 8] = [
-    Outcome::Done,
-    Outcome::Error,
-    Outcome::Busy,
+    Outcome::Completed,
+    Outcome::ReplicaError,
+    Outcome::Rejected,
     Outcome::TimedOut,
-    Outcome::Refused,
-    Outcome::Reset,
+    Outcome::ConnectionRefused,
+    Outcome::ConnectionReset,
     Outcome::Cancelled,
-    Outcome::Skipped,
+    Outcome::NotSent,
 ];
 const DONE: u8 = 0;
 const ERROR: u8 = 1;
@@ -138,7 +138,7 @@
     pub fn whole(d: Deployment) -> String {
         let mut draw = Draw(d.seed);
         let gateways = d.played.iter().map(|&me| {
-            let settings = Settings { me: PeerId(me), ..d.settings.clone() };
+            let settings = Settings { own_index: PeerId(me), ..d.settings.clone() };
             let module = Balancer::new(settings, d.seed + u64::from(me)).expect("usable settings");
             Gateway { me, module, clients: BTreeMap::new() }
         });
@@ -184,7 +184,7 @@
             Due::First(g, id, attempt) => self.first(g, id, attempt),
             Due::End(g, id, attempt, outcome) => self.end(g, id, attempt, outcome),
             Due::Deadline(g, id) => self.deadline(g, id),
-            Due::Message(g, from, bytes) => self.hand(g, Event::Peer { from: PeerId(from), bytes }),
+            Due::Message(g, from, bytes) => self.hand(g, Event::PeerMessage { from: PeerId(from), bytes }),
             Due::List(g, kind) => self.list(g, kind),
         }
     }
@@ -206,15 +206,15 @@
 
     fn act(&mut self, g: usize, action: Action) {
         match action {
-            Action::Send { request, replica, limit } => self.sent(g, request.0, replica, limit),
-            Action::Refuse { request, .. } | Action::Fail(request) => self.over(g, request.0),
+            Action::Send { request, replica, timeout: limit } => self.sent(g, request.0, replica, limit),
+            Action::Reject { request, .. } | Action::Fail(request) => self.over(g, request.0),
             Action::Cancel { request, attempt } => self.later(MS, Due::End(g, request.0, attempt, CANCELLED)),
             Action::Probe(_) => {}
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 let kind = if self.draw.chance(300) { 3 } else { 1 };
                 self.later(20 * MS, Due::List(g, kind));
             }
-            Action::Tell(bytes) => self.told(g, &bytes),
+            Action::Gossip(bytes) => self.told(g, &bytes),
             Action::WakeAt { at, token } => self.later(at.saturating_sub(self.now), Due::Timer(g, token)),
         }
     }
@@ -225,7 +225,7 @@
 
     /// A message reaches the other gateways, a few of them torn or lost; where many aren't played, it comes from those too.
     fn told(&mut self, g: usize, bytes: &[u8]) {
-        let all = u64::from(self.d.settings.gateways);
+        let all = u64::from(self.d.settings.router_count);
         for to in 0..self.gateways.len() {
             let me = self.gateways[g].me;
             if to != g && !self.draw.chance(30) {
@@ -265,18 +265,18 @@
             // Now and then a class or tenant that is not in the settings.
             class: ClassId(d.below(self.d.settings.classes.len() as u64) as u32 + 9 * u32::from(d.chance(5))),
             tenant: TenantId(if d.chance(500) { 0 } else { d.below(4) as u32 }),
-            left: (1500 + d.below(6000)) * MS,
+            time_left: (1500 + d.below(6000)) * MS,
             prompt_tokens: prompt,
             prefix_tokens: if prefix.is_some() { d.below(u64::from(prompt) * 11 / 10) as u32 } else { 0 },
             session: d.chance(700).then(|| SessionKey(1 + d.below(80))),
             prefix,
-            returned: d.chance(15),
-            again: d.chance(30),
+            resumes_stream: d.chance(15),
+            is_client_retry: d.chance(30),
         }
     }
 
     fn ask(&mut self, g: usize, request: Request) {
-        let (id, left) = (request.id.0, request.left);
+        let (id, left) = (request.id.0, request.time_left);
         self.gateways[g]
             .clients
             .insert(id, Client { request: request.clone(), attempts: vec![], over: false });
@@ -294,7 +294,7 @@
         client.over = true;
         let out: Vec<u32> =
             (0..client.attempts.len() as u32).filter(|&a| !client.attempts[a as usize].ended).collect();
-        self.hand(g, Event::ClientGone(RequestId(id)));
+        self.hand(g, Event::ClientLeft(RequestId(id)));
         for attempt in out {
             self.later(2 * MS, Due::End(g, id, attempt, CANCELLED));
         }
@@ -353,7 +353,7 @@
         let others: Vec<u32> = (0..client.attempts.len() as u32)
             .filter(|&o| o != attempt && !client.attempts[o as usize].ended)
             .collect();
-        self.hand(g, Event::FirstToken { request: RequestId(id), attempt, after });
+        self.hand(g, Event::FirstToken { request: RequestId(id), attempt, elapsed: after });
         // Its copies are called off.
         for other in others {
             self.end(g, id, other, CANCELLED);
@@ -381,18 +381,26 @@
         let load = self.load();
         let outcome = OUTCOMES[outcome as usize];
         let request_id = RequestId(id);
-        let ended = Ended { request: request_id, attempt, outcome, after, over, kept_tokens, load };
-        self.hand(g, Event::Ended(ended));
+        let ended = AttemptEnded {
+            request: request_id,
+            attempt,
+            outcome,
+            elapsed: after,
+            request_over: over,
+            cached_tokens: kept_tokens,
+            load,
+        };
+        self.hand(g, Event::AttemptEnded(ended));
         // A client whose stream broke comes back for the rest, to any gateway.
         if broken && self.draw.chance(600) {
             self.requests += 1;
             let g = self.draw.below(self.gateways.len() as u64) as usize;
-            self.ask(g, Request { id: RequestId(self.requests), returned: true, ..request });
+            self.ask(g, Request { id: RequestId(self.requests), resumes_stream: true, ..request });
         }
     }
 
     fn load(&mut self) -> Vec<f64> {
-        let fields = self.d.settings.report.len();
+        let fields = self.d.settings.report_fields.len();
         if self.draw.chance(100) {
             return vec![];
         }
@@ -405,12 +413,12 @@
 
     /// The list as it is: 1 whole, 2 as last held before a restart, 3 failed.
     fn list(&mut self, g: usize, kind: u8) {
-        let mut rows: Vec<ReplicaRow> = self.servers.iter().map(|s| s.row.clone()).collect();
-        rows.retain(|r| r.state != ReplicaState::Gone);
+        let mut rows: Vec<EndpointEntry> = self.servers.iter().map(|s| s.row.clone()).collect();
+        rows.retain(|r| r.state != EndpointState::Gone);
         match kind {
-            1 => self.hand(g, Event::List { kind: ListKind::Full, rows }),
-            2 => self.hand(g, Event::List { kind: ListKind::Cached, rows }),
-            _ => self.hand(g, Event::List { kind: ListKind::Failed, rows: vec![] }),
+            1 => self.hand(g, Event::EndpointList { kind: ListUpdate::Full, rows }),
+            2 => self.hand(g, Event::EndpointList { kind: ListUpdate::Cached, rows }),
+            _ => self.hand(g, Event::EndpointList { kind: ListUpdate::Failed, rows: vec![] }),
         }
     }
 
@@ -422,15 +430,15 @@
         let (now, replica) = (self.now, self.servers[at].row.replica);
         let server = &mut self.servers[at];
         match self.draw.below(16) {
-            0 | 1 => server.row.state = ReplicaState::Draining,
-            2 => server.row.state = ReplicaState::Gone,
+            0 | 1 => server.row.state = EndpointState::Draining,
+            2 => server.row.state = EndpointState::Gone,
             3..=5 => {
-                (server.row.state, server.row.last_start) = (ReplicaState::Ready, now - 200 * MS);
+                (server.row.state, server.row.started_at) = (EndpointState::Ready, now - 200 * MS);
                 (server.alive, server.began) = (true, now);
             }
             6 => {
                 // A clock that was set back tells an earlier start.
-                (server.row.state, server.row.last_start) = (ReplicaState::Ready, now - 50 * SECOND);
+                (server.row.state, server.row.started_at) = (EndpointState::Ready, now - 50 * SECOND);
                 (server.alive, server.began) = (true, now);
             }
             7 => return server.alive = false,
@@ -441,12 +449,12 @@
             12 => {
                 let n = self.servers.len() as u64;
                 let mut new = self::server(&mut self.draw, n, self.d.zones, self.d.kinds);
-                (new.row.last_start, new.began) = (now, now);
+                (new.row.started_at, new.began) = (now, now);
                 self.servers.push(new);
                 return self.news(n as usize);
             }
             _ => {
-                server.row.state = ReplicaState::Ready;
+                server.row.state = EndpointState::Ready;
                 server.alive = true;
             }
         }
@@ -456,38 +464,45 @@
     fn news(&mut self, at: usize) {
         for g in 0..self.gateways.len() {
             let rows = vec![self.servers[at].row.clone()];
-            self.hand(g, Event::List { kind: ListKind::Delta, rows });
+            self.hand(g, Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
     }
 
     /// Events that tell nothing, or what nobody asked for.
     fn odd(&mut self, replica: ReplicaId) {
         let load = self.load();
-        for outcome in [Outcome::Done, Outcome::Refused] {
-            self.hand(0, Event::Probed { replica, outcome, load: load.clone() });
+        for outcome in [Outcome::Completed, Outcome::ConnectionRefused] {
+            self.hand(0, Event::ProbeEnded { replica, outcome, load: load.clone() });
         }
         let unknown = RequestId(1 << 40);
         self.hand(0, Event::Timer(99));
-        self.hand(0, Event::ClientGone(unknown));
-        self.hand(0, Event::FirstToken { request: unknown, attempt: 0, after: MS });
-        let (outcome, load) = (Outcome::Done, vec![]);
-        let ended =
-            Ended { request: unknown, attempt: 7, outcome, after: MS, over: false, kept_tokens: None, load };
-        self.hand(0, Event::Ended(ended));
-        self.hand(0, Event::Peer { from: PeerId(1), bytes: vec![1, 2, 3, 255] });
+        self.hand(0, Event::ClientLeft(unknown));
+        self.hand(0, Event::FirstToken { request: unknown, attempt: 0, elapsed: MS });
+        let (outcome, load) = (Outcome::Completed, vec![]);
+        let ended = AttemptEnded {
+            request: unknown,
+            attempt: 7,
+            outcome,
+            elapsed: MS,
+            request_over: false,
+            cached_tokens: None,
+            load,
+        };
+        self.hand(0, Event::AttemptEnded(ended));
+        self.hand(0, Event::PeerMessage { from: PeerId(1), bytes: vec![1, 2, 3, 255] });
     }
 }
 
 fn server(draw: &mut Draw, n: u64, zones: u32, kinds: u32) -> Server {
-    let row = ReplicaRow {
+    let row = EndpointEntry {
         replica: ReplicaId(n * 31 + 7),
-        state: ReplicaState::Ready,
+        state: EndpointState::Ready,
         // Some have just started with the gateways, some minutes ago, the rest are not told of.
-        last_start: [0, 0, BEGIN - 2 * SECOND, BEGIN - 300 * SECOND][draw.below(4) as usize],
+        started_at: [0, 0, BEGIN - 2 * SECOND, BEGIN - 300 * SECOND][draw.below(4) as usize],
         zone: ZoneId(draw.below(u64::from(zones)) as u32),
         cell: (n / 4) as u32,
         kind: draw.below(u64::from(kinds)) as u32,
     };
-    let began = row.last_start;
+    let began = row.started_at;
     Server { row, alive: true, frozen_until: 0, began, open: 0 }
 }
--- a/tests/common/sized.rs
+++ b/tests/common/sized.rs
@@ -22,7 +22,7 @@
         let module = Balancer::new(settings(2, 0), 7).expect("the settings are good");
         let mut fleet = Fleet { module, nodes, now: 1_000_000 * MS, next: 0, actions: Vec::new() };
         let rows = (0..nodes).map(row).collect();
-        fleet.tell(Event::List { kind: ListKind::Full, rows });
+        fleet.tell(Event::EndpointList { kind: ListUpdate::Full, rows });
         for _ in 0..200 {
             fleet.request();
         }
@@ -33,7 +33,7 @@
     pub fn whole_list(&mut self) {
         self.now += MS;
         let rows = (0..self.nodes).map(row).collect();
-        self.tell(Event::List { kind: ListKind::Full, rows });
+        self.tell(Event::EndpointList { kind: ListUpdate::Full, rows });
     }
 
     /// The report period is over.
@@ -55,25 +55,25 @@
         // A few hundred sessions on five beginnings.
         let session = Some(SessionKey(self.next % 300));
         self.tell(Event::Request(Request { session, ..request(self.next) }));
-        self.tell(Event::FirstToken { request: id, attempt: 0, after: 20 * MS });
-        let end = Ended {
+        self.tell(Event::FirstToken { request: id, attempt: 0, elapsed: 20 * MS });
+        let end = AttemptEnded {
             request: id,
             attempt: 0,
-            outcome: Outcome::Done,
-            after: 400 * MS,
-            over: true,
-            kept_tokens: Some(800),
+            outcome: Outcome::Completed,
+            elapsed: 400 * MS,
+            request_over: true,
+            cached_tokens: Some(800),
             load: Vec::new(),
         };
-        self.tell(Event::Ended(end));
+        self.tell(Event::AttemptEnded(end));
     }
 
     /// A node drains and is ready again.
     pub fn change(&mut self) {
         self.now += MS;
-        for state in [ReplicaState::Draining, ReplicaState::Ready] {
-            let rows = vec![ReplicaRow { state, ..row(3) }];
-            self.tell(Event::List { kind: ListKind::Delta, rows });
+        for state in [EndpointState::Draining, EndpointState::Ready] {
+            let rows = vec![EndpointEntry { state, ..row(3) }];
+            self.tell(Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
     }
 }
--- a/tests/common/trace_text.rs
+++ b/tests/common/trace_text.rs
@@ -34,20 +34,20 @@
     /// One action of a gateway at a time since the beginning, ns.
     pub fn action(&mut self, at: Nanos, me: u32, action: &Action) {
         let (kind, rest) = match action {
-            Action::Send { request, replica, limit } => {
+            Action::Send { request, replica, timeout: limit } => {
                 ("send", format!("{} to {} limit {limit}", request.0, replica.0))
             }
-            Action::Refuse { request, retry_after, why: Refusal::Share } => {
+            Action::Reject { request, retry_after, reason: RejectReason::QuotaExceeded } => {
                 ("refuse share", format!("{} after {retry_after}", request.0))
             }
-            Action::Refuse { request, retry_after, why: Refusal::Room } => {
+            Action::Reject { request, retry_after, reason: RejectReason::NoCapacity } => {
                 ("refuse room", format!("{} after {retry_after}", request.0))
             }
             Action::Fail(request) => ("fail", request.0.to_string()),
             Action::Cancel { request, attempt } => ("cancel", format!("{} attempt {attempt}", request.0)),
             Action::Probe(replica) => ("probe", replica.0.to_string()),
-            Action::Watch => ("watch", String::new()),
-            Action::Tell(bytes) => ("tell", bytes.iter().map(|b| format!("{b:02x}")).collect()),
+            Action::WatchEndpoints => ("watch", String::new()),
+            Action::Gossip(bytes) => ("tell", bytes.iter().map(|b| format!("{b:02x}")).collect()),
             Action::WakeAt { at: when, token } => ("wake", format!("{when} token {token}")),
         };
         *self.counts.entry(kind).or_default() += 1;
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -46,7 +46,7 @@
     while let Some(&(sent, id, replica)) = out.front().filter(|(sent, ..)| sent + ANSWER <= until) {
         out.pop_front();
         world.run_to(sent + ANSWER);
-        world.end(id, 0, Outcome::Done);
+        world.end(id, 0, Outcome::Completed);
         connections.give_back(world.now, replica);
     }
 }
@@ -54,7 +54,7 @@
 /// Plays the traffic before so many replicas; the connections that were made.
 fn connections_made(replicas: u64) -> usize {
     let set = Settings { tenants: vec![Tenant { quota_per_s: 1e6 }], ..settings(300, 0) };
-    let mut connections = Connections { idle_close: set.idle_close, resting: BTreeMap::new(), made: 0 };
+    let mut connections = Connections { idle_close: set.idle_timeout, resting: BTreeMap::new(), made: 0 };
     let mut world = World::with_replicas(set, 7, replicas);
     let mut out = VecDeque::new();
     let begun = world.now;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -29,7 +29,7 @@
     }
 
     fn of(gateways: u32) -> Fleet {
-        let set = |g| Settings { cross_zone_price: 0.0, ..settings(gateways, g) };
+        let set = |g| Settings { cross_zone_cost: 0.0, ..settings(gateways, g) };
         let gateways = (0..gateways).map(|g| World::with_replicas(set(g), u64::from(g), REPLICAS)).collect();
         Fleet {
             gateways,
@@ -72,7 +72,7 @@
                 let w = &mut self.gateways[g];
                 w.run_to(now);
                 match begun {
-                    true => drop(w.end(id, 0, Outcome::Done)),
+                    true => drop(w.end(id, 0, Outcome::Completed)),
                     false => {
                         w.first(id, 0);
                         self.due.push((now + SECOND / 2, g, id, true));
@@ -109,8 +109,9 @@
     /// The first half of the replicas has started anew a second ago, as all gateways are told.
     fn half_starts_anew(&mut self) {
         let last_start = self.gateways[0].now - SECOND;
-        let rows: Vec<_> = (0..REPLICAS / 2).map(|n| ReplicaRow { last_start, ..row(n) }).collect();
-        self.gateways.iter_mut().for_each(|w| drop(w.list(ListKind::Delta, rows.clone())));
+        let rows: Vec<_> =
+            (0..REPLICAS / 2).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect();
+        self.gateways.iter_mut().for_each(|w| drop(w.list(ListUpdate::Delta, rows.clone())));
         self.sends.fill(0);
     }
 
@@ -186,9 +187,9 @@
         fleet.play(12_000, slow);
         fleet.half_starts_anew();
         fleet.play(3_000, slow);
-        let gone = |n| ReplicaRow { state: ReplicaState::Gone, ..row(n) };
+        let gone = |n| EndpointEntry { state: EndpointState::Gone, ..row(n) };
         let left: Vec<_> = (REPLICAS / 2..REPLICAS).map(gone).collect();
-        fleet.gateways.iter_mut().for_each(|w| drop(w.list(ListKind::Delta, left.clone())));
+        fleet.gateways.iter_mut().for_each(|w| drop(w.list(ListUpdate::Delta, left.clone())));
         fleet.sends.fill(0);
         let now = fleet.gateways[0].now;
         for _ in 0..1200 {
@@ -295,8 +296,8 @@
     }
     let told = fleet.gateways[0].now;
     let mut last_start = told - SECOND;
-    let rows = |last_start| -> Vec<ReplicaRow> {
-        (0..STARTED).map(|n| ReplicaRow { last_start, ..row(n) }).collect()
+    let rows = |last_start| -> Vec<EndpointEntry> {
+        (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect()
     };
     let late: Vec<Nanos> = (0..n).map(|_| rng.u64(..2 * SECOND)).collect();
     let late = |g: usize| if trouble == Trouble::LateLists { late[g] } else { 0 };
@@ -312,14 +313,14 @@
         for (g, knows) in knows.iter_mut().enumerate().filter(|(g, knows)| !**knows && now >= told + late(*g))
         {
             fleet.gateways[g].run_to(now);
-            fleet.gateways[g].list(ListKind::Delta, rows(last_start));
+            fleet.gateways[g].list(ListUpdate::Delta, rows(last_start));
             *knows = true;
         }
         if trouble == Trouble::Restarts && step % (1200 / u64::from(gateways)) == 0 {
             let set = fleet.gateways[next].set.clone();
             let mut anew = World::new(set, seed * 1000 + next as u64);
             anew.now = now;
-            anew.list(ListKind::Cached, fleet.gateways[next].rows.values().cloned().collect());
+            anew.list(ListUpdate::Cached, fleet.gateways[next].rows.values().cloned().collect());
             fleet.due.retain(|d| d.1 != next);
             fleet.gateways[next] = anew;
             next = (next + 1) % n;
@@ -394,8 +395,8 @@
         play(&mut fleet, 4_000, &|_, _| 1.0);
         let told = fleet.gateways[0].now;
         let last_start = told - SECOND;
-        let rows: Vec<_> = (0..STARTED).map(|n| ReplicaRow { last_start, ..row(n) }).collect();
-        fleet.gateways.iter_mut().for_each(|w| drop(w.list(ListKind::Delta, rows.clone())));
+        let rows: Vec<_> = (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect();
+        fleet.gateways.iter_mut().for_each(|w| drop(w.list(ListUpdate::Delta, rows.clone())));
         let warm = |at: Nanos| 0.2 + 0.8 * ((at - last_start) as f64 / (10 * SECOND) as f64).min(1.0);
         let sends = play(&mut fleet, 600, &|now, r| if r < STARTED { warm(now) } else { 1.0 });
         let (mut worst, mut most) = (0.0f64, 0);
--- a/tests/floors.rs
+++ b/tests/floors.rs
@@ -65,9 +65,9 @@
                 continue;
             }
             if begun {
-                self.world.end(id, attempt, Outcome::Done);
+                self.world.end(id, attempt, Outcome::Completed);
             } else {
-                self.begun.insert(id, at - (known.deadline - known.request.left));
+                self.begun.insert(id, at - (known.deadline - known.request.time_left));
                 self.world.first(id, attempt);
                 self.due.push((at + SECOND / 2, id, attempt, true));
             }
@@ -104,8 +104,8 @@
     let mut set = settings(1, 0);
     set.tenants = [12.0, 8.0, 4.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
     let chat = set.classes[0].clone();
-    set.classes.push(Class { aim: 1_500 * MS, worth: 5.0, ..chat });
-    set.parallel_tries = true;
+    set.classes.push(Class { latency_objective: 1_500 * MS, priority_weight: 5.0, ..chat });
+    set.concurrent_attempts = true;
     let mut rng = fastrand::Rng::with_seed(seed);
     let world = World::with_replicas(set, seed, REPLICAS);
     let (start, mut now) = (world.now, world.now);
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -26,7 +26,7 @@
                 out = w.end(id, a, Outcome::Cancelled);
             } else {
                 w.first(id, a);
-                out = w.end(id, a, Outcome::Done);
+                out = w.end(id, a, Outcome::Completed);
             }
         }
     }
@@ -50,7 +50,7 @@
             back += 1;
         }
         w.first(RequestId(n), 0);
-        w.end(RequestId(n), 0, Outcome::Done);
+        w.end(RequestId(n), 0, Outcome::Completed);
     }
     assert!(back > 50, "{back} once it answers");
 }
@@ -71,11 +71,11 @@
                 got += u32::from(to == failing);
                 if to == failing && got % every == 0 {
                     w.run_to(w.now + MS);
-                    out = w.end(id, a, Outcome::Error);
+                    out = w.end(id, a, Outcome::ReplicaError);
                 } else {
                     w.run_to(w.now + 20 * MS);
                     w.first(id, a);
-                    out = w.end(id, a, Outcome::Done);
+                    out = w.end(id, a, Outcome::Completed);
                 }
             }
         }
@@ -87,7 +87,7 @@
 #[test]
 fn a_silent_replica_s_work_is_copied_where_others_begin_at_once() {
     for (after, copied) in [(20 * MS, true), (500 * MS, false)] {
-        let set = Settings { parallel_tries: true, ..settings(1, 0) };
+        let set = Settings { concurrent_attempts: true, ..settings(1, 0) };
         let mut w = World::with_replicas(set, 5, 4);
         for n in 0..200 {
             w.run_to(w.now + 20 * MS);
@@ -95,7 +95,7 @@
             w.run_to(w.now + after);
             let begun = w.requests[&RequestId(n)].sent.len() as u32 - 1;
             w.first(RequestId(n), begun);
-            w.end(RequestId(n), begun, Outcome::Done);
+            w.end(RequestId(n), begun, Outcome::Completed);
         }
         w.run_to(w.now + MS);
         let id = RequestId(1000);
@@ -107,7 +107,7 @@
             assert_ne!(second, Some(silent));
             assert!(!out.iter().any(|a| matches!(a, Action::Cancel { .. })), "the first may still be faster");
             w.first(id, 1);
-            w.end(id, 1, Outcome::Done);
+            w.end(id, 1, Outcome::Completed);
             w.end(id, 0, Outcome::Cancelled);
         }
     }
@@ -135,7 +135,7 @@
 fn a_refused_connection_ejects_at_once() {
     let mut w = World::with_replicas(settings(1, 0), 5, 4);
     let dead = World::sent_to(&w.demand(plain(1))).unwrap();
-    assert_ne!(World::sent_to(&w.end(RequestId(1), 0, Outcome::Refused)), Some(dead));
+    assert_ne!(World::sent_to(&w.end(RequestId(1), 0, Outcome::ConnectionRefused)), Some(dead));
     for n in 2..100 {
         assert_ne!(World::sent_to(&w.demand(plain(n))), Some(dead));
     }
@@ -153,12 +153,12 @@
         while let Some(to) = World::sent_to(&out) {
             if w.rows[&to].zone == ZoneId(1) {
                 w.first(RequestId(n), a);
-                out = w.end(RequestId(n), a, Outcome::Done);
+                out = w.end(RequestId(n), a, Outcome::Completed);
                 served += 1;
             } else {
                 lost += 1;
                 w.run_to(w.now + 250 * MS);
-                out = w.end(RequestId(n), a, Outcome::Refused);
+                out = w.end(RequestId(n), a, Outcome::ConnectionRefused);
             }
             a += 1;
         }
@@ -174,16 +174,16 @@
 fn under_strain_nothing_is_begun_that_would_be_late() {
     let begun = |late_share: f64, wait: Nanos, returned: bool| {
         let mut set = settings(1, 0);
-        set.classes[0].late_share = late_share;
+        set.classes[0].late_value_share = late_share;
         let mut w = World::with_replicas(set, 5, 2);
         for n in 0..60 {
             w.demand(plain(n));
             w.run_to(w.now + wait);
             w.first(RequestId(n), 0);
-            w.end(RequestId(n), 0, Outcome::Done);
+            w.end(RequestId(n), 0, Outcome::Completed);
         }
         // 15,000 tokens to read: within the 4 s that the client waits, not within the aim of 1.45 s.
-        let long = Request { prompt_tokens: 15_000, returned, ..plain(99) };
+        let long = Request { prompt_tokens: 15_000, resumes_stream: returned, ..plain(99) };
         World::sent_to(&w.demand(long)).is_some()
     };
     assert!(begun(0.2, 20 * MS, false), "while most begin at once the prediction is not held against it");
@@ -201,11 +201,11 @@
             w.demand(plain(n));
             w.run_to(w.now + wait);
             w.first(RequestId(n), 0);
-            w.end(RequestId(n), 0, Outcome::Done);
+            w.end(RequestId(n), 0, Outcome::Completed);
         }
         // Others take their place: of these no more is known than the reading.
-        w.list(ListKind::Full, (10..14).map(row).collect());
-        let asked = Request { left, prompt_tokens: 100, prefix_tokens: 0, ..plain(99) };
+        w.list(ListUpdate::Full, (10..14).map(row).collect());
+        let asked = Request { time_left: left, prompt_tokens: 100, prefix_tokens: 0, ..plain(99) };
         World::sent_to(&w.demand(asked)).is_some()
     };
     assert!(begun(20 * MS, 200 * MS), "where first tokens take 20 ms there is time");
@@ -217,8 +217,8 @@
 #[test]
 fn an_attempt_is_called_off_only_for_another() {
     let called_off = |replicas: u64, parallel_tries: bool, late_share: f64| {
-        let mut set = Settings { parallel_tries, ..settings(1, 0) };
-        set.classes[0].late_share = late_share;
+        let mut set = Settings { concurrent_attempts: parallel_tries, ..settings(1, 0) };
+        set.classes[0].late_value_share = late_share;
         let mut w = World::with_replicas(set, 5, replicas);
         w.demand(plain(1));
         let to = w.now + 4 * SECOND;
@@ -238,7 +238,7 @@
         w.run_to(w.now + 100 * MS);
         if World::sent_to(&w.demand(plain(n))).is_some() {
             let mut a = 0;
-            while World::sent_to(&w.end(RequestId(n), a, Outcome::Refused)).is_some() {
+            while World::sent_to(&w.end(RequestId(n), a, Outcome::ConnectionRefused)).is_some() {
                 a += 1;
             }
         }
@@ -254,7 +254,7 @@
     for n in 0..200 {
         w.demand(plain(n));
         let mut a = 0;
-        while World::sent_to(&w.end(RequestId(n), a, Outcome::Busy)).is_some() {
+        while World::sent_to(&w.end(RequestId(n), a, Outcome::Rejected)).is_some() {
             a += 1;
         }
         attempts += a;
@@ -267,23 +267,23 @@
     for seed in 0..50 {
         let mut set = settings(4, 0);
         let must_ask_in = 10 * SECOND;
-        set.list = ListMode::Asked { must_ask_in };
+        set.list_mode = EndpointListMode::Polled { max_poll_interval: must_ask_in };
         let mut w = World::with_replicas(set, seed, 3);
         let start = w.now;
         w.run_to(start + must_ask_in / 2);
         assert!(w.watches >= 1, "asked well inside the time");
         for failures in 1..6 {
             let before = w.watches;
-            w.list(ListKind::Failed, vec![]);
+            w.list(ListUpdate::Failed, vec![]);
             assert_eq!(w.watches, before, "not at once: the list may be overrun");
             w.run_to(w.now + must_ask_in / 2);
             assert!(w.watches > before, "again after failure {failures}");
         }
-        w.list(ListKind::Delta, vec![]);
+        w.list(ListUpdate::Delta, vec![]);
         let before = w.watches;
         w.run_to(w.now + 60 * SECOND);
         assert_eq!(w.watches, before, "subscribed: nothing more to ask");
-        w.list(ListKind::Failed, vec![]);
+        w.list(ListUpdate::Failed, vec![]);
         w.run_to(w.now + must_ask_in / 2);
         assert!(w.watches > before, "the subscription dropped: asked for again");
     }
@@ -304,7 +304,7 @@
         agree += u32::from(x == y);
         for w in [&mut a, &mut b] {
             w.first(RequestId(n), 0);
-            w.end(RequestId(n), 0, Outcome::Done);
+            w.end(RequestId(n), 0, Outcome::Completed);
         }
     }
     assert!(agree > 160, "{agree} of 200 sessions at the same replica");
@@ -324,7 +324,7 @@
             while pending.front().is_some_and(|&(at, _)| w.now >= at) {
                 let (_, id) = pending.pop_front().unwrap();
                 w.first(id, 0);
-                w.end(id, 0, Outcome::Done);
+                w.end(id, 0, Outcome::Completed);
             }
             if World::sent_to(&w.demand(plain(n))).is_some() {
                 count += u32::from(n >= 300);
@@ -353,7 +353,7 @@
             to = World::sent_to(&w.demand(r));
             w.run_to(w.now + if to == slow { 500 } else { 20 } * MS);
             w.first(id, 0);
-            w.end(id, 0, Outcome::Done);
+            w.end(id, 0, Outcome::Completed);
         }
         to.expect("sent")
     };
--- a/tests/holders.rs
+++ b/tests/holders.rs
@@ -15,24 +15,24 @@
     let to = World::sent_to(&w.demand(r)).expect("sent");
     w.run_to(w.now + 20 * MS);
     w.first(RequestId(n), 0);
-    w.end(RequestId(n), 0, Outcome::Done);
+    w.end(RequestId(n), 0, Outcome::Completed);
     to
 }
 
 /// As the list tells of a replica.
-fn told(w: &mut World, id: ReplicaId, state: ReplicaState, last_start: Nanos) {
-    let rows = vec![ReplicaRow { state, last_start, ..row(id.0) }];
-    w.list(ListKind::Delta, rows);
+fn told(w: &mut World, id: ReplicaId, state: EndpointState, last_start: Nanos) {
+    let rows = vec![EndpointEntry { state, started_at: last_start, ..row(id.0) }];
+    w.list(ListUpdate::Delta, rows);
 }
 
 /// A session whose home was away for a while, and who it went to meanwhile.
 fn moved() -> (World, ReplicaId, ReplicaId) {
     let mut w = World::with_replicas(settings(1, 0), 5, 6);
     let home = (0..20).map(|n| turn(&mut w, n)).last().expect("turns");
-    told(&mut w, home, ReplicaState::Draining, 0);
+    told(&mut w, home, EndpointState::Draining, 0);
     let other = (20..30).map(|n| turn(&mut w, n)).last().expect("turns");
     assert_ne!(home, other);
-    told(&mut w, home, ReplicaState::Ready, 0);
+    told(&mut w, home, EndpointState::Ready, 0);
     (w, home, other)
 }
 
@@ -47,15 +47,15 @@
 /// twenty requests and first tokens of two kinds of machines, says little of a beginning's share or a kind's speed.
 #[test]
 fn gateways_that_have_seen_little_agree_on_a_session_s_home() {
-    let kinds = |n| ReplicaRow { kind: (n % 2) as u32, ..row(n) };
+    let kinds = |n| EndpointEntry { kind: (n % 2) as u32, ..row(n) };
     let mut rng = fastrand::Rng::with_seed(3);
     let mut homes: Vec<Vec<ReplicaId>> = vec![vec![]; 40];
     for me in 0..30 {
         let mut set = settings(30, me);
-        set.cross_zone_price = 0.0;
-        set.classes[0].late_share = 1.0;
+        set.cross_zone_cost = 0.0;
+        set.classes[0].late_value_share = 1.0;
         let mut w = World::new(set, u64::from(me));
-        w.list(ListKind::Cached, (0..60).map(kinds).collect());
+        w.list(ListUpdate::Cached, (0..60).map(kinds).collect());
         for n in 0..20 {
             w.run_to(w.now + 500 * MS);
             // Few beginnings have most of the traffic.
@@ -64,7 +64,7 @@
             w.run_to(w.now + rng.u64(10..200) * MS);
             w.first(RequestId(n), 0);
             w.run_to(w.now + rng.u64(100..4_000) * MS);
-            w.end(RequestId(n), 0, Outcome::Done);
+            w.end(RequestId(n), 0, Outcome::Completed);
         }
         for (session, homes) in homes.iter_mut().enumerate() {
             let (n, session) = (100 + session as u64, session as u64);
@@ -77,7 +77,7 @@
             );
             w.run_to(w.now + 1_000 * MS);
             w.first(RequestId(n), 0);
-            w.end(RequestId(n), 0, Outcome::Done);
+            w.end(RequestId(n), 0, Outcome::Completed);
         }
     }
     let most = |homes: &Vec<ReplicaId>| homes.iter().map(|h| homes.iter().filter(|o| *o == h).count()).max();
@@ -89,11 +89,11 @@
 /// minute or two, but a kind of them often enough.
 #[test]
 fn a_kind_that_queues_is_passed_over_at_nodes_not_met_yet() {
-    let kinds = |n| ReplicaRow { kind: (n % 2) as u32, ..row(n) };
+    let kinds = |n| EndpointEntry { kind: (n % 2) as u32, ..row(n) };
     let mut set = settings(300, 0);
-    set.cross_zone_price = 0.0;
+    set.cross_zone_cost = 0.0;
     let mut w = World::new(set, 3);
-    w.list(ListKind::Cached, (0..100).map(kinds).collect());
+    w.list(ListUpdate::Cached, (0..100).map(kinds).collect());
     let mut idle = 0;
     for n in 0..40 {
         w.run_to(w.now + 500 * MS);
@@ -102,7 +102,7 @@
         let to = World::sent_to(&w.demand(r)).expect("sent");
         w.run_to(w.now + if to.0 % 2 == 0 { 800 } else { 20 } * MS);
         w.first(RequestId(n), 0);
-        w.end(RequestId(n), 0, Outcome::Done);
+        w.end(RequestId(n), 0, Outcome::Completed);
         idle += usize::from(n >= 20 && to.0 % 2 == 1);
     }
     assert!(idle >= 18, "{idle} of 20 sessions, each with a home of its own, go to the kind that idles");
@@ -112,7 +112,7 @@
 fn a_holder_that_started_again_holds_nothing() {
     let (mut w, home, other) = moved();
     let now = w.now;
-    told(&mut w, other, ReplicaState::Ready, now);
+    told(&mut w, other, EndpointState::Ready, now);
     assert_eq!(turn(&mut w, 30), home, "the life that had read its prompt is over");
 }
 
@@ -125,14 +125,14 @@
     for n in 0..800u64 {
         if n == 400 {
             let start = w.now - age;
-            told(&mut w, ReplicaId(4), ReplicaState::Ready, start);
+            told(&mut w, ReplicaId(4), EndpointState::Ready, start);
         }
         w.run_to(now + (n + 1) * 10 * MS);
         let to = World::sent_to(&w.demand(request(n)));
         count += usize::from(n >= 400 && to == Some(ReplicaId(4)));
         if n >= 20 {
             w.first(RequestId(n - 20), 0);
-            w.end(RequestId(n - 20), 0, Outcome::Done);
+            w.end(RequestId(n - 20), 0, Outcome::Completed);
         }
     }
     count
@@ -152,7 +152,13 @@
 
 #[test]
 fn what_becomes_of_an_earlier_life_s_attempts_is_not_held_against_the_next() {
-    for outcome in [Outcome::Reset, Outcome::TimedOut, Outcome::Error, Outcome::Refused, Outcome::Done] {
+    for outcome in [
+        Outcome::ConnectionReset,
+        Outcome::TimedOut,
+        Outcome::ReplicaError,
+        Outcome::ConnectionRefused,
+        Outcome::Completed,
+    ] {
         let mut w = World::with_replicas(settings(1, 0), 5, 1);
         let id = ReplicaId(0);
         (0..8).for_each(|n| drop(w.demand(request(n))));
@@ -160,9 +166,9 @@
         assert!(seen(&w, id).sampled.is_some() && seen(&w, id).open == 8);
         // The list tells of the restart before the attempts end.
         let now = w.now;
-        told(&mut w, id, ReplicaState::Ready, now);
+        told(&mut w, id, EndpointState::Ready, now);
         w.run_to(w.now + 100 * MS);
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Completed {
             w.first(RequestId(4), 0);
         }
         for n in 0..5 {
@@ -190,7 +196,7 @@
         w.first(RequestId(n), 0);
         under_way.push_back(to);
         if under_way.len() > 40 {
-            w.end(RequestId(n - 40), 0, Outcome::Done);
+            w.end(RequestId(n - 40), 0, Outcome::Completed);
             under_way.pop_front();
         }
         if n >= 100 {
--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -35,12 +35,12 @@
 /// Five classes: each effect of a repeat, each group, with and without worth after the objective.
 fn classes() -> Vec<Class> {
     let class = |aim: u64, effect, late_share| Class {
-        aim: aim * MS,
-        aim_per_1000_tokens: 30 * MS,
-        token_aim: 50 * MS,
+        latency_objective: aim * MS,
+        latency_objective_per_1000_tokens: 30 * MS,
+        token_interval_objective: 50 * MS,
         effect,
-        worth: 1.0,
-        late_share,
+        priority_weight: 1.0,
+        late_value_share: late_share,
     };
     let keyed = |group, window| Effect::Token { group, window };
     vec![
@@ -54,13 +54,14 @@
 
 fn usual(name: &'static str) -> Deployment {
     let tenants = [10.0, 5.0, 0.5, 20.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
-    let report = vec![LoadField::Queue, LoadField::Other, LoadField::Busy, LoadField::UnreadThousands];
+    let report =
+        vec![LoadField::Queue, LoadField::Other, LoadField::Utilization, LoadField::PrefillBacklogThousands];
     let settings = Settings {
         tenants,
         classes: classes(),
-        parallel_tries: true,
+        concurrent_attempts: true,
         digest: Digest::of_tenants(["one", "two", "three", "four"]),
-        report,
+        report_fields: report,
         ..settings(1, 0)
     };
     Deployment {
@@ -86,36 +87,38 @@
     match name {
         "alone" => Deployment { zones: 2, trouble_ms: 2500, freezes: 10, ..usual },
         "three_gateways" => {
-            let settings = Settings { gateways: 3, cross_zone_price: 0.05, ..set };
+            let settings = Settings { router_count: 3, cross_zone_cost: 0.05, ..set };
             Deployment { settings, played: vec![0, 1, 2], zones: 3, per_10_s: 200, seed: 50, ..usual }
         }
         "asked_list" => {
-            let list = ListMode::Asked { must_ask_in: 6 * SECOND };
-            let settings = Settings { gateways: 2, list, report: vec![], ..set };
+            let list = EndpointListMode::Polled { max_poll_interval: 6 * SECOND };
+            let settings = Settings { router_count: 2, list_mode: list, report_fields: vec![], ..set };
             Deployment { settings, played: vec![0, 1], zones: 2, first: 250 * MS, seed: 51, ..usual }
         }
         "no_cancel" => {
-            let settings = Settings { cancel: false, parallel_tries: false, try_limit: 2, ..set };
+            let settings = Settings { can_cancel: false, concurrent_attempts: false, max_attempts: 2, ..set };
             Deployment { settings, kinds: 4, first: 120 * MS, seed: 52, ..usual }
         }
         "no_peers_no_tenants" => {
-            let settings = Settings { gateways: 2, peers: false, tenants: vec![], try_limit: 1, ..set };
+            let settings =
+                Settings { router_count: 2, has_peers: false, tenants: vec![], max_attempts: 1, ..set };
             Deployment { settings, played: vec![1], faults: 60, seed: 53, ..usual }
         }
         "many_gateways" => {
             let tenants = [60.0, 500.0, 5.0, 900.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
-            let settings = Settings { gateways: 300, tenants, cold_share: 0.05, zone: ZoneId(1), ..set };
+            let settings =
+                Settings { router_count: 300, tenants, initial_capacity_share: 0.05, zone: ZoneId(1), ..set };
             let played = vec![0, 150, 299];
             Deployment { settings, played, replicas: 60, zones: 2, first: 80 * MS, seed: 54, ..usual }
         }
         "large_fleet" => {
             let tenants = [30.0, 60.0, 5.0, 90.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
             let settings = Settings {
-                gateways: 4,
+                router_count: 4,
                 tenants,
-                try_limit: 4,
-                cross_zone_price: 0.002,
-                idle_close: SECOND,
+                max_attempts: 4,
+                cross_zone_cost: 0.002,
+                idle_timeout: SECOND,
                 ..set
             };
             let d = Deployment { settings, played: vec![0, 3], replicas: 400, zones: 2, seed: 55, ..usual };
@@ -123,18 +126,30 @@
         }
         "cold_fleet" => {
             let (cold, fall, fall_multiple) = (25 * SECOND, SECOND, 1.5);
-            let settings = Settings { cold, fall, fall_multiple, cold_share: 0.3, max_retry_after: 0, ..set };
+            let settings = Settings {
+                warm_up_time: cold,
+                overload_window: fall,
+                overload_multiple: fall_multiple,
+                initial_capacity_share: 0.3,
+                max_retry_after: 0,
+                ..set
+            };
             Deployment { settings, replicas: 24, trouble_ms: 250, per_10_s: 200, seed: 56, ..usual }
         }
         // Hardly a home for a beginning, and more faults than further attempts are saved for.
         "small_fleet" => {
-            let settings = Settings { cross_zone_price: 0.2, try_limit: 5, ..set };
+            let settings = Settings { cross_zone_cost: 0.2, max_attempts: 5, ..set };
             let d = Deployment { settings, replicas: 3, zones: 2, kinds: 1, per_10_s: 60, seed: 57, ..usual };
             Deployment { faults: 60, trouble_ms: 6000, ..d }
         }
         // So few that nearly all of what is saved for replicas that have just started is lost unused.
         "few_requests" => {
-            let settings = Settings { fall: SECOND / 2, fall_multiple: 8.0, cold: 30 * SECOND, ..set };
+            let settings = Settings {
+                overload_window: SECOND / 2,
+                overload_multiple: 8.0,
+                warm_up_time: 30 * SECOND,
+                ..set
+            };
             let d = Deployment { settings, replicas: 4, per_10_s: 3, seed: 58, ..usual };
             Deployment { trouble_ms: 4000, events: 8000, ..d }
         }
