--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,13 +9,13 @@
 use tallypin::api::*;
 
 const OUTCOMES: [Outcome; 7] = [
-    Outcome::Done,
-    Outcome::Error,
-    Outcome::Busy,
+    Outcome::Completed,
+    Outcome::ReplicaError,
+    Outcome::Rejected,
     Outcome::TimedOut,
-    Outcome::Refused,
-    Outcome::Reset,
-    Outcome::Skipped,
+    Outcome::ConnectionRefused,
+    Outcome::ConnectionReset,
+    Outcome::NotSent,
 ];
 
 fn world(rng: &mut Rng, case: u32) -> World {
@@ -29,9 +29,9 @@
     ];
     let class = set.classes[0].clone();
     set.classes = effects.iter().map(|&effect| Class { effect, ..class.clone() }).collect();
-    set.parallel_tries = rng.bool();
-    set.cancel = rng.bool();
-    set.try_limit = rng.u32(1..5);
+    set.concurrent_attempts = rng.bool();
+    set.can_cancel = rng.bool();
+    set.max_attempts = rng.u32(1..5);
     if rng.u8(..4) == 0 {
         set.tenants.clear();
     } else if rng.bool() {
@@ -53,8 +53,8 @@
             let mut r = request(*next);
             r.class = ClassId(rng.u32(..6)); // one of them out of range
             r.tenant = TenantId(rng.u32(..3));
-            r.left = rng.u64(..4) * SECOND + 1;
-            r.returned = rng.u8(..10) == 0;
+            r.time_left = rng.u64(..4) * SECOND + 1;
+            r.resumes_stream = rng.u8(..10) == 0;
             if rng.u8(..5) == 0 {
                 (r.prefix, r.session) = (None, None);
             }
@@ -73,9 +73,9 @@
         }
         8 => {
             let mut r = row(rng.u64(..14));
-            r.state = [ReplicaState::Ready, ReplicaState::Draining, ReplicaState::Gone][rng.usize(..3)];
-            r.last_start = if rng.bool() { w.now - rng.u64(..12) * SECOND } else { 0 };
-            let kind = if rng.u8(..8) == 0 { ListKind::Full } else { ListKind::Delta };
+            r.state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone][rng.usize(..3)];
+            r.started_at = if rng.bool() { w.now - rng.u64(..12) * SECOND } else { 0 };
+            let kind = if rng.u8(..8) == 0 { ListUpdate::Full } else { ListUpdate::Delta };
             w.list(kind, vec![r]);
         }
         _ => match rng.u8(..3) {
@@ -86,16 +86,16 @@
                     k.over = true;
                     k.answers = k.answers.max(1);
                 }
-                w.handle(Event::ClientGone(id));
+                w.handle(Event::ClientLeft(id));
             }
             1 => {
                 let bytes = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
-                w.handle(Event::Peer { from: PeerId(rng.u32(..6)), bytes });
+                w.handle(Event::PeerMessage { from: PeerId(rng.u32(..6)), bytes });
             }
             _ => {
                 // Nonsense about a request that never was.
                 let request = RequestId(u64::MAX);
-                w.handle(Event::FirstToken { request, attempt: 9, after: 1 });
+                w.handle(Event::FirstToken { request, attempt: 9, elapsed: 1 });
                 w.handle(Event::Timer(rng.u64(..9)));
             }
         },
@@ -140,13 +140,16 @@
         // Everything out ends; then every request must have had its one answer.
         for _ in 0..10 {
             for (id, a) in open(&w) {
-                let outcome =
-                    if w.requests[&id].sent[a as usize].started { Outcome::Done } else { Outcome::TimedOut };
+                let outcome = if w.requests[&id].sent[a as usize].started {
+                    Outcome::Completed
+                } else {
+                    Outcome::TimedOut
+                };
                 w.end(id, a, outcome);
             }
         }
         for (id, k) in &w.requests {
-            let broken = k.sent.iter().any(|s| s.started && s.outcome != Some(Outcome::Done));
+            let broken = k.sent.iter().any(|s| s.started && s.outcome != Some(Outcome::Completed));
             assert!(k.answers == 1 || (broken && k.over), "case {case}: {id:?} has {} answers", k.answers);
         }
     }
@@ -176,7 +179,7 @@
     assert_eq!(out, vec![Action::Fail(RequestId(1))]);
     // Proved never to have run: another attempt.
     w.demand(request(2));
-    assert!(World::sent_to(&w.end(RequestId(2), 0, Outcome::Busy)).is_some());
+    assert!(World::sent_to(&w.end(RequestId(2), 0, Outcome::Rejected)).is_some());
 }
 
 /// Guards against a repeat that is decided on within the window and arrives after it.
@@ -186,9 +189,9 @@
         let mut set = settings(1, 0);
         set.classes[0].effect = Effect::Token { group: Group::All, window: SECOND };
         let mut w = World::with_replicas(set, 1, 4);
-        w.demand(Request { left: 4 * SECOND, ..request(1) });
+        w.demand(Request { time_left: 4 * SECOND, ..request(1) });
         w.run_to(w.now + end);
-        let out = w.end(RequestId(1), 0, Outcome::Reset);
+        let out = w.end(RequestId(1), 0, Outcome::ConnectionReset);
         assert_eq!(World::sent_to(&out).is_some(), repeats, "{} ms after the send: {out:?}", end / MS);
     }
 }
@@ -196,13 +199,13 @@
 #[test]
 fn draining_and_gone_replicas_get_nothing_from_the_moment_of_being_told() {
     let mut w = World::with_replicas(settings(1, 0), 1, 3);
-    let draining = |n| ReplicaRow { state: ReplicaState::Draining, ..row(n) };
-    w.list(ListKind::Delta, vec![draining(0)]);
-    w.list(ListKind::Full, vec![row(1), draining(0)]); // 2 is absent: gone
+    let draining = |n| EndpointEntry { state: EndpointState::Draining, ..row(n) };
+    w.list(ListUpdate::Delta, vec![draining(0)]);
+    w.list(ListUpdate::Full, vec![row(1), draining(0)]); // 2 is absent: gone
     for n in 0..50 {
         assert_eq!(World::sent_to(&w.demand(request(n))), Some(ReplicaId(1)));
     }
-    w.list(ListKind::Full, vec![]);
+    w.list(ListUpdate::Full, vec![]);
     assert!(World::refused(&w.demand(request(99))).is_some(), "an empty list is answered");
 }
 
@@ -228,7 +231,7 @@
                         all += 1.0;
                         cold += f64::from(u8::from(to == ReplicaId(4)));
                         w.first(RequestId(id), 0);
-                        w.end(RequestId(id), 0, Outcome::Done);
+                        w.end(RequestId(id), 0, Outcome::Completed);
                     }
                 }
             }
@@ -240,7 +243,7 @@
     let told = start + 6 * SECOND;
     for w in &mut gateways {
         w.run_to(told);
-        w.list(ListKind::Delta, vec![ReplicaRow { last_start: told - SECOND, ..row(4) }]);
+        w.list(ListUpdate::Delta, vec![EndpointEntry { started_at: told - SECOND, ..row(4) }]);
     }
     let (cold, all) = sends_in(&mut gateways, told, 2000);
     // The rule's multiple of the mean flow per replica, times the mean warm share of these 2 s, with slack for chance: the
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -60,10 +60,10 @@
         let rows = (0..replicas).map(row).collect();
         let mut out = Vec::with_capacity(64);
         let held = allocation_counter::measure(|| {
-            module.handle(1_000_000 * MS, Event::List { kind: ListKind::Full, rows }, &mut out);
+            module.handle(1_000_000 * MS, Event::EndpointList { kind: ListUpdate::Full, rows }, &mut out);
         });
         // The rows themselves were allocated before, and are given back within.
-        let rows = replicas as i64 * size_of::<ReplicaRow>() as i64;
+        let rows = replicas as i64 * size_of::<EndpointEntry>() as i64;
         let each = (held.bytes_current + rows) / replicas as i64;
         println!("{replicas} replicas: {each} bytes each");
         assert!(each > 0 && each as u64 <= BYTES_A_REPLICA, "{replicas} replicas: {each} bytes each");
