--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -203,7 +203,8 @@
         /// The order's id.
         order: String,
         /// Which of a router's files.
-        what: String,
+        #[serde(rename = "what")]
+        artifact: String,
         /// Its digest.
         digest: String,
         /// Routers by wave.
@@ -373,7 +374,7 @@
 impl FleetState {
     /// The first, on what is still known of the one before, if anything: what was agreed on since may be lost, so nothing
     /// may begin until an operator says so.
-    pub fn first(known: Option<&FleetState>) -> FleetState {
+    pub fn bootstrap(known: Option<&FleetState>) -> FleetState {
         let anew = "the council's memory begins anew";
         let cause = match known {
             None => anew,
@@ -419,7 +420,7 @@
                 let fits = |word: &str| !word.is_empty() && word.len() <= MAX_TEXT_BYTES;
                 let more = match act {
                     Command::Halt { cause, .. } | Command::RollBack { cause, .. } => fits(cause),
-                    Command::BeginRelease { what, digest, .. } => fits(what) && fits(digest),
+                    Command::BeginRelease { artifact, digest, .. } => fits(artifact) && fits(digest),
                     _ => true,
                 };
                 if !fits(order) || !more {
@@ -519,8 +520,8 @@
                     _ => return Err(Rejection::NothingToChange),
                 }
             }
-            Command::BeginRelease { order, what, digest, waves, plan } => {
-                new.release_begins(order, what, digest, waves, plan, bounds)?;
+            Command::BeginRelease { order, artifact, digest, waves, plan } => {
+                new.release_begins(order, artifact, digest, waves, plan, bounds)?;
             }
             Command::RollBack { cause, .. } => new.undo(cause)?,
             Command::CompleteWave(at) => new.next_wave(*at)?,
--- a/consensus/src/fleet_state/tests.rs
+++ b/consensus/src/fleet_state/tests.rs
@@ -21,7 +21,7 @@
 }
 
 fn going() -> FleetState {
-    let doc = FleetState::first(None);
+    let doc = FleetState::bootstrap(None);
     let doc = doc.apply(&Command::Resume { order: "r".into() }, &bounds(), &view(&[])).unwrap();
     let all = Command::Drain { order: "d".into(), routers: vec![0, 1, 3, 4] };
     doc.apply(&all, &bounds(), &view(&[])).unwrap()
--- a/consensus/src/register.rs
+++ b/consensus/src/register.rs
@@ -179,7 +179,7 @@
 
     /// The same with a mistake.
     #[cfg(feature = "defects")]
-    pub fn with(self, defect: Option<Defect>) -> Acceptor<D> {
+    pub fn with_defect(self, defect: Option<Defect>) -> Acceptor<D> {
         let joined = self.joined || defect == Some(Defect::NotBlank);
         Acceptor { defect, joined, ..self }
     }
@@ -289,7 +289,7 @@
 
     /// The same with a mistake.
     #[cfg(feature = "defects")]
-    pub fn with(self, defect: Option<Defect>) -> Proposer<D> {
+    pub fn with_defect(self, defect: Option<Defect>) -> Proposer<D> {
         Proposer { defect, ..self }
     }
 
--- a/consensus/src/release_monitor/tests.rs
+++ b/consensus/src/release_monitor/tests.rs
@@ -29,8 +29,8 @@
 
 fn begun(back: bool) -> FleetState {
     let waves = vec![vec![0], vec![1, 2, 3]];
-    let (order, what, digest) = ("v2".into(), "settings".into(), "new".into());
-    then(&FleetState::default(), Command::BeginRelease { order, what, digest, waves, plan: plan(back) })
+    let (order, artifact, digest) = ("v2".into(), "settings".into(), "new".into());
+    then(&FleetState::default(), Command::BeginRelease { order, artifact, digest, waves, plan: plan(back) })
 }
 
 /// A router goes by leave and comes back, in its next life.
@@ -131,7 +131,7 @@
     let doc = begun(false);
     let again = Command::BeginRelease {
         order: "v3".into(),
-        what: "settings".into(),
+        artifact: "settings".into(),
         digest: "x".into(),
         waves: vec![vec![3]],
         plan: plan(false),
--- a/consensus/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -261,7 +261,7 @@
             return;
         }
         let heard = |p| {
-            let (life, _) = router.presence.live_incarnation(now, p)?;
+            let (life, _) = router.presence.live_peer(now, p)?;
             Some(RouterReport { incarnation: life, counts: AnswerCounts::default() })
         };
         let heard: Vec<_> = (0..n).map(heard).collect();
@@ -463,8 +463,8 @@
                     rolls_back: back,
                     ..ReleasePlan::default()
                 };
-                let (what, digest) = ("settings".into(), format!("file {}", self.orders));
-                Command::BeginRelease { order, what, digest, waves: vec![vec![first], rest], plan }
+                let (artifact, digest) = ("settings".into(), format!("file {}", self.orders));
+                Command::BeginRelease { order, artifact, digest, waves: vec![vec![first], rest], plan }
             }
             9 if undo => Command::RollBack { order, cause: "x".into() },
             0 | 6 => Command::Halt { order, cause: "x".into() },
--- a/consensus/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -102,7 +102,7 @@
             let mut m = Acceptor::new(life);
             m.handle(AcceptorRequest::Prepare(ballot));
             m.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
-            m.with(self.defect)
+            m.with_defect(self.defect)
         });
         let members = members.collect();
         // Members come first: they propose to take part again.
@@ -148,7 +148,7 @@
                 let number = 1 + u64::from(proposer.rounds);
                 let ballot = Ballot { number, proposer: p as u16, incarnation: proposer.life };
                 let joins = if p < MEMBERS { vec![(p as u8, proposer.life)] } else { vec![] };
-                proposer.round = Some(Proposer::joining(ballot, MEMBERS, joins).with(self.defect));
+                proposer.round = Some(Proposer::joining(ballot, MEMBERS, joins).with_defect(self.defect));
                 s.send(p);
             }
             Action::Ask(i, to) => {
@@ -169,7 +169,7 @@
                 s.restarts += 1;
                 let life = 10 * u64::from(s.restarts) + m as u64;
                 s.lives[m] = life;
-                s.members[m] = Acceptor::new(life).with(self.defect);
+                s.members[m] = Acceptor::new(life).with_defect(self.defect);
                 s.proposers[m] = ProposerProcess { life, round: None, rounds: s.proposers[m].rounds };
             }
         }
--- a/consensus/tests/net.rs
+++ b/consensus/tests/net.rs
@@ -71,7 +71,7 @@
         for m in &mut all {
             m.handle(AcceptorRequest::Prepare(ballot));
             m.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
-            *m = m.clone().with(defect);
+            *m = m.clone().with_defect(defect);
         }
         // The first of them are the members themselves, which propose as well and join again.
         let proposer = |p: usize| ProposerProcess {
@@ -113,7 +113,7 @@
             Some(m) => Proposer::joining(ballot, n, vec![(m as u8, proposer.life)]),
             None => Proposer::new(ballot, n),
         };
-        proposer.round = Some(round.with(self.defect));
+        proposer.round = Some(round.with_defect(self.defect));
         self.ask_all(p);
     }
 
@@ -125,7 +125,7 @@
         }
         let life = self.lives.iter().max().expect("there are members") + 100;
         self.lives[m] = life;
-        self.members[m] = Acceptor::new(life).with(self.defect);
+        self.members[m] = Acceptor::new(life).with_defect(self.defect);
         let seen = Ballot::default();
         self.proposers[m] = ProposerProcess { life, seen, round: None, looks: None, joins: None };
     }
@@ -315,14 +315,14 @@
         let net = Net::new(1, 3, defect);
         let mut members = net.members;
         let ballot = |number, by, life| Ballot { number, proposer: by, incarnation: life };
-        let mut late = Proposer::new(ballot(10, 3, 0), 3).with(defect);
+        let mut late = Proposer::new(ballot(10, 3, 0), 3).with_defect(defect);
         let ask = late.request();
         let promise = members[0].handle(ask.clone());
-        members[0] = Acceptor::new(100).with(defect);
-        let mut joins = Proposer::joining(ballot(3, 0, 100), 3, vec![(0, 100)]).with(defect);
+        members[0] = Acceptor::new(100).with_defect(defect);
+        let mut joins = Proposer::joining(ballot(3, 0, 100), 3, vec![(0, 100)]).with_defect(defect);
         let RoundStep::Chosen(joined) = finish(&mut joins, &mut members, &[1, 2], 1) else { panic!("joins") };
         members[0].join(ballot(3, 0, 100), joined);
-        let mut other = Proposer::new(ballot(4, 4, 0), 3).with(defect);
+        let mut other = Proposer::new(ballot(4, 4, 0), 3).with_defect(defect);
         let RoundStep::Chosen(other) = finish(&mut other, &mut members, &[0, 2], 2) else { panic!("agrees") };
         assert_eq!(other.state, vec![1, 2]);
         assert_eq!(late.handle_reply(0, &ask, promise), RoundStep::Wait);
--- a/consensus/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -77,7 +77,7 @@
 fn commands() -> Vec<Command> {
     let (o, c) = (|| "an order".to_string(), || "a \"cause\"".to_string());
     let nodes = || vec!["n1".to_string(), "n2".to_string()];
-    let (what, digest, waves) = ("settings".into(), "abc".into(), vec![vec![0, 2], vec![1]]);
+    let (artifact, digest, waves) = ("settings".into(), "abc".into(), vec![vec![0, 2], vec![1]]);
     vec![
         Command::Read,
         Command::JoinCouncil(6, u64::MAX),
@@ -89,7 +89,7 @@
         Command::DrainReplicas { order: o(), replicas: nodes(), until: Some(1_800_000_000_000) },
         Command::RestoreReplicas { order: o(), replicas: nodes() },
         Command::AdvanceReplica("n1".into()),
-        Command::BeginRelease { order: o(), what, digest, waves, plan: plan() },
+        Command::BeginRelease { order: o(), artifact, digest, waves, plan: plan() },
         Command::RollBack { order: o(), cause: c() },
         Command::CompleteWave(63),
         Command::FailWave(1, c()),
@@ -203,9 +203,9 @@
         || FleetState { version: 41, recent_orders: ["o".to_string()].into(), ..FleetState::default() };
     match name {
         "running" => FleetState::default(),
-        "first" => FleetState::first(None),
-        "first-of-known" => FleetState::first(Some(&known())),
-        "first-of-first" => FleetState::first(Some(&FleetState::first(None))),
+        "first" => FleetState::bootstrap(None),
+        "first-of-known" => FleetState::bootstrap(Some(&known())),
+        "first-of-first" => FleetState::bootstrap(Some(&FleetState::bootstrap(None))),
         "last-version" => FleetState { version: u64::MAX - 2, ..FleetState::default() },
         other => panic!("no start {other}"),
     }
@@ -330,8 +330,10 @@
         AcceptorReply::Uninitialized { incarnation: 7, stored: None },
         AcceptorReply::Uninitialized { incarnation: 7, stored: Some(44) },
     ];
-    let whole =
-        AcceptorRequest::Accept(b, RegisterValue { incarnations: vec![1], state: FleetState::first(None) });
+    let whole = AcceptorRequest::Accept(
+        b,
+        RegisterValue { incarnations: vec![1], state: FleetState::bootstrap(None) },
+    );
     compare("register-messages.txt", &(lines(&asks) + &lines(&answers) + &lines(&[whole])));
 }
 
@@ -558,7 +560,7 @@
         AdvertisedStatus::Ending,
     ];
     let standings: Vec<_> =
-        [PeerStatus::Unknown, PeerStatus::Silent].into_iter().chain(every.map(PeerStatus::Here)).collect();
+        [PeerStatus::Unknown, PeerStatus::Silent].into_iter().chain(every.map(PeerStatus::Alive)).collect();
     let mut says = lines(&every) + &lines(&standings);
     standings.iter().for_each(|s| writeln!(says, "{} out {}", json(s), s.is_out_of_service()).expect("text"));
     let mut presence = FailureDetector::new(BeatFigures { interval: S / 2, silence_limit: 2 * S }, 5, 0);
@@ -582,7 +584,7 @@
             taken.push(beat(5, 1, AdvertisedStatus::Serving));
         }
         let standings: Vec<_> = (0..6).map(|r| presence.status(now, r)).collect();
-        let here: Vec<_> = (0..6).map(|r| presence.live_incarnation(now, r)).collect();
+        let here: Vec<_> = (0..6).map(|r| presence.live_peer(now, r)).collect();
         let gone: Vec<_> = (0..6).map(|r| presence.has_left(now, r)).collect();
         let (knows, out) = (presence.can_detect_silence(now), presence.out_of_service(now));
         writeln!(says, "{half}: taken {taken:?} knows {knows} out {out:?} gone {gone:?}").expect("text");
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -37,7 +37,8 @@
     /// Never heard since this table began, and that is not long ago.
     Unknown,
     /// LastHeartbeat of late.
-    Here(AdvertisedStatus),
+    #[serde(rename = "here")]
+    Alive(AdvertisedStatus),
     /// Not heard for too long.
     Silent,
 }
@@ -45,7 +46,7 @@
 impl PeerStatus {
     /// Whether it counts as out of service: all but one that serves, or that nothing is known of yet.
     pub fn is_out_of_service(self) -> bool {
-        !matches!(self, PeerStatus::Here(AdvertisedStatus::Serving) | PeerStatus::Unknown)
+        !matches!(self, PeerStatus::Alive(AdvertisedStatus::Serving) | PeerStatus::Unknown)
     }
 }
 
@@ -115,10 +116,10 @@
         match heard {
             // It has said that it goes: its silence is no news, and it is out either way.
             Some(LastHeartbeat { advertised: AdvertisedStatus::Ending, .. }) => {
-                PeerStatus::Here(AdvertisedStatus::Ending)
+                PeerStatus::Alive(AdvertisedStatus::Ending)
             }
             _ if silent => PeerStatus::Silent,
-            Some(h) => PeerStatus::Here(h.advertised),
+            Some(h) => PeerStatus::Alive(h.advertised),
             None => PeerStatus::Unknown,
         }
     }
@@ -133,10 +134,10 @@
     }
 
     /// The life in which a router was heard last, if it is not silent, and whether it serves.
-    pub fn live_incarnation(&self, now: Nanos, of: RouterIndex) -> Option<(u64, bool)> {
+    pub fn live_peer(&self, now: Nanos, of: RouterIndex) -> Option<(u64, bool)> {
         let heard = self.heard.get(usize::from(of)).copied().flatten()?;
         match self.status(now, of) {
-            PeerStatus::Here(says) => Some((heard.incarnation, says == AdvertisedStatus::Serving)),
+            PeerStatus::Alive(says) => Some((heard.incarnation, says == AdvertisedStatus::Serving)),
             _ => None,
         }
     }
--- a/membership/src/tests.rs
+++ b/membership/src/tests.rs
@@ -9,7 +9,7 @@
     let mut p = FailureDetector::new(FIGURES, 3, 0);
     assert!(p.record_heartbeat(S, 0, 7, AdvertisedStatus::Serving));
     (1..=6).for_each(|k| p.note_clock(S + k * S / 2));
-    assert_eq!(p.status(3 * S, 0), PeerStatus::Here(AdvertisedStatus::Serving), "not yet");
+    assert_eq!(p.status(3 * S, 0), PeerStatus::Alive(AdvertisedStatus::Serving), "not yet");
     assert_eq!(p.status(4 * S, 0), PeerStatus::Silent);
     assert_eq!(p.status(4 * S, 1), PeerStatus::Silent, "never heard, and long enough");
     assert!(p.record_heartbeat(4 * S, 0, 7, AdvertisedStatus::Serving));
@@ -32,8 +32,8 @@
     let mut p = FailureDetector::new(FIGURES, 1, 0);
     assert!(p.record_heartbeat(S, 0, 8, AdvertisedStatus::Starting));
     assert!(!p.record_heartbeat(S, 0, 7, AdvertisedStatus::Serving), "late, of the life before");
-    assert_eq!(p.status(S, 0), PeerStatus::Here(AdvertisedStatus::Starting));
-    assert_eq!((p.live_incarnation(S, 0), p.live_incarnation(S, 1)), (Some((8, false)), None));
+    assert_eq!(p.status(S, 0), PeerStatus::Alive(AdvertisedStatus::Starting));
+    assert_eq!((p.live_peer(S, 0), p.live_peer(S, 1)), (Some((8, false)), None));
     assert!(
         p.record_heartbeat(S, 0, 8, AdvertisedStatus::Ending)
             && !p.has_left(2 * S, 0)
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -354,7 +354,7 @@
         let Some(value) = keeper.as_ref().and_then(|k| k.accepted()) else { return vec![] };
         // What an earlier life told says nothing of this one.
         let said = |(place, told): (RouterIndex, &Option<(u64, Tells)>)| {
-            let here = presence.live_incarnation(now, place).map(|(life, _)| life);
+            let here = presence.live_peer(now, place).map(|(life, _)| life);
             let told = told.as_ref().filter(|(life, _)| Some(*life) == here);
             (told.map(|(_, tells)| tells.follows.clone()), presence.has_left(now, place))
         };
@@ -692,7 +692,7 @@
             };
         }
         let newest = |held: Option<&FleetState>| {
-            FleetState::first(held.into_iter().chain(&documents).max_by_key(|d| d.version))
+            FleetState::bootstrap(held.into_iter().chain(&documents).max_by_key(|d| d.version))
         };
         let Some(value) = bootstrap_value(&members, newest) else { return };
         let document = value.state.clone();
--- a/router/src/fleet/orders.rs
+++ b/router/src/fleet/orders.rs
@@ -116,8 +116,8 @@
                     Ok(waves) => waves,
                     Err(why) => return no(why),
                 };
-                let (what, digest, plan) = (said.what.clone(), said.digest.clone(), said.plan.clone());
-                Command::BeginRelease { order: id.clone(), what, digest, waves, plan }
+                let (artifact, digest, plan) = (said.what.clone(), said.digest.clone(), said.plan.clone());
+                Command::BeginRelease { order: id.clone(), artifact, digest, waves, plan }
             }
             Order::Undo(cause) => Command::RollBack { order: id.clone(), cause: cause.clone() },
             Order::Drain(names) | Order::PutBack(names) => {
