--- a/consensus/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -261,7 +261,7 @@
             return;
         }
         let heard = |p| {
-            let (life, _) = router.presence.live_peer(now, p)?;
+            let life = router.presence.live_peer(now, p)?.incarnation;
             Some(RouterReport { incarnation: life, counts: AnswerCounts::default() })
         };
         let heard: Vec<_> = (0..n).map(heard).collect();
@@ -523,7 +523,7 @@
                 self.at(now + BEAT, Event::Beat(r, life));
             }
             Event::HeartbeatReceived { by, from, life, says } if self.routers[by].alive => {
-                self.routers[by].presence.record_heartbeat(now, from as RouterIndex, life, says);
+                let _ = self.routers[by].presence.record_heartbeat(now, from as RouterIndex, life, says);
             }
             Event::Asked { by, from, life, ask } if self.routers[from].alive => {
                 let member = &mut self.routers[from];
--- a/consensus/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -568,7 +568,7 @@
     // that listens is stopped itself from 8 s to 14 s.
     for half in (0..=16).chain(28..=36) {
         let now = half * S / 2;
-        let mut beat = |from, life, tells| presence.record_heartbeat(now, from, life, tells);
+        let mut beat = |from, life, tells| presence.record_heartbeat(now, from, life, tells).is_ok();
         let mut taken = vec![beat(0, 7, AdvertisedStatus::Serving)];
         if half < 5 {
             taken.push(beat(1, 7, AdvertisedStatus::Draining));
@@ -584,7 +584,8 @@
             taken.push(beat(5, 1, AdvertisedStatus::Serving));
         }
         let standings: Vec<_> = (0..6).map(|r| presence.status(now, r)).collect();
-        let here: Vec<_> = (0..6).map(|r| presence.live_peer(now, r)).collect();
+        let here: Vec<_> =
+            (0..6).map(|r| presence.live_peer(now, r).map(|peer| (peer.incarnation, peer.serving))).collect();
         let gone: Vec<_> = (0..6).map(|r| presence.has_left(now, r)).collect();
         let (knows, out) = (presence.can_detect_silence(now), presence.out_of_service(now));
         writeln!(says, "{half}: taken {taken:?} knows {knows} out {out:?} gone {gone:?}").expect("text");
--- /dev/null
+++ b/membership/src/failure_detector/tests.rs
@@ -0,0 +1,86 @@
+use super::*;
+use proptest::prelude::*;
+
+const S: Nanos = 1_000_000_000;
+const TIMING: HeartbeatTiming = HeartbeatTiming { interval: S / 2, silence_limit: 2 * S };
+
+fn serves(detector: &mut FailureDetector, now: Nanos, router: RouterIndex) -> Result<(), HeartbeatError> {
+    detector.record_heartbeat(now, router, 7, AdvertisedStatus::Serving)
+}
+
+#[test]
+fn silence_is_believed_after_its_time_and_ends_with_a_heartbeat() {
+    let mut detector = FailureDetector::new(TIMING, 3, 0);
+    assert_eq!(serves(&mut detector, S, 0), Ok(()));
+    (1..=6).for_each(|k| detector.note_clock(S + k * S / 2));
+    assert_eq!(detector.status(3 * S, 0), PeerStatus::Alive(AdvertisedStatus::Serving), "not yet");
+    assert_eq!(detector.status(4 * S, 0), PeerStatus::Silent);
+    assert_eq!(detector.status(4 * S, 1), PeerStatus::Silent, "never heard, and long enough");
+    assert_eq!(serves(&mut detector, 4 * S, 0), Ok(()));
+    assert_eq!(detector.out_of_service(4 * S), vec![1, 2]);
+}
+
+#[test]
+fn a_member_that_was_paused_itself_calls_nobody_silent() {
+    let mut detector = FailureDetector::new(TIMING, 2, 0);
+    (0..10).for_each(|k| assert_eq!(serves(&mut detector, k * S / 2, 0), Ok(())));
+    // Paused for 20 s: it continues, and the heartbeats of the others are still in its sockets.
+    assert_eq!(detector.out_of_service(25 * S), vec![], "its own gap is no silence of others");
+    assert!(!detector.can_detect_silence(25 * S));
+    (0..6).for_each(|k| detector.note_clock(25 * S + k * S / 2));
+    assert_eq!(detector.out_of_service(28 * S), vec![0, 1], "but a whole term later it is");
+}
+
+#[test]
+fn a_heartbeat_of_an_earlier_incarnation_is_rejected() {
+    let mut detector = FailureDetector::new(TIMING, 1, 0);
+    assert_eq!(detector.record_heartbeat(S, 0, 8, AdvertisedStatus::Starting), Ok(()));
+    assert_eq!(
+        serves(&mut detector, S, 0),
+        Err(HeartbeatError::StaleIncarnation(8)),
+        "late, of the incarnation before"
+    );
+    assert_eq!(detector.status(S, 0), PeerStatus::Alive(AdvertisedStatus::Starting));
+    let starting = LivePeer { incarnation: 8, serving: false };
+    assert_eq!((detector.live_peer(S, 0), detector.live_peer(S, 1)), (Some(starting), None));
+}
+
+#[test]
+fn a_router_has_left_once_it_is_silent_after_its_announced_end() {
+    let mut detector = FailureDetector::new(TIMING, 1, 0);
+    assert_eq!(detector.record_heartbeat(S, 0, 8, AdvertisedStatus::Ending), Ok(()));
+    assert!(!detector.has_left(2 * S, 0) && detector.has_left(4 * S, 0));
+}
+
+#[test]
+fn a_heartbeat_of_no_router_of_the_fleet_is_rejected() {
+    let mut detector = FailureDetector::new(TIMING, 1, 0);
+    assert_eq!(serves(&mut detector, S, 5), Err(HeartbeatError::UnknownRouter(5)));
+}
+
+proptest! {
+    /// Whatever comes in whatever order: a router whose heartbeats come within the limit, in its newest incarnation, is
+    /// never silent.
+    #[test]
+    fn no_router_that_beats_is_silent(
+        heartbeats in proptest::collection::vec((0u64..400, 0u16..4, 0u64..3), 1..200)
+    ) {
+        let mut detector = FailureDetector::new(TIMING, 4, 0);
+        let mut last = [(0u64, 0u64); 4];
+        let mut now = 0;
+        for (gap_ms, from, incarnation) in heartbeats {
+            now += gap_ms * 1_000_000;
+            let known = &mut last[usize::from(from)];
+            let recorded = detector.record_heartbeat(now, from, incarnation, AdvertisedStatus::Serving).is_ok();
+            prop_assert_eq!(recorded, incarnation >= known.1, "incarnation {} after {}", incarnation, known.1);
+            if recorded {
+                *known = (now, incarnation);
+            }
+            for (router, (heard_at, _)) in last.iter().enumerate() {
+                let fresh = now - heard_at <= TIMING.silence_limit;
+                let status = detector.status(now, router as RouterIndex);
+                prop_assert!(!(fresh && status == PeerStatus::Silent), "{status:?}");
+            }
+        }
+    }
+}
--- a/router/src/fleet/conduct.rs
+++ b/router/src/fleet/conduct.rs
@@ -56,7 +56,7 @@
         }
         let told = self.told.borrow();
         let heard = (0..).zip(told.iter()).map(|(place, told): (RouterIndex, _)| {
-            let (life, _) = presence.live_peer(now, place)?;
+            let life = presence.live_peer(now, place)?.incarnation;
             let told = told.as_ref().filter(|(of, _)| *of == life);
             Some(RouterReport { incarnation: life, counts: told.map(|(_, t)| t.counts).unwrap_or_default() })
         });
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -329,7 +329,8 @@
         match &call.what {
             What::Change(_) | What::Life => None,
             What::Beat(says) => {
-                self.presence.borrow_mut().record_heartbeat(self.now(), call.from, call.life, *says);
+                // One of an earlier incarnation, or of no router of the fleet, says nothing.
+                let _ = self.presence.borrow_mut().record_heartbeat(self.now(), call.from, call.life, *says);
                 self.tell(call.from, call.life, call.tells.clone().unwrap_or_default());
                 Some((Said::Heard(self.taken()), vec![]))
             }
@@ -354,7 +355,7 @@
         let Some(value) = keeper.as_ref().and_then(|k| k.accepted()) else { return vec![] };
         // What an earlier life told says nothing of this one.
         let said = |(place, told): (RouterIndex, &Option<(u64, Tells)>)| {
-            let here = presence.live_peer(now, place).map(|(life, _)| life);
+            let here = presence.live_peer(now, place).map(|peer| peer.incarnation);
             let told = told.as_ref().filter(|(life, _)| Some(*life) == here);
             (told.map(|(_, tells)| tells.follows.clone()), presence.has_left(now, place))
         };
@@ -727,7 +728,7 @@
                     let version = match &fleet.links[member] {
                         None => {
                             let now = fleet.now();
-                            fleet.presence.borrow_mut().record_heartbeat(
+                            let _ = fleet.presence.borrow_mut().record_heartbeat(
                                 now,
                                 fleet.settings.me,
                                 fleet.life,
