--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use tallypin_membership::RouterIndex;
 
-use crate::register::MemberIndex;
+use crate::register::CouncilMember;
 use crate::release::{Release, ReleasePhase, ReleasePlan, MAX_ATTEMPTS, MAX_WAVES};
 use crate::replica_drains::{
     self, ReplicaEntry, ReplicaLimitExceeded, ReplicaLimits, ReplicaStage, ReplicaView, UnixMs,
@@ -146,7 +146,7 @@
     Read,
     /// None to the document: a member of the council that has restarted takes part again in this life.
     #[serde(rename = "join")]
-    JoinCouncil(MemberIndex, u64),
+    JoinCouncil(CouncilMember),
     /// An operator wants these to go out.
     Drain {
         /// The order's id.
@@ -408,7 +408,7 @@
             false => Err(Rejection::UnknownRouter(place)),
         };
         match act {
-            Command::Read | Command::JoinCouncil(..) => return Ok(new),
+            Command::Read | Command::JoinCouncil(_) => return Ok(new),
             Command::Drain { order, .. }
             | Command::Restore { order, .. }
             | Command::Halt { order, .. }
@@ -438,7 +438,7 @@
             _ => {}
         }
         match act {
-            Command::Read | Command::JoinCouncil(..) => {}
+            Command::Read | Command::JoinCouncil(_) => {}
             Command::Drain { order, routers } => {
                 for &place in routers {
                     known(place)?;
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -10,6 +10,7 @@
 
 pub mod drain_lease;
 pub mod fleet_state;
+mod json_array;
 pub mod register;
 pub mod release;
 pub mod release_monitor;
--- /dev/null
+++ b/consensus/src/register/messages.rs
@@ -0,0 +1,141 @@
+//! What proposers and acceptors send each other, in the JSON form that goes over the wire.
+//!
+//! Names in `serde` attributes are those of the wire. They predate the names in this crate and must not change: routers
+//! of several versions take part in one fleet.
+
+use serde::{Deserialize, Serialize, Serializer};
+use tallypin_membership::Incarnation;
+
+use super::Ballot;
+use crate::json_array::json_array;
+
+/// An acceptor's position in the council, from 0.
+pub type MemberIndex = u8;
+
+/// The largest number of members that a council may have.
+pub const MAX_MEMBERS: usize = 7;
+
+/// A member of the council in one of its incarnations; a JSON array of the two on the wire.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(from = "(MemberIndex, Incarnation)", into = "(MemberIndex, Incarnation)")]
+pub struct CouncilMember {
+    /// Its position in the council.
+    pub member: MemberIndex,
+    /// The incarnation that is meant.
+    pub incarnation: Incarnation,
+}
+
+json_array!(CouncilMember { member: MemberIndex, incarnation: Incarnation });
+
+/// The content of the register: the agreed state, and the incarnations of the acceptors whose replies count.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct RegisterValue<D> {
+    /// By [`MemberIndex`]: the incarnation in which each member takes part.
+    #[serde(rename = "lives")]
+    pub incarnations: Vec<Incarnation>,
+    /// What the routers agree on.
+    #[serde(rename = "document")]
+    pub state: D,
+}
+
+/// A value with the ballot under which it was proposed; a JSON array of the two on the wire.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Deserialize)]
+#[serde(from = "(Ballot, RegisterValue<D>)")]
+pub struct Proposal<D> {
+    /// The round that proposed it.
+    pub ballot: Ballot,
+    /// What was proposed.
+    pub value: RegisterValue<D>,
+}
+
+impl<D> From<(Ballot, RegisterValue<D>)> for Proposal<D> {
+    fn from((ballot, value): (Ballot, RegisterValue<D>)) -> Proposal<D> {
+        Proposal { ballot, value }
+    }
+}
+
+impl<D: Serialize> Serialize for Proposal<D> {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        (&self.ballot, &self.value).serialize(serializer)
+    }
+}
+
+/// What a proposer asks of an acceptor.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum AcceptorRequest<D> {
+    /// Report the last accepted proposal; nothing is promised.
+    #[serde(rename = "look")]
+    Read,
+    /// First phase: promise to accept nothing under a lower ballot, and report the last accepted proposal.
+    Prepare(Ballot),
+    /// Second phase: accept this proposal, unless a higher ballot has been promised.
+    #[serde(rename = "take")]
+    Accept(Proposal<D>),
+    /// Accept the first value of a council that has lost its memory. Accepted only if nothing has been promised since
+    /// the `Prepare` with the same ballot.
+    #[serde(rename = "found")]
+    Bootstrap(Proposal<D>),
+}
+
+/// What an acceptor replies.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum AcceptorReply<D> {
+    /// To `Read`: the last accepted proposal.
+    #[serde(rename = "has")]
+    Current {
+        /// The acceptor's incarnation.
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
+        /// The proposal that it accepted last, if any.
+        #[serde(rename = "taken")]
+        accepted: Option<Proposal<D>>,
+    },
+    /// To `Prepare`: promised.
+    Promised {
+        /// The incarnation that promises. The promise is void for any other one.
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
+        /// The proposal that it accepted last, if any.
+        #[serde(rename = "taken")]
+        accepted: Option<Proposal<D>>,
+    },
+    /// To `Accept` or `Bootstrap`: accepted.
+    #[serde(rename = "taken")]
+    Accepted {
+        /// The incarnation that has accepted.
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
+    },
+    /// Rejected: this higher ballot has been promised.
+    #[serde(rename = "newer")]
+    Superseded(Ballot),
+    /// The acceptor has restarted, remembers nothing and takes no part yet.
+    #[serde(rename = "blank")]
+    Uninitialized {
+        /// The acceptor's incarnation.
+        #[serde(rename = "life")]
+        incarnation: Incarnation,
+        /// The state that an earlier incarnation stored on disk. It may be old, and counts only towards a `Bootstrap`.
+        #[serde(default = "none", skip_serializing_if = "Option::is_none")]
+        stored: Option<D>,
+    },
+}
+
+/// The default of an absent `stored`; `Option::default` would require `D: Default` of the derived implementation.
+fn none<D>() -> Option<D> {
+    None
+}
+
+/// What one acceptor has reported to a proposer.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct MemberReport<D> {
+    /// The incarnation that reports.
+    pub incarnation: Incarnation,
+    /// The proposal that it accepted last; `None`: it has accepted none.
+    pub accepted: Option<Proposal<D>>,
+}
+
+/// What each member of the council has reported, by [`MemberIndex`]; `None`: no reply.
+pub type MemberReports<D> = [Option<MemberReport<D>>];
--- /dev/null
+++ b/consensus/src/register/proposer.rs
@@ -0,0 +1,171 @@
+//! The proposer: one round that reads the register, changes the value and has the change accepted.
+
+use tallypin_membership::Incarnation;
+
+use super::defect::{defect, Defect};
+use super::{
+    AcceptorReply, AcceptorRequest, Ballot, CouncilMember, MemberIndex, MemberReport, Proposal, RegisterValue,
+};
+
+/// What a round needs next.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum RoundStep<D> {
+    /// More replies.
+    Wait,
+    /// A changed version of this state: the round continues with [`Proposer::propose`].
+    Propose(D),
+    /// Nothing: this value has been chosen.
+    Chosen(RegisterValue<D>),
+    /// Nothing: it lost to this higher ballot. Its value may still be chosen, by a later round that builds on it.
+    Superseded(Ballot),
+}
+
+/// One proposal round before all acceptors of a council.
+///
+/// The caller sends [`Proposer::request`] to each member and hands each reply to [`Proposer::handle_reply`]. After
+/// [`RoundStep::Propose`] it calls [`Proposer::propose`], and sends the next request.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct Proposer<D> {
+    ballot: Ballot,
+    members: usize,
+    /// Restarted members that join with this round. They have no say in it.
+    joining: Vec<CouncilMember>,
+    /// The replies to the present request, by member.
+    reports: Vec<Option<MemberReport<D>>>,
+    /// The proposed value, once the first phase is over.
+    proposed: Option<RegisterValue<D>>,
+    /// Replies that were counted twice, by the defect `CountsTwice`.
+    duplicates: usize,
+    defect: Option<Defect>,
+}
+
+impl<D: Clone + PartialEq> Proposer<D> {
+    /// A round with this ballot before a council of so many members.
+    pub fn new(ballot: Ballot, members: usize) -> Proposer<D> {
+        Proposer {
+            ballot,
+            members,
+            joining: vec![],
+            reports: vec![None; members],
+            proposed: None,
+            duplicates: 0,
+            defect: None,
+        }
+    }
+
+    /// A round with which restarted members join in their new incarnations.
+    pub fn joining(ballot: Ballot, members: usize, joining: Vec<CouncilMember>) -> Proposer<D> {
+        Proposer { joining, ..Proposer::new(ballot, members) }
+    }
+
+    /// The same with a deliberate defect.
+    #[cfg(feature = "defects")]
+    pub fn with_defect(self, defect: Option<Defect>) -> Proposer<D> {
+        Proposer { defect, ..self }
+    }
+
+    /// Its ballot.
+    pub fn ballot(&self) -> Ballot {
+        self.ballot
+    }
+
+    /// The request that goes to all members in the present phase.
+    pub fn request(&self) -> AcceptorRequest<D> {
+        match &self.proposed {
+            None => AcceptorRequest::Prepare(self.ballot),
+            Some(value) => AcceptorRequest::Accept(Proposal { ballot: self.ballot, value: value.clone() }),
+        }
+    }
+
+    /// Handles a member's reply to `request`.
+    ///
+    /// Replies to an earlier request of this round, duplicates and replies from outside the council have no effect.
+    pub fn handle_reply(
+        &mut self,
+        from: MemberIndex,
+        request: &AcceptorRequest<D>,
+        reply: AcceptorReply<D>,
+    ) -> RoundStep<D> {
+        let from = usize::from(from);
+        if from >= self.members {
+            return RoundStep::Wait;
+        }
+        match (request, reply) {
+            (_, AcceptorReply::Superseded(seen)) if seen > self.ballot => RoundStep::Superseded(seen),
+            (AcceptorRequest::Prepare(ballot), AcceptorReply::Promised { incarnation, accepted })
+                if *ballot == self.ballot && self.proposed.is_none() =>
+            {
+                self.record(from, MemberReport { incarnation, accepted });
+                self.after_promise()
+            }
+            (AcceptorRequest::Accept(proposal), AcceptorReply::Accepted { incarnation })
+                if proposal.ballot == self.ballot && self.proposed.as_ref() == Some(&proposal.value) =>
+            {
+                self.record(from, MemberReport { incarnation, accepted: None });
+                self.after_acceptance()
+            }
+            _ => RoundStep::Wait,
+        }
+    }
+
+    /// Begins the second phase with this changed state, after [`RoundStep::Propose`]. Before that it has no effect.
+    pub fn propose(&mut self, state: D) {
+        let Some(newest) = self.newest() else { return };
+        let mut incarnations = newest.value.incarnations.clone();
+        for joining in &self.joining {
+            if let Some(current) = incarnations.get_mut(usize::from(joining.member)) {
+                // A request to join that arrives late must not replace a later incarnation.
+                *current = (*current).max(joining.incarnation);
+            }
+        }
+        self.proposed = Some(RegisterValue { incarnations, state });
+        self.reports = vec![None; self.members];
+        self.duplicates = 0;
+    }
+
+    fn record(&mut self, from: usize, report: MemberReport<D>) {
+        let duplicate = self.reports[from].is_some() && defect!(self, CountsTwice);
+        self.duplicates += usize::from(duplicate);
+        self.reports[from] = Some(report);
+    }
+
+    fn after_promise(&self) -> RoundStep<D> {
+        match self.newest() {
+            Some(newest) if self.has_majority(&newest.value.incarnations) => {
+                RoundStep::Propose(newest.value.state.clone())
+            }
+            _ => RoundStep::Wait,
+        }
+    }
+
+    fn after_acceptance(&self) -> RoundStep<D> {
+        match &self.proposed {
+            Some(value) if self.has_majority(&value.incarnations) => RoundStep::Chosen(value.clone()),
+            _ => RoundStep::Wait,
+        }
+    }
+
+    /// The newest proposal that any member has reported, whether or not its incarnation counts: what is reported was
+    /// accepted by someone.
+    fn newest(&self) -> Option<&Proposal<D>> {
+        let accepted = self.reports.iter().flatten().filter_map(|report| report.accepted.as_ref());
+        match defect!(self, FirstHeard) {
+            true => accepted.min_by_key(|proposal| proposal.ballot),
+            false => accepted.max_by_key(|proposal| proposal.ballot),
+        }
+    }
+
+    /// Whether a majority has replied in the incarnations that count. What a member promised in any other one it may
+    /// have forgotten.
+    fn has_majority(&self, incarnations: &[Incarnation]) -> bool {
+        let counts = |(member, report): &(usize, &Option<MemberReport<D>>)| {
+            report.as_ref().is_some_and(|report| {
+                incarnations.get(*member) == Some(&report.incarnation)
+                    || defect!(self, AnyLife)
+                    || defect!(self, NotBlank)
+            })
+        };
+        let replies = self.reports.iter().enumerate().filter(counts).count() + self.duplicates;
+        replies * 2 > self.members || (defect!(self, OneShort) && (replies + 1) * 2 > self.members)
+    }
+}
--- a/consensus/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -10,7 +10,8 @@
 use tallypin_consensus::drain_lease::{halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep};
 use tallypin_consensus::fleet_state::{Command, CouncilView, DrainLimits, FleetState};
 use tallypin_consensus::register::{
-    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Proposer, RoundStep,
+    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
+    MemberReport, Proposal, Proposer, RoundStep,
 };
 use tallypin_consensus::release::{ReleasePhase, ReleasePlan};
 use tallypin_consensus::release_monitor::{AnswerCounts, ReleaseMonitor, RouterReport};
@@ -116,12 +117,15 @@
         };
         let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         let value =
-            bootstrap_value(&vec![Some((0, None)); COUNCIL], |_| FleetState::default()).expect("all blank");
+            bootstrap_value(&vec![Some(MemberReport { incarnation: 0, accepted: None }); COUNCIL], |_| {
+                FleetState::default()
+            })
+            .expect("all blank");
         let routers = (0..n).map(|r| {
             let keeper = (r < COUNCIL).then(|| {
                 let mut keeper = Acceptor::new(0);
                 keeper.handle(AcceptorRequest::Prepare(ballot));
-                keeper.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
+                keeper.handle(AcceptorRequest::Bootstrap(Proposal { ballot, value: value.clone() }));
                 keeper
             });
             Router {
@@ -199,7 +203,11 @@
         let ballot = Ballot { number: 0, proposer: r as u16, incarnation: router.life }.above(router.seen);
         router.seen = ballot;
         let round = match &router.keeper {
-            Some(k) if !k.joined() => Proposer::joining(ballot, COUNCIL, vec![(r as u8, router.life)]),
+            Some(k) if !k.joined() => Proposer::joining(
+                ballot,
+                COUNCIL,
+                vec![CouncilMember { member: r as u8, incarnation: router.life }],
+            ),
             _ => Proposer::new(ballot, COUNCIL),
         };
         router.round =
@@ -279,13 +287,15 @@
                     && self.cut.contains(&m) == here
                     && self.rng.u32(..100) >= self.lost;
                 match self.routers[m].keeper.as_mut().filter(|_| reached)?.handle(AcceptorRequest::Read) {
-                    AcceptorReply::Current { incarnation: life, accepted: taken } => Some((life, taken)),
+                    AcceptorReply::Current { incarnation, accepted } => {
+                        Some(MemberReport { incarnation, accepted })
+                    }
                     _ => None,
                 }
             })
             .collect();
-        if let Some((_, value)) = chosen_value(&told) {
-            self.routers[r].known = Some(value.state);
+        if let Some(chosen) = chosen_value(&told) {
+            self.routers[r].known = Some(chosen.value.state);
         }
     }
 
@@ -377,7 +387,7 @@
                     router.known = Some(value.state.clone());
                 }
                 if let Some(keeper) = &mut router.keeper {
-                    keeper.join(ballot, value);
+                    keeper.join(Proposal { ballot, value });
                 }
                 self.ended(r, true);
             }
--- a/consensus/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -1,50 +1,66 @@
 //! Every course that three members and their proposers can take, to a stated depth: each message may come late, twice, in
-//! any order or never, and a member may start anew and remember nothing.
+//! any order or never, and a member may restart and remember nothing.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
 
 use stateright::{Checker, Model, Property};
 use tallypin_consensus::register::{
-    bootstrap_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Defect, Proposer, RegisterValue,
-    RoundStep,
+    bootstrap_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember, Defect, MemberReport,
+    Proposal, Proposer, RegisterValue, RoundStep,
 };
 
 const MEMBERS: usize = 3;
-/// What is agreed on: the marks of all changes, in their order.
+const SAFETY: &str = "all that is agreed on follows on what was";
+
+/// The state of the register: the marks of all changes, in their order.
 type History = Vec<u8>;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct ProposerProcess {
-    life: u64,
+    incarnation: u64,
     round: Option<Proposer<History>>,
     rounds: u8,
 }
 
+/// A request that was sent. It may arrive at any time, as often as it likes.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct SentRequest {
+    from: usize,
+    request: AcceptorRequest<History>,
+}
+
+/// A reply that was sent, which may arrive likewise.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct SentReply {
+    member: usize,
+    to: usize,
+    request: AcceptorRequest<History>,
+    reply: AcceptorReply<History>,
+}
+
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     members: Vec<Acceptor<History>>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     proposers: Vec<ProposerProcess>,
-    /// Questions that were sent, by who asked: each may come whenever, as often as it likes.
-    asked: Vec<(usize, AcceptorRequest<History>)>,
-    /// Answers that were given, likewise: by member, to whom, to what.
-    answered: Vec<(usize, usize, AcceptorRequest<History>, AcceptorReply<History>)>,
-    agreed: Vec<History>,
+    requests: Vec<SentRequest>,
+    replies: Vec<SentReply>,
+    chosen: Vec<History>,
     restarts: u8,
-    /// Two that were told different things.
-    apart: bool,
+    /// Two different values were chosen, neither of which was built on the other.
+    diverged: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
     Begin(usize),
-    Ask(usize, usize),
-    Answer(usize),
+    DeliverRequest { request: usize, member: usize },
+    DeliverReply(usize),
     Restart(usize),
 }
 
-struct Register {
+struct RegisterModel {
     proposers: usize,
     rounds: u8,
     restarts: u8,
@@ -52,147 +68,172 @@
 }
 
 impl State {
-    fn send(&mut self, p: usize) {
-        let Some(round) = &self.proposers[p].round else { return };
-        let message = (p, round.request());
-        if !self.asked.contains(&message) {
-            self.asked.push(message);
-            self.asked.sort_by_key(|m| format!("{m:?}"));
+    fn send(&mut self, from: usize) {
+        let Some(round) = &self.proposers[from].round else { return };
+        let message = SentRequest { from, request: round.request() };
+        if !self.requests.contains(&message) {
+            self.requests.push(message);
+            self.requests.sort_by_key(|message| format!("{message:?}"));
         }
     }
 
-    fn step(&mut self, p: usize, step: RoundStep<History>) {
+    fn step(&mut self, proposer: usize, step: RoundStep<History>) {
         match step {
             RoundStep::Wait => {}
-            RoundStep::Superseded(_) => self.proposers[p].round = None,
+            RoundStep::Superseded(_) => self.proposers[proposer].round = None,
             RoundStep::Propose(mut history) => {
                 // A mark of its own for each round.
-                history.push(p as u8 * 10 + self.proposers[p].rounds);
-                self.proposers[p].round.as_mut().expect("it has one").propose(history);
-                self.send(p);
-            }
-            RoundStep::Chosen(value) => {
-                let round = self.proposers[p].round.take().expect("it has one");
-                // The member that proposes takes part again, if this is still its life.
-                if p < MEMBERS && self.lives[p] == self.proposers[p].life {
-                    self.members[p].join(round.ballot(), value.clone());
-                }
-                let new = value.state;
-                let follows = |old: &History| old.starts_with(&new) || new.starts_with(old);
-                self.apart |= !self.agreed.iter().all(follows);
-                if !self.agreed.contains(&new) {
-                    self.agreed.push(new);
-                    self.agreed.sort();
-                }
+                history.push(proposer as u8 * 10 + self.proposers[proposer].rounds);
+                self.proposers[proposer].round.as_mut().expect("it has one").propose(history);
+                self.send(proposer);
             }
+            RoundStep::Chosen(value) => self.choose(proposer, value),
+        }
+    }
+
+    fn choose(&mut self, proposer: usize, value: RegisterValue<History>) {
+        let round = self.proposers[proposer].round.take().expect("it has one");
+        // The member that proposes takes part again, if this is still its incarnation.
+        if proposer < MEMBERS && self.incarnations[proposer] == self.proposers[proposer].incarnation {
+            self.members[proposer].join(Proposal { ballot: round.ballot(), value: value.clone() });
+        }
+        let new = value.state;
+        let follows = |old: &History| old.starts_with(&new) || new.starts_with(old);
+        self.diverged |= !self.chosen.iter().all(follows);
+        if !self.chosen.contains(&new) {
+            self.chosen.push(new);
+            self.chosen.sort();
         }
     }
+
+    /// The last reply of a member to a request, if any.
+    fn last_reply(&self, member: usize, to: &SentRequest) -> Option<&AcceptorReply<History>> {
+        let mut replies = self
+            .replies
+            .iter()
+            .filter(|sent| sent.member == member && sent.to == to.from && sent.request == to.request);
+        replies.next_back().map(|sent| &sent.reply)
+    }
 }
 
-impl Model for Register {
+impl Model for RegisterModel {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let lives: Vec<u64> = (1..=MEMBERS as u64).collect();
-        let blank: Vec<_> = lives.iter().map(|l| Some((*l, None))).collect();
+        let incarnations: Vec<u64> = (1..=MEMBERS as u64).collect();
+        let blank = |&incarnation: &u64| Some(MemberReport { incarnation, accepted: None });
+        let blank: Vec<_> = incarnations.iter().map(blank).collect();
         let value: RegisterValue<History> = bootstrap_value(&blank, |_| vec![]).expect("all are blank");
         let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
-        let members = lives.iter().map(|&life| {
-            let mut m = Acceptor::new(life);
-            m.handle(AcceptorRequest::Prepare(ballot));
-            m.handle(AcceptorRequest::Bootstrap(ballot, value.clone()));
-            m.with_defect(self.defect)
+        let members = incarnations.iter().map(|&incarnation| {
+            let mut member = Acceptor::new(incarnation);
+            member.handle(AcceptorRequest::Prepare(ballot));
+            member.handle(AcceptorRequest::Bootstrap(Proposal { ballot, value: value.clone() }));
+            member.with_defect(self.defect)
         });
         let members = members.collect();
         // Members come first: they propose to take part again.
         let proposers = (0..MEMBERS + self.proposers).map(|p| {
-            let life = lives.get(p).copied().unwrap_or(100 + p as u64);
-            ProposerProcess { life, round: None, rounds: 0 }
+            let incarnation = incarnations.get(p).copied().unwrap_or(100 + p as u64);
+            ProposerProcess { incarnation, round: None, rounds: 0 }
         });
         let proposers = proposers.collect();
-        let (asked, answered, agreed) = (vec![], vec![], vec![]);
-        vec![State { members, lives, proposers, asked, answered, agreed, restarts: 0, apart: false }]
+        let (requests, replies, chosen) = (vec![], vec![], vec![]);
+        vec![State {
+            members,
+            incarnations,
+            proposers,
+            requests,
+            replies,
+            chosen,
+            restarts: 0,
+            diverged: false,
+        }]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Action>) {
-        for (p, proposer) in s.proposers.iter().enumerate() {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
+        for (p, proposer) in state.proposers.iter().enumerate() {
             // A member proposes only to take part again.
-            let may = p >= MEMBERS || !s.members[p].joined();
+            let may = p >= MEMBERS || !state.members[p].joined();
             if proposer.round.is_none() && proposer.rounds < self.rounds && may {
                 actions.push(Action::Begin(p));
             }
         }
-        for (i, (from, ask)) in s.asked.iter().enumerate() {
-            for to in 0..MEMBERS {
-                let done = s.answered.iter().any(|(m, p, a, _)| m == &to && p == from && a == ask);
-                // Once is enough where nothing has changed since; a second time may answer otherwise.
-                if !done || s.members[to].clone().handle(ask.clone()) != last(s, to, *from, ask) {
-                    actions.push(Action::Ask(i, to));
+        for (request, sent) in state.requests.iter().enumerate() {
+            for member in 0..MEMBERS {
+                // Once is enough where nothing has changed since; a second time may be answered otherwise.
+                let reply = || state.members[member].clone().handle(sent.request.clone());
+                let last = state.last_reply(member, sent);
+                if last.is_none_or(|last| reply() != *last) {
+                    actions.push(Action::DeliverRequest { request, member });
                 }
             }
         }
-        actions.extend((0..s.answered.len()).map(Action::Answer));
-        if s.restarts < self.restarts {
+        actions.extend((0..state.replies.len()).map(Action::DeliverReply));
+        if state.restarts < self.restarts {
             actions.extend((0..MEMBERS).map(Action::Restart));
         }
     }
 
-    fn next_state(&self, s: &State, action: Action) -> Option<State> {
-        let mut s = s.clone();
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
+        let mut state = state.clone();
         match action {
-            Action::Begin(p) => {
-                let proposer = &mut s.proposers[p];
-                proposer.rounds += 1;
-                // Numbers that overtake each other by turns.
-                let number = 1 + u64::from(proposer.rounds);
-                let ballot = Ballot { number, proposer: p as u16, incarnation: proposer.life };
-                let joins = if p < MEMBERS { vec![(p as u8, proposer.life)] } else { vec![] };
-                proposer.round = Some(Proposer::joining(ballot, MEMBERS, joins).with_defect(self.defect));
-                s.send(p);
-            }
-            Action::Ask(i, to) => {
-                let (from, ask) = s.asked[i].clone();
-                let answer = s.members[to].handle(ask.clone());
-                let message = (to, from, ask, answer);
-                if !s.answered.contains(&message) {
-                    s.answered.push(message);
-                    s.answered.sort_by_key(|m| format!("{m:?}"));
+            Action::Begin(p) => self.begin(&mut state, p),
+            Action::DeliverRequest { request, member } => {
+                let SentRequest { from, request } = state.requests[request].clone();
+                let reply = state.members[member].handle(request.clone());
+                let message = SentReply { member, to: from, request, reply };
+                if !state.replies.contains(&message) {
+                    state.replies.push(message);
+                    state.replies.sort_by_key(|message| format!("{message:?}"));
                 }
             }
-            Action::Answer(i) => {
-                let (from, to, ask, answer) = s.answered[i].clone();
-                let step = s.proposers[to].round.as_mut()?.handle_reply(from as u8, &ask, answer);
-                s.step(to, step);
+            Action::DeliverReply(reply) => {
+                let SentReply { member, to, request, reply } = state.replies[reply].clone();
+                let round = state.proposers[to].round.as_mut()?;
+                let step = round.handle_reply(member as u8, &request, reply);
+                state.step(to, step);
             }
-            Action::Restart(m) => {
-                s.restarts += 1;
-                let life = 10 * u64::from(s.restarts) + m as u64;
-                s.lives[m] = life;
-                s.members[m] = Acceptor::new(life).with_defect(self.defect);
-                s.proposers[m] = ProposerProcess { life, round: None, rounds: s.proposers[m].rounds };
+            Action::Restart(member) => {
+                state.restarts += 1;
+                let incarnation = 10 * u64::from(state.restarts) + member as u64;
+                state.incarnations[member] = incarnation;
+                state.members[member] = Acceptor::new(incarnation).with_defect(self.defect);
+                let rounds = state.proposers[member].rounds;
+                state.proposers[member] = ProposerProcess { incarnation, round: None, rounds };
             }
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("all that is agreed on follows on what was", |_, s: &State| !s.apart),
+            Property::always(SAFETY, |_, state: &State| !state.diverged),
             // Guards against a model in which nothing happens.
-            Property::sometimes("two changes are agreed on", |_, s: &State| {
-                s.agreed.iter().any(|h| h.len() > 1)
+            Property::sometimes("two changes are agreed on", |_, state: &State| {
+                state.chosen.iter().any(|history| history.len() > 1)
             }),
         ]
     }
 }
 
-fn last(s: &State, to: usize, from: usize, ask: &AcceptorRequest<History>) -> AcceptorReply<History> {
-    let mut all = s.answered.iter().filter(|(m, p, a, _)| *m == to && *p == from && a == ask);
-    all.next_back().map(|(.., answer)| answer.clone()).expect("it has answered")
+impl RegisterModel {
+    fn begin(&self, state: &mut State, p: usize) {
+        let proposer = &mut state.proposers[p];
+        proposer.rounds += 1;
+        let incarnation = proposer.incarnation;
+        // Numbers that overtake each other by turns.
+        let number = 1 + u64::from(proposer.rounds);
+        let ballot = Ballot { number, proposer: p as u16, incarnation };
+        let joining = (p < MEMBERS).then_some(CouncilMember { member: p as u8, incarnation });
+        let round = Proposer::joining(ballot, MEMBERS, joining.into_iter().collect());
+        proposer.round = Some(round.with_defect(self.defect));
+        state.send(p);
+    }
 }
 
-fn check(model: Register, depth: usize) -> (usize, BTreeMap<&'static str, usize>) {
+fn check(model: RegisterModel, depth: usize) -> (usize, BTreeMap<&'static str, usize>) {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     let checked = model.checker().threads(threads).target_max_depth(depth).spawn_bfs().join();
     let found = checked.discoveries().into_iter().map(|(name, path)| (name, path.into_actions().len()));
@@ -201,18 +242,18 @@
 
 fn holds(plays: &[(u8, usize)]) {
     for &(restarts, depth) in plays {
-        let (states, found) = check(Register { proposers: 2, rounds: 1, restarts, defect: None }, depth);
+        let (states, found) = check(RegisterModel { proposers: 2, rounds: 1, restarts, defect: None }, depth);
         println!("{restarts} restarts, to depth {depth}: {states} states, {found:?}");
-        assert!(!found.contains_key("all that is agreed on follows on what was"), "{found:?}");
+        assert!(!found.contains_key(SAFETY), "{found:?}");
     }
 }
 
 fn finds(plays: &[(Defect, u8, usize)]) {
     for &(defect, restarts, depth) in plays {
         let (states, found) =
-            check(Register { proposers: 2, rounds: 1, restarts, defect: Some(defect) }, depth);
+            check(RegisterModel { proposers: 2, rounds: 1, restarts, defect: Some(defect) }, depth);
         println!("{defect:?}: {states} states, {found:?}");
-        assert!(found.contains_key("all that is agreed on follows on what was"), "{defect:?} is not found");
+        assert!(found.contains_key(SAFETY), "{defect:?} is not found");
     }
 }
 
--- a/consensus/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -16,8 +16,8 @@
     Command, CouncilView, DrainEntry, DrainLimits, DrainStage, FleetState, Rejection,
 };
 use tallypin_consensus::register::{
-    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Proposer, RegisterValue,
-    RoundStep,
+    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
+    MemberReport, Proposal, Proposer, RegisterValue, RoundStep,
 };
 use tallypin_consensus::release::ReleasePlan;
 use tallypin_consensus::release_monitor::{AnswerCounts, ReleaseMonitor, RouterReport};
@@ -80,7 +80,7 @@
     let (artifact, digest, waves) = ("settings".into(), "abc".into(), vec![vec![0, 2], vec![1]]);
     vec![
         Command::Read,
-        Command::JoinCouncil(6, u64::MAX),
+        Command::JoinCouncil((6, u64::MAX).into()),
         Command::Drain { order: o(), routers: vec![0, 65535] },
         Command::Restore { order: o(), routers: vec![] },
         Command::Halt { order: o(), cause: c() },
@@ -317,22 +317,21 @@
     let asks = [
         AcceptorRequest::Read,
         AcceptorRequest::Prepare(b),
-        AcceptorRequest::Accept(b, v.clone()),
-        AcceptorRequest::Bootstrap(b, v.clone()),
+        AcceptorRequest::Accept((b, v.clone()).into()),
+        AcceptorRequest::Bootstrap((b, v.clone()).into()),
     ];
     let answers = [
         AcceptorReply::Current { incarnation: 7, accepted: None },
-        AcceptorReply::Current { incarnation: 7, accepted: Some((b, v.clone())) },
+        AcceptorReply::Current { incarnation: 7, accepted: Some((b, v.clone()).into()) },
         AcceptorReply::Promised { incarnation: 7, accepted: None },
-        AcceptorReply::Promised { incarnation: 7, accepted: Some((b, v.clone())) },
+        AcceptorReply::Promised { incarnation: 7, accepted: Some((b, v.clone()).into()) },
         AcceptorReply::Accepted { incarnation: 7 },
         AcceptorReply::Superseded(b),
         AcceptorReply::Uninitialized { incarnation: 7, stored: None },
         AcceptorReply::Uninitialized { incarnation: 7, stored: Some(44) },
     ];
     let whole = AcceptorRequest::Accept(
-        b,
-        RegisterValue { incarnations: vec![1], state: FleetState::bootstrap(None) },
+        (b, RegisterValue { incarnations: vec![1], state: FleetState::bootstrap(None) }).into(),
     );
     compare("register-messages.txt", &(lines(&asks) + &lines(&answers) + &lines(&[whole])));
 }
@@ -375,7 +374,7 @@
         for line in read("asks.txt").lines() {
             if let Some(join) = line.strip_prefix("join ") {
                 let (ballot, value): (Ballot, Small) = from_str(join).expect("a ballot and a value");
-                keeper.join(ballot, value);
+                keeper.join((ballot, value).into());
                 writeln!(says, "{line}").expect("text");
             } else {
                 let ask: AcceptorRequest<u64> = from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
@@ -405,7 +404,7 @@
     let mut before = round.request();
     for line in read("rounds.txt").lines() {
         if let Some(joins) = line.strip_prefix("round ") {
-            let joins: Vec<(u8, u64)> = from_str(joins).expect("members and lives");
+            let joins: Vec<CouncilMember> = from_str(joins).expect("members and lives");
             round = match joins.is_empty() {
                 true => Proposer::new(ballot(5, 9, 1), 3),
                 false => Proposer::joining(ballot(5, 9, 1), 3, joins),
@@ -431,19 +430,22 @@
 /// All that three members can have told, of two values and two lives each.
 #[test]
 fn what_is_agreed_on_and_the_first_value_are_as_recorded() {
-    let values = [
+    let values: [Option<Proposal<u64>>; 3] = [
         None,
-        Some((ballot(2, 0, 0), small(&[1, 2, 3], 10))),
-        Some((ballot(4, 1, 0), small(&[11, 2, 3], 20))),
+        Some((ballot(2, 0, 0), small(&[1, 2, 3], 10)).into()),
+        Some((ballot(4, 1, 0), small(&[11, 2, 3], 20)).into()),
     ];
     let told = |member: u64, k: usize| match k {
         0 => None,
-        k => Some((if k < 4 { member + 1 } else { member + 11 }, values[(k - 1) % 3].clone())),
+        k => Some(MemberReport {
+            incarnation: if k < 4 { member + 1 } else { member + 11 },
+            accepted: values[(k - 1) % 3].clone(),
+        }),
     };
     let mut says = String::new();
     for k in 0..7 * 7 * 7 {
         let all: Vec<_> = [k / 49, k / 7 % 7, k % 7].into_iter().zip(0..).map(|(k, m)| told(m, k)).collect();
-        let found = chosen_value(&all).map(|(ballot, value)| (ballot.number, value.state));
+        let found = chosen_value(&all).map(|chosen| (chosen.ballot.number, chosen.value.state));
         let begins = bootstrap_value(&all, |known| known.map_or(0, |d| d + 1));
         writeln!(says, "{} {} {}", json(&all.len()), json(&found), json(&begins)).expect("text");
     }
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -24,7 +24,8 @@
 use tallypin_consensus::drain_lease::{LeaseHolder, LocalPhase, NextStep};
 use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState, Rejection};
 use tallypin_consensus::register::{
-    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, Proposer, RoundStep,
+    bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
+    MemberReport, Proposal, Proposer, RoundStep,
 };
 use tallypin_consensus::release_monitor::AnswerCounts;
 use tallypin_consensus::replica_drains::{
@@ -463,7 +464,7 @@
                 RoundStep::Chosen(value) => {
                     let document = value.state.clone();
                     if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
-                        keeper.join(round.ballot(), value);
+                        keeper.join(Proposal { ballot: round.ballot(), value });
                     }
                     self.learn(&document);
                     return Some(results.into_iter().map(|r| r.map(|()| document.clone())).collect());
@@ -490,7 +491,7 @@
             else {
                 continue;
             };
-            all[usize::from(member)] = Some((life, taken));
+            all[usize::from(member)] = Some(MemberReport { incarnation: life, accepted: taken });
             // What one has heard a router say is so, though another has not.
             for u in said {
                 let least = unclear.entry(u.node.clone()).or_insert_with(|| u.clone());
@@ -498,13 +499,13 @@
                     *least = u;
                 }
             }
-            if let Some((ballot, value)) = chosen_value(&all) {
+            if let Some(chosen) = chosen_value(&all) {
                 if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
-                    keeper.join(ballot, value.clone());
+                    keeper.join(chosen.clone());
                 }
                 self.unclear.replace(std::mem::take(&mut unclear));
-                self.learn(&value.state);
-                return Some(value.state);
+                self.learn(&chosen.value.state);
+                return Some(chosen.value.state);
             }
         }
         None
@@ -612,7 +613,7 @@
         let mut again = AGAIN_MS.0;
         loop {
             let joins = acts.iter().filter_map(|act| match act {
-                Command::JoinCouncil(member, life) => Some((*member, *life)),
+                Command::JoinCouncil(joins) => Some(*joins),
                 _ => None,
             });
             let round = Proposer::joining(self.ballot(), self.links.len(), joins.collect());
@@ -655,7 +656,8 @@
         let member = self.settings.council.iter().position(|&p| p == self.settings.me).unwrap_or(0);
         while self.keeper.borrow().as_ref().is_some_and(|k| !k.joined()) {
             // By whoever makes changes: a round of its own would be overtaken by them, again and again.
-            let joins = self.change(&Command::JoinCouncil(member as u8, self.life)).await;
+            let joins = CouncilMember { member: member as u8, incarnation: self.life };
+            let joins = self.change(&Command::JoinCouncil(joins)).await;
             match joins {
                 Ok(_) => drop(tokio::time::timeout(self.settings.within, self.look()).await),
                 Err(_) => drop(tokio::time::timeout(self.settings.within, self.found()).await),
@@ -680,10 +682,10 @@
             members[usize::from(member)] = match answer {
                 Some((AcceptorReply::Uninitialized { incarnation: life, stored }, ..)) => {
                     documents.extend(stored);
-                    Some((life, None))
+                    Some(MemberReport { incarnation: life, accepted: None })
                 }
                 Some((AcceptorReply::Promised { incarnation: life, accepted: taken }, ..)) => {
-                    Some((life, taken))
+                    Some(MemberReport { incarnation: life, accepted: taken })
                 }
                 Some((AcceptorReply::Superseded(seen), ..)) => {
                     self.seen.set(self.seen.get().max(seen));
@@ -697,7 +699,7 @@
         };
         let Some(value) = bootstrap_value(&members, newest) else { return };
         let document = value.state.clone();
-        let mut told = self.ask_all(&AcceptorRequest::Bootstrap(ballot, value));
+        let mut told = self.ask_all(&AcceptorRequest::Bootstrap(Proposal { ballot, value }));
         let mut taken = 0;
         while let Some((_, _, answer)) = told.recv().await {
             taken += usize::from(matches!(answer, Some((AcceptorReply::Accepted { .. }, ..))));
--- a/router/src/fleet/wire/tests.rs
+++ b/router/src/fleet/wire/tests.rs
@@ -52,9 +52,8 @@
     assert!(matches!(call.what, What::Ask(AcceptorRequest::Prepare(b)) if b.number == 4));
     let body = br#"{"v":1,"number":9,"what":{"answer":[{"promised":{"life":7,"taken":[{"number":1,"by":0,"life":7},{"lives":[7],"document":{"version":3,"halted":null,"entries":{"4":{"stage":{"leave":8},"order":"d"}},"orders":["d"]}}]}},[1,2]]}}"#;
     let reply: Reply = serde_json::from_slice(body).unwrap();
-    let Said::Answer(AcceptorReply::Promised { accepted: Some((_, value)), .. }, Some(out)) = reply.what
-    else {
+    let Said::Answer(AcceptorReply::Promised { accepted: Some(accepted), .. }, Some(out)) = reply.what else {
         panic!()
     };
-    assert_eq!((value.state.version, value.state.drains.len(), out), (3, 1, vec![1, 2]));
+    assert_eq!((accepted.value.state.version, accepted.value.state.drains.len(), out), (3, 1, vec![1, 2]));
 }
