--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use tallypin::settings::{self, Deployment, Impossible};
+use tallypin::deployment::{self, Deployment, InvalidSetting};
 
 use crate::limits::Limits;
 use crate::node_list::Page;
@@ -120,10 +120,10 @@
     /// Reads a configuration.
     pub fn parse(text: &str) -> Result<Config, Malformed> {
         let file: File = crate::config::read(text)?;
-        let deployment = settings::parse(file.settings.get())
+        let deployment = deployment::parse(file.settings.get())
             .map_err(|e| Malformed::new(&format!("settings.{}", e.path()), e.inner()))?;
-        if let Some(Impossible { path, wanted }) = deployment.impossible() {
-            return Err(Malformed::new(&format!("settings.{path}"), format!("wanted: {wanted}")));
+        if let Some(InvalidSetting { path, expected }) = deployment.first_invalid() {
+            return Err(Malformed::new(&format!("settings.{path}"), format!("wanted: {expected}")));
         }
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| Malformed::new("seed", "not 1 to 16 hex digits"))?;
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -93,7 +93,7 @@
 
     /// What repeating a request of a class does; of one that the settings lack, the worst.
     fn effect_of(&self, class: ClassId) -> Effect {
-        self.effects.get(class.0 as usize).copied().unwrap_or(Effect::SideEffect)
+        self.effects.get(class.0 as usize).copied().unwrap_or(Effect::NotIdempotent)
     }
 
     /// Takes a request.
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -165,7 +165,7 @@
     /// The answer that may be given in place of this one: a refusal promises that a further try does no harm.
     pub(super) fn permitted(&self, now: Nanos, answer: FinalAnswer) -> FinalAnswer {
         match answer {
-            FinalAnswer::Refused(..) if !self.effect.may_refuse(self.may_have_run()) => {
+            FinalAnswer::Refused(..) if !self.effect.may_reject(self.may_have_run()) => {
                 FinalAnswer::Failed { late: now >= self.deadline }
             }
             answer => answer,
@@ -178,7 +178,7 @@
         let waits = !self.answered && self.bound.is_none() && now < self.deadline;
         let mut others =
             self.attempts.iter().enumerate().filter(|(n, a)| *n != attempt as usize && a.may_have_run());
-        waits && self.out(attempt).is_some() && others.all(|(_, a)| self.effect.may_repeat(now, a.begun))
+        waits && self.out(attempt).is_some() && others.all(|(_, a)| self.effect.may_resend(now, a.begun))
     }
 
     /// Whether it has its answer and no attempt is out.
--- a/router/src/duty.rs
+++ b/router/src/duty.rs
@@ -7,7 +7,7 @@
 
 use rustc_hash::FxHashMap;
 use tallypin::api::{EndpointState, Nanos};
-use tallypin::names;
+use tallypin::name_hash;
 use tallypin_consensus::release_monitor::AnswerCounts;
 use tallypin_consensus::replica_drains::{ReplicaView, UnixMs};
 use tallypin_health::plan::{Phase, Wish};
@@ -98,17 +98,18 @@
     }
 
     fn by_hand(&self, out: &[String], back: &[(String, UnixMs)]) {
-        let out: Vec<_> = out.iter().map(|id| names::node(id)).collect();
+        let out: Vec<_> = out.iter().map(|id| name_hash::replica_id(id)).collect();
         let ns = |ms: UnixMs| -> Nanos { ms.saturating_mul(1_000_000) };
         self.host.with(|core, now| {
             // A clock that is ahead of ours makes no node colder than one that starts now.
-            let back: Vec<_> = back.iter().map(|(id, at)| (names::node(id), ns(*at).min(now))).collect();
+            let back: Vec<_> =
+                back.iter().map(|(id, at)| (name_hash::replica_id(id), ns(*at).min(now))).collect();
             core.by_hand(now, &out, &back);
         });
     }
 
     fn open_at(&self, node: &str) -> bool {
-        self.host.nodes.out(names::node(node)) > 0
+        self.host.nodes.out(name_hash::replica_id(node)) > 0
     }
 
     fn fit(&self, what: &str, text: &[u8]) -> Result<(), String> {
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use serde_json::json;
 use tallypin::api::{ClassId, Nanos, RejectReason, TenantId};
-use tallypin::names;
+use tallypin::name_hash;
 
 use super::{next, opening, retry_after, write, write_chunk, write_whole, Incoming, Next, Rejection, Then};
 use crate::core::{Ask, FinalAnswer};
@@ -109,8 +109,8 @@
             left: request.left(now, wait),
             prompt_tokens: tokens(asked.length()),
             beginning_tokens: tokens(asked.system.len()),
-            session: Some(names::session(&session)),
-            beginning: (!asked.system.is_empty()).then(|| names::beginning(&beginning)),
+            session: Some(name_hash::session_key(&session)),
+            beginning: (!asked.system.is_empty()).then(|| name_hash::prefix_key(&beginning)),
             again: false,
             returned: request.head.one("x-resume-of")?.is_some() && asked.continues(),
         };
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use tallypin::api::{ClassId, Nanos, RejectReason, TenantId};
-use tallypin::names;
+use tallypin::name_hash;
 
 use super::{next, opening, retry_after, write, write_chunk, write_whole, Incoming, Next, Rejection, Then};
 use crate::core::{Ask, FinalAnswer};
@@ -39,9 +39,9 @@
     let kind = head.text("req-kind")?;
     let class = of.classes.iter().position(|c| Some(c.name.as_str()) == kind).ok_or(Bad::Malformed)?;
     let owner = head.text("req-owner")?;
-    let partner = match of.partners.iter().position(|p| Some(p.as_str()) == owner) {
+    let partner = match of.tenant_names.iter().position(|p| Some(p.as_str()) == owner) {
         Some(partner) => partner,
-        None if of.partners.is_empty() => 0,
+        None if of.tenant_names.is_empty() => 0,
         None => return Err(Bad::Malformed.into()),
     };
     let wait = match head.text("req-deadline-ms")? {
@@ -53,7 +53,7 @@
         class: ClassId(class as u32),
         partner: TenantId(partner as u32),
         left: request.left(now, wait),
-        session: head.one("req-key")?.map(|key| names::session(key)),
+        session: head.one("req-key")?.map(|key| name_hash::session_key(key)),
         returned: retry == Some("again"),
         again: retry == Some("1"),
         ..Ask::default()
@@ -62,7 +62,7 @@
         let (name, value) = pair.trim().split_once('=').ok_or(Bad::Malformed)?;
         let tokens = || number(value).and_then(|n| u32::try_from(n).ok()).ok_or(Bad::Malformed);
         match name {
-            "prefix" => ask.beginning = Some(names::beginning(value.as_bytes())),
+            "prefix" => ask.beginning = Some(name_hash::prefix_key(value.as_bytes())),
             "prompt_len" => ask.prompt_tokens = tokens()?,
             "prefix_len" => ask.beginning_tokens = tokens()?,
             _ => {}
--- a/router/src/host.rs
+++ b/router/src/host.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use rustc_hash::FxHashMap;
 use tallypin::api::{Nanos, RequestId, SettingsError};
-use tallypin::settings::Deployment;
+use tallypin::deployment::Deployment;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::AbortHandle;
 
@@ -282,7 +282,7 @@
         let (id, orders) = self.ask(|core, now| core.take(now, ask));
         tracing::debug!(target: "request", request = id.0, name = %String::from_utf8_lossy(&prompt.id),
             class = self.deployment.classes.get(class).map_or("", |c| &c.name),
-            partner = self.deployment.partners.get(partner).map_or("", |p| p), client = prompt.client.map(tracing::field::display),
+            partner = self.deployment.tenant_names.get(partner).map_or("", |p| p), client = prompt.client.map(tracing::field::display),
             session, beginning, tokens, shared, left_ms, "request taken");
         let unbegun = Some(Unbegun { pieces, prompt: Rc::new(prompt) });
         self.waiting.borrow_mut().insert(id, Waiting { name: name.bytes(), unbegun });
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use tallypin::api::{ClassId, TenantId};
-use tallypin::settings::Deployment;
+use tallypin::deployment::Deployment;
 use tallypin_health::http::{Policy, Statuses};
 use tallypin_health::orca::Form;
 use tallypin_health::preface::Senders;
@@ -435,7 +435,7 @@
 
 fn messages(s: &Checked, of: &Deployment, problems: &mut Vec<Problem>) -> MessagesFront {
     let classes: Vec<&str> = of.classes.iter().map(|c| c.name.as_str()).collect();
-    let partners: Vec<&str> = of.partners.iter().map(String::as_str).collect();
+    let partners: Vec<&str> = of.tenant_names.iter().map(String::as_str).collect();
     let mut models = BTreeMap::new();
     for e in s.all("model") {
         models.insert(e.text(0).to_string(), ClassId(place(e, 1, "class", &classes, problems)));
--- a/router/src/keep_alive/tests.rs
+++ b/router/src/keep_alive/tests.rs
@@ -4,7 +4,7 @@
 
 fn limits() -> Limits {
     let settings = r#"{"ReplicasOfMe": 1, "Profiles": [{"Name": "a", "GoalTimeNs": 1, "DeadlineNs": 1}]}"#;
-    Limits::new(64, 512, &tallypin::settings::parse(settings).unwrap())
+    Limits::new(64, 512, &tallypin::deployment::parse(settings).unwrap())
 }
 
 #[test]
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tallypin::api::MAX_LIST_POLL_DELAY;
-use tallypin::settings::Deployment;
+use tallypin::deployment::Deployment;
 
 /// The limits of one router.
 #[derive(Debug, Clone, PartialEq)]
@@ -132,10 +132,10 @@
             clients: usable.saturating_sub(node_connections + refused).max(2),
             clients_refused: refused,
             node_connections,
-            open: of.most_held,
+            open: of.max_in_flight,
             pieces: 8,
             connect: nanos(of.connect_timeout),
-            idle_node: nanos(of.idle_close) * 7 / 10,
+            idle_node: nanos(of.replica_idle_timeout) * 7 / 10,
             node_rest: Duration::from_millis(20),
             idle_client: Duration::from_secs(20),
             first: Duration::from_millis(2000),
@@ -149,7 +149,7 @@
             write: Duration::from_secs(30),
             silence: Duration::from_secs(4),
             probe: Duration::from_millis(500),
-            slack: nanos(of.answer_slack).min(Duration::from_millis(10)),
+            slack: nanos(of.deadline_slack).min(Duration::from_millis(10)),
             list_silence: Duration::from_secs(4),
             list_answer: Duration::from_millis(2200),
             list_again: Duration::from_millis(300),
--- a/router/src/node/attempt.rs
+++ b/router/src/node/attempt.rs
@@ -84,7 +84,7 @@
             _ => None,
         };
         let Some(head) = head else { return Outcome::ConnectionReset.into() };
-        let names = &self.host.deployment.report;
+        let names = &self.host.deployment.report_field_names;
         let load = head.text("srv-load").ok().flatten().map(|l| dialect::read_load(l, names));
         let load = load.unwrap_or_default();
         let framing = match head.framing() {
@@ -236,7 +236,9 @@
         for event in &told {
             match event {
                 Event::Usage { kept: Some(kept), .. } => end.kept = Some((*kept).min(u32::MAX.into()) as u32),
-                Event::Load(report) => end.load = dialect::read_load(report, &self.host.deployment.report),
+                Event::Load(report) => {
+                    end.load = dialect::read_load(report, &self.host.deployment.report_field_names)
+                }
                 Event::Unknown => self.host.unknown_events.set(self.host.unknown_events.get() + 1),
                 _ => {}
             }
--- a/router/src/node/probe.rs
+++ b/router/src/node/probe.rs
@@ -20,7 +20,7 @@
 }
 
 async fn ask_health(host: &Host, node: ReplicaId) -> AttemptEnd {
-    let names = &host.deployment.report;
+    let names = &host.deployment.report_field_names;
     let target = if names.is_empty() { "/alive" } else { "/metrics/load" };
     let mut link = match host.nodes.reach(node).await {
         Ok(reached) => reached,
--- a/router/src/node_list.rs
+++ b/router/src/node_list.rs
@@ -11,8 +11,8 @@
 use rustc_hash::FxHashSet;
 use serde::Deserialize;
 use tallypin::api::{EndpointEntry, EndpointListMode, EndpointState, ListUpdate, Nanos, ReplicaId, ZoneId};
-use tallypin::names;
-use tallypin::settings::Deployment;
+use tallypin::deployment::Deployment;
+use tallypin::name_hash;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout};
@@ -67,7 +67,7 @@
             _ => list.iter().position(|n| n == name).unwrap_or(list.len()) as u32,
         };
         EndpointEntry {
-            replica: names::node(&self.id),
+            replica: name_hash::replica_id(&self.id),
             state: match self.state.as_str() {
                 "active" => EndpointState::Ready,
                 "left" => EndpointState::Gone,
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use tallypin::api::{Digest, PeerId};
-use tallypin::report::{self, Rejected};
+use tallypin::api::{PeerId, TenantsDigest};
+use tallypin::served_report::{self, ReportError};
 use tokio::net::UdpSocket;
 
 use crate::bind;
@@ -37,7 +37,7 @@
     /// It comes from no peer, or is too long.
     Stranger,
     /// It is no report to go by.
-    Report(Rejected),
+    Report(ReportError),
 }
 
 /// The way to the other routers.
@@ -47,7 +47,7 @@
     addresses: PeerAddresses,
     me: usize,
     /// What the own reports are told apart by.
-    digest: Digest,
+    digest: TenantsDigest,
     /// Messages from strangers, from routers with other tenants or of another version, and malformed ones.
     dropped: Cell<Dropped>,
     /// When another router was heard last.
@@ -58,7 +58,7 @@
 
 impl Peers {
     /// Listens for the other routers; `me` is the own number, `digest` what their reports have to agree in.
-    pub async fn new(addresses: PeerAddresses, me: PeerId, digest: Digest) -> io::Result<Peers> {
+    pub async fn new(addresses: PeerAddresses, me: PeerId, digest: TenantsDigest) -> io::Result<Peers> {
         let socket = bind::patiently(async || UdpSocket::bind(addresses.listen).await).await?;
         // Until the runtime has seen that it can be written, what is sent at once would be lost.
         socket.writable().await?;
@@ -104,8 +104,8 @@
                 continue;
             };
             self.heard.set(Some(Instant::now()));
-            match report::decode(self.digest, &buf[..n]) {
-                Ok(report) if report.hits.iter().any(|(_, hits)| *hits > 0) => {
+            match served_report::decode(self.digest, &buf[..n]) {
+                Ok(report) if report.served.iter().any(|(_, hits)| *hits > 0) => {
                     self.served.set(self.heard.get());
                 }
                 Ok(_) => {}
@@ -125,10 +125,10 @@
         let mut dropped = self.dropped.get();
         let (count, what) = match why {
             Unusable::Stranger => (&mut dropped.strangers, "is no peer's or too long"),
-            Unusable::Report(Rejected::Foreign) => {
+            Unusable::Report(ReportError::ForeignDigest) => {
                 (&mut dropped.foreign, "is of a router with other tenants or of another version")
             }
-            Unusable::Report(Rejected::Malformed) => (&mut dropped.malformed, "is malformed"),
+            Unusable::Report(ReportError::Malformed) => (&mut dropped.malformed, "is malformed"),
         };
         *count += 1;
         if *count == 1 {
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use tallypin::settings::Deployment;
+use tallypin::deployment::Deployment;
 use tallypin_settings_schema::{changes, Checked, Takes};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -171,7 +171,7 @@
 /// restart that takes the last router down before the one before it is back.
 fn alone(host: &Host) -> bool {
     let silent = host.peers.as_ref().is_some_and(|p| !p.heard_within(host.limits.peer_heard));
-    host.deployment.resume && (host.deployment.decisions.router_count == 1 || silent)
+    host.deployment.resumes_streams && (host.deployment.decisions.router_count == 1 || silent)
 }
 
 /// Goes through the stages to the end.
@@ -204,6 +204,6 @@
     host.drain.enter(Stage::Refusing);
     let open = host.with(|core, _| core.open());
     tracing::info!(target: "drain", clients = host.clients.open(), open, "answers what waits");
-    let owed_after = host.deployment.resume.then_some(owed_after);
+    let owed_after = host.deployment.resumes_streams.then_some(owed_after);
     host.with(|core, now| core.answer_before_end(now, owed_after));
 }
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -43,7 +43,7 @@
         if node.excluded > 0 {
             let _ = write!(line, ", excluded for {} ms", ms(node.excluded));
         }
-        let _ = write!(line, ", streams {:.1} times as long", node.pace.times);
+        let _ = write!(line, ", streams {:.1} times as long", node.pace.factor);
         line.push_str(if node.cold { ", cold" } else { "" });
     }
     line
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -216,7 +216,7 @@
 #[test]
 fn what_still_waits_when_a_drain_is_out_of_time_is_answered_before_the_end() {
     run(async {
-        for (effect, status) in [(Effect::Pure, 503), (Effect::SideEffect, 500)] {
+        for (effect, status) in [(Effect::Idempotent, 503), (Effect::NotIdempotent, 500)] {
             let node = Node::new(Chat).await;
             node.plan(&[Fault::Mute]);
             let mut config = config();
@@ -282,7 +282,7 @@
         }
         until(|| router.board.assessment().cause.words() == "no model node answers").await;
         assert!(router.says().await.starts_with("up ready "), "nobody else is known to serve");
-        let report = tallypin::report::encode(digest, 500, &[(7, 0)]);
+        let report = tallypin::served_report::encode(digest, 500, &[(7, 0)]);
         let mut every = tokio::time::interval(20 * MS);
         while router.board.assessment().state != State::Down {
             every.tick().await;
--- a/router/tests/cold_budget.rs
+++ b/router/tests/cold_budget.rs
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 
 use tallypin::api::*;
-use tallypin::names;
+use tallypin::name_hash;
 use tallypin_router::core::{Ask, Core, Order};
 
 const MS: Nanos = 1_000_000;
@@ -23,7 +23,7 @@
 const COLD_SHARE: f64 = 0.2;
 
 fn row(n: u32, last_start: Nanos) -> EndpointEntry {
-    let replica = names::node(&format!("s-{n}"));
+    let replica = name_hash::replica_id(&format!("s-{n}"));
     EndpointEntry { replica, state: EndpointState::Ready, started_at: last_start, ..EndpointEntry::default() }
 }
 
@@ -38,7 +38,7 @@
         idle_timeout: 5 * SECOND,
         // What is over a share is another test.s matter.
         tenants: Vec::new(),
-        digest: Digest::default(),
+        digest: TenantsDigest::default(),
         ..common::config().deployment.decisions
     }
 }
@@ -75,7 +75,8 @@
     fn carry_out(&mut self, now: Nanos, c: usize) {
         for order in self.cores[c].orders() {
             if let Order::Begin(id, attempt, node, _) = order {
-                let n = (0..NODES).find(|n| names::node(&format!("s-{n}")) == node).expect("listed");
+                let n =
+                    (0..NODES).find(|n| name_hash::replica_id(&format!("s-{n}")) == node).expect("listed");
                 let first = if n < STARTED { SECOND / 5 } else { SECOND };
                 self.sent.push((now, n));
                 self.due.push(Reverse((now + first, Due::First(c, id, attempt))));
--- a/router/tests/core.rs
+++ b/router/tests/core.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use tallypin::api::*;
-use tallypin::{names, report};
+use tallypin::{name_hash, served_report};
 use tallypin_router::core::{Ask, AttemptEnd, CloseReason, Core, FinalAnswer, Order};
 
 const MS: Nanos = 1_000_000;
@@ -25,7 +25,7 @@
 fn core_by(settings: Settings, nodes: u32) -> Core {
     let mut core = Core::new(settings, 7, 10 * MS).unwrap();
     let row = |n: u32| EndpointEntry {
-        replica: names::node(&format!("s-{n}")),
+        replica: name_hash::replica_id(&format!("s-{n}")),
         state: EndpointState::Ready,
         ..EndpointEntry::default()
     };
@@ -108,15 +108,20 @@
 
 const WINDOW: Nanos = SECOND;
 
-fn token(group: Group) -> Effect {
-    Effect::Token { group, window: WINDOW }
+fn token(group: DeduplicationScope) -> Effect {
+    Effect::IdempotentByKey { scope: group, window: WINDOW }
 }
 
 /// Guards against the promise that a further try does no harm, given at the router's end for what may have run.
 #[test]
 fn at_the_end_of_the_router_nothing_that_may_have_run_is_refused_where_that_harms() {
-    let effects =
-        [Effect::Pure, token(Group::All), token(Group::Zone), token(Group::Cell), Effect::SideEffect];
+    let effects = [
+        Effect::Idempotent,
+        token(DeduplicationScope::AllReplicas),
+        token(DeduplicationScope::Zone),
+        token(DeduplicationScope::Cell),
+        Effect::NotIdempotent,
+    ];
     for (effect, harmless) in effects.into_iter().zip([true, true, false, false, false]) {
         for written in [false, true] {
             let mut core = core_of(effect, 2);
@@ -157,7 +162,7 @@
 fn a_repeat_is_written_within_the_window_or_not_at_all() {
     let later = WINDOW - 200 * MS;
     for (written_at, may) in [(START + later + 40 * MS, true), (START + later + 51 * MS, false)] {
-        let mut core = core_of(token(Group::All), 2);
+        let mut core = core_of(token(DeduplicationScope::AllReplicas), 2);
         let id = core.take(START, ask(4 * SECOND));
         assert!(core.may_write(START, id, 0));
         core.orders();
@@ -167,7 +172,7 @@
         assert_eq!(core.may_write(written_at, id, 1), may, "{} ms", (written_at - START) / MS);
     }
     // Without an attempt that may have run there is no window.
-    let mut core = core_of(token(Group::All), 2);
+    let mut core = core_of(token(DeduplicationScope::AllReplicas), 2);
     let id = core.take(START, ask(4 * SECOND));
     core.ended(START + WINDOW, id, 0, Outcome::ConnectionRefused.into());
     assert!(core.may_write(START + 2 * WINDOW, id, 1));
@@ -229,12 +234,12 @@
 /// What becomes of each request, and what the core orders, over a course drawn by a seed.
 fn course(settings: &str, seed: u64) -> Vec<Order> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let of = tallypin::settings::parse(settings).unwrap_or_else(|e| panic!("{e}: {settings}"));
-    assert_eq!(of.impossible(), None, "{settings}");
-    let (set, resumed) = (of.decisions.clone(), of.resume);
+    let of = tallypin::deployment::parse(settings).unwrap_or_else(|e| panic!("{e}: {settings}"));
+    assert_eq!(of.first_invalid(), None, "{settings}");
+    let (set, resumed) = (of.decisions.clone(), of.resumes_streams);
     let mut core = Core::new(set.clone(), seed, 10 * MS).expect("usable");
     let row = |n: u32, state, started| EndpointEntry {
-        replica: names::node(&format!("s-{n}")),
+        replica: name_hash::replica_id(&format!("s-{n}")),
         state,
         started_at: started,
         zone: ZoneId(n % 3),
@@ -268,7 +273,7 @@
                         again: rng.bool(),
                     },
                 );
-                let effect = set.classes.get(class.0 as usize).map_or(Effect::SideEffect, |c| c.effect);
+                let effect = set.classes.get(class.0 as usize).map_or(Effect::NotIdempotent, |c| c.effect);
                 effects.insert(id, effect);
             }
             // Now and then the router is taken for one that ends.
@@ -276,7 +281,7 @@
             6 => {
                 let (n, state) =
                     (rng.u32(..8), [EndpointState::Ready, EndpointState::Draining][rng.usize(..2)]);
-                let id = names::node(&format!("s-{n}"));
+                let id = name_hash::replica_id(&format!("s-{n}"));
                 drained.retain(|d| *d != id);
                 drained.extend((state != EndpointState::Ready).then_some(id));
                 core.list(now, ListUpdate::Delta, vec![row(n, state, now - rng.u64(..9) * SECOND)]);
@@ -285,7 +290,7 @@
             8 => {
                 let noise: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
                 let hits: Vec<_> = (0..rng.u32(..4)).map(|tenant| (rng.u32(..2_000_000), tenant)).collect();
-                let reports = report::encode(set.digest, rng.u64(..20_000), &hits);
+                let reports = served_report::encode(set.digest, rng.u64(..20_000), &hits);
                 for bytes in reports.into_iter().chain([noise]) {
                     core.peer(now, PeerId(rng.u32(..400)), bytes);
                 }
@@ -327,7 +332,7 @@
                     out.push((*id, *attempt, false));
                     if rng.u8(..5) > 0 && core.may_write(now, *id, *attempt) {
                         let repeat = ran.iter().any(|(of, _)| of == id);
-                        assert!(!repeat || effects[id] != Effect::SideEffect, "rule 2: {order:?}");
+                        assert!(!repeat || effects[id] != Effect::NotIdempotent, "rule 2: {order:?}");
                         ran.insert((*id, *attempt));
                     }
                 }
@@ -342,9 +347,11 @@
             all.push(match order {
                 // Its digest is that of the tenants' names, which is all that names may decide.
                 Order::Tell(bytes) => {
-                    let told = report::decode(set.digest, &bytes).expect("the own digest");
-                    let hits: Vec<_> = told.hits.iter().map(|&(tenant, hits)| (hits, tenant)).collect();
-                    let [nameless] = &report::encode(Digest::default(), told.span_ms, &hits)[..] else {
+                    let told = served_report::decode(set.digest, &bytes).expect("the own digest");
+                    let hits: Vec<_> = told.served.iter().map(|&(tenant, hits)| (hits, tenant)).collect();
+                    let [nameless] =
+                        &served_report::encode(TenantsDigest::default(), told.span_ms, &hits)[..]
+                    else {
                         panic!("one message of what came in one: {told:?}")
                     };
                     Order::Tell(nameless.clone())
--- a/router/tests/ending.rs
+++ b/router/tests/ending.rs
@@ -88,7 +88,7 @@
         for resume in [false, true] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let mut config = config();
-            config.deployment.resume = resume;
+            config.deployment.resumes_streams = resume;
             let l = &mut config.limits;
             (l.grace, l.grace_alone, l.owed_after, l.last_word) =
                 (100 * MS, 100 * MS, Duration::ZERO, 150 * MS);
@@ -123,7 +123,7 @@
             let node = Node::new(Chat).await;
             node.plan(&[Fault::Mute]);
             let mut config = config();
-            config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::SideEffect);
+            config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
             let router = Router::by(config, Chat, &[&node], None).await;
             let mut client = Client::to(fronts(&router)[front].0).await;
             let request = if front == 0 { platform(wait, "{}") } else { messages(wait, MESSAGE) };
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use tallypin::names;
+use tallypin::name_hash;
 use tallypin_router::config::Config;
 use tallypin_router::dialect::Dialect::Chat;
 use tokio::task::spawn_local;
@@ -33,7 +33,7 @@
                 }
                 turns(wait).await;
                 drop(clients);
-                host.nodes.out(names::node("s-0"))
+                host.nodes.out(name_hash::replica_id("s-0"))
             });
             let out = left.await.unwrap();
             until(|| router.tallies().left == 8).await;
@@ -85,7 +85,8 @@
                 let copied = host.nodes.links().0 == 2;
                 turns(wait).await;
                 leave([client]);
-                let out = host.nodes.out(names::node("s-0")) + host.nodes.out(names::node("s-1"));
+                let out = host.nodes.out(name_hash::replica_id("s-0"))
+                    + host.nodes.out(name_hash::replica_id("s-1"));
                 copied.then_some(out)
             });
             // Where the machine stood still first tokens look late, and no copy is sent: played again.
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -229,11 +229,11 @@
         if let Ok(page) = serde_json::from_slice::<Page>(&bytes) {
             let of = common::config().deployment;
             for row in &page.servers {
-                assert_eq!(row.decode(&of).replica, tallypin::names::node(&row.id));
+                assert_eq!(row.decode(&of).replica, tallypin::name_hash::replica_id(&row.id));
             }
         }
         read_load(&String::from_utf8_lossy(&bytes), &["q".into()]);
-        let _ = tallypin::report::decode(tallypin::report::Digest::default(), &bytes);
+        let _ = tallypin::served_report::decode(tallypin::served_report::TenantsDigest::default(), &bytes);
     }
     assert!(taken > 1000 && turned > 1000, "{taken} {turned}");
 }
@@ -246,7 +246,7 @@
         let descriptors = l.clients + l.clients_refused + l.node_connections;
         // Standard streams, the runtime's own, listeners, the list, peers, an agent check.
         assert!(descriptors + 16 <= sockets && l.clients >= 10, "{descriptors} of {sockets}");
-        assert!(l.bodies <= memory << 18 && l.idle_node.as_nanos() < u128::from(of.idle_close));
+        assert!(l.bodies <= memory << 18 && l.idle_node.as_nanos() < u128::from(of.replica_idle_timeout));
     }
 }
 
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -224,7 +224,7 @@
         let mut watch = watched(&list).await;
         let mut say = |page: String| watch.write_all(page.as_bytes()).unwrap();
         let rows = |id: &str| {
-            let id = tallypin::names::node(id);
+            let id = tallypin::name_hash::replica_id(id);
             router.host.with(|core, _| core.listed().filter(|r| r.replica == id).map(|r| r.state).next())
         };
         say(page(41, true, "s-1", &node, "active"));
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -63,7 +63,7 @@
 /// A router whose settings say that a request must not be repeated once it may have run.
 async fn with_side_effects(node: &Node) -> Router {
     let mut config = config();
-    config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::SideEffect);
+    config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
     Router::by(config, Chat, &[node], None).await
 }
 
@@ -437,11 +437,14 @@
         for (title, names) in [("with load reports", true), ("without load reports", false)] {
             let mut config = config();
             if !names {
-                config.deployment.report.clear();
+                config.deployment.report_field_names.clear();
             }
             let node = Node::new(Chat).await;
             let router = Router::by(config, Chat, &[&node], None).await;
-            tokio::task::spawn_local(node::probe(router.host.clone(), tallypin::names::node("s-0")));
+            tokio::task::spawn_local(node::probe(
+                router.host.clone(),
+                tallypin::name_hash::replica_id("s-0"),
+            ));
             recording.case(&format!("probe {title}"), node.next_request().await.0);
         }
         recording.check();
@@ -497,7 +500,7 @@
         let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
         let mut buf = [0; 512];
         for counts in [&[(3, 0), (200, 1), (70_000, 130)][..], &[(1, 0)], &[]] {
-            for message in tallypin::report::encode(digest, 500, counts) {
+            for message in tallypin::served_report::encode(digest, 500, counts) {
                 peers.tell(&message);
                 let (length, from) = other.recv_from(&mut buf).await.unwrap();
                 assert_eq!(from, mine);
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -6,9 +6,9 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use tallypin::api::Digest;
+use tallypin::api::TenantsDigest;
 use tallypin::api::{EndpointListMode, PeerId};
-use tallypin::report;
+use tallypin::served_report;
 use tallypin_router::config::PeerAddresses;
 use tallypin_router::dialect::Dialect::Chat;
 use tallypin_router::limits::Limits;
@@ -347,7 +347,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let router = Router::new(Chat, &[], |l| l.node_rest = Duration::ZERO).await;
         router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
-        let probe = || spawn_local(node::probe(router.host.clone(), tallypin::names::node("s-1")));
+        let probe = || spawn_local(node::probe(router.host.clone(), tallypin::name_hash::replica_id("s-1")));
         let first = probe();
         let mut node = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
         for next in [Some(probe), None] {
@@ -469,10 +469,13 @@
             let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
             let mine = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
             let each = vec![mine, other.local_addr().unwrap()];
-            let peers =
-                Peers::new(PeerAddresses { listen: mine, each, all: None }, PeerId(0), Digest::default())
-                    .await
-                    .unwrap();
+            let peers = Peers::new(
+                PeerAddresses { listen: mine, each, all: None },
+                PeerId(0),
+                TenantsDigest::default(),
+            )
+            .await
+            .unwrap();
             let mut config = config();
             let limits = &mut config.limits;
             (limits.grace, limits.grace_alone, limits.peer_heard) = (20 * MS, 200 * MS, 100 * MS);
@@ -645,9 +648,10 @@
         let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let mine = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let each = vec![mine, other.local_addr().unwrap()];
-        let peers = Peers::new(PeerAddresses { listen: mine, each, all: None }, PeerId(0), Digest::default())
-            .await
-            .unwrap();
+        let peers =
+            Peers::new(PeerAddresses { listen: mine, each, all: None }, PeerId(0), TenantsDigest::default())
+                .await
+                .unwrap();
         peers.tell(&[7; 257]);
         peers.tell(&[7; 256]);
         let mut buf = [0; 512];
@@ -657,7 +661,8 @@
         other.send_to(b"news", mine).await.unwrap();
         assert_eq!(peers.next().await, (PeerId(1), b"news".to_vec()));
         assert_eq!(peers.dropped(), Dropped { strangers: 2, foreign: 1, malformed: 0 });
-        let torn = [&report::encode(Digest::default(), 1000, &[(1, 0)]).remove(0)[..], &[0xff]].concat();
+        let torn = [&served_report::encode(TenantsDigest::default(), 1000, &[(1, 0)]).remove(0)[..], &[0xff]]
+            .concat();
         other.send_to(&torn, mine).await.unwrap();
         assert_eq!(peers.next().await, (PeerId(1), torn));
         assert_eq!(peers.dropped(), Dropped { strangers: 2, foreign: 1, malformed: 1 });
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::*;
-use tallypin::names;
+use tallypin::name_hash;
 use tallypin::view::Seen as View;
 use tallypin_router::dialect::Dialect::Chat;
 
@@ -15,7 +15,7 @@
 
 /// The module's view of the first node, beside the attempts on its connections.
 fn view(router: &Router) -> (View, u32) {
-    let id = names::node("s-0");
+    let id = name_hash::replica_id("s-0");
     let seen = router.host.with(|core, now| core.view(now));
     let seen = seen.into_iter().find(|s| s.replica == id).expect("listed as active");
     (seen, router.host.nodes.out(id))
@@ -40,7 +40,7 @@
         let mut streams = 0;
         for (fault, status, outcomes) in faults {
             node.plan(&[fault]);
-            let unsure = view(&router).0.pace.unsure;
+            let unsure = view(&router).0.pace.log_std_dev;
             assert_eq!(Client::to(router.addr).await.ask("").await.0, status, "{fault:?}");
             until(|| router.open() == 0).await;
             assert_eq!(router.tallies().outcomes, outcomes, "{fault:?}");
@@ -51,7 +51,11 @@
                 "after {fault:?} nothing is out, on either side"
             );
             let whole = status == 200 && fault != Fault::Break;
-            assert_eq!(seen.pace.unsure < unsure, whole, "{fault:?}: only a whole stream tells of a pace");
+            assert_eq!(
+                seen.pace.log_std_dev < unsure,
+                whole,
+                "{fault:?}: only a whole stream tells of a pace"
+            );
             streams += u64::from(status == 200);
             assert_eq!(router.tallies().begun, streams, "{fault:?}");
         }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 use tallypin::api::*;
-use tallypin::{names, settings};
+use tallypin::{deployment, name_hash};
 
 /// What is wrong with a line: the field, and why.
 #[derive(Debug, Clone, PartialEq)]
@@ -131,7 +131,7 @@
 
 impl Names {
     fn id(&mut self, name: &str) -> ReplicaId {
-        let id = names::node(name);
+        let id = name_hash::replica_id(name);
         self.by_id.entry(id).or_insert_with(|| name.to_string());
         id
     }
@@ -187,8 +187,8 @@
             time_left: f.number("LeftNs")?,
             prompt_tokens: f.tokens("NPrompt")?,
             prefix_tokens: f.tokens("NPrefix")?,
-            session: f.get("Resource").map(|s| names::session(s.as_bytes())),
-            prefix: f.get("PrefixId").map(|s| names::beginning(s.as_bytes())),
+            session: f.get("Resource").map(|s| name_hash::session_key(s.as_bytes())),
+            prefix: f.get("PrefixId").map(|s| name_hash::prefix_key(s.as_bytes())),
             resumes_stream: f.flag("Returned")?,
             is_client_retry: f.flag("AgainByClient")?,
         }),
@@ -273,7 +273,7 @@
 pub fn parse_born(f: &Fields) -> Result<(u64, Settings), Malformed> {
     let seed = f.number("Nonce64")?;
     let text = f.text("ProfileData").ok_or_else(|| f.bad("ProfileData", "missing"))?;
-    let settings = settings::parse(text).map_err(|e| f.bad("ProfileData", e.to_string()))?.decisions;
+    let settings = deployment::parse(text).map_err(|e| f.bad("ProfileData", e.to_string()))?.decisions;
     Ok((seed, settings))
 }
 
--- a/simhost/src/wire/tests.rs
+++ b/simhost/src/wire/tests.rs
@@ -85,8 +85,8 @@
         format!(r#"{{"Profiles": [{profile}, {{"GoalTimeNs": 5}}], "ReplicasOfMe": 2, "Novel": [1]}}"#);
     let (seed, s) = born(&data).unwrap();
     assert_eq!((seed, s.classes.len(), s.tenants.len()), (5, 2, 0));
-    assert_eq!(s.classes[0].effect, Effect::Token { group: Group::Zone, window: 7 });
-    assert_eq!(s.classes[1].effect, Effect::SideEffect, "what is not said to be repeatable is not");
+    assert_eq!(s.classes[0].effect, Effect::IdempotentByKey { scope: DeduplicationScope::Zone, window: 7 });
+    assert_eq!(s.classes[1].effect, Effect::NotIdempotent, "what is not said to be repeatable is not");
     assert!(
         !s.has_peers
             && !s.can_probe
--- a/simulator/src/file.rs
+++ b/simulator/src/file.rs
@@ -235,7 +235,7 @@
                 latency_objective: aim,
                 latency_objective_per_1000_tokens: per_1000,
                 token_interval_objective: token_aim,
-                effect: Effect::Pure,
+                effect: Effect::Idempotent,
                 priority_weight: 1.0,
                 late_value_share: 0.0,
             },
--- a/simulator/src/plans.rs
+++ b/simulator/src/plans.rs
@@ -37,7 +37,7 @@
         latency_objective: aim * MS,
         latency_objective_per_1000_tokens: 45 * MS,
         token_interval_objective: 80 * MS,
-        effect: Effect::Pure,
+        effect: Effect::Idempotent,
         priority_weight: 1.0,
         late_value_share: 0.0,
     };
--- a/simulator/src/world.rs
+++ b/simulator/src/world.rs
@@ -244,7 +244,7 @@
             router_count: plan.routers,
             zone: ZoneId(0),
             tenants: plan.tenants.clone(),
-            digest: Digest::default(),
+            digest: TenantsDigest::default(),
             classes: plan.classes.clone(),
             max_attempts: 4,
             concurrent_attempts: true,
--- a/src/api.rs
+++ b/src/api.rs
@@ -3,8 +3,8 @@
 
 use std::fmt;
 
-pub use crate::effect::{Effect, Group};
-pub use crate::report::Digest;
+pub use crate::effect::{DeduplicationScope, Effect};
+pub use crate::served_report::TenantsDigest;
 
 /// A point in time or a span, in nanoseconds. Points are of the gateway's own monotonic clock.
 pub type Nanos = u64;
@@ -127,7 +127,7 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What their numbers mean: peers' reports are heard only where it is the same.
-    pub digest: Digest,
+    pub digest: TenantsDigest,
     /// The classes; at least one.
     pub classes: Vec<Class>,
     /// The most attempts for a request. At least one.
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -9,12 +9,12 @@
 mod reports;
 
 use crate::api::*;
-use crate::estimate::{self, Pace};
-use crate::kept::{self, Sessions};
-use crate::membership::{Members, Membership, MOST_HOMES, SCANNED};
-use crate::start::ListHeld;
+use crate::estimate::{self, DecodeRate};
+use crate::prefix_cache::{self, SessionAffinity};
+use crate::ready_replicas::{ReadyReplicas, ReplicaSet, MAX_PREFERRED_REPLICAS, MAX_SCANNED_REPLICAS};
+use crate::start_time::ListCoverage;
 use crate::state::*;
-use crate::stats::{mix, turn, unit_race, Beginnings};
+use crate::statistics::{mix, turn, unit_race, PrefixTraffic};
 use fastrand::Rng;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cmp::Reverse;
@@ -65,8 +65,8 @@
 const CROSS_SCALE: f64 = 0.05;
 /// Crossing a zone is worth this many aims of waiting for each unit of its price.
 const CROSS_AIMS: f64 = 3.0;
-/// In a fleet beyond [`SCANNED`] a replica without a connection at rest is worth this share of the aim less:
-/// where each request went to whoever is best by a hair, nearly each would open a connection.
+/// In a fleet beyond [`MAX_SCANNED_REPLICAS`] a replica without a connection at rest is worth this share of
+/// the aim less: where each request went to whoever is best by a hair, nearly each would open a connection.
 const CONNECT_SHARE: f64 = 0.1;
 /// An attempt may wait for its first token for this share of the aim while another is affordable. What is
 /// called off goes on where it ran: sooner, and a jam feeds itself.
@@ -118,24 +118,24 @@
     index: FxHashMap<ReplicaId, usize>,
     /// Those that are ready. Rule 3: picks know only these, so nothing new goes to a replica from the moment
     /// that it is known to drain or to be gone.
-    members: Membership,
+    members: ReadyReplicas,
     /// Weight of a replica of another zone as a home, against one of the own.
     far_weight: f64,
     /// Those of them that are taken for cold.
-    cold: Members,
+    cold: ReplicaSet,
     /// What a pick looks at; here so that none allocates.
     found: Vec<(usize, f64)>,
     /// Where sessions' last answers began.
-    sessions: Sessions,
+    sessions: SessionAffinity,
     open: FxHashMap<RequestId, Open>,
     buckets: Vec<Bucket>,
     period: Nanos,
     last_tick: Nanos,
-    beginnings: Beginnings,
+    beginnings: PrefixTraffic,
     pub(crate) fleet: Fleet,
     retry_budget: f64,
     watch: Watch,
-    list_held: ListHeld,
+    list_held: ListCoverage,
     /// Attempts to look at again, earliest first.
     checks: BinaryHeap<Reverse<(Nanos, RequestId, u32)>>,
 }
@@ -170,19 +170,19 @@
             started: false,
             replicas: Vec::new(),
             index: FxHashMap::default(),
-            members: Membership::default(),
+            members: ReadyReplicas::default(),
             far_weight: (-set.cross_zone_cost / CROSS_SCALE).exp().max(1e-6),
-            cold: Members::default(),
-            found: Vec::with_capacity(MOST_HOMES + SAMPLED * 2 + COLD_SEEN + 1),
-            sessions: Sessions::default(),
+            cold: ReplicaSet::default(),
+            found: Vec::with_capacity(MAX_PREFERRED_REPLICAS + SAMPLED * 2 + COLD_SEEN + 1),
+            sessions: SessionAffinity::default(),
             open: FxHashMap::default(),
             buckets,
             period: (period * SECOND as f64) as Nanos,
             last_tick: 0,
-            beginnings: Beginnings::default(),
+            beginnings: PrefixTraffic::default(),
             retry_budget: RETRY_MOST,
             watch: Watch::default(),
-            list_held: ListHeld::default(),
+            list_held: ListCoverage::default(),
             fleet: Fleet::begin(OVERLOADED),
             checks: BinaryHeap::new(),
             set,
@@ -235,7 +235,7 @@
 
     fn on_list(&mut self, now: Nanos, kind: ListUpdate, rows: Vec<EndpointEntry>, out: &mut Vec<Action>) {
         if kind == ListUpdate::Failed {
-            self.list_held.ended(now);
+            self.list_held.watch_ended(now);
             // Either a call failed or the subscription ended, which is not said: ask again, later each time.
             if let EndpointListMode::Polled { max_poll_interval: must_ask_in } = self.set.list_mode {
                 self.watch.on = false;
@@ -280,7 +280,7 @@
             }
         }
         if kind != ListUpdate::Cached {
-            self.list_held.told();
+            self.list_held.watch_began();
         }
         self.fleet.first_nodes(self.members.ready.all().len());
     }
@@ -288,7 +288,7 @@
     /// The list's word on a replica.
     fn enlist(&mut self, i: usize, row: EndpointEntry) {
         let was = std::mem::replace(&mut self.replicas[i].row, row);
-        self.members.told(i, &was, &self.replicas[i].row, self.set.zone);
+        self.members.apply_entry(i, &was, &self.replicas[i].row, self.set.zone);
         self.note_cold(i);
     }
 
@@ -303,7 +303,7 @@
 
     /// A place for a new replica: that of one gone for good, or one more.
     fn free_slot(&mut self) -> usize {
-        let Some(i) = self.members.take_gone(|i| self.replicas[i].open == 0) else {
+        let Some(i) = self.members.reuse_index(|i| self.replicas[i].open == 0) else {
             self.replicas.push(Replica::default());
             return self.replicas.len() - 1;
         };
@@ -319,11 +319,11 @@
         let turn = turn(mix(row.replica.0, row.started_at), self.set.own_index.0, self.set.router_count);
         let (cold, peak) = (self.set.warm_up_time, self.fleet.peak);
         let r = &mut self.replicas[i];
-        (r.wait, r.sampled_at, r.pace) = (peak, 0, Pace::default());
+        (r.wait, r.sampled_at, r.pace) = (peak, 0, DecodeRate::default());
         (r.fails, r.eject_for, r.ejected_until, r.trial) = (0, EJECT.0, 0, false);
         (r.unread, r.reported_at, r.served_at) = (0.0, 0, 0);
         let start = r.row.started_at;
-        let believed = self.list_held.believed(now, start);
+        let believed = self.list_held.plausible_start(now, start);
         r.cold_from = (start > 0 && now < believed.saturating_add(cold)).then_some(believed);
         (r.cold_credit, r.cold_at) = (1.0 - turn, now);
         self.note_cold(i);
@@ -388,7 +388,7 @@
         request.prefix_tokens = request.prefix_tokens.min(request.prompt_tokens);
         let tenant = request.tenant.0 as usize;
         // The share of each beginning in the traffic, over some seconds, decides how many homes it gets.
-        self.beginnings.hit(now, request.prefix);
+        self.beginnings.record(now, request.prefix);
         self.fleet.note_request();
         let deadline = now.saturating_add(request.time_left);
         // A stream that comes back was paid for when it first came.
@@ -456,17 +456,19 @@
         found.clear();
         let mut known = usize::MAX;
         if let Some(key) = r.prefix.map(|p| p.0).or(r.session.map(|s| s.0)) {
-            let (near, all) = (self.members.near.all().len() as f64, self.members.ready.all().len() as f64);
+            let (near, all) = (self.members.nearby.all().len() as f64, self.members.ready.all().len() as f64);
             let reach = near + (all - near) * self.far_weight;
             // Told by few requests the share is a guess, another one at each gateway. As far as it is, all
             // are homes, which gateways agree on: a session's turns meet at one, whoever gets them.
             let share = self.beginnings.share(r.prefix, 1.0 / HOMES_PER_SHARE, SHARE_DOUBT);
             let spread = share * reach * HOMES_PER_SHARE;
             // More homes than a pick looks at: the beginning is split; gateways agree on a session's part.
-            let parts = (spread / MOST_HOMES as f64).max(1.0).log2().ceil().exp2();
+            let parts = (spread / MAX_PREFERRED_REPLICAS as f64).max(1.0).log2().ceil().exp2();
             let key = if parts > 1.0 { mix(key, mix(session, 0) % parts as u64) } else { key };
-            let spread = (spread / parts).clamp(LEAST_HOMES, MOST_HOMES as f64);
-            let homes = self.members.homes(key, self.set.zone, self.far_weight, |i| &self.replicas[i].row);
+            let spread = (spread / parts).clamp(LEAST_HOMES, MAX_PREFERRED_REPLICAS as f64);
+            let homes = self
+                .members
+                .preferred_replicas(key, self.set.zone, self.far_weight, |i| &self.replicas[i].row);
             // Among the homes a session has one of its own, drawn by weighted rendezvous: gateways whose
             // views of the beginning's share differ a little still agree for most sessions.
             let mut own = (f64::MAX, 0);
@@ -481,7 +483,7 @@
             }
             if r.session.is_some() {
                 // Its home, unless its last answer here began elsewhere: then the rest was read there.
-                let holder = self.sessions.holder(now, session);
+                let holder = self.sessions.last_replica(now, session);
                 let place = holder.and_then(|h| self.index.get(&h.replica).copied().zip(Some(h)));
                 let held = place.filter(|&(i, h)| self.replicas[i].holds(&h));
                 match held.filter(|&(i, _)| i != homes[own.1]) {
@@ -498,7 +500,7 @@
             }
         }
         for k in 0..SAMPLED * 2 {
-            let (near, ready) = (self.members.near.all(), self.members.ready.all());
+            let (near, ready) = (self.members.nearby.all(), self.members.ready.all());
             let pool = if k < SAMPLED && !near.is_empty() { near } else { ready };
             let i = pool[self.rng.usize(..pool.len())];
             if !found.iter().any(|f| f.0 == i) {
@@ -516,12 +518,14 @@
             }
         }
         let spared = (1.0 - cold.len() as f64 / self.members.ready.all().len() as f64).powi(EARLY);
-        let many = self.members.ready.all().len() > SCANNED;
+        let many = self.members.ready.all().len() > MAX_SCANNED_REPLICAS;
         let mut chosen: Option<((bool, f64), Pick)> = None;
         for &(i, unread) in &found {
             // A replica that has just started keeps little, home or not, but what it is known to hold.
             let unread = match self.replicas[i].cold_from {
-                Some(from) if i != known => kept::refilling(unread, prompt, now.saturating_sub(from)),
+                Some(from) if i != known => {
+                    prefix_cache::uncached_tokens_after_start(unread, prompt, now.saturating_sub(from))
+                }
                 _ => unread,
             };
             if !self.eligible(now, i, open) {
@@ -539,7 +543,7 @@
             let kind =
                 (self.fleet.wait_of(now, c.row.kind) - self.fleet.wait) * (1.0 - fresh(now, c.sampled_at));
             let queue = (self.fleet.wait.min(smoothed) + kind).max(0.0) * self.warmth(now, c);
-            let queued = estimate::queued(queue, aim);
+            let queued = estimate::queueing_wait(queue, aim);
             // What has waited longest without a token tells the least that the next one may wait.
             let oldest = c.waiting.first().map_or(0.0, |&t| now.saturating_sub(t) as f64);
             let far = c.row.zone != self.set.zone;
@@ -554,7 +558,7 @@
             let reading = if early { read * spared } else { read };
             let connected = !many || c.is_connected(now, self.set.idle_timeout);
             let connect = if connected { 0.0 } else { CONNECT_SHARE * aim };
-            let rank = estimate::ranked(smoothed, aim, c.open) + reading + cross + queued + connect;
+            let rank = estimate::ranked_wait(smoothed, aim, c.open) + reading + cross + queued + connect;
             let pick = Pick { replica: i, unread, wait };
             // Ties are broken at random.
             let rank = rank * (1.0 + 1e-6 * self.rng.f64());
@@ -582,7 +586,7 @@
     }
 
     fn may_refuse(&self, open: &Open) -> bool {
-        self.effect(open).may_refuse(open.may_have_run())
+        self.effect(open).may_reject(open.may_have_run())
     }
 
     /// Whether a replica is within its cold time.
@@ -594,7 +598,7 @@
     pub(crate) fn warmth(&self, now: Nanos, r: &Replica) -> f64 {
         let age = |from| now.saturating_sub(from);
         r.cold_from.map_or(1.0, |from| {
-            estimate::warmth(age(from), self.set.warm_up_time, self.set.initial_capacity_share)
+            estimate::capacity_share(age(from), self.set.warm_up_time, self.set.initial_capacity_share)
         })
     }
 
@@ -776,7 +780,7 @@
             b.served = b.served.saturating_add(1);
         }
         if let Some(session) = o.request.session {
-            self.sessions.note(now, session.0, &a.row, o.request.prompt_tokens);
+            self.sessions.record(now, session.0, &a.row, o.request.prompt_tokens);
         }
         self.replicas[i].unwait(sent);
         // What is sent in a jam is no measure of what replicas can do; what they begin is.
@@ -785,7 +789,7 @@
         if life != self.replicas[i].row.started_at {
             return; // An earlier life's answer tells nothing of this one.
         }
-        self.replicas[i].pace.begun(now);
+        self.replicas[i].pace.stream_began(now);
         let wait = (after as f64 - unread * self.per_token()).max(0.0);
         self.sample(now, i, wait, crowd);
         self.well(now, i);
@@ -815,7 +819,7 @@
         self.replicas[i].unwait(sent);
         if same {
             if first > 0 {
-                self.replicas[i].pace.ended(now, outcome == Outcome::Completed);
+                self.replicas[i].pace.stream_ended(now, outcome == Outcome::Completed);
             }
             self.note_load(now, i, &e.load);
         }
--- a/src/choice/reports.rs
+++ b/src/choice/reports.rs
@@ -4,7 +4,7 @@
 
 use super::{Balancer, RATE_WEIGHT, SILENT_PERIODS, TICK};
 use crate::api::{Action, Nanos, PeerId, SECOND};
-use crate::report;
+use crate::served_report;
 
 impl Balancer {
     pub(super) fn on_tick(&mut self, now: Nanos, out: &mut Vec<Action>) {
@@ -40,7 +40,7 @@
         }
         if self.set.has_peers && self.set.router_count > 1 && !self.set.tenants.is_empty() {
             counts.sort_unstable_by_key(|&(c, t)| (Reverse(c), t));
-            for bytes in report::encode(self.set.digest, (dt * 1000.0) as u64, &counts) {
+            for bytes in served_report::encode(self.set.digest, (dt * 1000.0) as u64, &counts) {
                 out.push(Action::Gossip(bytes));
             }
         }
@@ -51,9 +51,9 @@
         if from == self.set.own_index || from.0 >= self.set.router_count || self.set.tenants.is_empty() {
             return;
         }
-        let Ok(report) = report::decode(self.set.digest, bytes) else { return };
+        let Ok(report) = served_report::decode(self.set.digest, bytes) else { return };
         let span = (report.span_ms.max(1) as f64 / 1000.0).max(0.01);
-        for (tenant, count) in report.hits {
+        for (tenant, count) in report.served {
             if tenant as usize >= self.buckets.len() {
                 continue;
             }
--- a/src/settings.rs
+++ b/src/deployment.rs
@@ -140,7 +140,7 @@
 
 /// A request class as clients name it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ClassName {
+pub struct ClassTerms {
     /// Its name.
     pub name: String,
     /// How long its clients wait for a first token at the most.
@@ -153,45 +153,45 @@
     /// What the decision module is told.
     pub decisions: Settings,
     /// The classes, in the order of [`Settings::classes`].
-    pub classes: Vec<ClassName>,
+    pub classes: Vec<ClassTerms>,
     /// The partners' names, in the order of [`Settings::tenants`].
-    pub partners: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// The names of zones.
     pub zones: Vec<String>,
     /// The names of kinds of machines.
     pub kinds: Vec<String>,
     /// The names of the values in a load report, in the order of [`Settings::report`].
-    pub report: Vec<String>,
+    pub report_field_names: Vec<String>,
     /// A connection that is not up by then counts as refused.
     pub connect_timeout: Nanos,
     /// Model nodes close a connection idle for so long.
-    pub idle_close: Nanos,
+    pub replica_idle_timeout: Nanos,
     /// The most open requests.
-    pub most_held: usize,
+    pub max_in_flight: usize,
     /// So long after a client's deadline a final answer still counts.
-    pub answer_slack: Nanos,
+    pub deadline_slack: Nanos,
     /// Clients whose stream broke come back for the rest.
-    pub resume: bool,
+    pub resumes_streams: bool,
 }
 
 /// What is wrong with the object: the path to the field, and why.
-pub type Malformed = serde_path_to_error::Error<serde_json::Error>;
+pub type ParseError = serde_path_to_error::Error<serde_json::Error>;
 
 /// Reads the object.
-pub fn parse(text: &str) -> Result<Deployment, Malformed> {
+pub fn parse(text: &str) -> Result<Deployment, ParseError> {
     let d: Object = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
     let class = |(i, p): (usize, &Profile)| {
         let effect = match p.effect.as_str() {
-            "pure" => Effect::Pure,
+            "pure" => Effect::Idempotent,
             "token" => {
                 let group = match p.group.as_str() {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    _ => Group::Cell,
+                    "all" => DeduplicationScope::AllReplicas,
+                    "zone" => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
                 };
-                Effect::Token { group, window: p.window_ns }
+                Effect::IdempotentByKey { scope: group, window: p.window_ns }
             }
-            _ => Effect::SideEffect,
+            _ => Effect::NotIdempotent,
         };
         let per_1000 = d.family_info.aim_us_per_1000_prompt_tokens.get(i).copied().unwrap_or(0.0);
         Class {
@@ -214,7 +214,7 @@
         router_count: d.replicas_of_me,
         zone: ZoneId(d.my_zone),
         tenants: d.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
-        digest: Digest::of_tenants(d.tenants.iter().map(|t| t.name.as_str())),
+        digest: TenantsDigest::of_tenants(d.tenants.iter().map(|t| t.name.as_str())),
         classes: d.profiles.iter().enumerate().map(class).collect(),
         max_attempts: d.limits.try_limit,
         concurrent_attempts: d.limits.parallel_tries,
@@ -234,42 +234,43 @@
         cross_zone_cost: d.prices.cross_zone,
         idle_timeout: d.limits.idle_close_ns,
     };
-    let class = |p: Profile| ClassName { name: p.name, deadline: p.deadline_ns };
+    let class = |p: Profile| ClassTerms { name: p.name, deadline: p.deadline_ns };
     Ok(Deployment {
         decisions,
         classes: d.profiles.into_iter().map(class).collect(),
-        partners: d.tenants.into_iter().map(|t| t.name).collect(),
+        tenant_names: d.tenants.into_iter().map(|t| t.name).collect(),
         zones: d.zones,
         kinds: d.kinds,
-        report: d.report.fields,
+        report_field_names: d.report.fields,
         connect_timeout: d.limits.connect_timeout_ns,
-        idle_close: d.limits.idle_close_ns,
-        most_held: d.limits.most_held,
-        answer_slack: d.rules.answer_slack_ns,
-        resume: d.family_info.resume,
+        replica_idle_timeout: d.limits.idle_close_ns,
+        max_in_flight: d.limits.most_held,
+        deadline_slack: d.rules.answer_slack_ns,
+        resumes_streams: d.family_info.resume,
     })
 }
 
 /// A field that no gateway can go by: its path in the object, and what is wanted there.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Impossible {
+pub struct InvalidSetting {
     /// The path, as `Profiles[1].GoalTimeNs`.
     pub path: String,
     /// What it has to be.
-    pub wanted: &'static str,
+    pub expected: &'static str,
 }
 
 impl Deployment {
     /// The first field that is missing or that no gateway can go by, in the order of the page. Unknown fields, and names
     /// that nobody uses, are no fault.
-    pub fn impossible(&self) -> Option<Impossible> {
+    pub fn first_invalid(&self) -> Option<InvalidSetting> {
         let set = &self.decisions;
         let twice = |names: &mut dyn Iterator<Item = &str>| {
             let mut seen = std::collections::BTreeSet::new();
             names.enumerate().find(|(_, name)| !seen.insert(*name)).map(|(i, _)| i)
         };
-        let fault = |wrong: bool, path: &str, wanted| wrong.then(|| Impossible { path: path.into(), wanted });
-        let class = |(i, (c, name)): (usize, (&Class, &ClassName))| {
+        let fault =
+            |wrong: bool, path: &str, expected| wrong.then(|| InvalidSetting { path: path.into(), expected });
+        let class = |(i, (c, name)): (usize, (&Class, &ClassTerms))| {
             let at = |field: &str| format!("Profiles[{i}].{field}");
             fault(name.name.is_empty(), &at("Name"), "a name")
                 .or(fault(c.latency_objective == 0, &at("GoalTimeNs"), "a time above 0, ns"))
@@ -293,9 +294,9 @@
                 let i = twice(&mut self.classes.iter().map(|c| &*c.name))?;
                 fault(true, &format!("Profiles[{i}].Name"), "a name of its own")
             })
-            .or_else(|| set.tenants.iter().zip(&self.partners).enumerate().find_map(tenant))
+            .or_else(|| set.tenants.iter().zip(&self.tenant_names).enumerate().find_map(tenant))
             .or_else(|| {
-                let i = twice(&mut self.partners.iter().map(|p| &**p))?;
+                let i = twice(&mut self.tenant_names.iter().map(|p| &**p))?;
                 fault(true, &format!("Tenants[{i}].Name"), "a name of its own")
             })
             .or(fault(set.router_count == 0, "ReplicasOfMe", "1 or more"))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,16 +2,16 @@
 
 pub mod api;
 pub mod choice;
+pub mod deployment;
 pub mod effect;
 pub mod estimate;
-pub mod kept;
-pub mod membership;
-pub mod names;
-pub mod report;
-pub mod settings;
-pub mod start;
+pub mod name_hash;
+pub mod prefix_cache;
+pub mod ready_replicas;
+pub mod served_report;
+pub mod start_time;
 mod state;
-mod stats;
+mod statistics;
 pub mod view;
 
 pub use api::{Action, Event, Settings, SettingsError};
--- a/src/names.rs
+++ b/src/name_hash.rs
@@ -15,22 +15,22 @@
 }
 
 /// The digest of a text, the same in every process.
-pub(crate) fn digest(text: &[u8]) -> u64 {
+pub(crate) fn text_digest(text: &[u8]) -> u64 {
     // The low bits of a product are its weakest, and the lowest is always 1.
     hash(text) >> 20
 }
 
 /// The number of a model node, from the name it has at every router.
-pub fn node(name: &str) -> ReplicaId {
+pub fn replica_id(name: &str) -> ReplicaId {
     ReplicaId(hash(name.as_bytes()))
 }
 
 /// The number of a session.
-pub fn session(name: &[u8]) -> SessionKey {
+pub fn session_key(name: &[u8]) -> SessionKey {
     SessionKey(hash(name))
 }
 
 /// The number of a shared beginning.
-pub fn beginning(name: &[u8]) -> PrefixKey {
+pub fn prefix_key(name: &[u8]) -> PrefixKey {
     PrefixKey(hash(name))
 }
--- a/src/membership/tests.rs
+++ b/src/ready_replicas/tests.rs
@@ -2,14 +2,14 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn holders(m: &Membership, key: u64) -> Vec<usize> {
+fn holders(m: &ReadyReplicas, key: u64) -> Vec<usize> {
     let mut found = Vec::new();
-    m.about(key, |i| found.push(i));
+    m.for_each_near_key(key, |i| found.push(i));
     found
 }
 
-fn fleet(n: usize) -> Membership {
-    let mut m = Membership::default();
+fn fleet(n: usize) -> ReadyReplicas {
+    let mut m = ReadyReplicas::default();
     (0..n).for_each(|i| m.add(i, mix(i as u64, 1), i % 3 != 0));
     m
 }
@@ -18,7 +18,7 @@
     /// Whatever comes and goes, in whatever order: the same as a set holds.
     #[test]
     fn members_are_a_set(changes in proptest::collection::vec((any::<bool>(), 0usize..40), 0..200)) {
-        let (mut members, mut set) = (Members::default(), BTreeSet::new());
+        let (mut members, mut set) = (ReplicaSet::default(), BTreeSet::new());
         for (add, place) in changes {
             let changed = if add { members.add(place) } else { members.remove(place) };
             prop_assert_eq!(changed, if add { set.insert(place) } else { set.remove(&place) });
@@ -30,7 +30,7 @@
 
     /// One more moves a key's candidates by itself and the one it takes the place of; gone again, all is as before.
     #[test]
-    fn one_that_comes_or_goes_moves_little(n in SCANNED + 1..2_000, key in any::<u64>(), far in any::<bool>()) {
+    fn one_that_comes_or_goes_moves_little(n in MAX_SCANNED_REPLICAS + 1..2_000, key in any::<u64>(), far in any::<bool>()) {
         let mut m = fleet(n);
         let before: BTreeSet<usize> = holders(&m, key).into_iter().collect();
         m.add(n, mix(n as u64, 1), far);
@@ -43,16 +43,20 @@
 
 #[test]
 fn small_fleets_are_looked_at_whole_and_large_ones_about_the_key() {
-    assert_eq!(holders(&fleet(SCANNED), 5).len(), SCANNED);
+    assert_eq!(holders(&fleet(MAX_SCANNED_REPLICAS), 5).len(), MAX_SCANNED_REPLICAS);
     let large = holders(&fleet(5_000), 5);
-    assert_eq!(large.len(), 2 * FOLLOWING);
+    assert_eq!(large.len(), 2 * REPLICAS_AFTER_KEY);
     let near = large.iter().filter(|&&i| i % 3 == 0).count();
-    assert_eq!(near, FOLLOWING, "of the own zone as many, however few they are");
-    let one_zone = (0..1000).fold(Membership::default(), |mut m, i| {
+    assert_eq!(near, REPLICAS_AFTER_KEY, "of the own zone as many, however few they are");
+    let one_zone = (0..1000).fold(ReadyReplicas::default(), |mut m, i| {
         m.add(i, mix(i as u64, 1), false);
         m
     });
-    assert_eq!(holders(&one_zone, u64::MAX).len(), FOLLOWING, "past the end it goes on at the beginning");
+    assert_eq!(
+        holders(&one_zone, u64::MAX).len(),
+        REPLICAS_AFTER_KEY,
+        "past the end it goes on at the beginning"
+    );
 }
 
 #[test]
--- a/src/start.rs
+++ b/src/start_time.rs
@@ -7,35 +7,35 @@
 use crate::api::{Nanos, SECOND};
 
 /// The list may tell of a start so late.
-const TOLD_LATE: Nanos = 2 * SECOND;
+const MAX_NOTIFICATION_DELAY: Nanos = 2 * SECOND;
 /// A subscription that has ended may have told nothing for so long before that was seen.
-const UNSEEN_SILENCE: Nanos = 4 * SECOND;
+const MAX_UNDETECTED_SILENCE: Nanos = 4 * SECOND;
 
 /// Until when a list is known to have told all there was to tell.
 #[derive(Debug, Default)]
-pub struct ListHeld {
-    follows: bool,
-    until: Nanos,
+pub struct ListCoverage {
+    watched: bool,
+    complete_until: Nanos,
 }
 
-impl ListHeld {
+impl ListCoverage {
     /// A list of now has come, and changes follow it.
-    pub fn told(&mut self) {
-        self.follows = true;
+    pub fn watch_began(&mut self) {
+        self.watched = true;
     }
 
     /// Changes no longer follow.
-    pub fn ended(&mut self, now: Nanos) {
-        if std::mem::take(&mut self.follows) {
-            self.until = now.saturating_sub(UNSEEN_SILENCE);
+    pub fn watch_ended(&mut self, now: Nanos) {
+        if std::mem::take(&mut self.watched) {
+            self.complete_until = now.saturating_sub(MAX_UNDETECTED_SILENCE);
         }
     }
 
     /// When a replica started whose start, told as `start`, is new to the gateway at `now`.
-    pub fn believed(&self, now: Nanos, start: Nanos) -> Nanos {
-        let held_until = if self.follows { now } else { self.until };
+    pub fn plausible_start(&self, now: Nanos, start: Nanos) -> Nanos {
+        let held_until = if self.watched { now } else { self.complete_until };
         let start = start.min(now);
-        if start.saturating_add(TOLD_LATE) < held_until {
+        if start.saturating_add(MAX_NOTIFICATION_DELAY) < held_until {
             return held_until;
         }
         start
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,9 +2,9 @@
 
 use crate::api::*;
 use crate::choice::{FLEET_HALF_S, FLEET_WEIGHT, FOOT, RATE_WEIGHT};
-use crate::estimate::Pace;
-use crate::kept::Holder;
-use crate::stats::{Fit, Recent};
+use crate::estimate::DecodeRate;
+use crate::prefix_cache::SessionReplica;
+use crate::statistics::{DecayingCount, LinearFit};
 use smallvec::SmallVec;
 
 /// A smoothed wait loses half of its distance to the fleet's in this time, s.
@@ -26,7 +26,7 @@
     /// Smoothed own crowd that the samples were taken in.
     pub(crate) crowd: f64,
     /// How long its streams take.
-    pub(crate) pace: Pace,
+    pub(crate) pace: DecodeRate,
     /// Own attempts out, and when one last ended with its whole answer.
     pub(crate) open: u32,
     pub(crate) served_at: Nanos,
@@ -51,8 +51,8 @@
 
 impl Replica {
     /// Whether it is the listed holder of a session, in the same life.
-    pub(crate) fn holds(&self, holder: &Holder) -> bool {
-        self.row.state == EndpointState::Ready && holder.is(&self.row, self.cold_from)
+    pub(crate) fn holds(&self, holder: &SessionReplica) -> bool {
+        self.row.state == EndpointState::Ready && holder.is_incarnation_of(&self.row, self.cold_from)
     }
 
     /// Whether a connection to it rests that carries nothing, where those that do are closed after `idle_close`.
@@ -168,7 +168,7 @@
     pub(crate) fn may_repeat(&self, now: Nanos, effect: Effect, at: &EndpointEntry, parallel: bool) -> bool {
         let allows = |earlier: &Attempt| {
             let alone = parallel || earlier.outcome.is_some();
-            alone && effect.may_repeat(now, earlier.sent) && effect.same_group(&earlier.row, at)
+            alone && effect.may_resend(now, earlier.sent) && effect.share_deduplication(&earlier.row, at)
         };
         self.attempts.iter().all(|earlier| !earlier.may_have_run() || allows(earlier))
     }
@@ -183,7 +183,7 @@
     asked: Rate,
     ticks: u32,
     /// Those of the last seconds, each counting less the longer ago it was.
-    recent: Recent,
+    recent: DecayingCount,
     /// When the gateway started.
     pub(crate) started: Nanos,
     /// Smoothed number of replicas that are ready.
@@ -199,7 +199,7 @@
     strained_at: Nanos,
     /// Share of their beginning that prompts find kept away from its homes.
     pub(crate) stray_kept: f64,
-    pub(crate) fit: Fit,
+    pub(crate) fit: LinearFit,
     /// Smoothed seconds of a stream after its first token, over so many streams.
     pub(crate) mean_pace: f64,
     paces: u32,
@@ -288,7 +288,7 @@
     /// A replica has begun to answer a request.
     pub(crate) fn note_begun(&mut self, now: Nanos) {
         self.begun.count += 1;
-        self.recent.hit(now, FLOW_S);
+        self.recent.record(now, FLOW_S);
     }
 
     /// A request has come.
@@ -312,7 +312,7 @@
             return mean;
         }
         let age = now.saturating_sub(self.started) as f64 / SECOND as f64;
-        let recent = self.recent.by(now, FLOW_S) / FLOW_S / (1.0 - (-age / FLOW_S).exp()).max(1e-3);
+        let recent = self.recent.decayed(now, FLOW_S) / FLOW_S / (1.0 - (-age / FLOW_S).exp()).max(1e-3);
         mean.min(FLOW_CHANCE * recent)
     }
 
--- a/src/stats.rs
+++ b/src/statistics.rs
@@ -3,18 +3,18 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::{Nanos, PrefixKey, SECOND};
-use crate::membership::MOST_KEYS;
+use crate::ready_replicas::MAX_TRACKED_PREFIXES;
 
 /// Memory of the traffic's mix, s.
 const RECENT_S: f64 = 20.0;
 /// Weight kept by older samples of that fit at each new one.
-const FIT_KEEP: f64 = 0.995;
+const FIT_RETENTION: f64 = 0.995;
 /// Weight of the prior in that fit, tokens squared: that of ten samples 1,000 tokens off the mean.
 const FIT_PRIOR: f64 = 1e7;
 
 /// Sums of a fit of y over x in which older samples weigh less.
 #[derive(Default, Clone, Copy)]
-pub(crate) struct Fit {
+pub(crate) struct LinearFit {
     x: f64,
     y: f64,
     xx: f64,
@@ -24,56 +24,56 @@
 
 /// A count that forgets.
 #[derive(Default, Clone, Copy)]
-pub(crate) struct Recent {
+pub(crate) struct DecayingCount {
     pub(crate) count: f64,
     at: Nanos,
 }
 
-impl Recent {
+impl DecayingCount {
     /// One more, where a count is forgotten within about so many seconds.
-    pub(crate) fn hit(&mut self, now: Nanos, memory_s: f64) {
-        *self = Recent { count: self.by(now, memory_s) + 1.0, at: now };
+    pub(crate) fn record(&mut self, now: Nanos, memory_s: f64) {
+        *self = DecayingCount { count: self.decayed(now, memory_s) + 1.0, at: now };
     }
 
     /// What still counts.
-    pub(crate) fn by(&self, now: Nanos, memory_s: f64) -> f64 {
+    pub(crate) fn decayed(&self, now: Nanos, memory_s: f64) -> f64 {
         let age = now.saturating_sub(self.at) as f64 / SECOND as f64;
         self.count * (-age / memory_s).exp()
     }
 
     /// Its share of all, 0 to 1, believed as much as the prior where all are so many hits as the doubt.
-    pub(crate) fn share_of(&self, all: &Recent, prior: f64, doubt: f64) -> f64 {
+    pub(crate) fn share_of(&self, all: &DecayingCount, prior: f64, doubt: f64) -> f64 {
         (self.count + prior * doubt) / (all.count + doubt).max(1.0)
     }
 }
 
 /// The requests of late, in all and by the beginning that their prompts share.
 #[derive(Default)]
-pub(crate) struct Beginnings {
-    all: Recent,
-    each: FxHashMap<PrefixKey, Recent>,
+pub(crate) struct PrefixTraffic {
+    all: DecayingCount,
+    by_prefix: FxHashMap<PrefixKey, DecayingCount>,
 }
 
-impl Beginnings {
+impl PrefixTraffic {
     /// One more.
-    pub(crate) fn hit(&mut self, now: Nanos, beginning: Option<PrefixKey>) {
-        self.all.hit(now, RECENT_S);
-        let Some(key) = beginning else { return };
+    pub(crate) fn record(&mut self, now: Nanos, prefix: Option<PrefixKey>) {
+        self.all.record(now, RECENT_S);
+        let Some(key) = prefix else { return };
         // Guards against clients that never name the same one twice.
-        if self.each.len() > MOST_KEYS {
-            self.each.clear();
+        if self.by_prefix.len() > MAX_TRACKED_PREFIXES {
+            self.by_prefix.clear();
         }
-        self.each.entry(key).or_default().hit(now, RECENT_S);
+        self.by_prefix.entry(key).or_default().record(now, RECENT_S);
     }
 
-    /// A beginning's share of all, as [`Recent::share_of`] has it.
-    pub(crate) fn share(&self, beginning: Option<PrefixKey>, prior: f64, doubt: f64) -> f64 {
-        let hits = beginning.and_then(|key| self.each.get(&key)).copied().unwrap_or_default();
+    /// A beginning's share of all, as [`DecayingCount::share_of`] has it.
+    pub(crate) fn share(&self, prefix: Option<PrefixKey>, prior: f64, doubt: f64) -> f64 {
+        let hits = prefix.and_then(|key| self.by_prefix.get(&key)).copied().unwrap_or_default();
         hits.share_of(&self.all, prior, doubt)
     }
 }
 
-impl Fit {
+impl LinearFit {
     pub(crate) fn add(&mut self, x: f64, y: f64) {
         for (sum, v) in [
             (&mut self.n, 1.0),
@@ -82,7 +82,7 @@
             (&mut self.xx, x * x),
             (&mut self.xy, x * y),
         ] {
-            *sum = *sum * FIT_KEEP + v;
+            *sum = *sum * FIT_RETENTION + v;
         }
     }
 
--- a/src/view.rs
+++ b/src/view.rs
@@ -2,7 +2,7 @@
 //! decided by it.
 
 use crate::api::{EndpointState, Nanos, ReplicaId};
-use crate::estimate::Slowness;
+use crate::estimate::RelativeDuration;
 use crate::Balancer;
 
 /// What the module holds of a replica that takes work.
@@ -26,7 +26,7 @@
     /// evenly to 1, 0 to 1.
     pub warmth: f64,
     /// How long its streams take, against the fleet's and apart from its warmth.
-    pub pace: Slowness,
+    pub pace: RelativeDuration,
 }
 
 impl Balancer {
@@ -43,7 +43,7 @@
                 excluded: r.ejected_until.saturating_sub(now),
                 cold: self.is_cold(now, r),
                 warmth: self.warmth(now, r),
-                pace: r.pace.slowness(now, self.fleet.mean_pace, self.warmth(now, r)),
+                pace: r.pace.relative_duration(now, self.fleet.mean_pace, self.warmth(now, r)),
             })
             .collect()
     }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -5,7 +5,7 @@
 
 use common::*;
 use tallypin::api::*;
-use tallypin::report;
+use tallypin::served_report;
 
 fn pair(quota: f64) -> Vec<World> {
     (0..2)
@@ -138,21 +138,21 @@
 #[test]
 fn reports_round_trip_largest_first_within_256_bytes() {
     let counts: Vec<(u32, u32)> = (0..500).map(|t| (1000 - t, t)).collect();
-    let messages = report::encode(Digest::default(), 250, &counts);
+    let messages = served_report::encode(TenantsDigest::default(), 250, &counts);
     assert!(messages.len() > 1 && messages.iter().all(|m| m.len() <= 256));
     let mut back = vec![];
     for m in &messages {
-        let report = report::decode(Digest::default(), m).expect("own messages decode");
+        let report = served_report::decode(TenantsDigest::default(), m).expect("own messages decode");
         assert_eq!(report.span_ms, 250);
-        back.extend(report.hits.into_iter().map(|(tenant, hits)| (hits, tenant)));
+        back.extend(report.served.into_iter().map(|(tenant, hits)| (hits, tenant)));
     }
     assert_eq!(back, counts);
-    assert_eq!(report::encode(Digest::default(), 250, &[]), Vec::<Vec<u8>>::new());
+    assert_eq!(served_report::encode(TenantsDigest::default(), 250, &[]), Vec::<Vec<u8>>::new());
 }
 
 #[test]
 fn hostile_reports_change_nothing() {
-    let good = report::encode(Digest::default(), 1000, &[(5, 0)]).remove(0);
+    let good = served_report::encode(TenantsDigest::default(), 1000, &[(5, 0)]).remove(0);
     let mut bad: Vec<Vec<u8>> = vec![vec![], vec![9], vec![0; 257], vec![1; 300], vec![1, 0xff, 0xff, 0xff]];
     for cut in 1..good.len() {
         if cut != 5 {
@@ -160,13 +160,13 @@
         }
     }
     bad.push([&good[..3], &[255; 20]].concat());
-    bad.push(report::encode(Digest::default(), 1000, &[(u32::MAX, 0)]).remove(0)); // an absurd count
+    bad.push(served_report::encode(TenantsDigest::default(), 1000, &[(u32::MAX, 0)]).remove(0)); // an absurd count
     for b in &bad {
-        assert!(report::decode(Digest::default(), b).is_err(), "{b:?}");
+        assert!(served_report::decode(TenantsDigest::default(), b).is_err(), "{b:?}");
     }
     // An unknown tenant, an unknown peer, and oneself as a peer, in numbers that would empty any bucket.
     let mut w = World::with_replicas(settings(2, 0), 1, 4);
-    let huge = |tenant| report::encode(Digest::default(), 1000, &[(900_000, tenant)]).remove(0);
+    let huge = |tenant| served_report::encode(TenantsDigest::default(), 1000, &[(900_000, tenant)]).remove(0);
     w.handle(Event::PeerMessage { from: PeerId(1), bytes: huge(7) });
     w.handle(Event::PeerMessage { from: PeerId(2), bytes: huge(0) });
     w.handle(Event::PeerMessage { from: PeerId(0), bytes: huge(0) });
@@ -181,7 +181,7 @@
 /// Guards against tenants' hits that drain the buckets of others while a change of the settings is being rolled out.
 #[test]
 fn reports_of_routers_with_other_tenants_drain_no_bucket() {
-    let digest = |names: &[&str]| Digest::of_tenants(names.iter().copied());
+    let digest = |names: &[&str]| TenantsDigest::of_tenants(names.iter().copied());
     let mine = digest(&["alpha", "beta"]);
     let others = [
         ("another order", digest(&["beta", "alpha"])),
@@ -196,14 +196,18 @@
     set.digest = mine;
     let mut gateway = World::with_replicas(set, 1, 4);
     for (what, other) in others {
-        let bytes = report::encode(other, 1000, &[(900_000, 0), (900_000, 1)]).remove(0);
-        assert_eq!(report::decode(mine, &bytes), Err(report::Rejected::Foreign), "{what}");
+        let bytes = served_report::encode(other, 1000, &[(900_000, 0), (900_000, 1)]).remove(0);
+        assert_eq!(
+            served_report::decode(mine, &bytes),
+            Err(served_report::ReportError::ForeignDigest),
+            "{what}"
+        );
         gateway.handle(Event::PeerMessage { from: PeerId(1), bytes });
     }
     // The form of the version before, whose first byte was 1.
     gateway.handle(Event::PeerMessage { from: PeerId(1), bytes: vec![1, 100, 0, 0xa0, 0xf7, 0x36] });
     assert!(gateway.serve(request(1)), "nobody's hits were counted");
-    let bytes = report::encode(mine, 1000, &[(900_000, 0)]).remove(0);
+    let bytes = served_report::encode(mine, 1000, &[(900_000, 0)]).remove(0);
     gateway.handle(Event::PeerMessage { from: PeerId(1), bytes });
     assert!(!gateway.serve(request(2)), "those of a router with the same tenants are");
 }
@@ -218,7 +222,7 @@
         w.run_to(w.now + 250 * MS);
         w.handle(Event::PeerMessage {
             from: PeerId(1),
-            bytes: report::encode(Digest::default(), 250, &[(3, 0)]).remove(0),
+            bytes: served_report::encode(TenantsDigest::default(), 250, &[(3, 0)]).remove(0),
         });
     }
     let mut n = 0;
@@ -275,7 +279,7 @@
             if !(lossy && period % 3 == 0) {
                 w.handle(Event::PeerMessage {
                     from: PeerId(1),
-                    bytes: report::encode(Digest::default(), 250, &[(3, 0)]).remove(0),
+                    bytes: served_report::encode(TenantsDigest::default(), 250, &[(3, 0)]).remove(0),
                 });
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,7 +13,7 @@
         latency_objective: 1_000 * MS,
         latency_objective_per_1000_tokens: 30 * MS,
         token_interval_objective: 50 * MS,
-        effect: Effect::Pure,
+        effect: Effect::Idempotent,
         priority_weight: 1.0,
         late_value_share: 0.2,
     };
@@ -22,7 +22,7 @@
         router_count: gateways,
         zone: ZoneId(0),
         tenants: vec![Tenant { quota_per_s: 1000.0 }],
-        digest: Digest::default(),
+        digest: TenantsDigest::default(),
         classes: vec![class],
         max_attempts: 3,
         concurrent_attempts: false,
@@ -223,15 +223,19 @@
                         continue;
                     }
                     match class.effect {
-                        Effect::Pure => {}
-                        Effect::SideEffect => panic!("rule 2: an effect could happen twice"),
-                        Effect::Token { group, window } => {
+                        Effect::Idempotent => {}
+                        Effect::NotIdempotent => panic!("rule 2: an effect could happen twice"),
+                        Effect::IdempotentByKey { scope: group, window } => {
                             assert!(now < s.at + window, "rule 2: within the window");
                             let from = &s.row;
                             match group {
-                                Group::All => {}
-                                Group::Zone => assert_eq!(from.zone, to.zone, "rule 2: same zone"),
-                                Group::Cell => assert_eq!(from.cell, to.cell, "rule 2: same cell"),
+                                DeduplicationScope::AllReplicas => {}
+                                DeduplicationScope::Zone => {
+                                    assert_eq!(from.zone, to.zone, "rule 2: same zone")
+                                }
+                                DeduplicationScope::Cell => {
+                                    assert_eq!(from.cell, to.cell, "rule 2: same cell")
+                                }
                             }
                         }
                     }
@@ -245,8 +249,8 @@
                 let ran = k.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
                 let class = &self.set.classes[(k.request.class.0 as usize).min(self.set.classes.len() - 1)];
                 let allowed = match class.effect {
-                    Effect::Pure => true,
-                    Effect::Token { group: Group::All, .. } => true,
+                    Effect::Idempotent => true,
+                    Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, .. } => true,
                     _ => !ran,
                 };
                 assert!(allowed, "rule 2: a refusal says that trying again is harmless");
--- a/tests/common/trace_text.rs
+++ b/tests/common/trace_text.rs
@@ -67,8 +67,8 @@
                 s.excluded,
                 s.cold,
                 s.warmth.to_bits(),
-                s.pace.times.to_bits(),
-                s.pace.unsure.to_bits(),
+                s.pace.factor.to_bits(),
+                s.pace.log_std_dev.to_bits(),
             );
             self.line(&line);
         }
--- a/tests/holders.rs
+++ b/tests/holders.rs
@@ -176,7 +176,7 @@
         }
         let after = seen(&w, id);
         assert_eq!((after.excluded, after.sampled), (0, None), "after {outcome:?}");
-        assert_eq!((after.pace.times, after.pace.unsure), (1.0, 0.5), "after {outcome:?}");
+        assert_eq!((after.pace.factor, after.pace.log_std_dev), (1.0, 0.5), "after {outcome:?}");
     }
 }
 
--- a/tests/recorded_report.rs
+++ b/tests/recorded_report.rs
@@ -5,7 +5,7 @@
 mod recorded;
 
 use recorded::{hex, Recording};
-use tallypin::report::{decode, encode, Digest};
+use tallypin::served_report::{decode, encode, TenantsDigest};
 
 const TENANTS: [&[&str]; 5] = [
     &[],
@@ -16,7 +16,7 @@
 ];
 
 /// The digest's bytes, seen from outside: a message without counts is not sent, one with a single count begins with them.
-fn digest_bytes(digest: Digest) -> String {
+fn digest_bytes(digest: TenantsDigest) -> String {
     hex(&encode(digest, 0, &[(0, 0)])[0][..3])
 }
 
@@ -24,17 +24,19 @@
 fn digests_of_tenant_lists_stay_as_they_were() {
     let mut recording = Recording::new(env!("CARGO_MANIFEST_DIR"), "report", "digests.txt");
     for names in TENANTS {
-        recording
-            .case(&format!("{names:?}"), &format!("{}\n", digest_bytes(Digest::of_tenants(names.to_vec()))));
+        recording.case(
+            &format!("{names:?}"),
+            &format!("{}\n", digest_bytes(TenantsDigest::of_tenants(names.to_vec()))),
+        );
     }
-    recording.case("default", &format!("{}\n", digest_bytes(Digest::default())));
+    recording.case("default", &format!("{}\n", digest_bytes(TenantsDigest::default())));
     recording.finish();
 }
 
 #[test]
 fn encoded_reports_stay_as_they_were() {
     let mut recording = Recording::new(env!("CARGO_MANIFEST_DIR"), "report", "encoded.txt");
-    let digest = Digest::of_tenants(["haendlerbund", "grenzstellen"]);
+    let digest = TenantsDigest::of_tenants(["haendlerbund", "grenzstellen"]);
     let many: Vec<(u32, u32)> = (0..200).map(|n| (n * 37 + 1, n)).collect();
     for (span_ms, counts) in [
         (0, &[][..]),
@@ -57,8 +59,8 @@
 #[test]
 fn decoded_and_rejected_reports_stay_as_they_were() {
     let mut recording = Recording::new(env!("CARGO_MANIFEST_DIR"), "report", "decoded.txt");
-    let digest = Digest::of_tenants(["haendlerbund", "grenzstellen"]);
-    let other = Digest::of_tenants(["grenzstellen", "haendlerbund"]);
+    let digest = TenantsDigest::of_tenants(["haendlerbund", "grenzstellen"]);
+    let other = TenantsDigest::of_tenants(["grenzstellen", "haendlerbund"]);
     let mine = encode(digest, 0, &[(0, 0)])[0][..3].to_vec();
     let with = |rest: &[u8]| [&mine[..], rest].concat();
     let whole = encode(digest, 1_000, &[(5, 0), (300, 1)]).remove(0);
@@ -83,7 +85,7 @@
     ];
     for (title, bytes) in cases {
         let outcome = match decode(digest, &bytes) {
-            Ok(report) => format!("span {} ms, (tenant, count) {:?}\n", report.span_ms, report.hits),
+            Ok(report) => format!("span {} ms, (tenant, count) {:?}\n", report.span_ms, report.served),
             Err(why) => format!("rejected: {}\n", rejection(&format!("{why:?}"))),
         };
         recording.case(&format!("{title}: {}", hex(&bytes)), &outcome);
@@ -94,7 +96,7 @@
 /// The two reasons under names that don't follow the type's.
 fn rejection(variant: &str) -> &'static str {
     match variant {
-        "Foreign" => "other digest",
+        "ForeignDigest" => "other digest",
         "Malformed" => "malformed",
         other => panic!("a reason that was not recorded: {other}"),
     }
--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -42,13 +42,13 @@
         priority_weight: 1.0,
         late_value_share: late_share,
     };
-    let keyed = |group, window| Effect::Token { group, window };
+    let keyed = |group, window| Effect::IdempotentByKey { scope: group, window };
     vec![
-        class(800, Effect::Pure, 0.2),
-        class(1500, keyed(Group::All, 5 * SECOND), 1.0),
-        class(600, keyed(Group::Zone, 2 * SECOND), 0.0),
-        class(1000, keyed(Group::Cell, 4 * SECOND), 0.5),
-        class(1200, Effect::SideEffect, 0.3),
+        class(800, Effect::Idempotent, 0.2),
+        class(1500, keyed(DeduplicationScope::AllReplicas, 5 * SECOND), 1.0),
+        class(600, keyed(DeduplicationScope::Zone, 2 * SECOND), 0.0),
+        class(1000, keyed(DeduplicationScope::Cell, 4 * SECOND), 0.5),
+        class(1200, Effect::NotIdempotent, 0.3),
     ]
 }
 
@@ -60,7 +60,7 @@
         tenants,
         classes: classes(),
         concurrent_attempts: true,
-        digest: Digest::of_tenants(["one", "two", "three", "four"]),
+        digest: TenantsDigest::of_tenants(["one", "two", "three", "four"]),
         report_fields: report,
         ..settings(1, 0)
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,11 +21,11 @@
 fn world(rng: &mut Rng, case: u32) -> World {
     let mut set = settings(4, case % 4);
     let effects = [
-        Effect::Pure,
-        Effect::SideEffect,
-        Effect::Token { group: Group::All, window: 2 * SECOND },
-        Effect::Token { group: Group::Zone, window: SECOND },
-        Effect::Token { group: Group::Cell, window: 300 * MS },
+        Effect::Idempotent,
+        Effect::NotIdempotent,
+        Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, window: 2 * SECOND },
+        Effect::IdempotentByKey { scope: DeduplicationScope::Zone, window: SECOND },
+        Effect::IdempotentByKey { scope: DeduplicationScope::Cell, window: 300 * MS },
     ];
     let class = set.classes[0].clone();
     set.classes = effects.iter().map(|&effect| Class { effect, ..class.clone() }).collect();
@@ -172,7 +172,7 @@
 #[test]
 fn an_effect_that_may_have_run_is_neither_repeated_nor_refused() {
     let mut set = settings(1, 0);
-    set.classes[0].effect = Effect::SideEffect;
+    set.classes[0].effect = Effect::NotIdempotent;
     let mut w = World::with_replicas(set, 1, 4);
     w.demand(request(1));
     let out = w.end(RequestId(1), 0, Outcome::TimedOut);
@@ -187,7 +187,8 @@
 fn a_repeat_leaves_time_for_its_write_within_the_window() {
     for (end, repeats) in [(840 * MS, true), (860 * MS, false)] {
         let mut set = settings(1, 0);
-        set.classes[0].effect = Effect::Token { group: Group::All, window: SECOND };
+        set.classes[0].effect =
+            Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, window: SECOND };
         let mut w = World::with_replicas(set, 1, 4);
         w.demand(Request { time_left: 4 * SECOND, ..request(1) });
         w.run_to(w.now + end);
