--- a/settings-schema/src/lib.rs
+++ b/settings-schema/src/lib.rs
@@ -10,8 +10,8 @@
 //! }
 //! ```
 //!
-//! Layers: [`lines`] cuts a text into words with their places, [`load`] follows includes and builds the tree,
-//! [`schema`] and [`value`] say what is allowed, [`checked`] is the result, [`print`] writes it back and
+//! Layers: [`lines`] cuts a text into words with their places, [`mod@load`] follows includes and builds the tree,
+//! [`schema`] and [`value`] say what is allowed, [`checked`] is the result, [`mod@print`] writes it back and
 //! [`problem`] tells what is wrong.
 
 pub mod checked;
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -2,7 +2,7 @@
 //! sockets don't reach. `docs/SIMULATOR-DESIGN.md` has the options weighed and what the model leaves out.
 //!
 //! Layers: [`draw`] and [`queue`] are chance and time, [`kept`] and [`engine`] the model node, [`policy`] who decides,
-//! [`world`] the rest, [`file`] and [`plans`] what is played, [`compare`] many days at once.
+//! [`world`] the rest, [`mod@file`] and [`plans`] what is played, [`compare`] many days at once.
 
 pub mod compare;
 pub mod draw;
--- a/src/api.rs
+++ b/src/api.rs
@@ -108,7 +108,7 @@
 pub enum EndpointListMode {
     /// Changes arrive unprompted.
     Pushed,
-    /// Changes arrive after a [`Action::Watch`] only.
+    /// Changes arrive after a [`Action::WatchEndpoints`] only.
     Polled {
         /// A gateway that has neither a subscription nor asked for this long is held to know the list.
         max_poll_interval: Nanos,
@@ -330,7 +330,7 @@
     pub request_over: bool,
     /// Prompt tokens the replica still had, if told.
     pub cached_tokens: Option<u32>,
-    /// The replica's load report, in the order of [`Settings::report`]; empty if none came.
+    /// The replica's load report, in the order of [`Settings::report_fields`]; empty if none came.
     pub load: Vec<f64>,
 }
 
