--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -6,7 +6,7 @@
 
 use lexopt::prelude::*;
 use tallypin_health::exit::Style;
-use tallypin_router::fleet::plan;
+use tallypin_router::fleet::release_plan;
 use tallypin_settings_schema::{nearest, Kind, Value as Read};
 
 /// How to ask a router for its state.
@@ -243,14 +243,16 @@
             let id = id.map(|id| format!("id {id} ")).unwrap_or_default();
             let order = match &words[..] {
                 [release, path] if release == "release" => {
-                    let plan = plan::read(path.as_ref(), &|path| std::fs::read_to_string(path));
+                    let plan = release_plan::read(path.as_ref(), &|path| std::fs::read_to_string(path));
                     let plan = plan.map_err(|problems| problems.to_string())?;
                     format!("{id}release {}", serde_json::to_string(&plan).map_err(|e| e.to_string())?)
                 }
                 [release, ..] if release == "release" => return Err("release wants one plan, a file".into()),
                 _ => format!("{id}{}", words.join(" ")),
             };
-            tallypin_router::fleet::orders::read(&order.split_ascii_whitespace().collect::<Vec<_>>())?;
+            tallypin_router::fleet::operator_orders::parse(
+                &order.split_ascii_whitespace().collect::<Vec<_>>(),
+            )?;
             Command::Ctl { socket, order: format!("fleet {order}") }
         }
         "version" => Command::Version,
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -15,7 +15,7 @@
 use tallypin::view::Seen;
 use tallypin::Balancer;
 
-use crate::by_hand::Listed;
+use crate::operator_override::OverriddenList;
 use request::Open;
 
 /// What is to be done, in this order.
@@ -60,7 +60,7 @@
     orders: Vec<Order>,
     actions: Vec<Action>,
     /// The list, and what of it is out by hand.
-    listed: Listed,
+    listed: OverriddenList,
     /// Streams that began after more than half of the time that their client waits.
     late: u64,
     /// What the core itself has to tell the module.
@@ -84,7 +84,7 @@
             last_id: 0,
             orders: Vec::new(),
             actions: Vec::new(),
-            listed: Listed::default(),
+            listed: OverriddenList::default(),
             late: 0,
             news: VecDeque::new(),
             tallies: Tallies::default(),
@@ -188,13 +188,13 @@
 
     /// News of the node list.
     pub fn list(&mut self, now: Nanos, kind: ListUpdate, rows: Vec<EndpointEntry>) {
-        let rows = self.listed.told(kind, rows);
+        let rows = self.listed.apply_update(kind, rows);
         self.tell(now, Event::EndpointList { kind, rows });
     }
 
     /// Which model nodes are out by hand, and which were put back and when, from now on.
     pub fn by_hand(&mut self, now: Nanos, out: &[ReplicaId], back: &[(ReplicaId, Nanos)]) {
-        let rows = self.listed.by_hand(out, back);
+        let rows = self.listed.set_overrides(out, back);
         if !rows.is_empty() {
             self.tell(now, Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
@@ -207,7 +207,7 @@
 
     /// The rows of the list as they came, whatever is out by hand.
     pub fn listed(&self) -> impl Iterator<Item = &EndpointEntry> {
-        self.listed.rows()
+        self.listed.entries()
     }
 
     /// Another router has said something.
--- a/router/src/fleet/link.rs
+++ b/router/src/fleet/connection.rs
@@ -12,27 +12,27 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use super::wire::{self, Call, Keys, Reply, Way};
+use super::wire::{self, Call, Direction, Keys, Reply};
 
 /// Calls that may wait for one member; more are not made, as an answer would come too late to count.
-const WAITING: usize = 8;
+const MAX_PENDING_CALLS: usize = 8;
 
-type Asked = (Call, oneshot::Sender<Reply>);
+type PendingCall = (Call, oneshot::Sender<Reply>);
 
 /// The way to one member.
-pub struct Link {
-    calls: mpsc::Sender<Asked>,
+pub struct CouncilConnection {
+    calls: mpsc::Sender<PendingCall>,
     /// Whether the last call was answered.
-    well: Rc<Cell<bool>>,
+    answered_last: Rc<Cell<bool>>,
 }
 
-impl Link {
+impl CouncilConnection {
     /// Starts the task that keeps it. It ends with this.
-    pub fn start(to: SocketAddr, keys: Rc<RefCell<Keys>>, deadline: Duration) -> Link {
-        let (calls, waiting) = mpsc::channel(WAITING);
-        let well = Rc::new(Cell::new(false));
-        tokio::task::spawn_local(keep(to, keys, deadline, waiting, well.clone()));
-        Link { calls, well }
+    pub fn start(to: SocketAddr, keys: Rc<RefCell<Keys>>, deadline: Duration) -> CouncilConnection {
+        let (calls, waiting) = mpsc::channel(MAX_PENDING_CALLS);
+        let answered_last = Rc::new(Cell::new(false));
+        tokio::task::spawn_local(keep(to, keys, deadline, waiting, answered_last.clone()));
+        CouncilConnection { calls, answered_last }
     }
 
     /// Makes a call; `None`: not answered in time.
@@ -51,8 +51,8 @@
     }
 
     /// Whether the last call was answered.
-    pub fn well(&self) -> bool {
-        self.well.get()
+    pub fn answered_last(&self) -> bool {
+        self.answered_last.get()
     }
 }
 
@@ -60,27 +60,27 @@
     to: SocketAddr,
     keys: Rc<RefCell<Keys>>,
     deadline: Duration,
-    mut calls: mpsc::Receiver<Asked>,
-    well: Rc<Cell<bool>>,
+    mut calls: mpsc::Receiver<PendingCall>,
+    answered_last: Rc<Cell<bool>>,
 ) {
     let mut stream: Option<TcpStream> = None;
     while let Some((call, answer)) = calls.recv().await {
         if answer.is_closed() {
             continue; // Nobody waits for it any more.
         }
-        let number = call.number;
+        let number = call.sequence;
         let made = timeout(deadline, one(&mut stream, to, &keys, &call)).await;
         match made.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
-            Ok(reply) if reply.number == number && reply.v == wire::VERSION => {
-                well.set(true);
+            Ok(reply) if reply.sequence == number && reply.version == wire::VERSION => {
+                answered_last.set(true);
                 let _ = answer.send(reply);
             }
             other => {
-                if well.replace(false) {
+                if answered_last.replace(false) {
                     let why = other.err().map_or("another call's answer".to_string(), |e| e.to_string());
                     tracing::warn!(target: "fleet", %to, why, "member of the council lost");
                 }
-                // What may still come on it would be taken for the next call's answer.
+                // Request may still come on it would be taken for the next call's answer.
                 stream = None;
             }
         }
@@ -101,9 +101,9 @@
             none.insert(opened)
         }
     };
-    let bytes = keys.borrow().seal(Way::Call, call)?;
+    let bytes = keys.borrow().seal(Direction::Call, call)?;
     wire::write(stream, &bytes).await?;
     let bytes = wire::read(stream).await?;
-    let opened = keys.borrow().open(Way::Reply, &bytes);
+    let opened = keys.borrow().open(Direction::Reply, &bytes);
     opened
 }
--- a/router/src/fleet/lives.rs
+++ b/router/src/fleet/incarnation.rs
@@ -9,21 +9,27 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-use super::link::Link;
-use super::wire::{self, Call, Said, What};
+use super::connection::CouncilConnection;
+use super::wire::{self, Call, Request, Response};
 
 /// The life of a router that starts now: above any that a member of the council answers to have heard of. Who does not
 /// answer within the deadline of its link is not waited for.
-pub async fn next(links: &[Option<Link>], me: RouterIndex) -> u64 {
+pub async fn choose(links: &[Option<CouncilConnection>], me: RouterIndex) -> u64 {
     let by_clock = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_nanos() as u64);
     let (tell, mut told) = mpsc::channel(links.len().max(1));
     for link in links.iter().flatten() {
-        let call =
-            Call { v: wire::VERSION, from: me, life: by_clock, number: 0, what: What::Life, tells: None };
+        let call = Call {
+            version: wire::VERSION,
+            from: me,
+            incarnation: by_clock,
+            sequence: 0,
+            request: Request::Incarnation,
+            report: None,
+        };
         let (answer, tell) = (link.calling(call), tell.clone());
         spawn_local(async move {
-            let life = match answer.await.map(|reply| reply.what) {
-                Some(Said::Life(life)) => life,
+            let life = match answer.await.map(|reply| reply.response) {
+                Some(Response::Incarnation(life)) => life,
                 _ => 0,
             };
             let _ = tell.send(life).await;
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -2,16 +2,16 @@
 //! document, and goes out of service by its leave alone. All decisions are `tallypin_membership`' and `tallypin_consensus`'s;
 //! here are connections, time and tasks. Nothing of it is on a request's way, and it runs only where the settings say so.
 
-mod conduct;
+pub mod connection;
 #[cfg(test)]
 mod file_faults;
-pub mod files;
-pub mod link;
-mod lives;
-pub mod orders;
-pub mod plan;
+mod incarnation;
+pub mod operator_orders;
+mod release_controller;
+pub mod release_files;
+pub mod release_plan;
 pub mod settings;
-mod stored;
+mod stored_state;
 pub mod wire;
 
 use std::cell::{Cell, RefCell};
@@ -36,52 +36,52 @@
 use tokio::sync::{mpsc, oneshot, Notify, Semaphore};
 use tokio::time::{sleep, timeout_at};
 
-use link::Link;
+use connection::CouncilConnection;
 use settings::FleetSettings;
-use wire::{Call, Keys, Reply, Said, Tells, Unclear, Way, What};
+use wire::{Call, Direction, HeartbeatReport, Keys, NotClearReplica, Reply, Request, Response};
 
 /// A round that lost to another is tried again after up to so many ms, doubled each time: guards against two that go on
 /// overtaking each other.
-const AGAIN_MS: (u64, u64) = (20, 640);
+const RETRY_BACKOFF_MS: (u64, u64) = (20, 640);
 /// Changes that one round makes at the most, and those that may wait for one: a few of every router.
-const BATCH: usize = 64;
-const MOST_QUEUED: usize = 4096;
+const MAX_BATCH: usize = 64;
+const MAX_QUEUED: usize = 4096;
 /// Routers that keep a node from being clear, of which the names are told.
-const NAMED: usize = 8;
+const MAX_NAMED_ROUTERS: usize = 8;
 /// A disk that has not answered for so long is taken to hang.
-const DISK: Duration = Duration::from_secs(10);
-/// What is agreed on is stored so often, if it has changed.
-const STORE: Duration = Duration::from_millis(200);
+const DISK_TIMEOUT: Duration = Duration::from_secs(10);
+/// Request is agreed on is stored so often, if it has changed.
+const STORE_INTERVAL: Duration = Duration::from_millis(200);
 /// The key file is read so often: a change of keys takes a few of these, and a file of two lines costs nothing.
-const KEYS: Duration = Duration::from_secs(2);
+const KEY_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What the fleet wants of the router that it is a part of.
-pub trait Duty {
+/// Request the fleet wants of the router that it is a part of.
+pub trait RouterControl {
     /// To go out of service: begin to drain. False: it can't.
-    fn go_out(&self) -> bool;
+    fn begin_drain(&self) -> bool;
     /// To serve again.
-    fn serve(&self) -> bool;
+    fn resume_service(&self) -> bool;
     /// Whether it has gone out, and nothing that it took before is open any more.
-    fn drained(&self) -> bool;
+    fn is_drained(&self) -> bool;
     /// To end.
-    fn end(&self);
-    /// What it says of itself.
-    fn says(&self) -> AdvertisedStatus;
+    fn shut_down(&self);
+    /// Request it says of itself.
+    fn advertised_status(&self) -> AdvertisedStatus;
     /// Its final answers since its start.
-    fn counts(&self) -> AnswerCounts;
+    fn answer_counts(&self) -> AnswerCounts;
     /// The model nodes by id; `None`: it has not heard the list of late.
-    fn nodes(&self) -> Option<BTreeMap<String, ReplicaView>>;
+    fn replica_views(&self) -> Option<BTreeMap<String, ReplicaView>>;
     /// Which model nodes are out by order, and which were put back and when.
-    fn by_hand(&self, out: &[String], back: &[(String, UnixMs)]);
+    fn set_replica_overrides(&self, out: &[String], back: &[(String, UnixMs)]);
     /// Whether it has anything open at a model node.
-    fn open_at(&self, node: &str) -> bool;
+    fn has_in_flight(&self, node: &str) -> bool;
     /// Whether it could start with these bytes as its file of this kind, or why not.
-    fn fit(&self, what: &str, bytes: &[u8]) -> Result<(), String>;
+    fn validate_artifact(&self, what: &str, bytes: &[u8]) -> Result<(), String>;
 }
 
 /// Why an order was not carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Failed {
+pub enum SubmitError {
     /// It was decided that it is not.
     Rejected(Rejection),
     /// No majority of the council was reached in time: nothing is said of whether it was agreed on.
@@ -89,120 +89,129 @@
 }
 
 /// A router's part.
-pub struct Fleet {
+pub struct FleetAgent {
     settings: FleetSettings,
     keys: Rc<RefCell<Keys>>,
-    duty: Box<dyn Duty>,
+    control: Box<dyn RouterControl>,
     start: Instant,
-    life: u64,
+    incarnation: u64,
     number: Cell<u64>,
     rng: RefCell<Rng>,
     /// The newest round heard of.
-    seen: Cell<Ballot>,
+    highest_ballot: Cell<Ballot>,
     /// By member of the council; `None` for this one.
-    links: Vec<Option<Link>>,
+    connections: Vec<Option<CouncilConnection>>,
     /// The same for changes, which take longer than an answer.
-    ways: Vec<Option<Link>>,
+    command_connections: Vec<Option<CouncilConnection>>,
     /// Changes that this member is to make, and who waits for each.
-    queue: RefCell<Vec<(Command, oneshot::Sender<Changed>)>>,
+    queue: RefCell<Vec<(Command, oneshot::Sender<CommandOutcome>)>>,
     queueing: Notify,
-    /// What this member keeps, if it is one.
-    keeper: RefCell<Option<Acceptor<FleetState>>>,
-    presence: RefCell<FailureDetector>,
+    /// Request this member keeps, if it is one.
+    acceptor: RefCell<Option<Acceptor<FleetState>>>,
+    failure_detector: RefCell<FailureDetector>,
     /// The last call of each router's life, and the last change: one that comes again is no news.
-    heard: RefCell<Vec<[(u64, u64); 2]>>,
-    leaver: RefCell<LeaseHolder>,
-    own: Cell<LocalPhase>,
+    last_calls: RefCell<Vec<[(u64, u64); 2]>>,
+    lease_holder: RefCell<LeaseHolder>,
+    local_phase: Cell<LocalPhase>,
     /// The newest document that was agreed on, as far as known here.
-    document: RefCell<Option<FleetState>>,
+    state: RefCell<Option<FleetState>>,
     /// The newest version that any member is said to have taken.
-    rumour: Cell<u64>,
+    latest_version_seen: Cell<u64>,
     /// Told when the document may have changed.
     news: Notify,
     /// The document has been learnt for the first time.
     first: Notify,
-    /// What it runs of each kind that may be released, by digest.
+    /// Request it runs of each kind that may be released, by digest.
     runs: BTreeMap<String, String>,
     /// The file that was found fit last.
     fit: RefCell<Option<String>>,
     /// It has put another file in place, and ends.
     ending: Cell<bool>,
-    /// What each router has told last, and its life.
-    told: RefCell<Vec<Option<(u64, Tells)>>>,
+    /// Request each router has told last, and its life.
+    reports: RefCell<Vec<Option<(u64, HeartbeatReport)>>>,
     /// By the last look: who keeps model nodes from being clear.
-    unclear: RefCell<BTreeMap<String, Unclear>>,
+    not_clear: RefCell<BTreeMap<String, NotClearReplica>>,
     /// Messages that were not read, and those told of in the log.
-    spoilt: Cell<u64>,
+    rejected_messages: Cell<u64>,
 }
 
-impl Fleet {
+impl FleetAgent {
     /// Binds the address of this router and starts its tasks.
-    pub async fn start(settings: FleetSettings, duty: Box<dyn Duty>) -> io::Result<Rc<Fleet>> {
+    pub async fn start(
+        settings: FleetSettings,
+        control: Box<dyn RouterControl>,
+    ) -> io::Result<Rc<FleetAgent>> {
         let of = |what: &str, e: io::Error| io::Error::new(e.kind(), format!("fleet: {what}: {e}"));
-        let path = settings.key.display().to_string();
-        let text = std::fs::read_to_string(&settings.key).map_err(|e| of(&path, e))?;
+        let path = settings.key_file.display().to_string();
+        let text = std::fs::read_to_string(&settings.key_file).map_err(|e| of(&path, e))?;
         let keys = Keys::read(&settings.name, &text)
             .map_err(|why| of(&path, io::Error::new(io::ErrorKind::InvalidData, why)))?;
         let keys = Rc::new(RefCell::new(keys));
-        let at = settings.routers[usize::from(settings.me)].at;
+        let at = settings.routers[usize::from(settings.own_index)].address;
         let listener = TcpListener::bind(at).await.map_err(|e| of(&at.to_string(), e))?;
         let member = |place: &RouterIndex| settings.council.iter().position(|p| p == place);
-        let links = |deadline: Duration| -> Vec<Option<Link>> {
+        let links = |deadline: Duration| -> Vec<Option<CouncilConnection>> {
             let link = |&p: &RouterIndex| {
-                let to = settings.routers[usize::from(p)].at;
-                (p != settings.me).then(|| Link::start(to, keys.clone(), deadline))
+                let to = settings.routers[usize::from(p)].address;
+                (p != settings.own_index).then(|| CouncilConnection::start(to, keys.clone(), deadline))
             };
             settings.council.iter().map(link).collect()
         };
-        let (links, ways) = (links(settings.answer), links(settings.within / 2));
-        let life = lives::next(&links, settings.me).await;
-        let path = settings.store.clone().filter(|_| settings.council.contains(&settings.me));
+        let (links, ways) = (links(settings.reply_timeout), links(settings.order_timeout / 2));
+        let life = incarnation::choose(&links, settings.own_index).await;
+        let path = settings.state_file.clone().filter(|_| settings.council.contains(&settings.own_index));
         let stored = match &path {
             Some(path) => stored_there(path.clone(), settings.name.clone()).await,
             None => None,
         };
-        let runs = settings.released.iter().map(|r| Ok((r.what.clone(), r.runs()?)));
+        let runs = settings.release_files.iter().map(|r| Ok((r.artifact.clone(), r.installed_digest()?)));
         let runs = runs.collect::<io::Result<_>>().map_err(|e| of("release", e))?;
-        let fleet = Rc::new(Fleet {
-            links,
-            ways,
+        let fleet = Rc::new(FleetAgent {
+            connections: links,
+            command_connections: ways,
             queue: RefCell::default(),
             queueing: Notify::new(),
-            keeper: RefCell::new(member(&settings.me).map(|_| Acceptor::new(life).with_stored(stored))),
-            presence: RefCell::new(FailureDetector::new(settings.members, settings.routers.len(), 0)),
-            heard: RefCell::new(vec![[(0, 0); 2]; settings.routers.len()]),
-            leaver: RefCell::new(LeaseHolder::new(settings.leave, settings.me, life)),
+            acceptor: RefCell::new(
+                member(&settings.own_index).map(|_| Acceptor::new(life).with_stored(stored)),
+            ),
+            failure_detector: RefCell::new(FailureDetector::new(
+                settings.heartbeat,
+                settings.routers.len(),
+                0,
+            )),
+            last_calls: RefCell::new(vec![[(0, 0); 2]; settings.routers.len()]),
+            lease_holder: RefCell::new(LeaseHolder::new(settings.lease, settings.own_index, life)),
             keys,
-            duty,
+            control,
             start: Instant::now(),
-            life,
+            incarnation: life,
             number: Cell::new(0),
             rng: RefCell::new(Rng::with_seed(life)),
-            seen: Cell::default(),
-            own: Cell::new(LocalPhase::Serving),
-            document: RefCell::new(None),
-            rumour: Cell::new(0),
+            highest_ballot: Cell::default(),
+            local_phase: Cell::new(LocalPhase::Serving),
+            state: RefCell::new(None),
+            latest_version_seen: Cell::new(0),
             news: Notify::new(),
             first: Notify::new(),
             runs,
             fit: RefCell::default(),
             ending: Cell::default(),
-            told: RefCell::new(vec![None; settings.routers.len()]),
-            unclear: RefCell::default(),
-            spoilt: Cell::new(0),
+            reports: RefCell::new(vec![None; settings.routers.len()]),
+            not_clear: RefCell::default(),
+            rejected_messages: Cell::new(0),
             settings,
         });
-        tokio::task::spawn_local(fleet.clone().listen(listener));
-        tokio::task::spawn_local(fleet.clone().beat());
-        tokio::task::spawn_local(fleet.clone().follow());
-        tokio::task::spawn_local(fleet.clone().reread());
+        tokio::task::spawn_local(fleet.clone().accept_connections(listener));
+        tokio::task::spawn_local(fleet.clone().send_heartbeats());
+        tokio::task::spawn_local(fleet.clone().follow_state());
+        tokio::task::spawn_local(fleet.clone().reload_keys());
         if let Some(path) = path {
-            tokio::task::spawn_local(fleet.clone().store(path));
+            tokio::task::spawn_local(fleet.clone().persist_state(path));
         }
-        if fleet.keeper.borrow().is_some() {
-            tokio::task::spawn_local(fleet.clone().join());
-            tokio::task::spawn_local(fleet.clone().conduct());
-            tokio::task::spawn_local(fleet.clone().propose());
+        if fleet.acceptor.borrow().is_some() {
+            tokio::task::spawn_local(fleet.clone().join_council());
+            tokio::task::spawn_local(fleet.clone().control_releases());
+            tokio::task::spawn_local(fleet.clone().run_proposer());
         }
         tracing::info!(target: "fleet", name = fleet.settings.name, %at, life, "of the fleet");
         Ok(fleet)
@@ -212,38 +221,45 @@
         self.start.elapsed().as_nanos() as u64
     }
 
-    fn call(&self, what: What) -> Call {
+    fn next_call(&self, what: Request) -> Call {
         self.number.set(self.number.get() + 1);
-        let (from, life, number) = (self.settings.me, self.life, self.number.get());
-        let tells = matches!(what, What::Beat(_)).then(|| self.tells());
-        Call { v: wire::VERSION, from, life, number, what, tells }
+        let (from, life, number) = (self.settings.own_index, self.incarnation, self.number.get());
+        let tells = matches!(what, Request::Heartbeat(_)).then(|| self.heartbeat_report());
+        Call {
+            version: wire::VERSION,
+            from,
+            incarnation: life,
+            sequence: number,
+            request: what,
+            report: tells,
+        }
     }
 
-    fn tells(&self) -> Tells {
-        let document = self.document.borrow();
+    fn heartbeat_report(&self) -> HeartbeatReport {
+        let document = self.state.borrow();
         let follows = document.as_ref().map_or(AppliedState::default(), |d| {
             let out = d.replicas.iter().filter(|(_, e)| matches!(e.stage, ReplicaStage::OutOfService(_)));
-            let open = out.map(|(id, _)| id.clone()).filter(|id| self.duty.open_at(id));
+            let open = out.map(|(id, _)| id.clone()).filter(|id| self.control.has_in_flight(id));
             AppliedState { version: d.version, in_flight: open.collect() }
         });
         let what = document.as_ref().and_then(|d| d.release.as_ref()).map(|r| r.artifact.as_str());
         let runs = what.and_then(|what| self.runs.get(what)).cloned();
-        Tells { counts: self.duty.counts(), follows, runs }
+        HeartbeatReport { counts: self.control.answer_counts(), applied: follows, running_digest: runs }
     }
 
     /// Waits until it knows what is agreed on, or for as long as an order may take: a router that begins to serve before
     /// would send to model nodes that are out by order.
     pub async fn wait_for_first_state(&self) {
-        if self.known().is_none()
-            && tokio::time::timeout(self.settings.within, self.first.notified()).await.is_err()
+        if self.known_version().is_none()
+            && tokio::time::timeout(self.settings.order_timeout, self.first.notified()).await.is_err()
         {
             tracing::warn!(target: "fleet", "serves without knowing what is agreed on: no majority of the council answers");
         }
     }
 
-    // ---- What is asked of this router ----
+    // ---- Request is asked of this router ----
 
-    async fn listen(self: Rc<Self>, listener: TcpListener) {
+    async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
         // A router has one connection for beats and answers and one for changes; at times one more for a moment.
         let places = std::sync::Arc::new(Semaphore::new(2 * self.settings.routers.len() + 2));
         loop {
@@ -252,14 +268,14 @@
                 continue;
             };
             let Ok(place) = places.clone().try_acquire_owned() else {
-                self.spoilt(&from.to_string(), "too many connections");
+                self.record_rejected(&from.to_string(), "too many connections");
                 continue;
             };
             let fleet = self.clone();
             tokio::task::spawn_local(async move {
-                if let Err(e) = fleet.serve(stream).await {
+                if let Err(e) = fleet.serve_connection(stream).await {
                     if e.kind() == io::ErrorKind::InvalidData {
-                        fleet.spoilt(&from.to_string(), &e.to_string());
+                        fleet.record_rejected(&from.to_string(), &e.to_string());
                     }
                 }
                 drop(place);
@@ -268,97 +284,107 @@
     }
 
     /// Counted, and told in the log at the first and then at each doubling: a stranger can't fill the disk.
-    fn spoilt(&self, from: &str, why: &str) {
-        let n = self.spoilt.get() + 1;
-        self.spoilt.set(n);
+    fn record_rejected(&self, from: &str, why: &str) {
+        let n = self.rejected_messages.get() + 1;
+        self.rejected_messages.set(n);
         if n.is_power_of_two() {
             tracing::warn!(target: "fleet", from, why, so_far = n, "a message that is none");
         }
     }
 
-    async fn serve(self: &Rc<Self>, mut stream: TcpStream) -> io::Result<()> {
+    async fn serve_connection(self: &Rc<Self>, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         // Whoever says nothing for so long is gone, or has another connection by now.
-        let idle = Duration::from_nanos(self.settings.members.silence_limit);
+        let idle = Duration::from_nanos(self.settings.heartbeat.silence_limit);
         loop {
             let bytes = tokio::time::timeout(idle, wire::read(&mut stream)).await??;
-            let call: Call = self.keys.borrow().open(Way::Call, &bytes)?;
+            let call: Call = self.keys.borrow().open(Direction::Call, &bytes)?;
             let wrong = |why: &str| io::Error::new(io::ErrorKind::InvalidData, why);
-            if call.v != wire::VERSION {
+            if call.version != wire::VERSION {
                 return Err(wrong("of a version that is not known"));
             }
-            let known = self.is_news(&call);
-            let what = match &call.what {
-                What::Life => Some((Said::Life(self.latest_life(call.from)), vec![])),
+            let known = self.is_new_call(&call);
+            let what = match &call.request {
+                Request::Incarnation => {
+                    Some((Response::Incarnation(self.latest_incarnation(call.from)), vec![]))
+                }
                 // Others are served meanwhile: it waits for agreement.
-                What::Change(act) if known => Some((Said::Changed(self.queued(act.clone()).await), vec![])),
-                _ if known => self.asked(&call),
+                Request::Submit(act) if known => {
+                    Some((Response::Submitted(self.enqueue(act.clone()).await), vec![]))
+                }
+                _ if known => self.handle_request(&call),
                 _ => None,
             };
             let what = what.ok_or_else(|| wrong("of no router of the fleet, or sent again"))?;
             let (what, unclear) = what;
-            let reply = Reply { v: wire::VERSION, number: call.number, what, unclear };
-            let bytes = self.keys.borrow().seal(Way::Reply, &reply)?;
+            let reply =
+                Reply { version: wire::VERSION, sequence: call.sequence, response: what, not_clear: unclear };
+            let bytes = self.keys.borrow().seal(Direction::Reply, &reply)?;
             wire::write(&mut stream, &bytes).await?;
         }
     }
 
     /// Whether a call is of a router of the fleet, and has not come before.
-    fn is_news(&self, call: &Call) -> bool {
-        let mut heard = self.heard.borrow_mut();
+    fn is_new_call(&self, call: &Call) -> bool {
+        let mut heard = self.last_calls.borrow_mut();
         // Changes come by a connection of their own, and may overtake what was sent before.
-        let way = usize::from(matches!(call.what, What::Change(_)));
+        let way = usize::from(matches!(call.request, Request::Submit(_)));
         let Some(last) = heard.get_mut(usize::from(call.from)).map(|ways| &mut ways[way]) else {
             return false;
         };
-        if matches!(call.what, What::Life) {
+        if matches!(call.request, Request::Incarnation) {
             return false;
         }
-        let news = (call.life, call.number) > *last;
-        *last = (*last).max((call.life, call.number));
+        let news = (call.incarnation, call.sequence) > *last;
+        *last = (*last).max((call.incarnation, call.sequence));
         news
     }
 
     /// The latest life of a router that its calls have told of; 0: none was heard.
-    fn latest_life(&self, of: RouterIndex) -> u64 {
-        let heard = self.heard.borrow();
+    fn latest_incarnation(&self, of: RouterIndex) -> u64 {
+        let heard = self.last_calls.borrow();
         heard.get(usize::from(of)).map_or(0, |ways| ways.iter().map(|(life, _)| *life).max().unwrap_or(0))
     }
 
     /// Answers a call; `None`: it is none.
-    fn asked(&self, call: &Call) -> Option<(Said, Vec<Unclear>)> {
-        match &call.what {
-            What::Change(_) | What::Life => None,
-            What::Beat(says) => {
+    fn handle_request(&self, call: &Call) -> Option<(Response, Vec<NotClearReplica>)> {
+        match &call.request {
+            Request::Submit(_) | Request::Incarnation => None,
+            Request::Heartbeat(says) => {
                 // One of an earlier incarnation, or of no router of the fleet, says nothing.
-                let _ = self.presence.borrow_mut().record_heartbeat(self.now(), call.from, call.life, *says);
-                self.tell(call.from, call.life, call.tells.clone().unwrap_or_default());
-                Some((Said::Heard(self.taken()), vec![]))
+                let _ = self.failure_detector.borrow_mut().record_heartbeat(
+                    self.now(),
+                    call.from,
+                    call.incarnation,
+                    *says,
+                );
+                self.record_report(call.from, call.incarnation, call.report.clone().unwrap_or_default());
+                Some((Response::HeartbeatReceived(self.accepted_version()), vec![]))
             }
-            What::Ask(ask) => {
-                let (answer, out, unclear) = self.ask_here(ask.clone())?;
-                Some((Said::Answer(answer, out), unclear))
+            Request::Acceptor(ask) => {
+                let (answer, out, unclear) = self.handle_locally(ask.clone())?;
+                Some((Response::Acceptor(answer, out), unclear))
             }
         }
     }
 
-    fn tell(&self, from: RouterIndex, life: u64, mut tells: Tells) {
-        tells.follows.in_flight.truncate(tallypin_consensus::replica_drains::MAX_REPLICA_DRAINS);
-        if let Some(told) = self.told.borrow_mut().get_mut(usize::from(from)) {
+    fn record_report(&self, from: RouterIndex, life: u64, mut tells: HeartbeatReport) {
+        tells.applied.in_flight.truncate(tallypin_consensus::replica_drains::MAX_REPLICA_DRAINS);
+        if let Some(told) = self.reports.borrow_mut().get_mut(usize::from(from)) {
             *told = Some((life, tells));
         }
     }
 
     /// Who keeps the nodes that are out, by what this member took last, from being clear.
-    fn unclear_here(&self) -> Vec<Unclear> {
-        let (now, presence, told) = (self.now(), self.presence.borrow(), self.told.borrow());
-        let keeper = self.keeper.borrow();
+    fn local_not_clear(&self) -> Vec<NotClearReplica> {
+        let (now, presence, told) = (self.now(), self.failure_detector.borrow(), self.reports.borrow());
+        let keeper = self.acceptor.borrow();
         let Some(value) = keeper.as_ref().and_then(|k| k.accepted()) else { return vec![] };
-        // What an earlier life told says nothing of this one.
-        let said = |(place, told): (RouterIndex, &Option<(u64, Tells)>)| {
+        // Request an earlier life told says nothing of this one.
+        let said = |(place, told): (RouterIndex, &Option<(u64, HeartbeatReport)>)| {
             let here = presence.live_peer(now, place).map(|peer| peer.incarnation);
             let told = told.as_ref().filter(|(life, _)| Some(*life) == here);
-            (told.map(|(_, tells)| tells.follows.clone()), presence.has_left(now, place))
+            (told.map(|(_, tells)| tells.applied.clone()), presence.has_left(now, place))
         };
         let said: Vec<_> = (0..).zip(told.iter()).map(said).collect();
         let said: Vec<_> = said.iter().map(|(f, gone)| (f.as_ref(), *gone)).collect();
@@ -369,45 +395,45 @@
         out.map(|(id, since)| {
             let mut first = routers_not_clear(id, since, &said);
             let routers = first.len();
-            first.truncate(NAMED);
-            Unclear { node: id.clone(), routers, first }
+            first.truncate(MAX_NAMED_ROUTERS);
+            NotClearReplica { replica: id.clone(), router_count: routers, first_routers: first }
         })
         .collect()
     }
 
     /// The version that this member took last.
-    fn taken(&self) -> Option<u64> {
-        let keeper = self.keeper.borrow();
+    fn accepted_version(&self) -> Option<u64> {
+        let keeper = self.acceptor.borrow();
         keeper.as_ref().and_then(|k| k.accepted()).map(|value| value.state.version)
     }
 
-    fn ask_here(&self, ask: AcceptorRequest<FleetState>) -> Heard {
+    fn handle_locally(&self, ask: AcceptorRequest<FleetState>) -> Heard {
         let looks = ask == AcceptorRequest::Read;
-        let answer = self.keeper.borrow_mut().as_mut()?.handle(ask);
-        let (now, mut presence) = (self.now(), self.presence.borrow_mut());
+        let answer = self.acceptor.borrow_mut().as_mut()?.handle(ask);
+        let (now, mut presence) = (self.now(), self.failure_detector.borrow_mut());
         presence.note_clock(now);
         let out = presence.can_detect_silence(now).then(|| presence.out_of_service(now));
         drop(presence);
-        Some((answer, out, if looks { self.unclear_here() } else { vec![] }))
+        Some((answer, out, if looks { self.local_not_clear() } else { vec![] }))
     }
 
-    // ---- What it asks ----
+    // ---- Request it asks ----
 
     /// Asks all members at once; their answers as they come.
-    fn ask_all(
+    fn request_all(
         self: &Rc<Self>,
         ask: &AcceptorRequest<FleetState>,
     ) -> mpsc::Receiver<(u8, AcceptorRequest<FleetState>, Heard)> {
-        let (tell, told) = mpsc::channel(self.links.len().max(1));
-        for member in 0..self.links.len() {
+        let (tell, told) = mpsc::channel(self.connections.len().max(1));
+        for member in 0..self.connections.len() {
             let (fleet, ask, tell) = (self.clone(), ask.clone(), tell.clone());
             tokio::task::spawn_local(async move {
-                let answer = match &fleet.links[member] {
-                    None => fleet.ask_here(ask.clone()),
-                    Some(link) => match link.call(fleet.call(What::Ask(ask.clone()))).await {
-                        Some(Reply { what: Said::Answer(answer, out), unclear, .. }) => {
-                            Some((answer, out, unclear))
-                        }
+                let answer = match &fleet.connections[member] {
+                    None => fleet.handle_locally(ask.clone()),
+                    Some(link) => match link.call(fleet.next_call(Request::Acceptor(ask.clone()))).await {
+                        Some(Reply {
+                            response: Response::Acceptor(answer, out), not_clear: unclear, ..
+                        }) => Some((answer, out, unclear)),
                         _ => None,
                     },
                 };
@@ -418,27 +444,27 @@
     }
 
     /// One round with its changes, one after the other, each made or refused for itself. `None`: nothing came of it.
-    async fn round(
+    async fn run_round(
         self: &Rc<Self>,
         mut round: Proposer<FleetState>,
         acts: &[Command],
-    ) -> Option<Vec<Changed>> {
+    ) -> Option<Vec<CommandOutcome>> {
         let listed =
             acts.iter().any(|act| matches!(act, Command::DrainReplicas { .. } | Command::AdvanceReplica(_)));
-        let nodes = if listed { self.duty.nodes() } else { None };
+        let nodes = if listed { self.control.replica_views() } else { None };
         let now_ms = now_ms();
         let mut view = CouncilView {
-            majority: self.links.len() / 2 + 1,
+            majority: self.connections.len() / 2 + 1,
             replicas: nodes,
             unix_ms: now_ms,
             ..CouncilView::default()
         };
         let mut results: Vec<Result<(), Rejection>> = vec![];
-        let mut told = self.ask_all(&round.request());
+        let mut told = self.request_all(&round.request());
         while let Some((member, ask, answer)) = told.recv().await {
             let Some((answer, out, _)) = answer else { continue };
             if let AcceptorReply::Superseded(seen) = &answer {
-                self.seen.set(self.seen.get().max(*seen));
+                self.highest_ballot.set(self.highest_ballot.get().max(*seen));
             }
             if let (AcceptorReply::Promised { .. }, Some(out)) = (&answer, out) {
                 view.informed_members += 1;
@@ -449,7 +475,7 @@
                 RoundStep::Superseded(_) => return None,
                 RoundStep::Propose(mut document) => {
                     let change = |act| {
-                        document = document.apply(act, &self.settings.bounds, &view)?;
+                        document = document.apply(act, &self.settings.limits, &view)?;
                         Ok(())
                     };
                     results = acts.iter().map(change).collect();
@@ -459,11 +485,11 @@
                         );
                     }
                     round.propose(document);
-                    told = self.ask_all(&round.request());
+                    told = self.request_all(&round.request());
                 }
                 RoundStep::Chosen(value) => {
                     let document = value.state.clone();
-                    if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
+                    if let Some(keeper) = self.acceptor.borrow_mut().as_mut() {
                         keeper.join(Proposal { ballot: round.ballot(), value });
                     }
                     self.learn(&document);
@@ -475,35 +501,35 @@
     }
 
     fn ballot(&self) -> Ballot {
-        let ballot =
-            Ballot { number: 0, proposer: self.settings.me, incarnation: self.life }.above(self.seen.get());
-        self.seen.set(ballot);
+        let ballot = Ballot { number: 0, proposer: self.settings.own_index, incarnation: self.incarnation }
+            .above(self.highest_ballot.get());
+        self.highest_ballot.set(ballot);
         ballot
     }
 
-    /// What is agreed on, if a majority tells it alike.
-    async fn look(self: &Rc<Self>) -> Option<FleetState> {
-        let mut all = vec![None; self.links.len()];
-        let mut told = self.ask_all(&AcceptorRequest::Read);
-        let mut unclear: BTreeMap<String, Unclear> = BTreeMap::new();
+    /// Request is agreed on, if a majority tells it alike.
+    async fn read_state(self: &Rc<Self>) -> Option<FleetState> {
+        let mut all = vec![None; self.connections.len()];
+        let mut told = self.request_all(&AcceptorRequest::Read);
+        let mut unclear: BTreeMap<String, NotClearReplica> = BTreeMap::new();
         while let Some((member, _, answer)) = told.recv().await {
             let Some((AcceptorReply::Current { incarnation: life, accepted: taken }, _, said)) = answer
             else {
                 continue;
             };
             all[usize::from(member)] = Some(MemberReport { incarnation: life, accepted: taken });
-            // What one has heard a router say is so, though another has not.
+            // Request one has heard a router say is so, though another has not.
             for u in said {
-                let least = unclear.entry(u.node.clone()).or_insert_with(|| u.clone());
-                if u.routers < least.routers {
+                let least = unclear.entry(u.replica.clone()).or_insert_with(|| u.clone());
+                if u.router_count < least.router_count {
                     *least = u;
                 }
             }
             if let Some(chosen) = chosen_value(&all) {
-                if let Some(keeper) = self.keeper.borrow_mut().as_mut() {
+                if let Some(keeper) = self.acceptor.borrow_mut().as_mut() {
                     keeper.join(chosen.clone());
                 }
-                self.unclear.replace(std::mem::take(&mut unclear));
+                self.not_clear.replace(std::mem::take(&mut unclear));
                 self.learn(&chosen.value.state);
                 return Some(chosen.value.state);
             }
@@ -513,26 +539,26 @@
 
     /// Has a change agreed on, or learns why not. All routers send their changes to one member, the first that answers,
     /// which makes many in one round: guards against hundreds whose rounds overtake each other.
-    pub async fn change(self: &Rc<Self>, act: &Command) -> Result<FleetState, Failed> {
-        let until = Instant::now() + self.settings.within;
+    pub async fn submit(self: &Rc<Self>, act: &Command) -> Result<FleetState, SubmitError> {
+        let until = Instant::now() + self.settings.order_timeout;
         if *act == Command::Read {
-            if let Ok(Some(document)) = timeout_at(until.into(), self.look()).await {
+            if let Ok(Some(document)) = timeout_at(until.into(), self.read_state()).await {
                 return Ok(document);
             }
         }
         let made = timeout_at(until.into(), async {
             let (well, others): (Vec<usize>, Vec<usize>) =
-                (0..self.links.len()).partition(|&m| self.reaches(m));
+                (0..self.connections.len()).partition(|&m| self.reaches(m));
             for member in well.into_iter().chain(others) {
-                let changed = match &self.ways[member] {
-                    None => self.queued(act.clone()).await,
+                let changed = match &self.command_connections[member] {
+                    None => self.enqueue(act.clone()).await,
                     Some(way) => tokio::select! {
-                        reply = way.call(self.call(What::Change(act.clone()))) => match reply.map(|r| r.what) {
-                            Some(Said::Changed(changed)) => changed,
+                        reply = way.call(self.next_call(Request::Submit(act.clone()))) => match reply.map(|r| r.response) {
+                            Some(Response::Submitted(changed)) => changed,
                             _ => None,
                         },
                         // Its answers to beats tell sooner that it is stalled.
-                        () = self.lost(member) => None,
+                        () = self.until_unreachable(member) => None,
                     },
                 };
                 if let Some(changed) = changed {
@@ -546,15 +572,15 @@
                 self.learn(&document);
                 Ok(document)
             }
-            Ok(Some(Err(no))) => Err(Failed::Rejected(no)),
-            Ok(None) | Err(_) => Err(Failed::NoMajority),
+            Ok(Some(Err(no))) => Err(SubmitError::Rejected(no)),
+            Ok(None) | Err(_) => Err(SubmitError::NoMajority),
         }
     }
 
     /// Waits until a member is seen not to answer, and has been asked at least once more by then.
-    async fn lost(&self, member: usize) {
-        let beat = Duration::from_nanos(self.settings.members.interval);
-        sleep(beat + self.settings.answer).await;
+    async fn until_unreachable(&self, member: usize) {
+        let beat = Duration::from_nanos(self.settings.heartbeat.interval);
+        sleep(beat + self.settings.reply_timeout).await;
         while self.reaches(member) {
             sleep(beat).await;
         }
@@ -562,14 +588,14 @@
 
     /// Whether a member of the council answered last.
     fn reaches(&self, member: usize) -> bool {
-        self.links[member].as_ref().is_none_or(Link::well)
+        self.connections[member].as_ref().is_none_or(CouncilConnection::answered_last)
     }
 
     /// A change for this member to make with its next round. `None`: nothing came of it, or it is no member.
-    async fn queued(&self, act: Command) -> Option<Changed> {
+    async fn enqueue(&self, act: Command) -> Option<CommandOutcome> {
         let (tell, told) = oneshot::channel();
-        self.keeper.borrow().as_ref()?;
-        if self.queue.borrow().len() >= MOST_QUEUED {
+        self.acceptor.borrow().as_ref()?;
+        if self.queue.borrow().len() >= MAX_QUEUED {
             return None;
         }
         self.queue.borrow_mut().push((act, tell));
@@ -578,18 +604,18 @@
     }
 
     /// The changes of the next round.
-    fn batch(&self) -> Vec<(Command, oneshot::Sender<Changed>)> {
+    fn batch(&self) -> Vec<(Command, oneshot::Sender<CommandOutcome>)> {
         let mut queue = self.queue.borrow_mut();
         // Nobody waits for these any more.
         queue.retain(|(_, tell)| !tell.is_closed());
         // Operators' orders first: a halt does not wait for what it is to stop.
         queue.sort_by_key(|(act, _)| !act.is_operator_order());
-        let most = queue.len().min(BATCH);
+        let most = queue.len().min(MAX_BATCH);
         queue.drain(..most).collect()
     }
 
     /// Makes what has been queued, all in one round, again and again.
-    async fn propose(self: Rc<Self>) {
+    async fn run_proposer(self: Rc<Self>) {
         loop {
             self.queueing.notified().await;
             loop {
@@ -598,7 +624,7 @@
                     break;
                 }
                 let (acts, tells): (Vec<Command>, Vec<_>) = batch.into_iter().unzip();
-                if let Some(results) = self.made(&acts).await {
+                if let Some(results) = self.propose_until_decided(&acts).await {
                     for (tell, result) in tells.into_iter().zip(results) {
                         let _ = tell.send(result);
                     }
@@ -608,26 +634,26 @@
     }
 
     /// Rounds until one is not overtaken, or for as long as an order may take.
-    async fn made(self: &Rc<Self>, acts: &[Command]) -> Option<Vec<Changed>> {
-        let until = Instant::now() + self.settings.within;
-        let mut again = AGAIN_MS.0;
+    async fn propose_until_decided(self: &Rc<Self>, acts: &[Command]) -> Option<Vec<CommandOutcome>> {
+        let until = Instant::now() + self.settings.order_timeout;
+        let mut again = RETRY_BACKOFF_MS.0;
         loop {
             let joins = acts.iter().filter_map(|act| match act {
                 Command::JoinCouncil(joins) => Some(*joins),
                 _ => None,
             });
-            let round = Proposer::joining(self.ballot(), self.links.len(), joins.collect());
-            if let Some(results) = timeout_at(until.into(), self.round(round, acts)).await.ok()? {
+            let round = Proposer::joining(self.ballot(), self.connections.len(), joins.collect());
+            if let Some(results) = timeout_at(until.into(), self.run_round(round, acts)).await.ok()? {
                 return Some(results);
             }
             let wait = self.rng.borrow_mut().u64(again / 2..=again);
             timeout_at(until.into(), sleep(Duration::from_millis(wait))).await.ok()?;
-            again = (again * 2).min(AGAIN_MS.1);
+            again = (again * 2).min(RETRY_BACKOFF_MS.1);
         }
     }
 
     fn learn(&self, document: &FleetState) {
-        let mut known = self.document.borrow_mut();
+        let mut known = self.state.borrow_mut();
         if known.as_ref().is_none_or(|k| k.version < document.version) {
             tracing::info!(target: "fleet", version = document.version, halted = document.halted.as_deref().unwrap_or("no"),
                 entries = document.drains.len(), "agreed on");
@@ -643,7 +669,7 @@
                     ReplicaStage::Requested => {}
                 }
             }
-            self.duty.by_hand(&out, &back);
+            self.control.set_replica_overrides(&out, &back);
         }
     }
 
@@ -651,18 +677,20 @@
 
     /// A member that has started takes part once the others have agreed on its life, or, where all are blank, begins
     /// anew with them.
-    async fn join(self: Rc<Self>) {
-        let every = Duration::from_nanos(self.settings.members.interval);
-        let member = self.settings.council.iter().position(|&p| p == self.settings.me).unwrap_or(0);
-        while self.keeper.borrow().as_ref().is_some_and(|k| !k.joined()) {
+    async fn join_council(self: Rc<Self>) {
+        let every = Duration::from_nanos(self.settings.heartbeat.interval);
+        let member = self.settings.council.iter().position(|&p| p == self.settings.own_index).unwrap_or(0);
+        while self.acceptor.borrow().as_ref().is_some_and(|k| !k.joined()) {
             // By whoever makes changes: a round of its own would be overtaken by them, again and again.
-            let joins = CouncilMember { member: member as u8, incarnation: self.life };
-            let joins = self.change(&Command::JoinCouncil(joins)).await;
+            let joins = CouncilMember { member: member as u8, incarnation: self.incarnation };
+            let joins = self.submit(&Command::JoinCouncil(joins)).await;
             match joins {
-                Ok(_) => drop(tokio::time::timeout(self.settings.within, self.look()).await),
-                Err(_) => drop(tokio::time::timeout(self.settings.within, self.found()).await),
+                Ok(_) => drop(tokio::time::timeout(self.settings.order_timeout, self.read_state()).await),
+                Err(_) => {
+                    drop(tokio::time::timeout(self.settings.order_timeout, self.bootstrap_council()).await)
+                }
             }
-            if self.keeper.borrow().as_ref().is_some_and(Acceptor::joined) {
+            if self.acceptor.borrow().as_ref().is_some_and(Acceptor::joined) {
                 break;
             }
             let wait = self.rng.borrow_mut().u64(every.as_millis() as u64 / 2..=every.as_millis() as u64);
@@ -673,11 +701,11 @@
 
     /// Has all members take a first document, if too few remember to agree on anything. Any blank one may: of two at once
     /// one fails, as what it asked is no longer the last that all have heard.
-    async fn found(self: &Rc<Self>) {
-        let mut members = vec![None; self.links.len()];
+    async fn bootstrap_council(self: &Rc<Self>) {
+        let mut members = vec![None; self.connections.len()];
         let mut documents: Vec<FleetState> = Vec::new();
         let ballot = self.ballot();
-        let mut told = self.ask_all(&AcceptorRequest::Prepare(ballot));
+        let mut told = self.request_all(&AcceptorRequest::Prepare(ballot));
         while let Some((member, _, answer)) = told.recv().await {
             members[usize::from(member)] = match answer {
                 Some((AcceptorReply::Uninitialized { incarnation: life, stored }, ..)) => {
@@ -688,7 +716,7 @@
                     Some(MemberReport { incarnation: life, accepted: taken })
                 }
                 Some((AcceptorReply::Superseded(seen), ..)) => {
-                    self.seen.set(self.seen.get().max(seen));
+                    self.highest_ballot.set(self.highest_ballot.get().max(seen));
                     None
                 }
                 _ => None,
@@ -699,12 +727,12 @@
         };
         let Some(value) = bootstrap_value(&members, newest) else { return };
         let document = value.state.clone();
-        let mut told = self.ask_all(&AcceptorRequest::Bootstrap(Proposal { ballot, value }));
+        let mut told = self.request_all(&AcceptorRequest::Bootstrap(Proposal { ballot, value }));
         let mut taken = 0;
         while let Some((_, _, answer)) = told.recv().await {
             taken += usize::from(matches!(answer, Some((AcceptorReply::Accepted { .. }, ..))));
         }
-        if taken == self.links.len() {
+        if taken == self.connections.len() {
             tracing::warn!(target: "fleet", why = document.halted, "the council begins anew: halted until `resume`");
             self.learn(&document);
         }
@@ -712,40 +740,48 @@
 
     // ---- Its own part ----
 
-    async fn beat(self: Rc<Self>) {
-        let mut every = tokio::time::interval(Duration::from_nanos(self.settings.members.interval));
+    async fn send_heartbeats(self: Rc<Self>) {
+        let mut every = tokio::time::interval(Duration::from_nanos(self.settings.heartbeat.interval));
         // After a stop one beat, not all that were missed.
         every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             every.tick().await;
-            self.presence.borrow_mut().note_clock(self.now());
-            let says = match self.keeper.borrow().as_ref().is_none_or(Acceptor::joined) {
-                true => self.duty.says(),
+            self.failure_detector.borrow_mut().note_clock(self.now());
+            let says = match self.acceptor.borrow().as_ref().is_none_or(Acceptor::joined) {
+                true => self.control.advertised_status(),
                 // A member that has forgotten counts as out until it takes part: else the next one could forget as well.
                 false => AdvertisedStatus::Starting,
             };
-            for member in 0..self.links.len() {
+            for member in 0..self.connections.len() {
                 let fleet = self.clone();
                 tokio::task::spawn_local(async move {
-                    let version = match &fleet.links[member] {
+                    let version = match &fleet.connections[member] {
                         None => {
                             let now = fleet.now();
-                            let _ = fleet.presence.borrow_mut().record_heartbeat(
+                            let _ = fleet.failure_detector.borrow_mut().record_heartbeat(
                                 now,
-                                fleet.settings.me,
-                                fleet.life,
+                                fleet.settings.own_index,
+                                fleet.incarnation,
                                 says,
                             );
-                            fleet.tell(fleet.settings.me, fleet.life, fleet.tells());
-                            fleet.taken()
+                            fleet.record_report(
+                                fleet.settings.own_index,
+                                fleet.incarnation,
+                                fleet.heartbeat_report(),
+                            );
+                            fleet.accepted_version()
                         }
-                        Some(link) => match link.call(fleet.call(What::Beat(says))).await.map(|r| r.what) {
-                            Some(Said::Heard(version)) => version,
+                        Some(link) => match link
+                            .call(fleet.next_call(Request::Heartbeat(says)))
+                            .await
+                            .map(|r| r.response)
+                        {
+                            Some(Response::HeartbeatReceived(version)) => version,
                             _ => None,
                         },
                     };
-                    fleet.rumour.set(fleet.rumour.get().max(version.unwrap_or(0)));
-                    if version > fleet.known() {
+                    fleet.latest_version_seen.set(fleet.latest_version_seen.get().max(version.unwrap_or(0)));
+                    if version > fleet.known_version() {
                         fleet.news.notify_one();
                     }
                 });
@@ -754,61 +790,63 @@
     }
 
     /// AppliedState the document and does its own part, again and again.
-    async fn follow(self: Rc<Self>) {
-        let every = Duration::from_nanos(self.settings.members.interval);
+    async fn follow_state(self: Rc<Self>) {
+        let every = Duration::from_nanos(self.settings.heartbeat.interval);
         loop {
             // News, or time: a leave may have run out, a refused one may be asked for again.
             let _ = tokio::time::timeout(every, self.news.notified()).await;
-            let newer = Some(self.rumour.get()) > self.known() || self.taken() > self.known();
-            if newer && self.change(&Command::Read).await.is_err() {
+            let newer = Some(self.latest_version_seen.get()) > self.known_version()
+                || self.accepted_version() > self.known_version();
+            if newer && self.submit(&Command::Read).await.is_err() {
                 continue;
             }
-            self.step().await;
+            self.take_steps().await;
         }
     }
 
     /// The version of the newest document that is known here to be agreed on.
-    fn known(&self) -> Option<u64> {
-        self.document.borrow().as_ref().map(|d| d.version)
+    fn known_version(&self) -> Option<u64> {
+        self.state.borrow().as_ref().map(|d| d.version)
     }
 
     /// Its own part, as far as it goes now.
-    async fn step(self: &Rc<Self>) {
+    async fn take_steps(self: &Rc<Self>) {
         loop {
-            let Some(document) = self.document.borrow().clone() else { return };
+            let Some(document) = self.state.borrow().clone() else { return };
             let what = document.release.as_ref().map(|r| r.artifact.clone());
             let runs = what.as_ref().and_then(|what| self.runs.get(what)).map(String::as_str);
-            let next = self.leaver.borrow().next_step(self.now(), &document, self.own.get(), runs);
+            let next =
+                self.lease_holder.borrow().next_step(self.now(), &document, self.local_phase.get(), runs);
             match next {
                 NextStep::Wait => return,
                 NextStep::BeginDrain => {
                     // The clock was looked at above, and nothing was waited for since.
-                    if !self.duty.go_out() {
+                    if !self.control.begin_drain() {
                         return;
                     }
                     tracing::info!(target: "fleet", version = document.version, "goes out by its leave");
-                    self.own.set(LocalPhase::OutOfService);
+                    self.local_phase.set(LocalPhase::OutOfService);
                 }
                 NextStep::ResumeService => {
-                    if !self.duty.serve() {
+                    if !self.control.resume_service() {
                         return;
                     }
                     tracing::info!(target: "fleet", version = document.version, "serves again");
-                    self.own.set(LocalPhase::Serving);
+                    self.local_phase.set(LocalPhase::Serving);
                 }
                 NextStep::InstallAndRestart(digest) => {
-                    if self.ending.get() || !self.duty.drained() {
+                    if self.ending.get() || !self.control.is_drained() {
                         return;
                     }
-                    match self.swap(what.unwrap_or_default(), digest).await {
+                    match self.install(what.unwrap_or_default(), digest).await {
                         Ok(()) => {
                             self.ending.set(true);
                             tracing::info!(target: "fleet", "ends, to start with what is released");
-                            self.duty.end();
+                            self.control.shut_down();
                             return;
                         }
                         Err(why) => {
-                            if !self.unfit(why).await {
+                            if !self.report_unfit(why).await {
                                 return;
                             }
                         }
@@ -816,25 +854,28 @@
                 }
                 NextStep::Submit(act) => {
                     if let (Command::AcquireReleaseLease(..), Some(what)) = (&act, &what) {
-                        let to = document.drains.get(&self.settings.me).and_then(|e| e.target_digest.clone());
-                        if let Err(why) = self.fits(what.clone(), to.unwrap_or_default()).await {
-                            match self.unfit(why).await {
+                        let to = document
+                            .drains
+                            .get(&self.settings.own_index)
+                            .and_then(|e| e.target_digest.clone());
+                        if let Err(why) = self.check_artifact(what.clone(), to.unwrap_or_default()).await {
+                            match self.report_unfit(why).await {
                                 true => continue,
                                 false => return,
                             }
                         }
                     }
                     let at = self.now();
-                    let done = self.change(&act).await;
+                    let done = self.submit(&act).await;
                     let keeps = matches!(act, Command::ReportServing(..) | Command::ReportUpToDate(_))
                         && done.is_ok();
                     if let (true, Some(what)) = (keeps, &what) {
-                        self.keep(what.clone()).await;
+                        self.confirm(what.clone()).await;
                     }
-                    if let Err(Failed::Rejected(no)) = &done {
+                    if let Err(SubmitError::Rejected(no)) = &done {
                         tracing::debug!(target: "fleet", ?act, %no, "not now");
                     }
-                    self.leaver.borrow_mut().record_outcome(at, self.now(), &act, done.is_ok());
+                    self.lease_holder.borrow_mut().record_outcome(at, self.now(), &act, done.is_ok());
                     if done.is_err() {
                         return;
                     }
@@ -846,15 +887,15 @@
     // ---- Files, off the thread that serves ----
 
     /// Stores what is agreed on, again and again. A disk that hangs or fails is told of once, and holds nothing up.
-    async fn store(self: Rc<Self>, path: std::path::PathBuf) {
+    async fn persist_state(self: Rc<Self>, path: std::path::PathBuf) {
         let (mut last, mut told) = (None, false);
         loop {
-            sleep(STORE).await;
-            let Some(document) = self.document.borrow().clone().filter(|d| Some(d.version) != last) else {
+            sleep(STORE_INTERVAL).await;
+            let Some(document) = self.state.borrow().clone().filter(|d| Some(d.version) != last) else {
                 continue;
             };
             let (path, name, version) = (path.clone(), self.settings.name.clone(), document.version);
-            match off_thread(move || stored::write(&path, &name, &document)).await {
+            match off_thread(move || stored_state::write(&path, &name, &document)).await {
                 Ok(()) => (last, told) = (Some(version), false),
                 Err(why) => {
                     if !told {
@@ -868,11 +909,11 @@
 
     /// Reads the keys again and again, so that they can be changed without a restart. A file that can't be read, or holds
     /// none, changes nothing.
-    async fn reread(self: Rc<Self>) {
+    async fn reload_keys(self: Rc<Self>) {
         let mut told = String::new();
         loop {
-            sleep(KEYS).await;
-            let path = self.settings.key.clone();
+            sleep(KEY_RELOAD_INTERVAL).await;
+            let path = self.settings.key_file.clone();
             let text = off_thread(move || std::fs::read_to_string(path)).await;
             match text.and_then(|text| Keys::read(&self.settings.name, &text)) {
                 Ok(keys) if keys != *self.keys.borrow() => {
@@ -893,50 +934,50 @@
     async fn on_disk<T: Send + 'static>(
         &self,
         what: &str,
-        does: impl FnOnce(files::Released) -> io::Result<T> + Send + 'static,
+        does: impl FnOnce(release_files::ReleaseFile) -> io::Result<T> + Send + 'static,
     ) -> Result<T, String> {
-        let of = self.settings.released.iter().find(|r| r.what == what);
+        let of = self.settings.release_files.iter().find(|r| r.artifact == what);
         let of = of.cloned().ok_or_else(|| format!("its settings have no place for `{what}`"))?;
         off_thread(move || does(of)).await
     }
 
     /// Whether it has what is released, and could start with it.
-    async fn fits(&self, what: String, digest: String) -> Result<(), String> {
+    async fn check_artifact(&self, what: String, digest: String) -> Result<(), String> {
         if self.fit.borrow().as_ref() == Some(&digest) {
             return Ok(());
         }
         let wanted = digest.clone();
-        let bytes = self.on_disk(&what, move |of| of.stored(&wanted)).await?;
-        self.duty.fit(&what, &bytes)?;
+        let bytes = self.on_disk(&what, move |of| of.stored_bytes(&wanted)).await?;
+        self.control.validate_artifact(&what, &bytes)?;
         self.fit.replace(Some(digest));
         Ok(())
     }
 
-    async fn swap(&self, what: String, digest: String) -> Result<(), String> {
-        self.on_disk(&what, move |of| of.swap(&digest)).await
+    async fn install(&self, what: String, digest: String) -> Result<(), String> {
+        self.on_disk(&what, move |of| of.install(&digest)).await
     }
 
-    async fn keep(&self, what: String) {
-        if let Err(why) = self.on_disk(&what, |of| of.keep()).await {
+    async fn confirm(&self, what: String) {
+        if let Err(why) = self.on_disk(&what, |of| of.confirm()).await {
             tracing::warn!(target: "fleet", why, "serves with what was released, but its trial can't be ended");
         }
     }
 
     /// Has it agreed on that this router can't run what is released.
-    async fn unfit(self: &Rc<Self>, why: String) -> bool {
+    async fn report_unfit(self: &Rc<Self>, why: String) -> bool {
         tracing::warn!(target: "fleet", why, "can't run what is released");
-        self.change(&Command::ReportUnfit(self.settings.me, why)).await.is_ok()
+        self.submit(&Command::ReportUnfit(self.settings.own_index, why)).await.is_ok()
     }
 
     /// Routers that the view from here takes to be out: only a member of the council has one.
-    fn out_here(&self) -> BTreeSet<RouterIndex> {
-        self.presence.borrow_mut().out_of_service(self.now()).into_iter().collect()
+    fn locally_out_of_service(&self) -> BTreeSet<RouterIndex> {
+        self.failure_detector.borrow_mut().out_of_service(self.now()).into_iter().collect()
     }
 }
 
-/// What is found stored at the start; what can't be used is told, and is none.
+/// Request is found stored at the start; what can't be used is told, and is none.
 async fn stored_there(path: std::path::PathBuf, name: String) -> Option<FleetState> {
-    let read = off_thread(move || stored::read(&path, &name)).await;
+    let read = off_thread(move || stored_state::read(&path, &name)).await;
     read.unwrap_or_else(|why| {
         tracing::warn!(target: "fleet", why, "what is stored of the fleet can't be used");
         None
@@ -947,18 +988,18 @@
 async fn off_thread<T: Send + 'static, E: ToString + Send + 'static>(
     does: impl FnOnce() -> Result<T, E> + Send + 'static,
 ) -> Result<T, String> {
-    match tokio::time::timeout(DISK, tokio::task::spawn_blocking(does)).await {
+    match tokio::time::timeout(DISK_TIMEOUT, tokio::task::spawn_blocking(does)).await {
         Ok(Ok(done)) => done.map_err(|e| e.to_string()),
         Ok(Err(e)) => Err(e.to_string()),
         Err(_) => Err("the disk does not answer".into()),
     }
 }
 
-/// What became of a change: the document with it, or why it was not made.
-type Changed = Result<FleetState, Rejection>;
+/// Request became of a change: the document with it, or why it was not made.
+type CommandOutcome = Result<FleetState, Rejection>;
 
 /// A member's answer to the register, who is out by its view, and who keeps nodes from being clear.
-type Heard = Option<(AcceptorReply<FleetState>, Option<Vec<RouterIndex>>, Vec<Unclear>)>;
+type Heard = Option<(AcceptorReply<FleetState>, Option<Vec<RouterIndex>>, Vec<NotClearReplica>)>;
 
 /// The time, as routers tell it each other.
 fn now_ms() -> UnixMs {
--- a/router/src/fleet/orders.rs
+++ b/router/src/fleet/operator_orders.rs
@@ -12,26 +12,26 @@
 use tallypin_membership::RouterIndex;
 use tokio::time::sleep;
 
-use super::{now_ms, plan, Failed, Fleet};
+use super::{now_ms, release_plan, FleetAgent, SubmitError};
 
 /// A halt that is agreed on is looked at so often until it holds.
-const LOOK: Duration = Duration::from_millis(50);
+const HALT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What is ordered.
+/// Request is ordered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
+pub enum FleetOrder {
     /// To tell what is agreed on.
     Status,
     /// Routers are to go out, as many at a time as the bounds let.
     Drain(Vec<String>),
     /// Routers are to come back, or model nodes.
-    PutBack(Vec<String>),
+    Restore(Vec<String>),
     /// Model nodes are to go out, at most for so long.
-    TakeOut(Vec<String>, Option<Duration>),
+    DrainReplicas(Vec<String>, Option<Duration>),
     /// A file is to be released.
-    Release(Box<plan::Said>),
+    Release(Box<release_plan::ReleaseRequest>),
     /// The release is to be undone.
-    Undo(String),
+    RollBack(String),
     /// Nothing may begin to go out.
     Halt(String),
     /// It may again.
@@ -39,32 +39,34 @@
 }
 
 /// Reads the words behind `fleet`, with `id ID` in front of an order that may be sent again.
-pub fn read(words: &[&str]) -> Result<(Option<String>, Order), String> {
+pub fn parse(words: &[&str]) -> Result<(Option<String>, FleetOrder), String> {
     let (id, words) = match words {
         ["id", id, rest @ ..] => (Some((*id).to_string()), rest),
         rest => (None, rest),
     };
     let names = |words: &[&str]| words.iter().map(ToString::to_string).collect::<Vec<_>>();
     let order = match words {
-        ["status"] => Order::Status,
+        ["status"] => FleetOrder::Status,
         ["drain"] => return Err("which routers?".into()),
         ["put-back"] => return Err("which routers, or which model nodes?".into()),
         ["take-out"] | ["take-out", "for", ..] => {
             return Err("which model nodes? `take-out NODE.. [for 30m]`".into())
         }
-        ["take-out", nodes @ .., "for", time] => Order::TakeOut(names(nodes), Some(duration(time)?)),
-        ["take-out", nodes @ ..] => Order::TakeOut(names(nodes), None),
+        ["take-out", nodes @ .., "for", time] => {
+            FleetOrder::DrainReplicas(names(nodes), Some(duration(time)?))
+        }
+        ["take-out", nodes @ ..] => FleetOrder::DrainReplicas(names(nodes), None),
         ["release", json @ ..] => {
             let said = serde_json::from_str(&json.join(" ")).map_err(|e| format!("not a plan: {e}"))?;
-            Order::Release(Box::new(said))
+            FleetOrder::Release(Box::new(said))
         }
-        ["back"] => Order::Undo("ordered".into()),
-        ["back", cause @ ..] => Order::Undo(cause.join(" ")),
-        ["drain", routers @ ..] => Order::Drain(names(routers)),
-        ["put-back", routers @ ..] => Order::PutBack(names(routers)),
-        ["halt"] => Order::Halt("ordered".into()),
-        ["halt", cause @ ..] => Order::Halt(cause.join(" ")),
-        ["resume"] => Order::Resume,
+        ["back"] => FleetOrder::RollBack("ordered".into()),
+        ["back", cause @ ..] => FleetOrder::RollBack(cause.join(" ")),
+        ["drain", routers @ ..] => FleetOrder::Drain(names(routers)),
+        ["put-back", routers @ ..] => FleetOrder::Restore(names(routers)),
+        ["halt"] => FleetOrder::Halt("ordered".into()),
+        ["halt", cause @ ..] => FleetOrder::Halt(cause.join(" ")),
+        ["resume"] => FleetOrder::Resume,
         _ => {
             let all = "fleet [id ID] status, drain ROUTER.., take-out NODE.. [for TIME], put-back ROUTER|NODE.., release \
                        PLAN, back [CAUSE], watch, halt [CAUSE], resume";
@@ -83,47 +85,47 @@
     }
 }
 
-impl Fleet {
+impl FleetAgent {
     /// Whether all of these names are model nodes that are out, or to go, by order.
     fn are_nodes(&self, names: &[String]) -> bool {
-        let known = self.document.borrow();
+        let known = self.state.borrow();
         let out = |id: &String| known.as_ref().is_some_and(|d| d.replicas.contains_key(id));
-        names.iter().all(|name| out(name) && self.settings.place(name).is_none())
+        names.iter().all(|name| out(name) && self.settings.index_of(name).is_none())
     }
 
     /// Carries an order out. Answered when it is agreed on, or when it is known that it is not.
-    pub async fn order(self: &Rc<Self>, id: Option<String>, order: Order) -> Value {
+    pub async fn execute_order(self: &Rc<Self>, id: Option<String>, order: FleetOrder) -> Value {
         let id = id.unwrap_or_else(|| {
-            format!("{}-{:x}", self.settings.routers[usize::from(self.settings.me)].name, {
+            format!("{}-{:x}", self.settings.routers[usize::from(self.settings.own_index)].name, {
                 self.rng.borrow_mut().u64(..)
             })
         });
         let no = |why: String| json!({"done": false, "id": id, "why": why});
         let act = match &order {
-            Order::Status => Command::Read,
-            Order::PutBack(names) if self.are_nodes(names) => {
+            FleetOrder::Status => Command::Read,
+            FleetOrder::Restore(names) if self.are_nodes(names) => {
                 Command::RestoreReplicas { order: id.clone(), replicas: names.clone() }
             }
-            Order::TakeOut(names, _) if names.len() > MAX_REPLICA_DRAINS => {
+            FleetOrder::DrainReplicas(names, _) if names.len() > MAX_REPLICA_DRAINS => {
                 return no(Rejection::TooManyReplicas.to_string())
             }
-            Order::TakeOut(names, time) => {
+            FleetOrder::DrainReplicas(names, time) => {
                 let until = time.map(|t| now_ms().saturating_add(t.as_millis() as u64));
                 Command::DrainReplicas { order: id.clone(), replicas: names.clone(), until }
             }
-            Order::Release(said) => {
-                let waves = match plan::waves(&said.waves, &self.settings) {
+            FleetOrder::Release(said) => {
+                let waves = match release_plan::resolve_waves(&said.waves, &self.settings) {
                     Ok(waves) => waves,
                     Err(why) => return no(why),
                 };
                 let (artifact, digest, plan) = (said.what.clone(), said.digest.clone(), said.plan.clone());
                 Command::BeginRelease { order: id.clone(), artifact, digest, waves, plan }
             }
-            Order::Undo(cause) => Command::RollBack { order: id.clone(), cause: cause.clone() },
-            Order::Drain(names) | Order::PutBack(names) => {
+            FleetOrder::RollBack(cause) => Command::RollBack { order: id.clone(), cause: cause.clone() },
+            FleetOrder::Drain(names) | FleetOrder::Restore(names) => {
                 let mut routers: Vec<RouterIndex> = Vec::new();
                 for name in names {
-                    match self.settings.place(name) {
+                    match self.settings.index_of(name) {
                         Some(place) => routers.push(place),
                         None => {
                             return no(format!(
@@ -133,43 +135,43 @@
                     }
                 }
                 match order {
-                    Order::Drain(_) => Command::Drain { order: id.clone(), routers },
+                    FleetOrder::Drain(_) => Command::Drain { order: id.clone(), routers },
                     _ => Command::Restore { order: id.clone(), routers },
                 }
             }
-            Order::Halt(cause) => Command::Halt { order: id.clone(), cause: cause.clone() },
-            Order::Resume => Command::Resume { order: id.clone() },
+            FleetOrder::Halt(cause) => Command::Halt { order: id.clone(), cause: cause.clone() },
+            FleetOrder::Resume => Command::Resume { order: id.clone() },
         };
         let asked = Instant::now();
-        let document = match self.change(&act).await {
+        let document = match self.submit(&act).await {
             Ok(document) => document,
-            Err(Failed::Rejected(no)) => return json!({"done": false, "id": id, "why": no.to_string()}),
-            Err(Failed::NoMajority) => {
-                // Said as it is: a round that was cut off may be ended by the next one.
-                return json!({"done": false, "id": id, "council": self.reached(), "why":
+            Err(SubmitError::Rejected(no)) => return json!({"done": false, "id": id, "why": no.to_string()}),
+            Err(SubmitError::NoMajority) => {
+                // Response as it is: a round that was cut off may be ended by the next one.
+                return json!({"done": false, "id": id, "council": self.reachable_members(), "why":
                     "no majority of the council answered in time; sent again under this id it runs at most once"});
             }
         };
-        if matches!(order, Order::Halt(_)) && !self.holds(asked, document).await {
+        if matches!(order, FleetOrder::Halt(_)) && !self.wait_until_halt_is_effective(asked, document).await {
             return json!({"done": false, "id": id, "why":
                 "halted, but a leave given before may still be used; ask again"});
         }
-        match self.document.borrow().as_ref() {
-            Some(document) => self.told(&id, document),
+        match self.state.borrow().as_ref() {
+            Some(document) => self.status_report(&id, document),
             None => json!({"done": false, "id": id, "why": "nothing is known yet"}),
         }
     }
 
     /// Waits until nobody can begin to go out any more by a leave from before.
-    async fn holds(self: &Rc<Self>, asked: Instant, mut document: FleetState) -> bool {
+    async fn wait_until_halt_is_effective(self: &Rc<Self>, asked: Instant, mut document: FleetState) -> bool {
         let nanos = |d: Duration| d.as_nanos() as u64;
-        let give_up = self.settings.within + Duration::from_nanos(self.settings.leave.safe_expiry());
-        while !halt_is_effective(&self.settings.leave, nanos(asked.elapsed()), &document) {
+        let give_up = self.settings.order_timeout + Duration::from_nanos(self.settings.lease.safe_expiry());
+        while !halt_is_effective(&self.settings.lease, nanos(asked.elapsed()), &document) {
             if asked.elapsed() > give_up {
                 return false;
             }
-            sleep(LOOK).await;
-            match self.change(&Command::Read).await {
+            sleep(HALT_POLL_INTERVAL).await;
+            match self.submit(&Command::Read).await {
                 Ok(newer) => document = newer,
                 // The time that a leave lasts is enough, whoever answers.
                 Err(_) => continue,
@@ -179,13 +181,13 @@
     }
 
     /// Members of the council that answered last.
-    fn reached(&self) -> Vec<&str> {
+    fn reachable_members(&self) -> Vec<&str> {
         let members =
             self.settings.council.iter().enumerate().filter(|(m, _)| self.reaches(*m)).map(|(_, p)| p);
         members.map(|&p| self.settings.routers[usize::from(p)].name.as_str()).collect()
     }
 
-    fn told(&self, id: &str, document: &FleetState) -> Value {
+    fn status_report(&self, id: &str, document: &FleetState) -> Value {
         let name = |place: &RouterIndex| {
             self.settings.routers.get(usize::from(*place)).map_or("?", |r| r.name.as_str())
         };
@@ -206,10 +208,10 @@
             .collect();
         let mut told = json!({
             "done": true, "id": id, "version": document.version, "halted": document.halted, "entries": entries,
-            "bounds": {"all": self.settings.bounds.total, "zone": self.settings.bounds.per_zone},
-            "council": self.reached(), "spoilt": self.spoilt.get(),
+            "bounds": {"all": self.settings.limits.total, "zone": self.settings.limits.per_zone},
+            "council": self.reachable_members(), "spoilt": self.rejected_messages.get(),
         });
-        let unclear = self.unclear.borrow();
+        let unclear = self.not_clear.borrow();
         let node = |(id, e): (&String, &tallypin_consensus::replica_drains::ReplicaEntry)| {
             let mut said = json!({"node": id, "order": e.order, "until_ms": e.until});
             match e.stage {
@@ -218,9 +220,9 @@
                 ReplicaStage::OutOfService(_) => {
                     let held = unclear.get(id);
                     said["stage"] = "out".into();
-                    said["clear"] = held.is_some_and(|u| u.routers == 0).into();
-                    said["not_clear"] = held.map(|u| u.routers).into();
-                    said["first"] = held.map(|u| u.first.iter().map(name).collect::<Vec<_>>()).into();
+                    said["clear"] = held.is_some_and(|u| u.router_count == 0).into();
+                    said["not_clear"] = held.map(|u| u.router_count).into();
+                    said["first"] = held.map(|u| u.first_routers.iter().map(name).collect::<Vec<_>>()).into();
                 }
             }
             said
@@ -239,16 +241,16 @@
                 "wave": r.wave + 1, "waves": r.waves.len(), "runs_here": self.runs.get(&r.artifact),
             });
         }
-        if self.keeper.borrow().is_some() {
-            // What the others said last that they run, by digest.
+        if self.acceptor.borrow().is_some() {
+            // Request the others said last that they run, by digest.
             let mut runs: BTreeMap<String, usize> = BTreeMap::new();
-            let all = self.told.borrow();
+            let all = self.reports.borrow();
             all.iter()
                 .flatten()
-                .filter_map(|(_, t)| t.runs.clone())
+                .filter_map(|(_, t)| t.running_digest.clone())
                 .for_each(|d| *runs.entry(d).or_default() += 1);
             told["runs"] = json!(runs);
-            told["out_here"] = self.out_here().iter().map(name).collect();
+            told["out_here"] = self.locally_out_of_service().iter().map(name).collect();
         }
         told
     }
--- a/router/src/fleet/files.rs
+++ b/router/src/fleet/release_files.rs
@@ -13,27 +13,30 @@
 use serde::{Deserialize, Serialize};
 
 /// Starts on trial that are left before the program goes back.
-const MOST_STARTS: u32 = 3;
+const MAX_TRIAL_STARTS: u32 = 3;
 /// The longest file that is released, bytes.
-const LONGEST: u64 = 256 << 20;
+const MAX_FILE_BYTES: u64 = 256 << 20;
 
 /// A file that a release may change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Released {
+pub struct ReleaseFile {
     /// What it is called in a plan.
-    pub what: String,
+    pub artifact: String,
     /// Where the program, or its supervisor, finds it.
-    pub at: PathBuf,
+    pub path: PathBuf,
     /// Where there is one for each digest, by that name.
-    pub store: PathBuf,
+    pub store_dir: PathBuf,
 }
 
 /// A trial, in a file beside the place.
 #[derive(Debug, Serialize, Deserialize)]
 struct Trial {
-    old: String,
-    new: String,
-    store: PathBuf,
+    #[serde(rename = "old")]
+    previous_digest: String,
+    #[serde(rename = "new")]
+    installed_digest: String,
+    #[serde(rename = "store")]
+    store_dir: PathBuf,
     starts: u32,
 }
 
@@ -42,21 +45,21 @@
     blake3::hash(bytes).to_hex().to_string()
 }
 
-fn said(what: &Path, e: io::Error) -> io::Error {
+fn named(what: &Path, e: io::Error) -> io::Error {
     io::Error::new(e.kind(), format!("{}: {e}", what.display()))
 }
 
-fn wrong(why: String) -> io::Error {
+fn invalid(why: String) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, why)
 }
 
 /// A file's bytes, if they are not too many.
 pub fn read(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    let file = File::open(path).map_err(|e| said(path, e))?;
-    file.take(LONGEST + 1).read_to_end(&mut bytes).map_err(|e| said(path, e))?;
-    match bytes.len() as u64 > LONGEST {
-        true => Err(wrong(format!("{}: longer than {LONGEST} bytes", path.display()))),
+    let file = File::open(path).map_err(|e| named(path, e))?;
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|e| named(path, e))?;
+    match bytes.len() as u64 > MAX_FILE_BYTES {
+        true => Err(invalid(format!("{}: longer than {MAX_FILE_BYTES} bytes", path.display()))),
         false => Ok(bytes),
     }
 }
@@ -64,15 +67,15 @@
 /// Writes a file whole, or not at all, as far as the disk tells the truth.
 pub fn write(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new = beside(path, "new");
-    let mut file = File::create(&new).map_err(|e| said(&new, e))?;
-    file.write_all(bytes).and_then(|()| file.sync_all()).map_err(|e| said(&new, e))?;
-    fs::rename(&new, path).map_err(|e| said(path, e))?;
+    let mut file = File::create(&new).map_err(|e| named(&new, e))?;
+    file.write_all(bytes).and_then(|()| file.sync_all()).map_err(|e| named(&new, e))?;
+    fs::rename(&new, path).map_err(|e| named(path, e))?;
     sync_dir(path)
 }
 
 fn sync_dir(path: &Path) -> io::Result<()> {
     let dir = path.parent().filter(|d| !d.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(dir).and_then(|d| d.sync_all()).map_err(|e| said(dir, e))
+    File::open(dir).and_then(|d| d.sync_all()).map_err(|e| named(dir, e))
 }
 
 fn beside(path: &Path, what: &str) -> PathBuf {
@@ -81,80 +84,90 @@
     name.into()
 }
 
-impl Released {
+impl ReleaseFile {
     /// The digest of what is there now.
-    pub fn runs(&self) -> io::Result<String> {
-        read(&self.at).map(|bytes| digest(&bytes))
+    pub fn installed_digest(&self) -> io::Result<String> {
+        read(&self.path).map(|bytes| digest(&bytes))
     }
 
     /// What the store has under a digest, if it is that.
-    pub fn stored(&self, digest: &str) -> io::Result<Vec<u8>> {
+    pub fn stored_bytes(&self, digest: &str) -> io::Result<Vec<u8>> {
         // It comes from others: a name, and no way out of the store.
         if digest.len() != 64 || !digest.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return Err(wrong("not a digest".into()));
+            return Err(invalid("not a digest".into()));
         }
-        let path = self.store.join(digest);
+        let path = self.store_dir.join(digest);
         let bytes = read(&path)?;
         match self::digest(&bytes) == digest {
             true => Ok(bytes),
-            false => Err(wrong(format!("{}: holds something else than its digest says", path.display()))),
+            false => Err(invalid(format!("{}: holds something else than its digest says", path.display()))),
         }
     }
 
     /// Puts what the store has under a digest in the place, on trial. What was there stays in the store.
-    pub fn swap(&self, digest: &str) -> io::Result<()> {
-        self.stored(digest)?;
-        let before = read(&self.at)?;
+    pub fn install(&self, digest: &str) -> io::Result<()> {
+        self.stored_bytes(digest)?;
+        let before = read(&self.path)?;
         let old = self::digest(&before);
         if old == digest {
             // It is there, perhaps by a swap whose last call failed: a new trial would lose the way back.
-            return sync_dir(&self.at);
+            return sync_dir(&self.path);
         }
-        if self.stored(&old).is_err() {
-            write(&self.store.join(&old), &before)?;
+        if self.stored_bytes(&old).is_err() {
+            write(&self.store_dir.join(&old), &before)?;
         }
-        let trial = Trial { old, new: digest.into(), store: self.store.clone(), starts: 0 };
-        write(&beside(&self.at, "trial"), &serde_json::to_vec(&trial)?)?;
-        link(&self.at, &self.store, digest)
+        let trial = Trial {
+            previous_digest: old,
+            installed_digest: digest.into(),
+            store_dir: self.store_dir.clone(),
+            starts: 0,
+        };
+        write(&beside(&self.path, "trial"), &serde_json::to_vec(&trial)?)?;
+        replace_with_link(&self.path, &self.store_dir, digest)
     }
 
     /// It serves with what is there: the trial is over.
-    pub fn keep(&self) -> io::Result<()> {
-        match fs::remove_file(beside(&self.at, "trial")) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(said(&self.at, e)),
+    pub fn confirm(&self) -> io::Result<()> {
+        match fs::remove_file(beside(&self.path, "trial")) {
+            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(named(&self.path, e)),
             _ => Ok(()),
         }
     }
 }
 
-fn link(at: &Path, store: &Path, digest: &str) -> io::Result<()> {
+fn replace_with_link(at: &Path, store: &Path, digest: &str) -> io::Result<()> {
     let new = beside(at, "new");
     let _ = fs::remove_file(&new);
     // A link to a name in the store that is not absolute would be looked for beside the link.
-    let store = fs::canonicalize(store).map_err(|e| said(store, e))?;
-    std::os::unix::fs::symlink(store.join(digest), &new).map_err(|e| said(&new, e))?;
-    fs::rename(&new, at).map_err(|e| said(at, e))?;
+    let store = fs::canonicalize(store).map_err(|e| named(store, e))?;
+    std::os::unix::fs::symlink(store.join(digest), &new).map_err(|e| named(&new, e))?;
+    fs::rename(&new, at).map_err(|e| named(at, e))?;
     sync_dir(at)
 }
 
 /// At a start, before the file is read: counts it, if the file is on trial, and goes back to what was there before after
 /// too many. AdvertisedStatus so, if it did.
-pub fn begin(at: &Path) -> Option<String> {
+pub fn begin_trial(at: &Path) -> Option<String> {
     let path = beside(at, "trial");
     let mut trial: Trial = serde_json::from_slice(&fs::read(&path).ok()?).ok()?;
     trial.starts = trial.starts.saturating_add(1);
-    if trial.starts <= MOST_STARTS {
+    if trial.starts <= MAX_TRIAL_STARTS {
         let counted = serde_json::to_vec(&trial).ok().map(|bytes| write(&path, &bytes));
         return counted?.err().map(|e| format!("a start on trial can't be counted: {e}"));
     }
-    let of = Released { what: String::new(), at: at.into(), store: trial.store.clone() };
-    let went =
-        of.stored(&trial.old).and_then(|_| link(at, &trial.store, &trial.old)).and_then(|()| of.keep());
+    let of = ReleaseFile { artifact: String::new(), path: at.into(), store_dir: trial.store_dir.clone() };
+    let went = of
+        .stored_bytes(&trial.previous_digest)
+        .and_then(|_| replace_with_link(at, &trial.store_dir, &trial.previous_digest))
+        .and_then(|()| of.confirm());
     Some(match went {
         Ok(()) => {
-            format!("{} has not come to serve in {MOST_STARTS} starts: back to {}", trial.new, trial.old)
+            format!(
+                "{} has not come to serve in {MAX_TRIAL_STARTS} starts: back to {}",
+                trial.installed_digest, trial.previous_digest
+            )
         }
-        Err(e) => format!("{} has not come to serve, and there is no way back: {e}", trial.new),
+        Err(e) => format!("{} has not come to serve, and there is no way back: {e}", trial.installed_digest),
     })
 }
 
--- a/router/src/fleet/plan.rs
+++ b/router/src/fleet/release_plan.rs
@@ -10,7 +10,7 @@
     check, load, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
 };
 
-use super::files;
+use super::release_files;
 use super::settings::FleetSettings;
 
 const HOUR: u64 = 3_600_000;
@@ -75,7 +75,7 @@
 
 /// A plan as it is sent: waves are still words.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Said {
+pub struct ReleaseRequest {
     /// Which file.
     pub what: String,
     /// Its digest.
@@ -87,7 +87,7 @@
 }
 
 /// Reads a plan; what is wrong is told with file, line and word.
-pub fn read(path: &Path, get: &dyn Fn(&Path) -> io::Result<String>) -> Result<Said, Problems> {
+pub fn read(path: &Path, get: &dyn Fn(&Path) -> io::Result<String>) -> Result<ReleaseRequest, Problems> {
     let (tree, sources, mut problems) = load(path, Bounds::default(), get);
     let checked = check(&tree, &FILE, &mut problems);
     let said = checked.within("release").map(|s| of(s, path, &mut problems));
@@ -97,11 +97,11 @@
     }
 }
 
-fn of(s: &Checked, path: &Path, problems: &mut Vec<Problem>) -> Said {
+fn of(s: &Checked, path: &Path, problems: &mut Vec<Problem>) -> ReleaseRequest {
     let digest = match (s.entry("file"), s.entry("digest")) {
         (Some(e), None) => {
             let file = path.parent().unwrap_or(Path::new("")).join(e.text(0));
-            std::fs::read(&file).map(|bytes| files::digest(&bytes)).unwrap_or_else(|why| {
+            std::fs::read(&file).map(|bytes| release_files::digest(&bytes)).unwrap_or_else(|why| {
                 problems.push(Problem::new(e.place(1), format!("{}: {why}", file.display())));
                 String::new()
             })
@@ -125,7 +125,7 @@
     }
     let per_mille = |name: &str| (s.share(name) * 1000.0).round() as u64;
     let ms = |name: &str| s.duration(name).as_millis() as u64;
-    Said {
+    ReleaseRequest {
         what: s.text("what").into(),
         digest,
         waves,
@@ -143,7 +143,10 @@
 
 /// The routers of each wave. A wave that would be empty is left out, as there is nobody left; one that names nobody of the
 /// fleet, or somebody twice, is an error.
-pub fn waves(words: &[Vec<String>], settings: &FleetSettings) -> Result<Vec<Vec<RouterIndex>>, String> {
+pub fn resolve_waves(
+    words: &[Vec<String>],
+    settings: &FleetSettings,
+) -> Result<Vec<Vec<RouterIndex>>, String> {
     let all = settings.routers.len();
     let mut left: Vec<RouterIndex> = (0..all as RouterIndex).collect();
     let mut waves = Vec::new();
@@ -168,7 +171,7 @@
                 left.iter().copied().take((all * share / 100).max(1)).collect()
             }
             _ => {
-                let place = |name: &&str| match settings.place(name) {
+                let place = |name: &&str| match settings.index_of(name) {
                     None => Err(format!("the fleet has no router `{name}`")),
                     Some(p) if !left.contains(&p) => Err(format!("`{name}` is in an earlier wave")),
                     Some(p) => Ok(p),
--- a/router/src/fleet/plan/tests.rs
+++ b/router/src/fleet/release_plan/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn said(text: &str) -> Result<Said, String> {
+fn said(text: &str) -> Result<ReleaseRequest, String> {
     let get = |_: &Path| Ok(text.to_string());
     read("p.conf".as_ref(), &get).map_err(|p| p.to_string())
 }
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -12,13 +12,13 @@
 use tallypin_membership::RouterIndex;
 use tallypin_settings_schema::{nearest, Checked, Directive, Entry, Kind, Problem, Section};
 
-use super::files::Released;
+use super::release_files::ReleaseFile;
 
 /// The most routers of a fleet.
-pub const MOST_ROUTERS: usize = 1000;
+pub const MAX_ROUTERS: usize = 1000;
 /// Descriptors beside the connections of the routers: the listener, and who is turned away.
-const SPARE: usize = 4;
-const MINUTE: u64 = 60_000;
+const SPARE_DESCRIPTORS: usize = 4;
+const MINUTE_MS: u64 = 60_000;
 
 /// The section.
 pub const SECTION: Section = Section {
@@ -60,18 +60,23 @@
             &[Kind::Path],
             "where a member of the council stores what is agreed on, on a disk that lasts",
         ),
-        Directive::with("beat", &[Kind::Duration(50, MINUTE)], &["500ms"], "a router is heard so often"),
-        Directive::with("silent", &[Kind::Duration(100, MINUTE)], &["3s"], "not heard for so long it is out"),
+        Directive::with("beat", &[Kind::Duration(50, MINUTE_MS)], &["500ms"], "a router is heard so often"),
+        Directive::with(
+            "silent",
+            &[Kind::Duration(100, MINUTE_MS)],
+            &["3s"],
+            "not heard for so long it is out",
+        ),
         Directive::with(
             "lease",
-            &[Kind::Duration(500, MINUTE)],
+            &[Kind::Duration(500, MINUTE_MS)],
             &["5s"],
             "a leave to go out is good for so long",
         ),
-        Directive::with("answer", &[Kind::Duration(100, MINUTE)], &["1s"], "a member answers within this"),
+        Directive::with("answer", &[Kind::Duration(100, MINUTE_MS)], &["1s"], "a member answers within this"),
         Directive::with(
             "within",
-            &[Kind::Duration(500, MINUTE)],
+            &[Kind::Duration(500, MINUTE_MS)],
             &["5s"],
             "an order is agreed on within this, or not",
         ),
@@ -81,11 +86,11 @@
 
 /// A router of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Router {
+pub struct FleetRouter {
     /// Its name.
     pub name: String,
     /// Where it listens for the others.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
 }
@@ -96,33 +101,33 @@
     /// The fleet's name.
     pub name: String,
     /// This router.
-    pub me: RouterIndex,
+    pub own_index: RouterIndex,
     /// The file with the keys.
-    pub key: PathBuf,
+    pub key_file: PathBuf,
     /// All routers, by place.
-    pub routers: Vec<Router>,
+    pub routers: Vec<FleetRouter>,
     /// Those that agree.
     pub council: Vec<RouterIndex>,
     /// How many may be out.
-    pub bounds: DrainLimits,
+    pub limits: DrainLimits,
     /// Where a member of the council stores what is agreed on.
-    pub store: Option<PathBuf>,
+    pub state_file: Option<PathBuf>,
     /// What a release may change.
-    pub released: Vec<Released>,
+    pub release_files: Vec<ReleaseFile>,
     /// Beats, and when silence is believed.
-    pub members: tallypin_membership::HeartbeatTiming,
+    pub heartbeat: tallypin_membership::HeartbeatTiming,
     /// The figures of a leave.
-    pub leave: drain_lease::LeaseTiming,
+    pub lease: drain_lease::LeaseTiming,
     /// A member answers within this.
-    pub answer: Duration,
+    pub reply_timeout: Duration,
     /// An order is agreed on within this, or not.
-    pub within: Duration,
+    pub order_timeout: Duration,
 }
 
 impl FleetSettings {
     /// Reads the section; what is wrong is told with its line.
-    pub fn of(s: &Checked, problems: &mut Vec<Problem>) -> FleetSettings {
-        let routers: Vec<Router> = s.all("router").map(router).collect();
+    pub fn from_section(s: &Checked, problems: &mut Vec<Problem>) -> FleetSettings {
+        let routers: Vec<FleetRouter> = s.all("router").map(router).collect();
         let names: Vec<&str> = routers.iter().map(|r| r.name.as_str()).collect();
         let find = |entry: &Entry, word: usize, problems: &mut Vec<Problem>| -> RouterIndex {
             let name = entry.text(word);
@@ -136,10 +141,10 @@
             }) as RouterIndex
         };
         let wrong = |what: String| Problem::new(s.place, what);
-        if routers.len() > MOST_ROUTERS {
-            problems.push(wrong(format!("a fleet has {MOST_ROUTERS} routers at the most")));
+        if routers.len() > MAX_ROUTERS {
+            problems.push(wrong(format!("a fleet has {MAX_ROUTERS} routers at the most")));
         }
-        let addresses: BTreeSet<SocketAddr> = routers.iter().map(|r| r.at).collect();
+        let addresses: BTreeSet<SocketAddr> = routers.iter().map(|r| r.address).collect();
         if addresses.len() < routers.len() {
             problems.push(wrong("two routers of the fleet have one address".into()));
         }
@@ -155,26 +160,29 @@
         zones.sort_unstable();
         let smallest = zones.chunk_by(|a, b| a == b).map(<[_]>::len).min().unwrap_or(0);
         zones.dedup();
-        let zone_of = |r: &Router| zones.iter().position(|z| *z == r.zone).unwrap_or(0) as u16;
+        let zone_of = |r: &FleetRouter| zones.iter().position(|z| *z == r.zone).unwrap_or(0) as u16;
         let mut most = |name: &str, of: usize, whole: bool| {
             s.entry(name).map_or(0, |e| {
-                bound(e.text(0), of, whole).unwrap_or_else(|why| {
+                parse_router_limit(e.text(0), of, whole).unwrap_or_else(|why| {
                     problems.push(Problem::new(e.place(1), format!("`{name}`: {why}")));
                     0
                 })
             })
         };
         let (all, zone) = (most("out-most", routers.len(), false), most("out-zone", smallest, true));
-        let nodes = node_bounds(s, problems);
+        let nodes = replica_limits(s, problems);
         let path = |e: &Entry, at: usize| match e.values.get(at) {
             Some(tallypin_settings_schema::Value::Path(path)) => PathBuf::from(path),
             _ => PathBuf::new(),
         };
-        let released =
-            s.all("release").map(|e| Released { what: e.text(0).into(), at: path(e, 1), store: path(e, 2) });
-        let released: Vec<Released> = released.collect();
+        let released = s.all("release").map(|e| ReleaseFile {
+            artifact: e.text(0).into(),
+            path: path(e, 1),
+            store_dir: path(e, 2),
+        });
+        let released: Vec<ReleaseFile> = released.collect();
         let wrong = |what: String| Problem::new(s.place, what);
-        let kinds: BTreeSet<&str> = released.iter().map(|r| r.what.as_str()).collect();
+        let kinds: BTreeSet<&str> = released.iter().map(|r| r.artifact.as_str()).collect();
         if kinds.len() < released.len() {
             problems.push(wrong("`release`: a kind of file has one place".into()));
         }
@@ -187,9 +195,9 @@
         let nanos = |d: Duration| d.as_nanos() as u64;
         FleetSettings {
             name: s.text("name").into(),
-            me,
-            key: s.path("key").map(PathBuf::from).unwrap_or_default(),
-            bounds: DrainLimits {
+            own_index: me,
+            key_file: s.path("key").map(PathBuf::from).unwrap_or_default(),
+            limits: DrainLimits {
                 names: routers.iter().map(|r| r.name.clone()).collect(),
                 zones: routers.iter().map(zone_of).collect(),
                 total: all,
@@ -197,50 +205,50 @@
                 council: council.clone(),
                 replicas: nodes,
             },
-            store: s.path("store").map(PathBuf::from),
-            released,
+            state_file: s.path("store").map(PathBuf::from),
+            release_files: released,
             routers,
             council,
-            members: tallypin_membership::HeartbeatTiming {
+            heartbeat: tallypin_membership::HeartbeatTiming {
                 interval: nanos(beat),
                 silence_limit: nanos(silent),
             },
-            leave: drain_lease::LeaseTiming {
+            lease: drain_lease::LeaseTiming {
                 duration: nanos(s.duration("lease")),
                 drift_divisor: 20,
                 retry_after: nanos(beat),
             },
-            answer: s.duration("answer"),
-            within: s.duration("within"),
+            reply_timeout: s.duration("answer"),
+            order_timeout: s.duration("within"),
         }
     }
 
     /// The descriptors that it needs: a member of the council has two connections of each router, and each has two to every
     /// member: one for beats and answers, one for changes.
     pub fn descriptors(&self) -> usize {
-        let served = if self.council.contains(&self.me) { 2 * self.routers.len() } else { 0 };
-        2 * self.council.len() + served + SPARE
+        let served = if self.council.contains(&self.own_index) { 2 * self.routers.len() } else { 0 };
+        2 * self.council.len() + served + SPARE_DESCRIPTORS
     }
 
     /// A router's place, by its name.
-    pub fn place(&self, name: &str) -> Option<RouterIndex> {
+    pub fn index_of(&self, name: &str) -> Option<RouterIndex> {
         self.routers.iter().position(|r| r.name == name).map(|p| p as RouterIndex)
     }
 }
 
-fn router(e: &Entry) -> Router {
+fn router(e: &Entry) -> FleetRouter {
     let at = match e.values.get(1) {
         Some(tallypin_settings_schema::Value::Address(at)) => *at,
         _ => ([127, 0, 0, 1], 0).into(),
     };
-    Router { name: e.text(0).into(), at, zone: e.text(2).into() }
+    FleetRouter { name: e.text(0).into(), address: at, zone: e.text(2).into() }
 }
 
 /// The bounds for model nodes: by zone and kind as in all, where nothing else is said.
-fn node_bounds(s: &Checked, problems: &mut Vec<Problem>) -> Option<ReplicaLimits> {
+fn replica_limits(s: &Checked, problems: &mut Vec<Problem>) -> Option<ReplicaLimits> {
     let mut most = |name: &str| {
         let e = s.entry(name)?;
-        let read = node_bound(e.text(0));
+        let read = parse_replica_limit(e.text(0));
         read.map_err(|why| problems.push(Problem::new(e.place(1), format!("`{name}`: {why}")))).ok()
     };
     let (all, zone, kind) = (most("nodes-out-most"), most("nodes-out-zone"), most("nodes-out-kind"));
@@ -254,7 +262,7 @@
 }
 
 /// `3`, or `10%`, up to so large a share.
-fn number_or_share(word: &str, largest: usize) -> Result<Limit, String> {
+fn parse_count_or_percent(word: &str, largest: usize) -> Result<Limit, String> {
     let digits = |w: &str| w.parse::<usize>().ok().filter(|_| w.bytes().all(|b| b.is_ascii_digit()));
     match word.strip_suffix('%') {
         Some(share) => digits(share)
@@ -266,8 +274,8 @@
 }
 
 /// Of as many as are listed when it counts, rounded down, so at times of none.
-fn node_bound(word: &str) -> Result<Limit, String> {
-    match number_or_share(word, 99)? {
+fn parse_replica_limit(word: &str) -> Result<Limit, String> {
+    match parse_count_or_percent(word, 99)? {
         Limit::Count(0) => Err("a bound of none would let nothing out; leave it away for that".into()),
         most => Ok(most),
     }
@@ -275,8 +283,8 @@
 
 /// Of so many, rounded down. A share that is none is an error: it would stop every release, by accident.
 /// The whole of a zone may go out, where the bound says so; the whole of a fleet may not.
-fn bound(word: &str, of: usize, whole: bool) -> Result<usize, String> {
-    let most = match number_or_share(word, 100)? {
+fn parse_router_limit(word: &str, of: usize, whole: bool) -> Result<usize, String> {
+    let most = match parse_count_or_percent(word, 100)? {
         Limit::Percent(share) => match of * share / 100 {
             0 => return Err(format!("{share}% of {of} is none; say 1 to let one out")),
             most => most,
--- a/router/src/fleet/stored.rs
+++ b/router/src/fleet/stored_state.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tallypin_consensus::fleet_state::FleetState;
 
-use super::files;
+use super::release_files;
 
 /// The form of the file.
 const VERSION: u8 = 1;
@@ -23,13 +23,13 @@
 /// The bytes of the file: a digest, a line end, JSON.
 fn encode(fleet: &str, document: &FleetState) -> io::Result<Vec<u8>> {
     let body = serde_json::to_vec(&Stored { v: VERSION, fleet: fleet.into(), document: document.clone() })?;
-    Ok([files::digest(&body).as_bytes(), b"\n", &body].concat())
+    Ok([release_files::digest(&body).as_bytes(), b"\n", &body].concat())
 }
 
 fn decode(fleet: &str, bytes: &[u8]) -> Result<FleetState, String> {
     let at = bytes.iter().position(|b| *b == b'\n').ok_or("torn")?;
     let (digest, body) = (&bytes[..at], &bytes[at + 1..]);
-    if files::digest(body).as_bytes() != digest {
+    if release_files::digest(body).as_bytes() != digest {
         return Err("its digest is another's".into());
     }
     let stored: Stored = serde_json::from_slice(body).map_err(|e| e.to_string())?;
@@ -42,12 +42,12 @@
 
 /// Writes the file whole, or leaves the one before.
 pub fn write(path: &Path, fleet: &str, document: &FleetState) -> io::Result<()> {
-    files::write(path, &encode(fleet, document)?)
+    release_files::write(path, &encode(fleet, document)?)
 }
 
 /// What is stored; `None`: nothing yet.
 pub fn read(path: &Path, fleet: &str) -> Result<Option<FleetState>, String> {
-    match files::read(path) {
+    match release_files::read(path) {
         Ok(bytes) => decode(fleet, &bytes).map(Some),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e.to_string()),
--- a/router/src/fleet/stored/tests.rs
+++ b/router/src/fleet/stored_state/tests.rs
@@ -23,7 +23,8 @@
     let body = &bytes[bytes.iter().position(|b| *b == b'\n').unwrap() + 1..];
     let stored: Stored = serde_json::from_slice(body).unwrap();
     let written = encode(&stored.fleet, &stored.document).unwrap();
-    let signed = |body: &str| [files::digest(body.as_bytes()).as_bytes(), b"\n", body.as_bytes()].concat();
+    let signed =
+        |body: &str| [release_files::digest(body.as_bytes()).as_bytes(), b"\n", body.as_bytes()].concat();
     let text = std::str::from_utf8(body).unwrap();
     let dir = tempfile::tempdir().unwrap();
     let mut got = String::new();
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -375,7 +375,7 @@
             socket: s.path("socket").map(PathBuf::from).unwrap_or_default(),
             mode: s.number("mode") as u32,
         });
-        let fleet = section("fleet").map(|s| FleetSettings::of(s, problems));
+        let fleet = section("fleet").map(|s| FleetSettings::from_section(s, problems));
         if let Some(place) = section("fleet").map(|s| s.place).filter(|_| control.is_none()) {
             problems
                 .push(Problem::new(place, "section `fleet` wants section `control`, where its orders come"));
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -2,13 +2,11 @@
 //! fronts before it. `docs/ARCHITECTURE.md` follows a request through these modules.
 
 pub mod bind;
-pub mod by_hand;
 pub mod checks;
 pub mod clients;
 pub mod config;
 pub mod core;
 pub mod dialect;
-pub mod duty;
 pub mod fleet;
 pub mod front;
 pub mod health;
@@ -22,11 +20,13 @@
 pub mod names;
 pub mod node;
 pub mod node_list;
+pub mod operator_override;
 pub mod outward;
 pub mod pages;
 pub mod peers;
 pub mod probe;
 pub mod reload;
+pub mod router_control;
 pub mod shortage;
 pub mod shutdown;
 pub mod status;
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -12,8 +12,7 @@
 use tallypin_router::checks::{self, Board};
 use tallypin_router::config::Config;
 use tallypin_router::dialect::Dialect;
-use tallypin_router::duty::Router;
-use tallypin_router::fleet::{files, orders, Fleet};
+use tallypin_router::fleet::{operator_orders, release_files, FleetAgent};
 use tallypin_router::front::{self, Front};
 use tallypin_router::host::Host;
 use tallypin_router::installation::Installation;
@@ -21,6 +20,7 @@
 use tallypin_router::node_list::{self, Page};
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::{self, Adopting, Running};
+use tallypin_router::router_control::ProcessControl;
 use tallypin_router::shutdown::{self, Termination};
 use tallypin_router::{bind, probe, status};
 use tokio::net::TcpListener;
@@ -60,7 +60,7 @@
                 for said in [Some(path.clone()), configuration]
                     .into_iter()
                     .flatten()
-                    .filter_map(|at| files::begin(&at))
+                    .filter_map(|at| release_files::begin_trial(&at))
                 {
                     eprintln!("tallypin: {said}");
                 }
@@ -180,7 +180,7 @@
         println!("orders at {}", control.socket.display());
     }
     if let Some(fleet) = &installation.fleet {
-        let (of, b) = (fleet.routers.len(), &fleet.bounds);
+        let (of, b) = (fleet.routers.len(), &fleet.limits);
         println!("of fleet {}: {} of {of} routers may be out, {} of a zone", fleet.name, b.total, b.per_zone);
     }
 }
@@ -226,8 +226,8 @@
             let fleet = match installation.fleet.clone() {
                 Some(of) => {
                     let settings = settings.clone().unwrap_or_default();
-                    let duty = Router { host: host.clone(), board: started.clone(), settings };
-                    Some(Fleet::start(of, Box::new(duty)).await?)
+                    let control = ProcessControl { host: host.clone(), board: started.clone(), settings };
+                    Some(FleetAgent::start(of, Box::new(control)).await?)
                 }
                 None => None,
             };
@@ -262,12 +262,12 @@
 }
 
 /// Orders from the socket to the fleet.
-fn to_fleet(fleet: Rc<Fleet>) -> ToFleet {
+fn to_fleet(fleet: Rc<FleetAgent>) -> ToFleet {
     Rc::new(move |words| {
         let fleet = fleet.clone();
         Box::pin(async move {
-            match orders::read(&words.split_ascii_whitespace().collect::<Vec<_>>()) {
-                Ok((id, order)) => fleet.order(id, order).await,
+            match operator_orders::parse(&words.split_ascii_whitespace().collect::<Vec<_>>()) {
+                Ok((id, order)) => fleet.execute_order(id, order).await,
                 Err(why) => serde_json::json!({"done": false, "why": why}),
             }
         })
--- a/router/src/duty.rs
+++ b/router/src/router_control.rs
@@ -16,12 +16,12 @@
 
 use crate::checks::{signals, Board};
 use crate::config::Config;
-use crate::fleet::Duty;
+use crate::fleet::RouterControl;
 use crate::host::Host;
 use crate::installation::Installation;
 
 /// A router with its board.
-pub struct Router {
+pub struct ProcessControl {
     /// Its clients and requests.
     pub host: Rc<Host>,
     /// What balancers are told.
@@ -30,8 +30,8 @@
     pub settings: PathBuf,
 }
 
-impl Router {
-    fn want(&self, wish: Wish, order: Order) -> bool {
+impl ProcessControl {
+    fn request_phase(&self, wish: Wish, order: Order) -> bool {
         let can = self.board.want(wish, order);
         if can {
             signals::follow(&self.host, self.board.phase());
@@ -40,25 +40,25 @@
     }
 }
 
-impl Duty for Router {
-    fn go_out(&self) -> bool {
-        self.want(Wish::Drain, Order::Drain)
+impl RouterControl for ProcessControl {
+    fn begin_drain(&self) -> bool {
+        self.request_phase(Wish::Drain, Order::Drain)
     }
 
-    fn serve(&self) -> bool {
-        self.want(Wish::Serve, Order::Ready)
+    fn resume_service(&self) -> bool {
+        self.request_phase(Wish::Serve, Order::Ready)
     }
 
-    fn drained(&self) -> bool {
+    fn is_drained(&self) -> bool {
         // Streams that were taken before are finished: the end itself waits for them as well.
         self.board.phase() == Phase::Drained && self.host.with(|core, _| core.open()) == 0
     }
 
-    fn end(&self) {
-        self.want(Wish::End, Order::Drain);
+    fn shut_down(&self) {
+        self.request_phase(Wish::End, Order::Drain);
     }
 
-    fn says(&self) -> AdvertisedStatus {
+    fn advertised_status(&self) -> AdvertisedStatus {
         match (self.board.phase(), self.board.assessment().state) {
             (Phase::Closing, _) => AdvertisedStatus::Ending,
             // It has just started, or has lost all: whoever came would be turned away.
@@ -68,7 +68,7 @@
         }
     }
 
-    fn counts(&self) -> AnswerCounts {
+    fn answer_counts(&self) -> AnswerCounts {
         let (t, late) = self.host.with(|core, _| (core.tallies().clone(), core.late()));
         AnswerCounts {
             answered: t.served + t.broken + t.refused + t.failed,
@@ -78,7 +78,7 @@
         }
     }
 
-    fn nodes(&self) -> Option<BTreeMap<String, ReplicaView>> {
+    fn replica_views(&self) -> Option<BTreeMap<String, ReplicaView>> {
         let host = &self.host;
         if !host.list_fresh() {
             return None;
@@ -97,7 +97,7 @@
         Some(nodes.collect())
     }
 
-    fn by_hand(&self, out: &[String], back: &[(String, UnixMs)]) {
+    fn set_replica_overrides(&self, out: &[String], back: &[(String, UnixMs)]) {
         let out: Vec<_> = out.iter().map(|id| name_hash::replica_id(id)).collect();
         let ns = |ms: UnixMs| -> Nanos { ms.saturating_mul(1_000_000) };
         self.host.with(|core, now| {
@@ -108,11 +108,11 @@
         });
     }
 
-    fn open_at(&self, node: &str) -> bool {
+    fn has_in_flight(&self, node: &str) -> bool {
         self.host.nodes.out(name_hash::replica_id(node)) > 0
     }
 
-    fn fit(&self, what: &str, text: &[u8]) -> Result<(), String> {
+    fn validate_artifact(&self, what: &str, text: &[u8]) -> Result<(), String> {
         let words = || std::str::from_utf8(text).map_err(|_| "not text".to_string());
         match what {
             "settings" => {
