--- a/settings-schema/src/checked.rs
+++ b/settings-schema/src/checked.rs
@@ -134,29 +134,42 @@
     if let Some(line) = tree.line.as_ref().filter(|l| l.words.len() > 1) {
         problems.push(Problem::new(line.place_of(1), format!("section `{}` takes no words", section.name)));
     }
+    let mut entries = given_entries(tree, section, problems);
+    entries.extend(defaults(tree, section, place, problems));
+    entries.sort_by_key(|e| section.directives.iter().position(|d| d.name == e.directive.name));
+    let sections = inner_sections(tree, section, problems);
+    Checked { section, place, entries, sections }
+}
+
+/// The directives that stand in a section.
+fn given_entries(tree: &Tree, section: &'static Section, problems: &mut Vec<Problem>) -> Vec<Entry> {
     let mut entries: Vec<Entry> = Vec::new();
     for line in &tree.lines {
         let Some(directive) = section.directives.iter().find(|d| d.name == line.name()) else {
             problems.push(unknown(line, section));
             continue;
         };
-        if let Some(values) = read(line, directive, problems) {
-            let same = |e: &&Entry| match directive.repeat {
-                Repeat::Once => e.directive.name == directive.name,
-                Repeat::Many => e.directive.name == directive.name && e.values.first() == values.first(),
-            };
-            if let Some(before) = entries.iter().find(same) {
-                let at = before.line.as_ref().map_or(0, |l| l.place.line);
-                let what = format!("`{}` stands a second time, first in line {at}", directive.name);
-                problems.push(Problem::new(line.place, what));
-                continue;
-            }
-            entries.push(Entry { directive, values, line: Some(line.clone()) });
+        let Some(values) = read(line, directive, problems) else { continue };
+        let same = |e: &&Entry| match directive.repeat {
+            Repeat::Once => e.directive.name == directive.name,
+            Repeat::Many => e.directive.name == directive.name && e.values.first() == values.first(),
+        };
+        if let Some(before) = entries.iter().find(same) {
+            let at = before.line.as_ref().map_or(0, |l| l.place.line);
+            let what = format!("`{}` stands a second time, first in line {at}", directive.name);
+            problems.push(Problem::new(line.place, what));
+            continue;
         }
+        entries.push(Entry { directive, values, line: Some(line.clone()) });
     }
+    entries
+}
+
+/// The defaults of the directives that do not stand in a section; one that must is told.
+fn defaults(tree: &Tree, section: &'static Section, place: Place, problems: &mut Vec<Problem>) -> Vec<Entry> {
+    let mut entries = Vec::new();
     for directive in section.directives {
-        let named = |l: &Line| l.name() == directive.name;
-        if tree.lines.iter().any(named) {
+        if tree.lines.iter().any(|line| line.name() == directive.name) {
             continue;
         }
         match directive.need {
@@ -165,15 +178,17 @@
                 problems.push(Problem::new(place, what));
             }
             Need::Optional => {}
-            Need::Default(words) => entries.push(Entry {
-                directive,
-                values: values(directive, words).unwrap_or_default(),
-                line: None,
-            }),
+            Need::Default(words) => {
+                let values = values(directive, words).unwrap_or_default();
+                entries.push(Entry { directive, values, line: None });
+            }
         }
     }
-    let order = |e: &Entry| section.directives.iter().position(|d| d.name == e.directive.name);
-    entries.sort_by_key(order);
+    entries
+}
+
+/// The sections in a section, in the order of the table: those that stand there, and those that always hold.
+fn inner_sections(tree: &Tree, section: &'static Section, problems: &mut Vec<Problem>) -> Vec<Checked> {
     let mut sections: Vec<Checked> = Vec::new();
     for inner in &tree.sections {
         let Some(line) = &inner.line else { continue };
@@ -192,7 +207,7 @@
         }
     }
     sections.sort_by_key(|s| section.sections.iter().position(|k| k.name == s.section.name));
-    Checked { section, place, entries, sections }
+    sections
 }
 
 fn unknown(line: &Line, section: &Section) -> Problem {
--- a/settings-schema/src/lines.rs
+++ b/settings-schema/src/lines.rs
@@ -34,46 +34,27 @@
     }
 }
 
+/// The characters of a line with their places, as they are taken one by one.
+type Characters<'a> = std::iter::Peekable<std::str::CharIndices<'a>>;
+
+/// A space between words.
+fn is_space(c: char) -> bool {
+    matches!(c, ' ' | '\t' | '\r')
+}
+
 /// The words of one line.
 pub fn words(line: &str) -> Result<Vec<Word>, Torn> {
     let mut words = Vec::new();
-    let mut chars = line.char_indices().peekable();
-    while let Some(&(start, c)) = chars.peek() {
-        if c == ' ' || c == '\t' || c == '\r' {
-            chars.next();
+    let mut characters = line.char_indices().peekable();
+    while let Some(&(start, c)) = characters.peek() {
+        if is_space(c) {
+            characters.next();
             continue;
         }
         if c == '#' {
             break;
         }
-        // One raw word: up to the first space outside of quotes.
-        let (mut quote, mut bare, mut end) = (None, true, line.len());
-        while let Some(&(at, c)) = chars.peek() {
-            if c.is_control() && c != '\t' && c != '\r' {
-                return Err(Torn::Control(at));
-            }
-            match (quote, c) {
-                (None, ' ' | '\t' | '\r') => {
-                    end = at;
-                    break;
-                }
-                (None, '\'' | '"') => (quote, bare) = (Some((c, at)), false),
-                (Some((open, _)), c) if c == open => quote = None,
-                // In single quotes a backslash is one.
-                (None | Some(('"', _)), '\\') => {
-                    bare = false;
-                    chars.next();
-                    if chars.peek().is_none_or(|(_, c)| *c == '\r') {
-                        return Err(Torn::Escape(at));
-                    }
-                }
-                _ => {}
-            }
-            chars.next();
-        }
-        if let Some((_, at)) = quote {
-            return Err(Torn::Quote(at));
-        }
+        let (end, bare) = raw_word(&mut characters, line.len())?;
         let raw = &line[start..end];
         // A `#` within a word is part of it, which `shlex` sees alike; a bare word needs no decoding.
         let text = match bare {
@@ -84,3 +65,33 @@
     }
     Ok(words)
 }
+
+/// Passes over one word, up to the first space outside of quotes; where it ends, and whether it stood without quotes
+/// or escapes.
+fn raw_word(characters: &mut Characters, line_length: usize) -> Result<(usize, bool), Torn> {
+    let (mut quote, mut bare) = (None, true);
+    while let Some(&(at, c)) = characters.peek() {
+        if c.is_control() && c != '\t' && c != '\r' {
+            return Err(Torn::Control(at));
+        }
+        match (quote, c) {
+            (None, c) if is_space(c) => return Ok((at, bare)),
+            (None, '\'' | '"') => (quote, bare) = (Some((c, at)), false),
+            (Some((open, _)), c) if c == open => quote = None,
+            // In single quotes a backslash is one.
+            (None | Some(('"', _)), '\\') => {
+                bare = false;
+                characters.next();
+                if characters.peek().is_none_or(|(_, c)| *c == '\r') {
+                    return Err(Torn::Escape(at));
+                }
+            }
+            _ => {}
+        }
+        characters.next();
+    }
+    match quote {
+        Some((_, at)) => Err(Torn::Quote(at)),
+        None => Ok((line_length, bare)),
+    }
+}
--- a/settings-schema/src/load.rs
+++ b/settings-schema/src/load.rs
@@ -82,6 +82,22 @@
     (tree, loader.sources, loader.problems)
 }
 
+/// One file while its lines are read.
+struct OpenFile<'a> {
+    path: &'a Path,
+    /// The sections that are open in it; the last is the innermost.
+    open_sections: Vec<Tree>,
+    /// Where lines outside of all sections of the file go.
+    into: &'a mut Tree,
+}
+
+impl OpenFile<'_> {
+    /// The innermost section that is open.
+    fn innermost(&mut self) -> &mut Tree {
+        self.open_sections.last_mut().unwrap_or(self.into)
+    }
+}
+
 impl Loader<'_> {
     fn wrong(&mut self, place: Place, what: impl Into<String>) {
         if self.problems.len() < self.bounds.problems {
@@ -98,81 +114,111 @@
             return self.wrong(from.unwrap_or_default(), format!("more than {} files", self.bounds.files));
         }
         let number = self.sources.len();
-        let (text, why) = match (self.read)(&path) {
+        let whole = from.unwrap_or(Place { file: number, ..Place::default() });
+        let Some(text) = self.text(&path, whole) else { return };
+        open.push(path.clone());
+        let mut file = OpenFile { path: &path, open_sections: Vec::new(), into };
+        for (n, text) in text.lines().enumerate() {
+            let place = Place { file: number, line: n + 1, start: 0, end: text.len() };
+            if let Some(line) = self.line(text, place) {
+                self.take_line(line, &mut file, open);
+            }
+        }
+        self.close_what_is_left(&mut file, whole);
+        open.pop();
+    }
+
+    /// The text of a file, noted among the sources; `None` if it can't be used, which is told at `whole`.
+    fn text(&mut self, path: &Path, whole: Place) -> Option<String> {
+        let (text, error) = match (self.read)(path) {
             Ok(text) => (text, None),
-            Err(e) => (String::new(), Some(e)),
+            Err(error) => (String::new(), Some(error)),
         };
         self.bytes = self.bytes.saturating_add(text.len());
-        let large = self.bytes > self.bounds.bytes;
-        let text = if large { String::new() } else { text };
-        self.sources.push(Source { path: path.clone(), text: text.clone() });
-        let whole = from.unwrap_or(Place { file: number, ..Place::default() });
-        if let Some(e) = why {
-            return self.wrong(whole, format!("{} cannot be read: {e}", path.display()));
+        let too_large = self.bytes > self.bounds.bytes;
+        let text = if too_large { String::new() } else { text };
+        self.sources.push(Source { path: path.to_path_buf(), text: text.clone() });
+        if let Some(error) = error {
+            self.wrong(whole, format!("{} cannot be read: {error}", path.display()));
+            return None;
         }
-        if large {
-            return self.wrong(whole, format!("the files have more than {} bytes", self.bounds.bytes));
+        if too_large {
+            self.wrong(whole, format!("the files have more than {} bytes", self.bounds.bytes));
+            return None;
         }
-        open.push(path.clone());
-        // The sections that are open in this file; the last is the innermost.
-        let mut stack: Vec<Tree> = Vec::new();
-        for (n, text) in text.lines().enumerate() {
-            let place = Place { file: number, line: n + 1, start: 0, end: text.len() };
-            // A byte-order mark is no part of the first word.
-            let words = match words(text.strip_prefix('\u{feff}').unwrap_or(text)) {
-                Ok(words) => words,
-                Err(torn) => {
-                    let what = match torn {
-                        Torn::Quote(_) => "a quote that opens here is not closed on this line",
-                        Torn::Escape(_) => "a backslash before nothing; a directive has one line",
-                        Torn::Control(_) => "a control character",
-                    };
-                    self.wrong(Place { start: torn.at(), end: torn.at() + 1, ..place }, what);
-                    continue;
-                }
-            };
-            let Some(first) = words.first() else { continue };
-            let place = Place { start: first.start, end: first.end, ..place };
-            let mut line = Line { place, words };
-            let brace = |w: Option<&Word>, b: &str| w.is_some_and(|w| w.bare && w.text == b);
-            if brace(line.words.first(), "}") {
-                if line.words.len() > 1 {
-                    self.wrong(line.place_of(1), "nothing may follow a closing brace on its line");
-                }
-                match stack.pop() {
-                    Some(done) => stack.last_mut().unwrap_or(into).sections.push(done),
-                    None => self.wrong(place, "a closing brace, but no section is open in this file"),
-                }
-            } else if brace(line.words.last(), "{") {
-                let at = line.place_of(line.words.len() - 1);
-                line.words.pop();
-                if line.words.is_empty() {
-                    self.wrong(at, "a section without a name");
-                }
-                if stack.len() >= self.bounds.depth {
-                    self.wrong(place, format!("more than {} sections in each other", self.bounds.depth));
-                }
-                stack.push(Tree { line: Some(line), ..Tree::default() });
-            } else if line.name() == "include" {
-                match &line.words[1..] {
-                    [file] => {
-                        let to = path.parent().unwrap_or(Path::new("")).join(&file.text);
-                        let at = line.place_of(1);
-                        let within = stack.last_mut().unwrap_or(into);
-                        self.file(to, Some(at), open, within);
-                    }
-                    _ => self.wrong(place, "include takes one path"),
-                }
-            } else {
-                stack.last_mut().unwrap_or(into).lines.push(line);
+        Some(text)
+    }
+
+    /// The words of a line; `None` if it has none, or they can't be told apart.
+    fn line(&mut self, text: &str, place: Place) -> Option<Line> {
+        // A byte-order mark is no part of the first word.
+        match words(text.strip_prefix('\u{feff}').unwrap_or(text)) {
+            Ok(words) => {
+                let first = words.first()?;
+                Some(Line { place: Place { start: first.start, end: first.end, ..place }, words })
+            }
+            Err(torn) => {
+                let what = match torn {
+                    Torn::Quote(_) => "a quote that opens here is not closed on this line",
+                    Torn::Escape(_) => "a backslash before nothing; a directive has one line",
+                    Torn::Control(_) => "a control character",
+                };
+                self.wrong(Place { start: torn.at(), end: torn.at() + 1, ..place }, what);
+                None
             }
         }
-        // What is left open is kept, so that its directives are checked all the same.
-        while let Some(left) = stack.pop() {
+    }
+
+    /// A line opens or closes a section, includes a file, or is a directive.
+    fn take_line(&mut self, line: Line, file: &mut OpenFile, open: &mut Vec<PathBuf>) {
+        let brace = |w: Option<&Word>, b: &str| w.is_some_and(|w| w.bare && w.text == b);
+        if brace(line.words.first(), "}") {
+            self.close_section(&line, file);
+        } else if brace(line.words.last(), "{") {
+            self.open_section(line, file);
+        } else if line.name() == "include" {
+            self.include(&line, file, open);
+        } else {
+            file.innermost().lines.push(line);
+        }
+    }
+
+    fn close_section(&mut self, line: &Line, file: &mut OpenFile) {
+        if line.words.len() > 1 {
+            self.wrong(line.place_of(1), "nothing may follow a closing brace on its line");
+        }
+        match file.open_sections.pop() {
+            Some(done) => file.innermost().sections.push(done),
+            None => self.wrong(line.place, "a closing brace, but no section is open in this file"),
+        }
+    }
+
+    fn open_section(&mut self, mut line: Line, file: &mut OpenFile) {
+        let brace = line.place_of(line.words.len() - 1);
+        line.words.pop();
+        if line.words.is_empty() {
+            self.wrong(brace, "a section without a name");
+        }
+        if file.open_sections.len() >= self.bounds.depth {
+            self.wrong(line.place, format!("more than {} sections in each other", self.bounds.depth));
+        }
+        file.open_sections.push(Tree { line: Some(line), ..Tree::default() });
+    }
+
+    fn include(&mut self, line: &Line, file: &mut OpenFile, open: &mut Vec<PathBuf>) {
+        let [included] = &line.words[1..] else {
+            return self.wrong(line.place, "include takes one path");
+        };
+        let path = file.path.parent().unwrap_or(Path::new("")).join(&included.text);
+        self.file(path, Some(line.place_of(1)), open, file.innermost());
+    }
+
+    /// What is left open at the end of a file is kept, so that its directives are checked all the same.
+    fn close_what_is_left(&mut self, file: &mut OpenFile, whole: Place) {
+        while let Some(left) = file.open_sections.pop() {
             let place = left.line.as_ref().map_or(whole, |l| l.place);
             self.wrong(place, "this section is not closed in its file");
-            stack.last_mut().unwrap_or(into).sections.push(left);
+            file.innermost().sections.push(left);
         }
-        open.pop();
     }
 }
