--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts tallypin balancers on the bench's text wire: standard input to standard output, one
-//! [`Balancer`] per instance, nothing shared among them.
+//! The decisions on the simulator's text protocol, standard input to standard output: one [`Balancer`] for each router
+//! that the simulator plays, nothing shared among them.
 
 mod wire;
 
@@ -10,111 +10,116 @@
 
 use tallypin::api::{Action, Event, Nanos};
 use tallypin::Balancer;
-use wire::{Fields, Malformed, Names};
+use wire::{Fields, MalformedLine, ReplicaNames};
 
 struct Instance {
     balancer: Balancer,
-    names: Names,
+    names: ReplicaNames,
 }
 
 #[derive(Default)]
-struct Host {
+struct Instances {
     now: Nanos,
     instances: BTreeMap<u32, Instance>,
     actions: Vec<Action>,
     reply: String,
 }
 
-impl Host {
+impl Instances {
     /// Takes one line of a batch; a list event also takes its rows from `lines`.
-    fn take(&mut self, line: &str, lines: &mut Lines) -> io::Result<Result<(), Malformed>> {
-        let f = Fields::new(line);
-        let who = match f.message() {
+    fn take(&mut self, line: &str, lines: &mut InputLines) -> io::Result<Result<(), MalformedLine>> {
+        let fields = Fields::new(line);
+        let router = match fields.message() {
             "BORN" | "KILLED" | "BACKENDS_CHANGED" | "DEMAND" | "STREAMING" | "FINISHED" | "VANISHED"
-            | "WAKEUP" | "PROBE_DONE" | "PEER" => match f.who() {
-                Ok(who) => who,
+            | "WAKEUP" | "PROBE_DONE" | "PEER" => match fields.router() {
+                Ok(router) => router,
                 Err(e) => return Ok(Err(e)),
             },
             _ => return Ok(Ok(())),
         };
-        if f.message() == "BACKENDS_CHANGED" {
-            return self.take_list(who, &f, lines);
+        if fields.message() == "BACKENDS_CHANGED" {
+            return self.take_list(router, &fields, lines);
         }
-        Ok(self.take_plain(who, &f))
+        Ok(self.take_message(router, &fields))
     }
 
-    fn take_plain(&mut self, who: u32, f: &Fields) -> Result<(), Malformed> {
-        match f.message() {
+    fn take_message(&mut self, router: u32, fields: &Fields) -> Result<(), MalformedLine> {
+        match fields.message() {
             "BORN" => {
-                let (seed, settings) = wire::parse_born(f)?;
-                let balancer = Balancer::new(settings, seed).map_err(|e| Malformed {
+                let (seed, settings) = wire::parse_born(fields)?;
+                let balancer = Balancer::new(settings, seed).map_err(|e| MalformedLine {
                     message: "BORN".into(),
                     field: "ProfileData".into(),
-                    why: e.to_string(),
-                    who: Some(who),
+                    reason: e.to_string(),
+                    router: Some(router),
                 })?;
-                self.instances.insert(who, Instance { balancer, names: Names::default() });
+                self.instances.insert(router, Instance { balancer, names: ReplicaNames::default() });
             }
             "KILLED" => {
-                self.instances.remove(&who);
+                self.instances.remove(&router);
             }
             _ => {
-                let Some(instance) = self.instances.get_mut(&who) else { return Ok(()) };
-                if let Some(event) = wire::parse_event(f, &mut instance.names)? {
-                    self.handle(who, event);
+                let Some(instance) = self.instances.get_mut(&router) else { return Ok(()) };
+                if let Some(event) = wire::parse_event(fields, &mut instance.names)? {
+                    self.handle(router, event);
                 }
             }
         }
         Ok(())
     }
 
-    fn take_list(&mut self, who: u32, f: &Fields, lines: &mut Lines) -> io::Result<Result<(), Malformed>> {
-        let (kind, count) = match wire::parse_list(f) {
+    fn take_list(
+        &mut self,
+        router: u32,
+        fields: &Fields,
+        lines: &mut InputLines,
+    ) -> io::Result<Result<(), MalformedLine>> {
+        let (kind, count) = match wire::parse_list(fields) {
             Ok(head) => head,
             Err(e) => return Ok(Err(e)),
         };
-        let mut names = Names::default();
-        let known = self.instances.get_mut(&who);
+        let mut names = ReplicaNames::default();
+        let known = self.instances.get_mut(&router);
         let names = known.map_or(&mut names, |i| &mut i.names);
         let mut rows = Vec::new();
         for _ in 0..count {
             let Some(line) = lines.next()? else { break };
             match wire::parse_row(line, names) {
                 Ok(row) => rows.push(row),
-                Err(e) => return Ok(Err(Malformed { who: Some(who), ..e })),
+                Err(e) => return Ok(Err(MalformedLine { router: Some(router), ..e })),
             }
         }
-        self.handle(who, Event::EndpointList { kind, rows });
+        self.handle(router, Event::EndpointList { kind, rows });
         Ok(Ok(()))
     }
 
-    fn handle(&mut self, who: u32, event: Event) {
-        let Some(instance) = self.instances.get_mut(&who) else { return };
+    fn handle(&mut self, router: u32, event: Event) {
+        let Some(instance) = self.instances.get_mut(&router) else { return };
         let (now, actions) = (self.now, &mut self.actions);
         let done = catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
         for action in self.actions.drain(..) {
-            wire::write_action(who, &action, &instance.names, &mut self.reply);
+            wire::write_action(router, &action, &instance.names, &mut self.reply);
         }
         if let Err(panic) = done {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            self.broken(who, text);
+            self.report_broken(router, text);
         }
     }
 
-    fn broken(&mut self, who: u32, text: &str) {
-        self.reply.push_str(&format!("BROKEN Who=gateway-{who} NoteText={}\n", text.replace('\n', " ")));
+    fn report_broken(&mut self, router: u32, text: &str) {
+        self.reply.push_str(&format!("BROKEN Who=gateway-{router} NoteText={}\n", text.replace('\n', " ")));
     }
 }
 
 /// Standard input, line by line, counted.
-struct Lines {
+struct InputLines {
     input: io::BufReader<io::Stdin>,
     buffer: String,
     number: u64,
 }
 
-impl Lines {
+impl InputLines {
     fn next(&mut self) -> io::Result<Option<&str>> {
         self.buffer.clear();
         self.number += 1;
@@ -135,9 +140,12 @@
 
 fn run() -> io::Result<ExitCode> {
     std::panic::set_hook(Box::new(|info| eprintln!("{info}")));
-    let mut lines =
-        Lines { input: io::BufReader::with_capacity(1 << 20, io::stdin()), buffer: String::new(), number: 0 };
-    let mut host = Host::default();
+    let mut lines = InputLines {
+        input: io::BufReader::with_capacity(1 << 20, io::stdin()),
+        buffer: String::new(),
+        number: 0,
+    };
+    let mut host = Instances::default();
     let mut output = io::stdout().lock();
     let mut line = String::new();
     while let Some(next) = lines.next()? {
@@ -157,8 +165,8 @@
         };
         if let Err(e) = taken {
             let text = format!("line {number}: {e}");
-            match e.who {
-                Some(who) => host.broken(who, &text),
+            match e.router {
+                Some(router) => host.report_broken(router, &text),
                 None => {
                     eprintln!("tallypin-simhost: {text}");
                     return Ok(ExitCode::from(2));
--- a/simhost/src/wire/tests.rs
+++ b/simhost/src/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn event(line: &str) -> Result<Option<Event>, Malformed> {
-    parse_event(&Fields::new(line), &mut Names::default())
+fn event(line: &str) -> Result<Option<Event>, MalformedLine> {
+    parse_event(&Fields::new(line), &mut ReplicaNames::default())
 }
 
 #[test]
@@ -40,10 +40,10 @@
         ("PEER Who=gateway-3 From=1 Content=686", "Content"),
     ] {
         let e = event(line).expect_err(line);
-        assert_eq!((e.field.as_str(), e.who), (field, Some(3)), "{line}");
+        assert_eq!((e.field.as_str(), e.router), (field, Some(3)), "{line}");
     }
-    assert_eq!(Fields::new("DEMAND Ref=1").who().expect_err("no instance").who, None);
-    assert!(Fields::new("DEMAND Who=door-1 Ref=1").who().is_err());
+    assert_eq!(Fields::new("DEMAND Ref=1").router().expect_err("no instance").router, None);
+    assert!(Fields::new("DEMAND Who=door-1 Ref=1").router().is_err());
 }
 
 #[test]
@@ -54,7 +54,7 @@
 
 #[test]
 fn actions_go_back_under_the_names_they_came_with() {
-    let mut names = Names::default();
+    let mut names = ReplicaNames::default();
     let line = "M Status=1 Replica=10.18.74.7:5003 LastStartNs=6 FailureDomain=2 ClassOfHost=1 Stripe=4";
     let row = parse_row(line, &mut names).unwrap();
     assert_eq!((row.state, row.zone, row.kind, row.cell), (EndpointState::Ready, ZoneId(2), 1, 4));
