--- a/src/choice.rs
+++ b/src/choice.rs
@@ -9,16 +9,15 @@
 mod reports;
 
 use crate::api::*;
-use crate::estimate::{self, DecodeRate};
 use crate::prefix_cache::{self, SessionAffinity};
 use crate::ready_replicas::{ReadyReplicas, ReplicaSet, MAX_PREFERRED_REPLICAS, MAX_SCANNED_REPLICAS};
+use crate::rendezvous_hash::{mix, turn, unit_race};
 use crate::start_time::ListCoverage;
 use crate::state::*;
-use crate::statistics::{mix, turn, unit_race, PrefixTraffic};
+use crate::{decode_rate::DecodeRate, first_token_wait, prefix_traffic::PrefixTraffic, warm_up};
 use fastrand::Rng;
 use rustc_hash::{FxHashMap, FxHashSet};
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
+use std::{cmp::Reverse, collections::BinaryHeap};
 
 // ---- Constants: none is taken from a deployment ----
 
@@ -543,7 +542,7 @@
             let kind =
                 (self.fleet.wait_of(now, c.row.kind) - self.fleet.wait) * (1.0 - fresh(now, c.sampled_at));
             let queue = (self.fleet.wait.min(smoothed) + kind).max(0.0) * self.warmth(now, c);
-            let queued = estimate::queueing_wait(queue, aim);
+            let queued = first_token_wait::queueing_wait(queue, aim);
             // What has waited longest without a token tells the least that the next one may wait.
             let oldest = c.waiting.first().map_or(0.0, |&t| now.saturating_sub(t) as f64);
             let far = c.row.zone != self.set.zone;
@@ -558,7 +557,8 @@
             let reading = if early { read * spared } else { read };
             let connected = !many || c.is_connected(now, self.set.idle_timeout);
             let connect = if connected { 0.0 } else { CONNECT_SHARE * aim };
-            let rank = estimate::ranked_wait(smoothed, aim, c.open) + reading + cross + queued + connect;
+            let rank =
+                first_token_wait::ranked_wait(smoothed, aim, c.open) + reading + cross + queued + connect;
             let pick = Pick { replica: i, unread, wait };
             // Ties are broken at random.
             let rank = rank * (1.0 + 1e-6 * self.rng.f64());
@@ -598,7 +598,7 @@
     pub(crate) fn warmth(&self, now: Nanos, r: &Replica) -> f64 {
         let age = |from| now.saturating_sub(from);
         r.cold_from.map_or(1.0, |from| {
-            estimate::capacity_share(age(from), self.set.warm_up_time, self.set.initial_capacity_share)
+            warm_up::capacity_share(age(from), self.set.warm_up_time, self.set.initial_capacity_share)
         })
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,17 +2,22 @@
 
 pub mod api;
 pub mod choice;
+mod decaying_count;
+pub mod decode_rate;
 pub mod deployment;
 pub mod effect;
-pub mod estimate;
+pub mod first_token_wait;
+mod linear_fit;
 pub mod name_hash;
 pub mod prefix_cache;
+pub mod prefix_traffic;
 pub mod ready_replicas;
+mod rendezvous_hash;
 pub mod served_report;
 pub mod start_time;
 mod state;
-mod statistics;
 pub mod view;
+pub mod warm_up;
 
 pub use api::{Action, Event, Settings, SettingsError};
 pub use choice::Balancer;
--- a/src/ready_replicas.rs
+++ b/src/ready_replicas.rs
@@ -8,7 +8,8 @@
 //! average over the arcs of as many, and not its own arc alone.
 
 use crate::api::{EndpointEntry, EndpointState, ZoneId};
-use crate::statistics::{mix, unit_race};
+use crate::prefix_traffic::MAX_TRACKED_PREFIXES;
+use crate::rendezvous_hash::{mix, unit_race};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -17,8 +18,6 @@
 pub const MAX_SCANNED_REPLICAS: usize = 256;
 /// The most homes (likely holders) of a shared beginning that a pick looks at.
 pub const MAX_PREFERRED_REPLICAS: usize = 32;
-/// The most beginnings whose traffic and homes are remembered.
-pub const MAX_TRACKED_PREFIXES: usize = 4096;
 /// Those that follow a key on the ring: of the own zone, and of the others.
 const REPLICAS_AFTER_KEY: usize = 48;
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,9 +2,10 @@
 
 use crate::api::*;
 use crate::choice::{FLEET_HALF_S, FLEET_WEIGHT, FOOT, RATE_WEIGHT};
-use crate::estimate::DecodeRate;
+use crate::decaying_count::DecayingCount;
+use crate::decode_rate::DecodeRate;
+use crate::linear_fit::LinearFit;
 use crate::prefix_cache::SessionReplica;
-use crate::statistics::{DecayingCount, LinearFit};
 use smallvec::SmallVec;
 
 /// A smoothed wait loses half of its distance to the fleet's in this time, s.
--- a/src/view.rs
+++ b/src/view.rs
@@ -2,7 +2,7 @@
 //! decided by it.
 
 use crate::api::{EndpointState, Nanos, ReplicaId};
-use crate::estimate::RelativeDuration;
+use crate::decode_rate::RelativeDuration;
 use crate::Balancer;
 
 /// What the module holds of a replica that takes work.
--- a/tests/estimate.rs
+++ b/tests/replica_estimates.rs
@@ -2,7 +2,9 @@
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
-use tallypin::estimate::{capacity_share, expected_wait, queueing_wait, ranked_wait, DecodeRate};
+use tallypin::decode_rate::DecodeRate;
+use tallypin::first_token_wait::{expected_wait, queueing_wait, ranked_wait};
+use tallypin::warm_up::capacity_share;
 
 const AIM: f64 = 1.2e9;
 
