--- a/router/tests/recorded_operations.rs
+++ b/router/tests/recorded_operations.rs
@@ -513,7 +513,8 @@
         if nodes {
             served.until("up ready 100% ");
         } else {
-            served.until("up ready 1% ");
+            // Before the first measurement no cause is known yet: how long that lasts is the machine's affair.
+            settled(&served, "\"cause\":\"no model node takes work\"");
         }
         record_health(&mut recording, &served, title);
         if nodes {
