--- /dev/null
+++ b/router/src/cli/parse.rs
@@ -0,0 +1,182 @@
+//! Reading of the command line: options are collected first, then held against what the command wants.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+use lexopt::prelude::*;
+use tallypin_health::exit::Style;
+use tallypin_router::fleet::{operator_orders, release_plan};
+use tallypin_settings_schema::{Kind, Value as Setting};
+
+use super::help::UnknownCommand;
+use super::{Command, Protocol};
+
+/// `health --timeout`: the least and the most, ms.
+const TIMEOUT_MS: (u64, u64) = (1, 600_000);
+
+/// The options of all commands, as far as they are given.
+struct Options {
+    settings: Option<PathBuf>,
+    print: bool,
+    at: Option<SocketAddr>,
+    protocol: Protocol,
+    service: String,
+    path: String,
+    style: Style,
+    timeout: Duration,
+    socket: Option<PathBuf>,
+    id: Option<String>,
+    /// What follows the command and is no option.
+    words: Vec<String>,
+    /// Help on the command is wanted instead.
+    help: bool,
+}
+
+impl Default for Options {
+    fn default() -> Options {
+        Options {
+            settings: None,
+            print: false,
+            at: None,
+            protocol: Protocol::Agent,
+            service: String::new(),
+            path: "/healthz".into(),
+            style: Style::Plain,
+            timeout: Duration::from_secs(1),
+            socket: None,
+            id: None,
+            words: Vec::new(),
+            help: false,
+        }
+    }
+}
+
+/// Reads the command line.
+///
+/// # Errors
+///
+/// A text for whoever typed it: an option that the command does not take, a value that can't be read, or something
+/// that is missing.
+pub fn parse(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
+    let command = match parser.next()? {
+        Some(Value(word)) => word.string()?,
+        Some(Short('V') | Long("version")) => return Ok(Command::Version),
+        Some(Short('h') | Long("help")) => return Ok(Command::Help(None)),
+        Some(other) => return Err(other.unexpected()),
+        None => return Err("no command; `tallypin help` lists them".into()),
+    };
+    let options = Options::read(&command, &mut parser)?;
+    if options.help {
+        return Ok(Command::Help(Some(command)));
+    }
+    match command.as_str() {
+        "serve" => Ok(Command::Serve { settings: options.settings }),
+        "check" => options.check(),
+        "health" => options.health(),
+        "ctl" => options.ctl(),
+        "fleet" => options.fleet(),
+        "version" => Ok(Command::Version),
+        "help" => Ok(Command::Help(options.words.into_iter().next())),
+        other => Err(UnknownCommand::new(other).to_string().into()),
+    }
+}
+
+/// What is said when a command lacks something.
+fn missing(command: &str, option: &str) -> lexopt::Error {
+    format!("{command} wants {option}").into()
+}
+
+impl Options {
+    /// All that follows the command, up to the end or to a wish for help.
+    fn read(command: &str, parser: &mut lexopt::Parser) -> Result<Options, lexopt::Error> {
+        let mut options = Options::default();
+        while let Some(argument) = parser.next()? {
+            match (command, argument) {
+                (_, Short('h') | Long("help")) => {
+                    options.help = true;
+                    break;
+                }
+                ("serve" | "check", Long("settings")) => options.settings = Some(parser.value()?.into()),
+                ("serve" | "check", Long("messages")) => {
+                    return Err("--messages has gone: --settings FILE holds what its file said".into());
+                }
+                ("check", Long("print")) => options.print = true,
+                ("health", Long("at")) => options.at = Some(parser.value()?.parse()?),
+                ("health", Long("protocol")) => options.protocol = protocol(&parser.value()?.string()?)?,
+                ("health", Long("service")) => options.service = parser.value()?.string()?,
+                ("health", Long("path")) => options.path = parser.value()?.string()?,
+                ("health", Long("weight-exit")) => options.style = Style::Weight,
+                ("health", Long("timeout")) => options.timeout = timeout(&parser.value()?.string()?)?,
+                ("ctl" | "fleet", Long("socket")) => options.socket = Some(parser.value()?.into()),
+                ("fleet", Long("id")) => options.id = Some(parser.value()?.string()?),
+                ("ctl" | "fleet" | "help", Value(word)) => options.words.push(word.string()?),
+                (_, other) => return Err(other.unexpected()),
+            }
+        }
+        Ok(options)
+    }
+
+    fn check(self) -> Result<Command, lexopt::Error> {
+        if self.print && self.settings.is_none() {
+            return Err(missing("check", "--settings FILE with --print"));
+        }
+        Ok(Command::Check { settings: self.settings, print: self.print })
+    }
+
+    fn health(self) -> Result<Command, lexopt::Error> {
+        let at = self.at.ok_or_else(|| missing("health", "--at ADDRESS"))?;
+        let Options { protocol, service, path, style, timeout, .. } = self;
+        // It stands in a line and in a head: what would end either is no name.
+        if !service.bytes().chain(path.bytes()).all(|b| b.is_ascii_graphic()) {
+            return Err("--service and --path take plain words".into());
+        }
+        Ok(Command::Health { at, protocol, service, path, style, timeout })
+    }
+
+    fn ctl(self) -> Result<Command, lexopt::Error> {
+        let socket = self.socket.ok_or_else(|| missing("ctl", "--socket PATH"))?;
+        let order = self.words.join(" ");
+        tallypin_router::checks::control::read(&order)?;
+        Ok(Command::Ctl { socket, order })
+    }
+
+    fn fleet(self) -> Result<Command, lexopt::Error> {
+        let socket = self.socket.ok_or_else(|| missing("fleet", "--socket PATH"))?;
+        if self.words == ["watch"] {
+            return Ok(Command::Watch { socket });
+        }
+        let id = self.id.map(|id| format!("id {id} ")).unwrap_or_default();
+        let order = match &self.words[..] {
+            [release, path] if release == "release" => format!("{id}release {}", release_plan_json(path)?),
+            [release, ..] if release == "release" => return Err("release wants one plan, a file".into()),
+            words => format!("{id}{}", words.join(" ")),
+        };
+        operator_orders::parse(&order.split_ascii_whitespace().collect::<Vec<_>>())?;
+        Ok(Command::Ctl { socket, order: format!("fleet {order}") })
+    }
+}
+
+fn protocol(name: &str) -> Result<Protocol, lexopt::Error> {
+    match name {
+        "agent" => Ok(Protocol::Agent),
+        "http" => Ok(Protocol::Http),
+        "grpc" => Ok(Protocol::Grpc),
+        other => Err(format!("--protocol: agent, http or grpc, not {other}").into()),
+    }
+}
+
+fn timeout(word: &str) -> Result<Duration, lexopt::Error> {
+    let kind = Kind::Duration(TIMEOUT_MS.0, TIMEOUT_MS.1);
+    match kind.read(word) {
+        Some(Setting::Duration(time)) => Ok(time),
+        _ => Err(format!("--timeout: {}", kind.expects()).into()),
+    }
+}
+
+/// The plan in a file, as the order carries it.
+fn release_plan_json(path: &str) -> Result<String, lexopt::Error> {
+    let plan = release_plan::read(path.as_ref(), &|path| std::fs::read_to_string(path));
+    let plan = plan.map_err(|problems| problems.to_string())?;
+    Ok(serde_json::to_string(&plan).map_err(|e| e.to_string())?)
+}
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -38,7 +38,7 @@
     match command {
         Command::Help(on) => match cli::help(on.as_deref()) {
             Ok(text) => print!("{text}"),
-            Err(why) => return unusable(&why),
+            Err(unknown) => return unusable(&unknown.to_string()),
         },
         Command::Version => println!("tallypin {}", env!("CARGO_PKG_VERSION")),
         Command::Check { settings, print } => {
