--- a/consensus/src/drain_lease.rs
+++ b/consensus/src/drain_lease.rs
@@ -92,39 +92,38 @@
                     self.rejected_at.is_some_and(|at| now.saturating_sub(at) < self.figures.retry_after);
                 match (to, runs) {
                     _ if soon => NextStep::Wait,
-                    (None, _) => NextStep::Submit(Command::AcquireLease(me, mine)),
+                    (None, _) => NextStep::Submit(Command::AcquireLease((me, mine).into())),
                     (Some(_), Some(runs)) => {
-                        NextStep::Submit(Command::AcquireReleaseLease(me, mine, runs.into()))
+                        NextStep::Submit(Command::AcquireReleaseLease((me, mine, runs.into()).into()))
                     }
                     (Some(_), None) => NextStep::Submit(Command::ReportUnfit(
-                        me,
-                        "its settings have no such file to release".into(),
+                        (me, "its settings have no such file to release".into()).into(),
                     )),
                 }
             }
             (Some(DrainStage::Leased(life)), LocalPhase::Serving) if life == mine => {
                 match self.requested_at.is_some_and(|at| self.good(now, at)) {
                     true => NextStep::BeginDrain,
-                    false => NextStep::Submit(Command::ReturnLease(me, life)),
+                    false => NextStep::Submit(Command::ReturnLease((me, life).into())),
                 }
             }
             (Some(DrainStage::Leased(life)), LocalPhase::OutOfService) if life == mine => {
-                NextStep::Submit(Command::UseLease(me, life))
+                NextStep::Submit(Command::UseLease((me, life).into()))
             }
             (Some(DrainStage::OutOfService(life)), LocalPhase::OutOfService) if life == mine => {
                 to.map_or(NextStep::Wait, |d| NextStep::InstallAndRestart(d.into()))
             }
             (Some(DrainStage::Returning(_)), LocalPhase::OutOfService) => NextStep::ResumeService,
             (Some(DrainStage::Returning(_)), LocalPhase::Serving) => {
-                NextStep::Submit(Command::ReportServing(me, mine))
+                NextStep::Submit(Command::ReportServing((me, mine).into()))
             }
             (Some(DrainStage::Leased(life) | DrainStage::OutOfService(life)), LocalPhase::Serving)
                 if life != mine =>
             {
                 NextStep::Submit(if to.is_none() || to == runs {
-                    Command::ReportServing(me, mine)
+                    Command::ReportServing((me, mine).into())
                 } else {
-                    Command::RetryRelease(me, mine)
+                    Command::RetryRelease((me, mine).into())
                 })
             }
             _ => NextStep::Wait,
--- a/consensus/src/drain_lease/tests.rs
+++ b/consensus/src/drain_lease/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_leave_is_used_within_its_time_and_given_up_after_it() {
     let mut l = LeaseHolder::new(FIGURES, 3, 9);
-    let ask = Command::AcquireLease(3, 9);
+    let ask = Command::AcquireLease((3, 9).into());
     assert_eq!(
         l.next_step(S, &with(DrainStage::Requested), LocalPhase::Serving, None),
         NextStep::Submit(ask.clone())
@@ -23,18 +23,18 @@
     assert_eq!(l.next_step(5 * S, &granted, LocalPhase::Serving, None), NextStep::BeginDrain);
     assert_eq!(
         l.next_step(6 * S, &granted, LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReturnLease(3, 9)),
+        NextStep::Submit(Command::ReturnLease((3, 9).into())),
         "stopped in between"
     );
     assert_eq!(
         l.next_step(6 * S, &granted, LocalPhase::OutOfService, None),
-        NextStep::Submit(Command::UseLease(3, 9)),
+        NextStep::Submit(Command::UseLease((3, 9).into())),
         "it went in time"
     );
     let unasked = LeaseHolder::new(FIGURES, 3, 9);
     assert_eq!(
         unasked.next_step(S, &granted, LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReturnLease(3, 9)),
+        NextStep::Submit(Command::ReturnLease((3, 9).into())),
         "it does not know since when"
     );
 }
@@ -42,7 +42,7 @@
 #[test]
 fn a_refused_leave_is_asked_for_again_later_and_not_while_halted() {
     let mut l = LeaseHolder::new(FIGURES, 3, 9);
-    l.record_outcome(S, S, &Command::AcquireLease(3, 9), false);
+    l.record_outcome(S, S, &Command::AcquireLease((3, 9).into()), false);
     assert_eq!(
         l.next_step(S + S / 2, &with(DrainStage::Requested), LocalPhase::Serving, None),
         NextStep::Wait
@@ -64,11 +64,11 @@
     );
     assert_eq!(
         l.next_step(S, &with(DrainStage::Returning(9)), LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReportServing(3, 9))
+        NextStep::Submit(Command::ReportServing((3, 9).into()))
     );
     assert_eq!(
         l.next_step(S, &with(DrainStage::OutOfService(8)), LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReportServing(3, 9)),
+        NextStep::Submit(Command::ReportServing((3, 9).into())),
         "another life went"
     );
     assert_eq!(
--- a/consensus/src/fleet_state/tests.rs
+++ b/consensus/src/fleet_state/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn bounds() -> DrainLimits {
+fn limits() -> DrainLimits {
     DrainLimits {
         names: vec![],
         zones: vec![0, 0, 0, 1, 1],
@@ -11,94 +11,112 @@
     }
 }
 
-fn view(out: &[RouterIndex]) -> CouncilView {
+fn view(out_of_service: &[RouterIndex]) -> CouncilView {
     CouncilView {
         informed_members: 2,
         majority: 2,
-        out_of_service: out.iter().copied().collect(),
+        out_of_service: out_of_service.iter().copied().collect(),
         ..CouncilView::default()
     }
 }
 
-fn going() -> FleetState {
-    let doc = FleetState::bootstrap(None);
-    let doc = doc.apply(&Command::Resume { order: "r".into() }, &bounds(), &view(&[])).unwrap();
-    let all = Command::Drain { order: "d".into(), routers: vec![0, 1, 3, 4] };
-    doc.apply(&all, &bounds(), &view(&[])).unwrap()
+fn of(router: RouterIndex, incarnation: u64) -> RouterIncarnation {
+    RouterIncarnation { router, incarnation }
+}
+
+fn lease(router: RouterIndex) -> Command {
+    Command::AcquireLease(of(router, 7))
+}
+
+/// Applies a command while the council hears all routers.
+fn apply(state: &FleetState, command: &Command) -> Result<FleetState, Rejection> {
+    state.apply(command, &limits(), &view(&[]))
+}
+
+/// Routers 0, 1, 3 and 4 are to drain.
+fn draining() -> FleetState {
+    let state = FleetState::bootstrap(None);
+    let state = apply(&state, &Command::Resume { order: "r".into() }).unwrap();
+    apply(&state, &Command::Drain { order: "d".into(), routers: vec![0, 1, 3, 4] }).unwrap()
 }
 
 #[test]
-fn bounds_hold_in_all_and_by_zone_and_failures_count() {
-    let doc = going();
-    let one = doc.apply(&Command::AcquireLease(0, 7), &bounds(), &view(&[])).unwrap();
-    assert_eq!(
-        one.apply(&Command::AcquireLease(1, 7), &bounds(), &view(&[])),
-        Err(Rejection::ZoneLimitReached(1))
-    );
-    let two = one.apply(&Command::AcquireLease(3, 7), &bounds(), &view(&[])).unwrap();
-    assert_eq!(
-        two.apply(&Command::AcquireLease(4, 7), &bounds(), &view(&[])),
-        Err(Rejection::FleetLimitReached(2))
-    );
-    assert_eq!(
-        doc.apply(&Command::AcquireLease(0, 7), &bounds(), &view(&[2])),
-        Err(Rejection::ZoneLimitReached(1)),
-        "2 has crashed"
-    );
-    assert_eq!(
-        doc.apply(&Command::AcquireLease(0, 7), &bounds(), &view(&[3, 4])),
-        Err(Rejection::FleetLimitReached(2))
-    );
-    assert!(doc.apply(&Command::AcquireLease(0, 7), &bounds(), &view(&[0])).is_ok(), "itself counts once");
-    let council = DrainLimits { total: 4, per_zone: 4, council: vec![0, 1, 3], ..bounds() };
-    assert_eq!(
-        doc.apply(&Command::AcquireLease(0, 7), &council, &view(&[3])),
-        Err(Rejection::CouncilLimitReached(1))
-    );
-    assert!(doc.apply(&Command::AcquireLease(4, 7), &council, &view(&[3])).is_ok(), "of no council");
-    let blind = CouncilView { informed_members: 1, ..view(&[]) };
-    assert_eq!(doc.apply(&Command::AcquireLease(0, 7), &bounds(), &blind), Err(Rejection::ViewIncomplete));
+fn leases_stay_within_the_limits_of_the_zone_and_of_the_fleet() {
+    let one = apply(&draining(), &lease(0)).unwrap();
+    assert_eq!(apply(&one, &lease(1)), Err(Rejection::ZoneLimitReached(1)));
+    let two = apply(&one, &lease(3)).unwrap();
+    assert_eq!(apply(&two, &lease(4)), Err(Rejection::FleetLimitReached(2)));
+}
+
+#[test]
+fn failed_routers_count_towards_the_limits() {
+    let state = draining();
+    let with_out = |out: &[RouterIndex]| state.apply(&lease(0), &limits(), &view(out));
+    assert_eq!(with_out(&[2]), Err(Rejection::ZoneLimitReached(1)), "2 has crashed");
+    assert_eq!(with_out(&[3, 4]), Err(Rejection::FleetLimitReached(2)));
+    assert!(with_out(&[0]).is_ok(), "itself counts once");
+}
+
+#[test]
+fn planned_drains_leave_the_council_its_majority() {
+    let state = draining();
+    let limits = DrainLimits { total: 4, per_zone: 4, council: vec![0, 1, 3], ..limits() };
+    let with_member_out = |command| state.apply(&command, &limits, &view(&[3]));
+    assert_eq!(with_member_out(lease(0)), Err(Rejection::CouncilLimitReached(1)));
+    assert!(with_member_out(lease(4)).is_ok(), "of no council");
+}
+
+#[test]
+fn no_lease_is_granted_before_a_majority_knows_who_is_silent() {
+    let view = CouncilView { informed_members: 1, ..view(&[]) };
+    assert_eq!(draining().apply(&lease(0), &limits(), &view), Err(Rejection::ViewIncomplete));
 }
 
 #[test]
 fn nothing_begins_while_halted_and_what_has_begun_may_end() {
-    let doc = going().apply(&Command::AcquireLease(0, 7), &bounds(), &view(&[])).unwrap();
+    let state = apply(&draining(), &lease(0)).unwrap();
     let halt = Command::Halt { order: "h".into(), cause: "late answers".into() };
-    let doc = doc.apply(&halt, &bounds(), &view(&[])).unwrap();
-    let no = doc.apply(&Command::AcquireLease(3, 7), &bounds(), &view(&[]));
-    assert_eq!(no, Err(Rejection::Halted("late answers".into())));
-    let doc = doc.apply(&Command::UseLease(0, 7), &bounds(), &view(&[])).unwrap();
-    let doc =
-        doc.apply(&Command::Restore { order: "b".into(), routers: vec![0] }, &bounds(), &view(&[])).unwrap();
-    let doc = doc.apply(&Command::ReportServing(0, 7), &bounds(), &view(&[])).unwrap();
-    assert!(!doc.drains.contains_key(&0));
+    let state = apply(&state, &halt).unwrap();
+    assert_eq!(apply(&state, &lease(3)), Err(Rejection::Halted("late answers".into())));
+    let state = apply(&state, &Command::UseLease(of(0, 7))).unwrap();
+    let state = apply(&state, &Command::Restore { order: "b".into(), routers: vec![0] }).unwrap();
+    let state = apply(&state, &Command::ReportServing(of(0, 7))).unwrap();
+    assert!(!state.drains.contains_key(&0));
 }
 
 #[test]
-fn an_order_runs_once_and_one_that_is_wrong_changes_nothing() {
-    let doc = going();
+fn an_order_runs_once() {
+    let state = draining();
     let again = Command::Drain { order: "d".into(), routers: vec![2] };
-    assert_eq!(doc.apply(&again, &bounds(), &view(&[])).as_ref(), Ok(&doc));
+    assert_eq!(apply(&state, &again).as_ref(), Ok(&state));
+}
+
+#[test]
+fn an_order_that_is_wrong_is_rejected() {
     let unknown = Command::Drain { order: "e".into(), routers: vec![2, 9] };
-    assert_eq!(doc.apply(&unknown, &bounds(), &view(&[])), Err(Rejection::UnknownRouter(9)));
+    assert_eq!(apply(&draining(), &unknown), Err(Rejection::UnknownRouter(9)));
     let long = Command::Halt { order: "h".into(), cause: "x".repeat(MAX_TEXT_BYTES + 1) };
-    assert_eq!(doc.apply(&long, &bounds(), &view(&[])), Err(Rejection::InvalidText));
-    let mut many = doc;
+    assert_eq!(apply(&draining(), &long), Err(Rejection::InvalidText));
+}
+
+#[test]
+fn only_the_latest_orders_are_remembered() {
+    let mut state = draining();
     for k in 0..200 {
-        many = many.apply(&Command::Resume { order: format!("r{k}") }, &bounds(), &view(&[])).unwrap();
+        state = apply(&state, &Command::Resume { order: format!("r{k}") }).unwrap();
     }
-    assert!(many.recent_orders.len() <= MAX_REMEMBERED_ORDERS);
+    assert!(state.recent_orders.len() <= MAX_REMEMBERED_ORDERS);
 }
 
 #[test]
-fn a_life_that_has_ended_speaks_for_no_later_one() {
-    let doc = going().apply(&Command::AcquireLease(0, 7), &bounds(), &view(&[])).unwrap();
-    assert_eq!(doc.apply(&Command::UseLease(0, 8), &bounds(), &view(&[])), Err(Rejection::NothingToChange));
+fn an_earlier_incarnation_speaks_for_no_later_one() {
+    let state = apply(&draining(), &lease(0)).unwrap();
+    assert_eq!(apply(&state, &Command::UseLease(of(0, 8))), Err(Rejection::NothingToChange));
     assert_eq!(
-        doc.apply(&Command::ReportServing(0, 7), &bounds(), &view(&[])),
+        apply(&state, &Command::ReportServing(of(0, 7))),
         Err(Rejection::NothingToChange),
-        "it has leave to go"
+        "it holds the lease"
     );
-    let back = doc.apply(&Command::ReportServing(0, 8), &bounds(), &view(&[])).unwrap();
+    let back = apply(&state, &Command::ReportServing(of(0, 8))).unwrap();
     assert!(!back.drains.contains_key(&0), "started anew, and serves");
 }
--- a/consensus/src/release_monitor.rs
+++ b/consensus/src/release_monitor.rs
@@ -90,8 +90,7 @@
             let since = *self.gone.entry(*place).or_insert(now);
             if now.saturating_sub(since) > r.plan.ready_ms.saturating_mul(MS) {
                 return Some(Command::FailWave(
-                    r.wave,
-                    format!("{} is not back in time", bounds.name(*place)),
+                    (r.wave, format!("{} is not back in time", bounds.name(*place))).into(),
                 ));
             }
         }
@@ -104,7 +103,7 @@
             crashed(r, document, base, heard).map(|p| format!("{} has crashed or is silent", bounds.name(p)));
         let (released, others) = shares(r, base, heard);
         if let Some(why) = failed.or_else(|| worse(&r.plan, released, others)) {
-            return Some(Command::FailWave(r.wave, why));
+            return Some(Command::FailWave((r.wave, why).into()));
         }
         // Too few to tell: it waits, however long.
         let over = now.saturating_sub(*since) >= r.plan.watch_ms.saturating_mul(MS);
--- /dev/null
+++ b/consensus/src/replica_drains/limits.rs
@@ -0,0 +1,115 @@
+//! How many replicas may be out of service at once.
+
+use std::collections::BTreeMap;
+use std::fmt;
+
+use serde::{Deserialize, Serialize};
+
+use super::{ReplicaEntries, ReplicaStage};
+
+/// How many, as a number or as a percentage of those that are listed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Limit {
+    /// This many.
+    Count(usize),
+    /// This many of 100, rounded down: 10 % of 5 is none.
+    Percent(usize),
+}
+
+impl Limit {
+    /// How many of `total` that is.
+    pub fn of(self, total: usize) -> usize {
+        match self {
+            Limit::Count(count) => count,
+            Limit::Percent(percent) => total * percent / 100,
+        }
+    }
+}
+
+/// How many replicas may be out of service at once.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReplicaLimits {
+    /// Of all that are listed.
+    pub total: Limit,
+    /// Of those in any one zone.
+    pub per_zone: Limit,
+    /// Of those of any one kind of machine.
+    pub per_kind: Limit,
+}
+
+/// A listed replica as a router sees it.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReplicaView {
+    /// Its zone.
+    pub zone: String,
+    /// Its kind of machine.
+    pub kind: String,
+    /// Whether it counts as out for another reason than an order: it drains, is ejected as an outlier, or warms up.
+    #[serde(rename = "out")]
+    pub out_of_service: bool,
+}
+
+/// A replica may not leave service, as too many like it would be out.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReplicaLimitExceeded {
+    /// The group whose limit is reached: all, a zone or a kind; or the list, for a replica that is not on it.
+    #[serde(rename = "of")]
+    pub group: String,
+    /// How many of the group may be out.
+    #[serde(rename = "most")]
+    pub limit: usize,
+    /// How many are in the group.
+    #[serde(rename = "all")]
+    pub total: usize,
+    /// The ids of those that are out.
+    #[serde(rename = "out")]
+    pub out_of_service: Vec<String>,
+}
+
+impl fmt::Display for ReplicaLimitExceeded {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let ReplicaLimitExceeded { group, limit, total, out_of_service } = self;
+        write!(f, "{limit} of {total} model nodes of {group} may be out at once; ")?;
+        match out_of_service.is_empty() {
+            true => f.write_str("that is none"),
+            false => write!(f, "out are {}", out_of_service.join(", ")),
+        }
+    }
+}
+
+impl std::error::Error for ReplicaLimitExceeded {}
+
+/// Checks that one more replica may leave service, given those that are out by order and those that are out otherwise.
+///
+/// # Errors
+///
+/// The first of the limits that it would exceed, in all, by zone or by kind; or that the replica is not listed.
+pub fn check_limits(
+    replica: &str,
+    entries: &ReplicaEntries,
+    limits: &ReplicaLimits,
+    listed: &BTreeMap<String, ReplicaView>,
+) -> Result<(), ReplicaLimitExceeded> {
+    let Some(this) = listed.get(replica) else {
+        let group = "the list, which does not have it".into();
+        return Err(ReplicaLimitExceeded { group, limit: 0, total: 0, out_of_service: vec![] });
+    };
+    let is_ordered_out =
+        |id: &str| entries.get(id).is_some_and(|entry| matches!(entry.stage, ReplicaStage::OutOfService(_)));
+    let check = |group: String, limit: Limit, contains: &dyn Fn(&ReplicaView) -> bool| {
+        let members = listed.iter().filter(|(_, view)| contains(view));
+        let out = members
+            .clone()
+            .filter(|(id, view)| id.as_str() != replica && (view.out_of_service || is_ordered_out(id)));
+        let out_of_service: Vec<String> = out.map(|(id, _)| id.clone()).collect();
+        let total = members.count();
+        let limit = limit.of(total);
+        match out_of_service.len() < limit {
+            true => Ok(()),
+            false => Err(ReplicaLimitExceeded { group, limit, total, out_of_service }),
+        }
+    };
+    check("all".into(), limits.total, &|_| true)?;
+    check(format!("zone {}", this.zone), limits.per_zone, &|view| view.zone == this.zone)?;
+    check(format!("kind {}", this.kind), limits.per_kind, &|view| view.kind == this.kind)
+}
--- a/consensus/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use tallypin_consensus::drain_lease::{halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep};
-use tallypin_consensus::fleet_state::{Command, CouncilView, DrainLimits, FleetState};
+use tallypin_consensus::fleet_state::{Command, CouncilView, DrainLimits, FleetState, ReleaseOrder};
 use tallypin_consensus::register::{
     bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
     MemberReport, Proposal, Proposer, RoundStep,
@@ -474,7 +474,13 @@
                     ..ReleasePlan::default()
                 };
                 let (artifact, digest) = ("settings".into(), format!("file {}", self.orders));
-                Command::BeginRelease { order, artifact, digest, waves: vec![vec![first], rest], plan }
+                Command::BeginRelease(ReleaseOrder {
+                    order,
+                    artifact,
+                    digest,
+                    waves: vec![vec![first], rest],
+                    plan,
+                })
             }
             9 if undo => Command::RollBack { order, cause: "x".into() },
             0 | 6 => Command::Halt { order, cause: "x".into() },
--- a/consensus/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -13,7 +13,7 @@
 use serde_json::{from_str, from_value, json, to_string, Value as Json};
 use tallypin_consensus::drain_lease::{halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep};
 use tallypin_consensus::fleet_state::{
-    Command, CouncilView, DrainEntry, DrainLimits, DrainStage, FleetState, Rejection,
+    Command, CouncilView, DrainEntry, DrainLimits, DrainStage, FleetState, Rejection, ReleaseOrder,
 };
 use tallypin_consensus::register::{
     bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
@@ -22,7 +22,7 @@
 use tallypin_consensus::release::ReleasePlan;
 use tallypin_consensus::release_monitor::{AnswerCounts, ReleaseMonitor, RouterReport};
 use tallypin_consensus::replica_drains::{
-    routers_not_clear, AppliedState, Limit, ReplicaLimitExceeded, ReplicaLimits, ReplicaView,
+    routers_not_clear, AppliedState, Limit, ReplicaLimitExceeded, ReplicaLimits, ReplicaUse, ReplicaView,
 };
 use tallypin_membership::{AdvertisedStatus, FailureDetector, HeartbeatTiming as BeatFigures, PeerStatus};
 
@@ -89,18 +89,18 @@
         Command::DrainReplicas { order: o(), replicas: nodes(), until: Some(1_800_000_000_000) },
         Command::RestoreReplicas { order: o(), replicas: nodes() },
         Command::AdvanceReplica("n1".into()),
-        Command::BeginRelease { order: o(), artifact, digest, waves, plan: plan() },
+        Command::BeginRelease(ReleaseOrder { order: o(), artifact, digest, waves, plan: plan() }),
         Command::RollBack { order: o(), cause: c() },
         Command::CompleteWave(63),
-        Command::FailWave(1, c()),
+        Command::FailWave((1, c()).into()),
         Command::ReportUpToDate(3),
-        Command::ReportUnfit(3, c()),
-        Command::RetryRelease(3, 9),
-        Command::AcquireReleaseLease(3, 9, "abc".into()),
-        Command::AcquireLease(3, 9),
-        Command::UseLease(3, 9),
-        Command::ReturnLease(3, 9),
-        Command::ReportServing(3, 9),
+        Command::ReportUnfit((3, c()).into()),
+        Command::RetryRelease((3, 9).into()),
+        Command::AcquireReleaseLease((3, 9, "abc".into()).into()),
+        Command::AcquireLease((3, 9).into()),
+        Command::UseLease((3, 9).into()),
+        Command::ReturnLease((3, 9).into()),
+        Command::ReportServing((3, 9).into()),
     ]
 }
 
@@ -127,7 +127,7 @@
         Rejection::UnknownReplica("n9".into()),
         Rejection::TooManyReplicas,
         Rejection::ReleaseInProgress("v2".into()),
-        Rejection::HeldByOtherOrder("north".into(), "d".into()),
+        Rejection::HeldByOtherOrder(("north".into(), "d".into()).into()),
         Rejection::InvalidWaves,
         Rejection::NotSeenServing,
     ]
@@ -481,12 +481,12 @@
     // Looked at after 10 s: not asked for, granted in time and at the very end of it, refused of late and long ago.
     let leavers = [
         leaver(None),
-        leaver(Some((6 * S, 7 * S, Command::AcquireLease(3, 9), true))),
-        leaver(Some((5 * S + 1, 6 * S, Command::AcquireReleaseLease(3, 9, "old".into()), true))),
-        leaver(Some((5 * S, 6 * S, Command::AcquireLease(3, 9), true))),
-        leaver(Some((9 * S, 9 * S + 1, Command::AcquireLease(3, 9), false))),
-        leaver(Some((8 * S, 9 * S, Command::AcquireReleaseLease(3, 9, "old".into()), false))),
-        leaver(Some((9 * S, 9 * S, Command::UseLease(3, 9), false))),
+        leaver(Some((6 * S, 7 * S, Command::AcquireLease((3, 9).into()), true))),
+        leaver(Some((5 * S + 1, 6 * S, Command::AcquireReleaseLease((3, 9, "old".into()).into()), true))),
+        leaver(Some((5 * S, 6 * S, Command::AcquireLease((3, 9).into()), true))),
+        leaver(Some((9 * S, 9 * S + 1, Command::AcquireLease((3, 9).into()), false))),
+        leaver(Some((8 * S, 9 * S, Command::AcquireReleaseLease((3, 9, "old".into()).into()), false))),
+        leaver(Some((9 * S, 9 * S, Command::UseLease((3, 9).into()), false))),
     ];
     let stages = [
         "null",
@@ -547,8 +547,16 @@
     let mut rows: Vec<_> = said.iter().flat_map(|f| [(Some(f), false), (Some(f), true)]).collect();
     rows.extend([(None, false), (None, true)]);
     for (node, since) in [("n1", 5), ("n2", 5), ("n4", 5), ("n4", 7), ("n1", 0)] {
-        writeln!(says, "{node} out since {since}: {:?}", routers_not_clear(node, since, &rows))
-            .expect("text");
+        writeln!(
+            says,
+            "{node} out since {since}: {:?}",
+            routers_not_clear(
+                node,
+                since,
+                &rows.iter().map(|&(applied, has_left)| ReplicaUse { applied, has_left }).collect::<Vec<_>>()
+            )
+        )
+        .expect("text");
     }
     compare("unclear.txt", &says);
 }
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -22,14 +22,14 @@
 
 use fastrand::Rng;
 use tallypin_consensus::drain_lease::{LeaseHolder, LocalPhase, NextStep};
-use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState, Rejection};
+use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState, Rejection, UnfitReport};
 use tallypin_consensus::register::{
     bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
     MemberReport, Proposal, Proposer, RoundStep,
 };
 use tallypin_consensus::release_monitor::AnswerCounts;
 use tallypin_consensus::replica_drains::{
-    routers_not_clear, AppliedState, ReplicaStage, ReplicaView, UnixMs,
+    routers_not_clear, AppliedState, ReplicaStage, ReplicaUse, ReplicaView, UnixMs,
 };
 use tallypin_membership::{AdvertisedStatus, FailureDetector, Nanos, RouterIndex};
 use tokio::net::{TcpListener, TcpStream};
@@ -387,7 +387,10 @@
             (told.map(|(_, tells)| tells.applied.clone()), presence.has_left(now, place))
         };
         let said: Vec<_> = (0..).zip(told.iter()).map(said).collect();
-        let said: Vec<_> = said.iter().map(|(f, gone)| (f.as_ref(), *gone)).collect();
+        let said: Vec<_> = said
+            .iter()
+            .map(|(applied, has_left)| ReplicaUse { applied: applied.as_ref(), has_left: *has_left })
+            .collect();
         let out = value.state.replicas.iter().filter_map(|(id, e)| match e.stage {
             ReplicaStage::OutOfService(since) => Some((id, since)),
             _ => None,
@@ -966,7 +969,8 @@
     /// Has it agreed on that this router can't run what is released.
     async fn report_unfit(self: &Rc<Self>, why: String) -> bool {
         tracing::warn!(target: "fleet", why, "can't run what is released");
-        self.submit(&Command::ReportUnfit(self.settings.own_index, why)).await.is_ok()
+        let report = UnfitReport { router: self.settings.own_index, cause: why };
+        self.submit(&Command::ReportUnfit(report)).await.is_ok()
     }
 
     /// Routers that the view from here takes to be out: only a member of the council has one.
--- a/router/src/fleet/operator_orders.rs
+++ b/router/src/fleet/operator_orders.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{json, Value};
 use tallypin_consensus::drain_lease::halt_is_effective;
-use tallypin_consensus::fleet_state::{Command, DrainStage, FleetState, Rejection};
+use tallypin_consensus::fleet_state::{Command, DrainStage, FleetState, Rejection, ReleaseOrder};
 use tallypin_consensus::release::ReleasePhase;
 use tallypin_consensus::replica_drains::{ReplicaStage, MAX_REPLICA_DRAINS};
 use tallypin_membership::RouterIndex;
@@ -118,8 +118,13 @@
                     Ok(waves) => waves,
                     Err(why) => return no(why),
                 };
-                let (artifact, digest, plan) = (said.what.clone(), said.digest.clone(), said.plan.clone());
-                Command::BeginRelease { order: id.clone(), artifact, digest, waves, plan }
+                Command::BeginRelease(ReleaseOrder {
+                    order: id.clone(),
+                    artifact: said.what.clone(),
+                    digest: said.digest.clone(),
+                    waves,
+                    plan: said.plan.clone(),
+                })
             }
             FleetOrder::RollBack(cause) => Command::RollBack { order: id.clone(), cause: cause.clone() },
             FleetOrder::Drain(names) | FleetOrder::Restore(names) => {
