--- a/consensus/src/drain_lease.rs
+++ b/consensus/src/drain_lease.rs
@@ -1,150 +1,184 @@
-//! What one router does about its own entry, and until when. A leave is a lease: the router that has it looks at its own
-//! clock before it begins to go out. One that was stopped in between wakes up to a leave that has run out, and does
-//! nothing. Nobody else needs the lease to end for the bounds to hold: an entry counts until its router ends it. It is
-//! what a halt waits for, before it is answered, where the router can't be asked.
+//! What one router does about its own drain: it asks for the lease, drains under it, and returns.
+//!
+//! The lease is granted by [`crate::fleet_state`], and expires by the router's own monotonic clock, counted from when it
+//! was asked for. A router looks at that clock immediately before it begins to drain, so that one that was stopped in
+//! between finds its lease expired when it continues, and returns it. The limits hold without any expiry: an entry counts
+//! until its router ends it. What waits for the expiry is the answer to a halt, where the holder can't be reached.
 
-use tallypin_membership::{Nanos, RouterIndex};
+use tallypin_membership::{Incarnation, Nanos, RouterIndex};
 
-use crate::fleet_state::{Command, DrainStage, FleetState};
+use crate::fleet_state::{
+    Command, DrainEntry, DrainStage, FleetState, ReleaseLeaseRequest, RouterIncarnation, UnfitReport,
+};
 
-/// The figures of a leave, ns.
+/// The timing of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// A leave may be used for so long after it was asked for.
+    /// How long the lease may be used after it was asked for, in ns.
     pub duration: Nanos,
-    /// Clocks may run apart by this share of it, as one in so many.
+    /// How far the clocks of two routers may drift apart, as the fraction 1/`drift_divisor` of the duration.
     pub drift_divisor: u64,
-    /// A leave that was refused is asked for again after this.
+    /// How long after a rejection the lease is asked for again, in ns.
     pub retry_after: Nanos,
 }
 
 impl LeaseTiming {
-    /// After this, by any clock of the fleet, no leave asked for before is used any more.
+    /// After this time, by the clock of any router, no lease that was asked for before can be used any more; in ns.
     pub fn safe_expiry(&self) -> Nanos {
         self.duration + 2 * (self.duration / self.drift_divisor.max(1))
     }
 }
 
-/// What the router itself does at the moment.
+/// What the router itself does at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LocalPhase {
     /// It serves.
     Serving,
-    /// It has begun to go out.
+    /// It has begun to drain, or has drained.
     OutOfService,
 }
 
-/// What to do next.
+/// What the router has to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing.
+    /// Nothing for now.
     Wait,
-    /// To ask for this change; what comes of it is told with `asked`.
+    /// Submit this command, and hand its outcome to [`LeaseHolder::record_outcome`].
     Submit(Command),
-    /// To begin to go out, now: the clock has been looked at.
+    /// Begin to drain at once: the lease was checked against the clock.
     BeginDrain,
-    /// To serve again.
+    /// Serve again.
     ResumeService,
-    /// Once it is drained: to put the file of this digest in its place, and end.
+    /// Once drained, install the file of this digest and restart.
     InstallAndRestart(String),
 }
 
-/// One router's own part.
+/// What became of a submitted command.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SubmitOutcome {
+    /// It was applied.
+    Applied,
+    /// It was rejected, or no majority answered in time.
+    NotApplied,
+}
+
+/// One router's side of the drain lease.
 #[derive(Debug)]
 pub struct LeaseHolder {
-    figures: LeaseTiming,
-    index: RouterIndex,
-    incarnation: u64,
-    /// When the leave that is granted was asked for, by the own clock.
+    timing: LeaseTiming,
+    router: RouterIndex,
+    incarnation: Incarnation,
+    /// When the granted lease was asked for.
     requested_at: Option<Nanos>,
+    /// When the last request was rejected.
     rejected_at: Option<Nanos>,
 }
 
 impl LeaseHolder {
-    /// Of a router that has just started.
-    pub fn new(figures: LeaseTiming, me: RouterIndex, life: u64) -> LeaseHolder {
-        LeaseHolder { figures, index: me, incarnation: life, requested_at: None, rejected_at: None }
-    }
-
-    /// Whether a leave that was asked for then may still be used.
-    fn good(&self, now: Nanos, asked: Nanos) -> bool {
-        now.saturating_sub(asked) < self.figures.duration
+    /// The side of a router that has just started: it knows of no lease.
+    pub fn new(timing: LeaseTiming, router: RouterIndex, incarnation: Incarnation) -> LeaseHolder {
+        LeaseHolder { timing, router, incarnation, requested_at: None, rejected_at: None }
     }
 
-    /// What to do, by the newest document known here. `runs`: the digest of what it runs, of the kind that is being
+    /// What to do by the newest fleet state that is known here.
+    ///
+    /// `now` is the router's monotonic clock. `running_digest` is that of the file that it runs, of the kind that is being
     /// released; `None`: its settings have no such file.
     pub fn next_step(
         &self,
         now: Nanos,
-        document: &FleetState,
-        own: LocalPhase,
-        runs: Option<&str>,
+        state: &FleetState,
+        phase: LocalPhase,
+        running_digest: Option<&str>,
     ) -> NextStep {
-        let entry = document.drains.get(&self.index);
-        let to = entry.and_then(|e| e.target_digest.as_deref());
-        let (me, mine) = (self.index, self.incarnation);
-        match (entry.map(|e| e.stage), own) {
-            (Some(DrainStage::Requested), _) if to.is_some() && to == runs => {
-                NextStep::Submit(Command::ReportUpToDate(me))
+        let Some(drain) = state.drains.get(&self.router) else { return NextStep::Wait };
+        let runs_target = drain.target_digest.is_none() || drain.target_digest.as_deref() == running_digest;
+        match (drain.stage, phase) {
+            (DrainStage::Requested, _) if drain.target_digest.is_some() && runs_target => {
+                NextStep::Submit(Command::ReportUpToDate(self.router))
             }
-            (Some(DrainStage::Requested), LocalPhase::Serving) if document.halted.is_none() => {
-                let soon =
-                    self.rejected_at.is_some_and(|at| now.saturating_sub(at) < self.figures.retry_after);
-                match (to, runs) {
-                    _ if soon => NextStep::Wait,
-                    (None, _) => NextStep::Submit(Command::AcquireLease((me, mine).into())),
-                    (Some(_), Some(runs)) => {
-                        NextStep::Submit(Command::AcquireReleaseLease((me, mine, runs.into()).into()))
-                    }
-                    (Some(_), None) => NextStep::Submit(Command::ReportUnfit(
-                        (me, "its settings have no such file to release".into()).into(),
-                    )),
-                }
+            (DrainStage::Requested, LocalPhase::Serving) if state.halted.is_none() => {
+                self.request_lease(now, drain, running_digest)
             }
-            (Some(DrainStage::Leased(life)), LocalPhase::Serving) if life == mine => {
-                match self.requested_at.is_some_and(|at| self.good(now, at)) {
-                    true => NextStep::BeginDrain,
-                    false => NextStep::Submit(Command::ReturnLease((me, life).into())),
-                }
+            (DrainStage::Requested, _) => NextStep::Wait,
+            (DrainStage::Leased(of), LocalPhase::Serving) if of == self.incarnation => self.use_lease(now),
+            (DrainStage::Leased(of), LocalPhase::OutOfService) if of == self.incarnation => {
+                NextStep::Submit(Command::UseLease(self.identity()))
             }
-            (Some(DrainStage::Leased(life)), LocalPhase::OutOfService) if life == mine => {
-                NextStep::Submit(Command::UseLease((me, life).into()))
+            (DrainStage::OutOfService(of), LocalPhase::OutOfService) if of == self.incarnation => {
+                drain.target_digest.clone().map_or(NextStep::Wait, NextStep::InstallAndRestart)
             }
-            (Some(DrainStage::OutOfService(life)), LocalPhase::OutOfService) if life == mine => {
-                to.map_or(NextStep::Wait, |d| NextStep::InstallAndRestart(d.into()))
+            (DrainStage::Returning(_), LocalPhase::OutOfService) => NextStep::ResumeService,
+            (DrainStage::Returning(_), LocalPhase::Serving) => {
+                NextStep::Submit(Command::ReportServing(self.identity()))
             }
-            (Some(DrainStage::Returning(_)), LocalPhase::OutOfService) => NextStep::ResumeService,
-            (Some(DrainStage::Returning(_)), LocalPhase::Serving) => {
-                NextStep::Submit(Command::ReportServing((me, mine).into()))
-            }
-            (Some(DrainStage::Leased(life) | DrainStage::OutOfService(life)), LocalPhase::Serving)
-                if life != mine =>
+            // An earlier incarnation drained; this one has started since.
+            (DrainStage::Leased(of) | DrainStage::OutOfService(of), LocalPhase::Serving)
+                if of != self.incarnation =>
             {
-                NextStep::Submit(if to.is_none() || to == runs {
-                    Command::ReportServing((me, mine).into())
-                } else {
-                    Command::RetryRelease((me, mine).into())
+                NextStep::Submit(match runs_target {
+                    true => Command::ReportServing(self.identity()),
+                    false => Command::RetryRelease(self.identity()),
                 })
             }
-            _ => NextStep::Wait,
+            (DrainStage::Leased(_) | DrainStage::OutOfService(_), _) => NextStep::Wait,
         }
     }
 
-    /// What became of a change that was asked for at `at`, before it was sent.
-    pub fn record_outcome(&mut self, at: Nanos, now: Nanos, act: &Command, done: bool) {
-        if matches!(act, Command::AcquireLease(..) | Command::AcquireReleaseLease(..)) {
-            self.requested_at = done.then_some(at);
-            self.rejected_at = (!done).then_some(now);
+    /// Records what became of a command of [`NextStep::Submit`]. `submitted_at` is the time before it was sent, from which
+    /// the lease is counted.
+    pub fn record_outcome(
+        &mut self,
+        submitted_at: Nanos,
+        now: Nanos,
+        command: &Command,
+        outcome: SubmitOutcome,
+    ) {
+        if !matches!(command, Command::AcquireLease(_) | Command::AcquireReleaseLease(_)) {
+            return;
+        }
+        (self.requested_at, self.rejected_at) = match outcome {
+            SubmitOutcome::Applied => (Some(submitted_at), None),
+            SubmitOutcome::NotApplied => (None, Some(now)),
+        };
+    }
+
+    fn identity(&self) -> RouterIncarnation {
+        RouterIncarnation { router: self.router, incarnation: self.incarnation }
+    }
+
+    fn request_lease(&self, now: Nanos, drain: &DrainEntry, running_digest: Option<&str>) -> NextStep {
+        let RouterIncarnation { router, incarnation } = self.identity();
+        if self.rejected_at.is_some_and(|at| now.saturating_sub(at) < self.timing.retry_after) {
+            return NextStep::Wait;
+        }
+        NextStep::Submit(match (&drain.target_digest, running_digest) {
+            (None, _) => Command::AcquireLease(self.identity()),
+            (Some(_), Some(running)) => {
+                let running_digest = running.into();
+                Command::AcquireReleaseLease(ReleaseLeaseRequest { router, incarnation, running_digest })
+            }
+            (Some(_), None) => {
+                let cause = "its settings have no such file to release".into();
+                Command::ReportUnfit(UnfitReport { router, cause })
+            }
+        })
+    }
+
+    fn use_lease(&self, now: Nanos) -> NextStep {
+        match self.requested_at.is_some_and(|at| now.saturating_sub(at) < self.timing.duration) {
+            true => NextStep::BeginDrain,
+            false => NextStep::Submit(Command::ReturnLease(self.identity())),
         }
     }
 }
 
-/// Whether a halt that was agreed on so long ago may be answered: nobody can begin to go out any more.
-pub fn halt_is_effective(figures: &LeaseTiming, since: Nanos, document: &FleetState) -> bool {
-    // One that is to come back may have had its leave until a moment ago, and not know better yet.
-    let open =
-        document.drains.values().any(|e| matches!(e.stage, DrainStage::Leased(_) | DrainStage::Returning(_)));
-    !open || since > figures.safe_expiry()
+/// Whether a halt that was agreed on `since` ns ago may be answered: no router can begin to drain any more.
+pub fn halt_is_effective(timing: &LeaseTiming, since: Nanos, state: &FleetState) -> bool {
+    // A router that is to return may have held its lease until a moment ago, and not know yet that it lost it.
+    let may_drain = |stage| matches!(stage, DrainStage::Leased(_) | DrainStage::Returning(_));
+    let none_may_drain = !state.drains.values().any(|drain| may_drain(drain.stage));
+    none_may_drain || since > timing.safe_expiry()
 }
 
 #[cfg(test)]
--- a/consensus/src/drain_lease/tests.rs
+++ b/consensus/src/drain_lease/tests.rs
@@ -1,90 +1,104 @@
 use super::*;
-use crate::fleet_state::DrainEntry;
 
 const S: Nanos = 1_000_000_000;
-const FIGURES: LeaseTiming = LeaseTiming { duration: 5 * S, drift_divisor: 20, retry_after: S };
+const TIMING: LeaseTiming = LeaseTiming { duration: 5 * S, drift_divisor: 20, retry_after: S };
+const ME: RouterIncarnation = RouterIncarnation { router: 3, incarnation: 9 };
+
+fn holder() -> LeaseHolder {
+    LeaseHolder::new(TIMING, ME.router, ME.incarnation)
+}
 
 fn with(stage: DrainStage) -> FleetState {
-    let mut doc = FleetState::default();
-    doc.drains.insert(3, DrainEntry { stage, order: "d".into(), target_digest: None, attempts: 0 });
-    doc
+    let mut state = FleetState::default();
+    let drain = DrainEntry { stage, order: "d".into(), target_digest: None, attempts: 0 };
+    state.drains.insert(ME.router, drain);
+    state
+}
+
+fn serving(holder: &LeaseHolder, now: Nanos, state: &FleetState) -> NextStep {
+    holder.next_step(now, state, LocalPhase::Serving, None)
+}
+
+fn out_of_service(holder: &LeaseHolder, now: Nanos, state: &FleetState) -> NextStep {
+    holder.next_step(now, state, LocalPhase::OutOfService, None)
 }
 
 #[test]
-fn a_leave_is_used_within_its_time_and_given_up_after_it() {
-    let mut l = LeaseHolder::new(FIGURES, 3, 9);
-    let ask = Command::AcquireLease((3, 9).into());
-    assert_eq!(
-        l.next_step(S, &with(DrainStage::Requested), LocalPhase::Serving, None),
-        NextStep::Submit(ask.clone())
-    );
-    l.record_outcome(S, 2 * S, &ask, true);
+fn a_lease_is_used_within_its_time_and_returned_after_it() {
+    let mut holder = holder();
+    let acquire = Command::AcquireLease(ME);
+    let requested = with(DrainStage::Requested);
+    assert_eq!(serving(&holder, S, &requested), NextStep::Submit(acquire.clone()));
+    holder.record_outcome(S, 2 * S, &acquire, SubmitOutcome::Applied);
     let granted = with(DrainStage::Leased(9));
-    assert_eq!(l.next_step(5 * S, &granted, LocalPhase::Serving, None), NextStep::BeginDrain);
+    assert_eq!(serving(&holder, 5 * S, &granted), NextStep::BeginDrain);
     assert_eq!(
-        l.next_step(6 * S, &granted, LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReturnLease((3, 9).into())),
+        serving(&holder, 6 * S, &granted),
+        NextStep::Submit(Command::ReturnLease(ME)),
         "stopped in between"
     );
     assert_eq!(
-        l.next_step(6 * S, &granted, LocalPhase::OutOfService, None),
-        NextStep::Submit(Command::UseLease((3, 9).into())),
+        out_of_service(&holder, 6 * S, &granted),
+        NextStep::Submit(Command::UseLease(ME)),
         "it went in time"
     );
-    let unasked = LeaseHolder::new(FIGURES, 3, 9);
+}
+
+#[test]
+fn a_lease_of_unknown_age_is_returned() {
     assert_eq!(
-        unasked.next_step(S, &granted, LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReturnLease((3, 9).into())),
+        serving(&holder(), S, &with(DrainStage::Leased(9))),
+        NextStep::Submit(Command::ReturnLease(ME)),
         "it does not know since when"
     );
 }
 
 #[test]
-fn a_refused_leave_is_asked_for_again_later_and_not_while_halted() {
-    let mut l = LeaseHolder::new(FIGURES, 3, 9);
-    l.record_outcome(S, S, &Command::AcquireLease((3, 9).into()), false);
-    assert_eq!(
-        l.next_step(S + S / 2, &with(DrainStage::Requested), LocalPhase::Serving, None),
-        NextStep::Wait
-    );
-    assert!(matches!(
-        l.next_step(2 * S, &with(DrainStage::Requested), LocalPhase::Serving, None),
-        NextStep::Submit(_)
-    ));
+fn a_rejected_lease_is_asked_for_again_later() {
+    let mut holder = holder();
+    holder.record_outcome(S, S, &Command::AcquireLease(ME), SubmitOutcome::NotApplied);
+    let requested = with(DrainStage::Requested);
+    assert_eq!(serving(&holder, S + S / 2, &requested), NextStep::Wait);
+    assert!(matches!(serving(&holder, 2 * S, &requested), NextStep::Submit(_)));
+}
+
+#[test]
+fn no_lease_is_asked_for_while_halted() {
+    let mut holder = holder();
+    holder.record_outcome(S, S, &Command::AcquireLease(ME), SubmitOutcome::NotApplied);
     let halted = FleetState { halted: Some("x".into()), ..with(DrainStage::Requested) };
-    assert_eq!(l.next_step(9 * S, &halted, LocalPhase::Serving, None), NextStep::Wait);
+    assert_eq!(serving(&holder, 9 * S, &halted), NextStep::Wait);
 }
 
 #[test]
-fn a_router_comes_back_by_order_or_by_starting_anew() {
-    let l = LeaseHolder::new(FIGURES, 3, 9);
-    assert_eq!(
-        l.next_step(S, &with(DrainStage::Returning(9)), LocalPhase::OutOfService, None),
-        NextStep::ResumeService
-    );
-    assert_eq!(
-        l.next_step(S, &with(DrainStage::Returning(9)), LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReportServing((3, 9).into()))
-    );
-    assert_eq!(
-        l.next_step(S, &with(DrainStage::OutOfService(8)), LocalPhase::Serving, None),
-        NextStep::Submit(Command::ReportServing((3, 9).into())),
-        "another life went"
-    );
+fn a_router_returns_by_order() {
+    let returning = with(DrainStage::Returning(9));
+    assert_eq!(out_of_service(&holder(), S, &returning), NextStep::ResumeService);
+    assert_eq!(serving(&holder(), S, &returning), NextStep::Submit(Command::ReportServing(ME)));
+}
+
+#[test]
+fn a_router_returns_by_restarting() {
     assert_eq!(
-        l.next_step(S, &with(DrainStage::OutOfService(9)), LocalPhase::OutOfService, None),
-        NextStep::Wait
+        serving(&holder(), S, &with(DrainStage::OutOfService(8))),
+        NextStep::Submit(Command::ReportServing(ME)),
+        "an earlier incarnation drained"
     );
-    assert_eq!(l.next_step(S, &FleetState::default(), LocalPhase::Serving, None), NextStep::Wait);
 }
 
 #[test]
-fn a_halt_is_answered_when_no_leave_is_open_or_none_can_be_used() {
-    assert!(halt_is_effective(&FIGURES, 0, &with(DrainStage::OutOfService(9))));
-    assert!(!halt_is_effective(&FIGURES, 5 * S, &with(DrainStage::Leased(9))));
+fn a_router_waits_while_it_is_out_and_while_no_order_concerns_it() {
+    assert_eq!(out_of_service(&holder(), S, &with(DrainStage::OutOfService(9))), NextStep::Wait);
+    assert_eq!(serving(&holder(), S, &FleetState::default()), NextStep::Wait);
+}
+
+#[test]
+fn a_halt_is_answered_when_no_lease_is_open_or_none_can_be_used() {
+    assert!(halt_is_effective(&TIMING, 0, &with(DrainStage::OutOfService(9))));
+    assert!(!halt_is_effective(&TIMING, 5 * S, &with(DrainStage::Leased(9))));
     assert!(
-        !halt_is_effective(&FIGURES, 5 * S, &with(DrainStage::Returning(9))),
-        "it had a leave a moment ago"
+        !halt_is_effective(&TIMING, 5 * S, &with(DrainStage::Returning(9))),
+        "it held the lease a moment ago"
     );
-    assert!(halt_is_effective(&FIGURES, 6 * S, &with(DrainStage::Leased(9))));
+    assert!(halt_is_effective(&TIMING, 6 * S, &with(DrainStage::Leased(9))));
 }
--- a/consensus/tests/fleet.rs
+++ b/consensus/tests/fleet.rs
@@ -7,7 +7,9 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use fastrand::Rng;
-use tallypin_consensus::drain_lease::{halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep};
+use tallypin_consensus::drain_lease::{
+    halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep, SubmitOutcome,
+};
 use tallypin_consensus::fleet_state::{Command, CouncilView, DrainLimits, FleetState, ReleaseOrder};
 use tallypin_consensus::register::{
     bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
@@ -325,7 +327,8 @@
         let now = self.now;
         let Some((_, act, at, _)) = self.routers[r].round.take() else { return };
         let router = &mut self.routers[r];
-        router.leaver.record_outcome(at, now, &act, done);
+        let outcome = if done { SubmitOutcome::Applied } else { SubmitOutcome::NotApplied };
+        router.leaver.record_outcome(at, now, &act, outcome);
         if router.orders.first() == Some(&act) {
             if done {
                 router.orders.remove(0);
--- a/consensus/tests/recorded.rs
+++ b/consensus/tests/recorded.rs
@@ -11,7 +11,9 @@
 
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::{from_str, from_value, json, to_string, Value as Json};
-use tallypin_consensus::drain_lease::{halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep};
+use tallypin_consensus::drain_lease::{
+    halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep, SubmitOutcome,
+};
 use tallypin_consensus::fleet_state::{
     Command, CouncilView, DrainEntry, DrainLimits, DrainStage, FleetState, Rejection, ReleaseOrder,
 };
@@ -474,7 +476,8 @@
     let leaver = |asked: Option<(u64, u64, Command, bool)>| {
         let mut leaver = LeaseHolder::new(FIGURES, 3, 9);
         if let Some((at, now, act, done)) = asked {
-            leaver.record_outcome(at, now, &act, done);
+            let outcome = if done { SubmitOutcome::Applied } else { SubmitOutcome::NotApplied };
+            leaver.record_outcome(at, now, &act, outcome);
         }
         leaver
     };
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
-use tallypin_consensus::drain_lease::{LeaseHolder, LocalPhase, NextStep};
+use tallypin_consensus::drain_lease::{LeaseHolder, LocalPhase, NextStep, SubmitOutcome};
 use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState, Rejection, UnfitReport};
 use tallypin_consensus::register::{
     bootstrap_value, chosen_value, Acceptor, AcceptorReply, AcceptorRequest, Ballot, CouncilMember,
@@ -878,7 +878,11 @@
                     if let Err(SubmitError::Rejected(no)) = &done {
                         tracing::debug!(target: "fleet", ?act, %no, "not now");
                     }
-                    self.lease_holder.borrow_mut().record_outcome(at, self.now(), &act, done.is_ok());
+                    let outcome = match done {
+                        Ok(_) => SubmitOutcome::Applied,
+                        Err(_) => SubmitOutcome::NotApplied,
+                    };
+                    self.lease_holder.borrow_mut().record_outcome(at, self.now(), &act, outcome);
                     if done.is_err() {
                         return;
                     }
