--- a/consensus/src/release_monitor.rs
+++ b/consensus/src/release_monitor.rs
@@ -1,164 +1,142 @@
-//! When a wave is done, and when it has failed, as one member of the council sees it. Any member may say so: a change is
-//! made once, whoever asks for it. A member that takes over watches from anew, which makes a release later, not looser.
+//! When a wave of a release is complete and when it has failed, as one member of the council sees it.
+//!
+//! Every member monitors and may submit the command: the fleet state applies it once. A member that takes over begins to
+//! observe anew, which makes a release slower and never less strict.
+
+mod answer_counts;
+mod comparison;
 
 use std::collections::BTreeMap;
 
-use serde::{Deserialize, Serialize};
-use tallypin_membership::{Nanos, RouterIndex};
+use tallypin_membership::{Incarnation, Nanos, RouterIndex};
 
-use crate::fleet_state::{Command, DrainLimits, DrainStage, FleetState};
-use crate::release::{Release, ReleasePhase, ReleasePlan};
+pub use answer_counts::AnswerCounts;
+use comparison::Comparison;
 
-const MS: Nanos = 1_000_000;
+use crate::fleet_state::{Command, DrainLimits, DrainStage, FleetState, WaveFailure};
+use crate::release::{Release, ReleasePhase};
 
-/// A router's final answers since its start.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct AnswerCounts {
-    /// All.
-    pub answered: u64,
-    /// Failed, or broken after they had begun.
-    pub failed: u64,
-    /// First events that came after more than half of the time that the client waits.
-    pub late: u64,
-    /// Refused, but for a partner's share.
-    #[serde(rename = "refused")]
-    pub rejected: u64,
-}
-
-impl AnswerCounts {
-    fn since(self, before: AnswerCounts) -> AnswerCounts {
-        AnswerCounts {
-            answered: self.answered.saturating_sub(before.answered),
-            failed: self.failed.saturating_sub(before.failed),
-            late: self.late.saturating_sub(before.late),
-            rejected: self.rejected.saturating_sub(before.rejected),
-        }
-    }
-
-    fn and(self, more: AnswerCounts) -> AnswerCounts {
-        AnswerCounts {
-            answered: self.answered.saturating_add(more.answered),
-            failed: self.failed.saturating_add(more.failed),
-            late: self.late.saturating_add(more.late),
-            rejected: self.rejected.saturating_add(more.rejected),
-        }
-    }
-}
+const NANOS_PER_MS: Nanos = 1_000_000;
 
 /// What a member has heard of a router that is not silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouterReport {
-    /// Its life.
-    pub incarnation: u64,
-    /// What it has answered.
+    /// The router's incarnation.
+    pub incarnation: Incarnation,
+    /// What that incarnation has answered.
     pub counts: AnswerCounts,
 }
 
-/// A member's watch over the release that is on.
+/// One member's observation of the release in progress.
 #[derive(Debug, Default)]
 pub struct ReleaseMonitor {
-    /// What it watches: the order, its wave, whether it goes back.
-    at: Option<(String, usize, bool)>,
-    /// Since when a router of the wave is out.
-    gone: BTreeMap<RouterIndex, Nanos>,
-    /// Since when all of the wave are back, and what had been heard then.
-    back: Option<(Nanos, Vec<Option<RouterReport>>)>,
+    /// What the rest of this is about; it starts anew with each wave.
+    wave: Option<ObservedWave>,
+    /// Since when each router of the wave is out of service.
+    out_since: BTreeMap<RouterIndex, Nanos>,
+    /// Set while all routers of the wave are back.
+    baseline: Option<Baseline>,
+}
+
+/// A wave of one release, on its way forwards or back.
+#[derive(Debug, PartialEq, Eq)]
+struct ObservedWave {
+    order: String,
+    wave: usize,
+    rolls_back: bool,
+}
+
+/// What had been reported when all routers of a wave were back.
+#[derive(Debug)]
+struct Baseline {
+    since: Nanos,
+    reports: Vec<Option<RouterReport>>,
 }
 
 impl ReleaseMonitor {
-    /// What is to be asked for, if anything. `heard` by router; `None`: silent.
+    /// The command to submit, if any: that the wave is complete, or that it has failed.
+    ///
+    /// `now` is this member's monotonic clock. `reports` is by [`RouterIndex`]; `None`: the router is silent.
     pub fn next_command(
         &mut self,
         now: Nanos,
-        document: &FleetState,
-        bounds: &DrainLimits,
-        heard: &[Option<RouterReport>],
+        state: &FleetState,
+        limits: &DrainLimits,
+        reports: &[Option<RouterReport>],
     ) -> Option<Command> {
-        let r = document.release.as_ref().filter(|r| r.is_active())?;
-        let undone = matches!(r.phase, ReleasePhase::RollingBack(_));
-        let at = Some((r.order.clone(), r.wave, undone));
-        if self.at != at {
-            *self = ReleaseMonitor { at, ..ReleaseMonitor::default() };
+        let release = state.release.as_ref().filter(|release| release.is_active())?;
+        let rolls_back = matches!(release.phase, ReleasePhase::RollingBack(_));
+        self.observe(ObservedWave { order: release.order.clone(), wave: release.wave, rolls_back });
+        let open: BTreeMap<RouterIndex, DrainStage> = state
+            .drains
+            .iter()
+            .filter(|(_, drain)| drain.order == release.order)
+            .map(|(&router, drain)| (router, drain.stage))
+            .collect();
+        if rolls_back {
+            return open.is_empty().then_some(Command::CompleteWave(release.wave));
         }
-        let open: BTreeMap<RouterIndex, DrainStage> =
-            document.drains.iter().filter(|(_, e)| e.order == r.order).map(|(p, e)| (*p, e.stage)).collect();
-        if undone {
-            return open.is_empty().then_some(Command::CompleteWave(r.wave));
-        }
-        self.gone.retain(|p, _| open.get(p).is_some_and(|s| *s != DrainStage::Requested));
-        for (place, _) in open.iter().filter(|(_, s)| **s != DrainStage::Requested) {
-            let since = *self.gone.entry(*place).or_insert(now);
-            if now.saturating_sub(since) > r.plan.ready_ms.saturating_mul(MS) {
-                return Some(Command::FailWave(
-                    (r.wave, format!("{} is not back in time", bounds.name(*place))).into(),
-                ));
-            }
+        let fail = |cause| Some(Command::FailWave(WaveFailure { wave: release.wave, cause }));
+        let ready_within = release.plan.ready_ms.saturating_mul(NANOS_PER_MS);
+        if let Some(overdue) = self.overdue(now, &open, ready_within) {
+            return fail(format!("{} is not back in time", limits.name(overdue)));
         }
         if !open.is_empty() {
-            self.back = None;
+            self.baseline = None;
             return None;
         }
-        let (since, base) = self.back.get_or_insert_with(|| (now, heard.to_vec()));
-        let failed =
-            crashed(r, document, base, heard).map(|p| format!("{} has crashed or is silent", bounds.name(p)));
-        let (released, others) = shares(r, base, heard);
-        if let Some(why) = failed.or_else(|| worse(&r.plan, released, others)) {
-            return Some(Command::FailWave((r.wave, why).into()));
+        let baseline =
+            self.baseline.get_or_insert_with(|| Baseline { since: now, reports: reports.to_vec() });
+        if let Some(lost) = lost_router(release, state, &baseline.reports, reports) {
+            return fail(format!("{} has crashed or is silent", limits.name(lost)));
+        }
+        let comparison = Comparison::new(release, &baseline.reports, reports);
+        if let Some(cause) = comparison.failure(&release.plan) {
+            return fail(cause);
         }
-        // Too few to tell: it waits, however long.
-        let over = now.saturating_sub(*since) >= r.plan.watch_ms.saturating_mul(MS);
-        (over && released.answered >= r.plan.min_answers).then_some(Command::CompleteWave(r.wave))
+        let observed = now.saturating_sub(baseline.since);
+        let observed_enough = observed >= release.plan.watch_ms.saturating_mul(NANOS_PER_MS)
+            // With too few answers to compare it waits, however long.
+            && comparison.released.answered >= release.plan.min_answers;
+        observed_enough.then_some(Command::CompleteWave(release.wave))
     }
-}
-
-/// A router that has been released and has started again since, or is not heard. Who is out by hand is not looked at.
-fn crashed(
-    r: &Release,
-    document: &FleetState,
-    base: &[Option<RouterReport>],
-    heard: &[Option<RouterReport>],
-) -> Option<RouterIndex> {
-    let get = |of: &[Option<RouterReport>], p: RouterIndex| of.get(usize::from(p)).copied().flatten();
-    r.released().find(|p| {
-        !document.drains.contains_key(p)
-            && get(base, *p)
-                .is_some_and(|was| get(heard, *p).is_none_or(|is| is.incarnation != was.incarnation))
-    })
-}
 
-/// What was answered since, by those that run what is released, and by the others.
-fn shares(
-    r: &Release,
-    base: &[Option<RouterReport>],
-    heard: &[Option<RouterReport>],
-) -> (AnswerCounts, AnswerCounts) {
-    let (mut released, mut others) = (AnswerCounts::default(), AnswerCounts::default());
-    for ((place, was), is) in (0..).zip(base).zip(heard) {
-        let (Some(was), Some(is)) = (was, is) else { continue };
-        if was.incarnation == is.incarnation {
-            let side =
-                if r.wave_of(place).is_some_and(|w| w <= r.wave) { &mut released } else { &mut others };
-            *side = side.and(is.counts.since(was.counts));
+    /// Starts anew if the wave is another one.
+    fn observe(&mut self, wave: ObservedWave) {
+        if self.wave.as_ref() != Some(&wave) {
+            *self = ReleaseMonitor { wave: Some(wave), ..ReleaseMonitor::default() };
         }
     }
-    (released, others)
-}
 
-/// Whether the released do worse than the others by more than the plan lets them, once there is enough to tell.
-fn worse(plan: &ReleasePlan, released: AnswerCounts, others: AnswerCounts) -> Option<String> {
-    if released.answered < plan.min_answers.max(1) {
-        return None;
+    /// A router that has been out of service for longer than `ready_within` ns.
+    fn overdue(
+        &mut self,
+        now: Nanos,
+        open: &BTreeMap<RouterIndex, DrainStage>,
+        ready_within: Nanos,
+    ) -> Option<RouterIndex> {
+        let is_out = |stage: &DrainStage| *stage != DrainStage::Requested;
+        self.out_since.retain(|router, _| open.get(router).is_some_and(is_out));
+        open.iter().filter(|(_, stage)| is_out(stage)).map(|(&router, _)| router).find(|&router| {
+            let since = *self.out_since.entry(router).or_insert(now);
+            now.saturating_sub(since) > ready_within
+        })
     }
-    let per_mille = |n: u64, of: u64| if of == 0 { 0 } else { u128::from(n) * 1000 / u128::from(of) };
-    let kinds = [
-        ("failed", released.failed, others.failed, plan.max_extra_failed),
-        ("late", released.late, others.late, plan.max_extra_late),
-        ("refused", released.rejected, others.rejected, plan.max_extra_rejected),
-    ];
-    kinds.into_iter().find_map(|(kind, new, old, most)| {
-        let (new, old) = (per_mille(new, released.answered), per_mille(old, others.answered));
-        let worse = new > old.saturating_add(u128::from(most));
-        worse.then(|| format!("{new} of 1000 {kind} where it is released, {old} elsewhere"))
+}
+
+/// A released router that has restarted since the baseline, or has become silent. Routers that an operator drains are not
+/// looked at.
+fn lost_router(
+    release: &Release,
+    state: &FleetState,
+    baseline: &[Option<RouterReport>],
+    reports: &[Option<RouterReport>],
+) -> Option<RouterIndex> {
+    let report = |of: &[Option<RouterReport>], router: RouterIndex| of.get(usize::from(router)).copied()?;
+    release.released().find(|router| {
+        let is_lost =
+            |was: RouterReport| report(reports, *router).is_none_or(|is| is.incarnation != was.incarnation);
+        !state.drains.contains_key(router) && report(baseline, *router).is_some_and(is_lost)
     })
 }
 
--- a/consensus/src/release_monitor/tests.rs
+++ b/consensus/src/release_monitor/tests.rs
@@ -1,13 +1,16 @@
 use super::*;
-use crate::fleet_state::{CouncilView, ReleaseOrder};
+use crate::fleet_state::{
+    CouncilView, Rejection, ReleaseLeaseRequest, ReleaseOrder, RouterIncarnation, UnfitReport,
+};
+use crate::release::ReleasePlan;
 
-const S: Nanos = 1000 * MS;
+const S: Nanos = 1000 * NANOS_PER_MS;
 
-fn bounds() -> DrainLimits {
+fn limits() -> DrainLimits {
     DrainLimits { names: vec![], zones: vec![0; 4], total: 2, per_zone: 2, council: vec![], replicas: None }
 }
 
-fn plan(back: bool) -> ReleasePlan {
+fn plan(rolls_back: bool) -> ReleasePlan {
     ReleasePlan {
         watch_ms: 5000,
         ready_ms: 9000,
@@ -15,161 +18,191 @@
         max_extra_late: 50,
         max_extra_rejected: 50,
         min_answers: 100,
-        rolls_back: back,
+        rolls_back,
     }
 }
 
-fn seen() -> CouncilView {
+fn view() -> CouncilView {
     CouncilView { informed_members: 2, majority: 2, ..CouncilView::default() }
 }
 
-fn then(doc: &FleetState, act: Command) -> FleetState {
-    doc.apply(&act, &bounds(), &seen()).unwrap_or_else(|no| panic!("{act:?}: {no}"))
+fn apply(state: &FleetState, command: Command) -> FleetState {
+    state.apply(&command, &limits(), &view()).unwrap_or_else(|why| panic!("{command:?}: {why}"))
 }
 
-fn begun(back: bool) -> FleetState {
-    let waves = vec![vec![0], vec![1, 2, 3]];
-    let (order, artifact, digest) = ("v2".into(), "settings".into(), "new".into());
-    then(
-        &FleetState::default(),
-        Command::BeginRelease(ReleaseOrder { order, artifact, digest, waves, plan: plan(back) }),
-    )
+fn rejection(state: &FleetState, command: &Command, view: &CouncilView) -> Rejection {
+    state.apply(command, &limits(), view).unwrap_err()
 }
 
-/// A router goes by leave and comes back, in its next life.
-fn round(doc: &FleetState, place: RouterIndex, life: u64, runs: &str) -> FleetState {
-    let doc = then(doc, Command::AcquireReleaseLease((place, life, runs.into()).into()));
-    let doc = then(&doc, Command::UseLease((place, life).into()));
-    then(&doc, Command::ReportServing((place, life + 1).into()))
+fn release(order: &str, digest: &str, waves: Vec<Vec<RouterIndex>>, rolls_back: bool) -> Command {
+    Command::BeginRelease(ReleaseOrder {
+        order: order.into(),
+        artifact: "settings".into(),
+        digest: digest.into(),
+        waves,
+        plan: plan(rolls_back),
+    })
+}
+
+/// A release to router 0, then to the other three.
+fn begun(rolls_back: bool) -> FleetState {
+    let release = release("v2", "new", vec![vec![0], vec![1, 2, 3]], rolls_back);
+    apply(&FleetState::default(), release)
+}
+
+fn of(router: RouterIndex, incarnation: Incarnation) -> RouterIncarnation {
+    RouterIncarnation { router, incarnation }
+}
+
+/// A router drains for the release.
+fn drain(state: &FleetState, router: RouterIndex, incarnation: Incarnation, runs: &str) -> FleetState {
+    let request = ReleaseLeaseRequest { router, incarnation, running_digest: runs.into() };
+    let state = apply(state, Command::AcquireReleaseLease(request));
+    apply(&state, Command::UseLease(of(router, incarnation)))
+}
+
+/// A router drains for the release and returns, in its next incarnation.
+fn restart(state: &FleetState, router: RouterIndex, incarnation: Incarnation, runs: &str) -> FleetState {
+    let state = drain(state, router, incarnation, runs);
+    apply(&state, Command::ReportServing(of(router, incarnation + 1)))
+}
+
+/// What four routers have answered, of which the first has failed some.
+fn reports(failed: u64, answered: u64) -> Vec<Option<RouterReport>> {
+    let report = |counts| Some(RouterReport { incarnation: 8, counts });
+    let well = AnswerCounts { answered, ..AnswerCounts::default() };
+    vec![report(AnswerCounts { failed, ..well }), report(well), report(well), report(well)]
 }
 
-fn heard(failed: u64, of: u64) -> Vec<Option<RouterReport>> {
-    let one = |counts| Some(RouterReport { incarnation: 8, counts });
-    let well = AnswerCounts { answered: of, ..AnswerCounts::default() };
-    vec![one(AnswerCounts { failed, ..well }), one(well), one(well), one(well)]
+fn next(
+    monitor: &mut ReleaseMonitor,
+    now: Nanos,
+    state: &FleetState,
+    reports: &[Option<RouterReport>],
+) -> Option<Command> {
+    monitor.next_command(now, state, &limits(), reports)
+}
+
+fn failure(wave: usize, cause: &str) -> Command {
+    Command::FailWave(WaveFailure { wave, cause: cause.into() })
 }
 
 #[test]
-fn a_wave_is_watched_and_then_the_next_one_goes_and_it_ends() {
-    let (mut w, doc) = (ReleaseMonitor::default(), begun(false));
-    assert_eq!(w.next_command(S, &doc, &bounds(), &heard(0, 0)), None, "it has yet to go");
-    let doc = round(&doc, 0, 7, "old");
-    assert_eq!(w.next_command(2 * S, &doc, &bounds(), &heard(0, 0)), None);
-    assert_eq!(w.next_command(9 * S, &doc, &bounds(), &heard(0, 99)), None, "not enough to tell");
-    assert_eq!(w.next_command(10 * S, &doc, &bounds(), &heard(2, 100)), Some(Command::CompleteWave(0)));
-    let doc = then(&doc, Command::CompleteWave(0));
-    assert_eq!(
-        doc.apply(&Command::CompleteWave(0), &bounds(), &seen()).unwrap_err(),
-        crate::fleet_state::Rejection::NothingToChange
-    );
-    let doc = (1..=3).fold(doc, |doc, p| round(&doc, p, 7, "old"));
-    assert_eq!(w.next_command(11 * S, &doc, &bounds(), &heard(0, 100)), None, "watched from anew");
-    assert_eq!(w.next_command(16 * S, &doc, &bounds(), &heard(0, 200)), Some(Command::CompleteWave(1)));
-    let doc = then(&doc, Command::CompleteWave(1));
-    assert_eq!(doc.release.as_ref().unwrap().phase, ReleasePhase::Done);
-    assert_eq!(doc.release.unwrap().previous_digests.len(), 4);
+fn a_wave_is_observed_before_the_next_one_and_the_last_one_ends_the_release() {
+    let (mut monitor, state) = (ReleaseMonitor::default(), begun(false));
+    assert_eq!(next(&mut monitor, S, &state, &reports(0, 0)), None, "it has yet to go");
+    let state = restart(&state, 0, 7, "old");
+    assert_eq!(next(&mut monitor, 2 * S, &state, &reports(0, 0)), None);
+    assert_eq!(next(&mut monitor, 9 * S, &state, &reports(0, 99)), None, "not enough to tell");
+    assert_eq!(next(&mut monitor, 10 * S, &state, &reports(2, 100)), Some(Command::CompleteWave(0)));
+    let state = apply(&state, Command::CompleteWave(0));
+    assert_eq!(rejection(&state, &Command::CompleteWave(0), &view()), Rejection::NothingToChange);
+    let state = (1..=3).fold(state, |state, router| restart(&state, router, 7, "old"));
+    assert_eq!(next(&mut monitor, 11 * S, &state, &reports(0, 100)), None, "watched from anew");
+    assert_eq!(next(&mut monitor, 16 * S, &state, &reports(0, 200)), Some(Command::CompleteWave(1)));
+    let state = apply(&state, Command::CompleteWave(1));
+    assert_eq!(state.release.as_ref().unwrap().phase, ReleasePhase::Done);
+    assert_eq!(state.release.unwrap().previous_digests.len(), 4);
+}
+
+/// A monitor that has begun to observe the first wave.
+fn observing() -> (ReleaseMonitor, FleetState) {
+    let (mut monitor, state) = (ReleaseMonitor::default(), restart(&begun(false), 0, 7, "old"));
+    assert_eq!(next(&mut monitor, S, &state, &reports(0, 0)), None);
+    (monitor, state)
 }
 
 #[test]
-fn worse_answers_a_crash_and_a_router_that_stays_away_fail_a_wave() {
-    let doc = round(&begun(false), 0, 7, "old");
-    let mut w = ReleaseMonitor::default();
-    assert_eq!(w.next_command(S, &doc, &bounds(), &heard(0, 0)), None);
-    assert_eq!(w.next_command(2 * S, &doc, &bounds(), &heard(2, 100)), None, "20 of 1000 more are allowed");
-    let why = "30 of 1000 failed where it is released, 0 elsewhere";
-    assert_eq!(
-        w.next_command(2 * S, &doc, &bounds(), &heard(3, 100)),
-        Some(Command::FailWave((0, why.into()).into()))
-    );
-    let mut crashed = heard(0, 100);
-    crashed[0].as_mut().unwrap().incarnation = 9;
-    let fails = |heard: &[Option<RouterReport>], w: &mut ReleaseMonitor| {
-        w.next_command(2 * S, &doc, &bounds(), heard)
+fn a_wave_fails_by_worse_answers() {
+    let (mut monitor, state) = observing();
+    let allowed = next(&mut monitor, 2 * S, &state, &reports(2, 100));
+    assert_eq!(allowed, None, "20 of 1000 more are allowed");
+    let cause = "30 of 1000 failed where it is released, 0 elsewhere";
+    assert_eq!(next(&mut monitor, 2 * S, &state, &reports(3, 100)), Some(failure(0, cause)));
+}
+
+#[test]
+fn a_wave_fails_by_a_crash_or_silence() {
+    let (mut monitor, state) = observing();
+    let mut reports = reports(0, 100);
+    let cause = |command| match command {
+        Some(Command::FailWave(WaveFailure { wave: 0, cause })) => cause,
+        other => panic!("{other:?}"),
     };
-    assert!(
-        matches!(fails(&crashed, &mut w), Some(Command::FailWave(f)) if f.wave == 0 && f.cause.contains("crashed"))
-    );
-    crashed[0] = None;
-    assert!(
-        matches!(fails(&crashed, &mut w), Some(Command::FailWave(f)) if f.wave == 0 && f.cause.contains("silent"))
-    );
-    let away = then(
-        &then(&begun(false), Command::AcquireReleaseLease((0, 7, "old".into()).into())),
-        Command::UseLease((0, 7).into()),
-    );
-    let mut w = ReleaseMonitor::default();
-    assert_eq!(w.next_command(S, &away, &bounds(), &heard(0, 0)), None);
-    assert_eq!(w.next_command(10 * S, &away, &bounds(), &heard(0, 0)), None);
-    let late = w.next_command(11 * S, &away, &bounds(), &heard(0, 0));
-    assert_eq!(late, Some(Command::FailWave((0, "router 0 is not back in time".into()).into())));
-    let doc = then(&away, late.unwrap());
-    assert_eq!(doc.halted.as_deref(), Some("router 0 is not back in time"));
-    assert!(matches!(doc.release.unwrap().phase, ReleasePhase::Failed(_)));
+    reports[0].as_mut().unwrap().incarnation = 9;
+    assert!(cause(next(&mut monitor, 2 * S, &state, &reports)).contains("crashed"));
+    reports[0] = None;
+    assert!(cause(next(&mut monitor, 2 * S, &state, &reports)).contains("silent"));
+}
+
+#[test]
+fn a_wave_fails_by_a_router_that_stays_away() {
+    let away = drain(&begun(false), 0, 7, "old");
+    let mut monitor = ReleaseMonitor::default();
+    assert_eq!(next(&mut monitor, S, &away, &reports(0, 0)), None);
+    assert_eq!(next(&mut monitor, 10 * S, &away, &reports(0, 0)), None);
+    let late = next(&mut monitor, 11 * S, &away, &reports(0, 0));
+    assert_eq!(late, Some(failure(0, "router 0 is not back in time")));
+    let state = apply(&away, late.unwrap());
+    assert_eq!(state.halted.as_deref(), Some("router 0 is not back in time"));
+    assert!(matches!(state.release.unwrap().phase, ReleasePhase::Failed(_)));
 }
 
 /// From the middle of the second wave: one is back, one is out, one has not gone; the first wave is undone last.
 #[test]
-fn the_way_back_undoes_waves_in_reverse_from_the_middle_of_one() {
-    let doc = round(&begun(true), 0, 7, "old");
-    let doc = round(&then(&doc, Command::CompleteWave(0)), 1, 7, "older");
-    let doc = then(
-        &then(&doc, Command::AcquireReleaseLease((2, 7, "old".into()).into())),
-        Command::UseLease((2, 7).into()),
-    );
-    let doc = then(&doc, Command::FailWave((1, "late".into()).into()));
-    assert_eq!((doc.halted.as_deref(), doc.drains.contains_key(&3)), (None, false), "3 never went");
-    assert_eq!(doc.drains[&1].target_digest.as_deref(), Some("older"));
-    assert_eq!(doc.drains[&2].stage, DrainStage::Returning(7));
-    let mut w = ReleaseMonitor::default();
+fn a_roll_back_undoes_waves_in_reverse_from_the_middle_of_one() {
+    let state = restart(&begun(true), 0, 7, "old");
+    let state = restart(&apply(&state, Command::CompleteWave(0)), 1, 7, "older");
+    let state = apply(&drain(&state, 2, 7, "old"), failure(1, "late"));
+    assert_eq!((state.halted.as_deref(), state.drains.contains_key(&3)), (None, false), "3 never went");
+    assert_eq!(state.drains[&1].target_digest.as_deref(), Some("older"));
+    assert_eq!(state.drains[&2].stage, DrainStage::Returning(7));
+    let mut monitor = ReleaseMonitor::default();
     // It had ended already and comes back with what is undone: it goes once more.
-    let doc = then(&doc, Command::ReportServing((2, 8).into()));
+    let state = apply(&state, Command::ReportServing(of(2, 8)));
     assert_eq!(
-        (doc.drains[&2].stage, doc.drains[&2].target_digest.as_deref()),
+        (state.drains[&2].stage, state.drains[&2].target_digest.as_deref()),
         (DrainStage::Requested, Some("old"))
     );
-    let doc = round(&round(&doc, 1, 8, "new"), 2, 8, "new");
-    assert_eq!(w.next_command(S, &doc, &bounds(), &[]), Some(Command::CompleteWave(1)));
-    let doc = then(&doc, Command::CompleteWave(1));
-    assert_eq!(doc.drains[&0].target_digest.as_deref(), Some("old"));
-    assert_eq!(w.next_command(S, &doc, &bounds(), &[]), None);
-    let doc = then(&then(&doc, Command::ReportUpToDate(0)), Command::CompleteWave(0));
-    assert_eq!(doc.release.unwrap().phase, ReleasePhase::RolledBack("late".into()));
-    assert!(doc.drains.is_empty());
+    let state = restart(&restart(&state, 1, 8, "new"), 2, 8, "new");
+    assert_eq!(next(&mut monitor, S, &state, &[]), Some(Command::CompleteWave(1)));
+    let state = apply(&state, Command::CompleteWave(1));
+    assert_eq!(state.drains[&0].target_digest.as_deref(), Some("old"));
+    assert_eq!(next(&mut monitor, S, &state, &[]), None);
+    let state = apply(&apply(&state, Command::ReportUpToDate(0)), Command::CompleteWave(0));
+    assert_eq!(state.release.unwrap().phase, ReleasePhase::RolledBack("late".into()));
+    assert!(state.drains.is_empty());
 }
 
 #[test]
-fn what_is_not_fit_or_not_seen_goes_no_further() {
-    use crate::fleet_state::Rejection;
-    let doc = begun(false);
-    let again = Command::BeginRelease(ReleaseOrder {
-        order: "v3".into(),
-        artifact: "settings".into(),
-        digest: "x".into(),
-        waves: vec![vec![3]],
-        plan: plan(false),
-    });
-    assert_eq!(doc.apply(&again, &bounds(), &seen()).unwrap_err(), Rejection::ReleaseInProgress("v2".into()));
-    let unfit = then(&doc, Command::ReportUnfit((0, "does not parse".into()).into()));
+fn one_release_is_in_progress_at_a_time() {
+    let again = release("v3", "x", vec![vec![3]], false);
+    assert_eq!(rejection(&begun(false), &again, &view()), Rejection::ReleaseInProgress("v2".into()));
+}
+
+#[test]
+fn a_router_that_is_unfit_halts_the_release_before_any_drains() {
+    let unfit = UnfitReport { router: 0, cause: "does not parse".into() };
+    let unfit = apply(&begun(false), Command::ReportUnfit(unfit));
     assert_eq!(unfit.halted.as_deref(), Some("router 0: does not parse"));
     assert!(unfit.drains.is_empty(), "nobody drained");
-    let out = then(
-        &then(&doc, Command::AcquireReleaseLease((0, 7, "old".into()).into())),
-        Command::UseLease((0, 7).into()),
-    );
-    let blind = CouncilView { out_of_service: [0].into(), ..seen() };
-    assert_eq!(
-        out.apply(&Command::ReportServing((0, 8).into()), &bounds(), &blind).unwrap_err(),
-        Rejection::NotSeenServing
-    );
-    let mut doc = out;
-    for life in 8..=10 {
-        doc = then(&doc, Command::RetryRelease((0, life).into()));
-        if life < 10 {
-            doc = then(
-                &then(&doc, Command::AcquireReleaseLease((0, life, "old".into()).into())),
-                Command::UseLease((0, life).into()),
-            );
+}
+
+#[test]
+fn a_router_that_is_not_seen_serving_is_not_back() {
+    let out = drain(&begun(false), 0, 7, "old");
+    let blind = CouncilView { out_of_service: [0].into(), ..view() };
+    assert_eq!(rejection(&out, &Command::ReportServing(of(0, 8)), &blind), Rejection::NotSeenServing);
+}
+
+#[test]
+fn a_router_that_keeps_running_something_else_fails_the_release() {
+    let mut state = drain(&begun(false), 0, 7, "old");
+    for incarnation in 8..=10 {
+        state = apply(&state, Command::RetryRelease(of(0, incarnation)));
+        if incarnation < 10 {
+            state = drain(&state, 0, incarnation, "old");
         }
     }
-    assert!(matches!(doc.release.unwrap().phase, ReleasePhase::Failed(why) if why.contains("3 times")));
+    assert!(matches!(state.release.unwrap().phase, ReleasePhase::Failed(why) if why.contains("3 times")));
 }
