--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -5,7 +5,7 @@
 //! majority of the council has heard of each router ([`CouncilView`]). It is a pure function: the register of
 //! [`crate::register`] holds its results.
 //!
-//! Invariants, tested in `tests/fleet.rs` and beside this module:
+//! Invariants, tested in `tests/fleet` and beside this module:
 //!
 //! 1. A drain lease is granted only if with it no more routers are out of service than the limits allow, in the fleet and
 //!    in the router's zone. Routers count that are out by order, and those that any member of a majority of the council
--- a/consensus/src/register.rs
+++ b/consensus/src/register.rs
@@ -11,7 +11,7 @@
 //!
 //! The very first value is accepted by all members, each of them uninitialized, or not at all ([`bootstrap_value`]).
 //!
-//! Invariant, checked by the model in `tests/model.rs` and on a simulated network in `tests/net.rs`: of any two chosen
+//! Invariant, checked by the model in `tests/model.rs` and on a simulated network in `tests/net`: of any two chosen
 //! values, one was built on the other.
 
 mod acceptor;
