--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use tallypin::deployment::{self, Deployment, InvalidSetting};
+use tallypin::deployment::{self, Deployment};
 
 use crate::limits::Limits;
 use crate::node_list::Page;
@@ -122,9 +122,9 @@
         let file: File = crate::config::read(text)?;
         let deployment = deployment::parse(file.settings.get())
             .map_err(|e| Malformed::new(&format!("settings.{}", e.path()), e.inner()))?;
-        if let Some(InvalidSetting { path, expected }) = deployment.first_invalid() {
-            return Err(Malformed::new(&format!("settings.{path}"), format!("wanted: {expected}")));
-        }
+        deployment.validate().map_err(|invalid| {
+            Malformed::new(&format!("settings.{}", invalid.path), format!("wanted: {}", invalid.expected))
+        })?;
         let seed = u64::from_str_radix(&file.seed, 16)
             .map_err(|_| Malformed::new("seed", "not 1 to 16 hex digits"))?;
         if file.limits.sockets < 64 {
--- a/router/tests/core.rs
+++ b/router/tests/core.rs
@@ -235,7 +235,7 @@
 fn course(settings: &str, seed: u64) -> Vec<Order> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let of = tallypin::deployment::parse(settings).unwrap_or_else(|e| panic!("{e}: {settings}"));
-    assert_eq!(of.first_invalid(), None, "{settings}");
+    assert_eq!(of.validate(), Ok(()), "{settings}");
     let (set, resumed) = (of.decisions.clone(), of.resumes_streams);
     let mut core = Core::new(set.clone(), seed, 10 * MS).expect("usable");
     let row = |n: u32, state, started| EndpointEntry {
