--- a/src/effect.rs
+++ b/src/effect.rs
@@ -1,39 +1,41 @@
-//! What repeating a request does, and what follows from it: who may be refused, and what may be sent again.
+//! What repeating a request does, and what follows from it: when it may be rejected, and when a further attempt may be
+//! sent.
 
 use crate::api::{EndpointEntry, Nanos, SECOND};
 
-/// From the decision to send a further attempt to the arrival of its last byte, ns: a router may be held up between the two.
+/// The longest from the decision to send a further attempt to the arrival of its last byte: the router may be held up
+/// between the two.
 const MAX_WRITE_TIME: Nanos = 3 * SECOND / 20;
 
 /// What repeating a request would do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated and refused at will.
+    /// Nothing: it may be repeated and rejected at will.
     Idempotent,
     /// Repeats are dropped within `scope`, for `window` from the send of the first attempt that may have run.
     IdempotentByKey {
-        /// The replicas that know each other's requests.
+        /// The replicas that recognise each other's requests.
         scope: DeduplicationScope,
-        /// How long they remember.
+        /// How long they do.
         window: Nanos,
     },
-    /// The effect would happen again: repeated or refused only if no attempt can have run.
+    /// The effect would happen again: it is repeated or rejected only if no attempt can have run.
     NotIdempotent,
 }
 
-/// The replicas among which a [`Effect::IdempotentByKey`] request has its effect once.
+/// The replicas among which an [`Effect::IdempotentByKey`] request has its effect once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All of them.
     AllReplicas,
     /// Those in one zone.
     Zone,
-    /// Those of one cell (see [`ReplicaRow::cell`]).
+    /// Those of one cell (see [`EndpointEntry::cell`]).
     Cell,
 }
 
 impl Effect {
-    /// Whether a request may be answered as refused, which promises that a further try does no harm. `may_have_run`: a
+    /// Whether a request may be answered as rejected, which promises that another try does no harm. `may_have_run`: a
     /// replica may have run it, or may yet.
     pub fn may_reject(self, may_have_run: bool) -> bool {
         match self {
@@ -45,7 +47,7 @@
     }
 
     /// Whether a further attempt may be sent at `now` after one that may have run, sent at `sent`; to a replica of the same
-    /// group where there are groups. Time for the write is left: the window counts until the last byte has arrived.
+    /// scope where there are scopes. Time for the write is left: the window counts until the last byte has arrived.
     pub fn may_resend(self, now: Nanos, sent: Nanos) -> bool {
         match self {
             Effect::Idempotent => true,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod prefix_traffic;
 pub mod ready_replicas;
 mod rendezvous_hash;
+pub mod replica_set;
 pub mod served_report;
 pub mod start_time;
 mod state;
--- a/src/ready_replicas/tests.rs
+++ b/src/ready_replicas/tests.rs
@@ -15,19 +15,6 @@
 }
 
 proptest! {
-    /// Whatever comes and goes, in whatever order: the same as a set holds.
-    #[test]
-    fn members_are_a_set(changes in proptest::collection::vec((any::<bool>(), 0usize..40), 0..200)) {
-        let (mut members, mut set) = (ReplicaSet::default(), BTreeSet::new());
-        for (add, place) in changes {
-            let changed = if add { members.add(place) } else { members.remove(place) };
-            prop_assert_eq!(changed, if add { set.insert(place) } else { set.remove(&place) });
-            let mut all = members.all().to_vec();
-            all.sort_unstable();
-            prop_assert!(all.iter().eq(set.iter()));
-        }
-    }
-
     /// One more moves a key's candidates by itself and the one it takes the place of; gone again, all is as before.
     #[test]
     fn one_that_comes_or_goes_moves_little(n in MAX_SCANNED_REPLICAS + 1..2_000, key in any::<u64>(), far in any::<bool>()) {
--- /dev/null
+++ b/src/replica_set.rs
@@ -0,0 +1,46 @@
+//! A set of replicas from which one is drawn at random as cheaply as it is added or removed.
+
+/// Replicas by their index in the decision module's table, in no order. Adding, removing and drawing take the same time
+/// whatever their number.
+#[derive(Debug, Default)]
+pub struct ReplicaSet {
+    indices: Vec<usize>,
+    /// By index: its position in `indices`, plus one; 0 if it is not in the set.
+    positions: Vec<usize>,
+}
+
+impl ReplicaSet {
+    /// Adds a replica; false if it was in the set.
+    pub fn add(&mut self, index: usize) -> bool {
+        if self.positions.len() <= index {
+            self.positions.resize(index + 1, 0);
+        }
+        let new = self.positions[index] == 0;
+        if new {
+            self.indices.push(index);
+            self.positions[index] = self.indices.len();
+        }
+        new
+    }
+
+    /// Removes a replica; false if it was not in the set.
+    pub fn remove(&mut self, index: usize) -> bool {
+        let Some(at) = self.positions.get(index).and_then(|position| position.checked_sub(1)) else {
+            return false;
+        };
+        self.positions[index] = 0;
+        self.indices.swap_remove(at);
+        if let Some(&moved) = self.indices.get(at) {
+            self.positions[moved] = at + 1;
+        }
+        true
+    }
+
+    /// All replicas of the set.
+    pub fn all(&self) -> &[usize] {
+        &self.indices
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/served_report.rs
+++ b/src/served_report.rs
@@ -1,30 +1,34 @@
-//! The coding of served-hit reports: a digest of what the numbers of tenants mean, the span in ms, then (tenant, hits)
-//! pairs, all but the digest as varints. What is counted, when it is told and what is made of it stands in `choice.rs`.
+//! The coding of load reports between routers: what each has served. A message is a digest of what the numbers of tenants
+//! mean, the span in ms, then (tenant, served requests) pairs; all but the digest are varints. What is counted, when it is
+//! sent and what follows from it is decided in `choice/`.
+
+use std::fmt;
 
 use crate::name_hash;
 
-/// The form of reports; hashed into each digest, so that another form is another digest.
+/// The format of reports; hashed into each digest, so that another format is another digest. The text itself is never
+/// changed without a change of the format.
 const FORMAT: &str = "served hits, form 2";
-/// The most bytes of a message.
+/// The most bytes of a message; the platform's bound on what routers send each other.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// A count above this is no count.
+/// No router serves more requests of a tenant between two reports: a larger count is malformed.
 const MAX_COUNT: u64 = 1_000_000;
 
-/// Stands for the tenants of a gateway's settings, by name and order, and for the form of reports. A tenant's number means
-/// the same at two gateways only if their digests agree: not while a change of the settings is being rolled out, nor
+/// Stands for the tenants of a router's settings, by name and order, and for the format of reports. A tenant's number means
+/// the same at two routers only if their digests agree: not while a change of the settings is being rolled out, nor
 /// between versions of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TenantsDigest([u8; TenantsDigest::LENGTH]);
 
 impl TenantsDigest {
-    /// One of 16 million: enough to tell configurations apart, and few bytes, which have a price.
+    /// Bytes: one of 16 million digests, enough to tell configurations apart; each byte sent has a price.
     const LENGTH: usize = 3;
 
     /// The digest of tenants with these names, in this order.
     pub fn of_tenants<'a>(names: impl IntoIterator<Item = &'a str>) -> TenantsDigest {
         let mut text = FORMAT.to_string();
         for name in names {
-            // The length in front: no two lists of names make one text.
+            // With the length in front no two lists of names make the same text.
             text += &format!("\n{} {name}", name.len());
         }
         let [.., a, b, c] = name_hash::text_digest(text.as_bytes()).to_be_bytes();
@@ -32,85 +36,101 @@
     }
 }
 
-/// Why a message is no report to go by.
+/// Why a message is no usable report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportError {
-    /// Its sender has other tenants, or reports in another form.
+    /// Its sender has other tenants, or reports in another format.
     ForeignDigest,
-    /// It is too long, torn, or says what cannot be.
+    /// It is too long, cut short, or states an impossible number.
     Malformed,
 }
 
-/// A report: what a gateway has served.
+impl fmt::Display for ReportError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ReportError::ForeignDigest => "a report of a router with other tenants or of another version",
+            ReportError::Malformed => "a malformed report",
+        })
+    }
+}
+
+impl std::error::Error for ReportError {}
+
+/// A report: what a router has served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServedReport {
-    /// Within so many milliseconds.
+    /// Within this time, ms.
     pub span_ms: u64,
-    /// Tenants and their hits.
+    /// Tenants, and the requests of each that were served.
     pub served: Vec<(u32, u32)>,
 }
 
-fn put(mut x: u64, to: &mut Vec<u8>) {
-    while x >= 0x80 {
-        to.push(x as u8 | 0x80);
-        x >>= 7;
+/// Appends a number as a varint: seven bits a byte, the lowest first, the high bit set in all but the last.
+fn write_varint(mut number: u64, to: &mut Vec<u8>) {
+    while number >= 0x80 {
+        to.push(number as u8 | 0x80);
+        number >>= 7;
     }
-    to.push(x as u8);
+    to.push(number as u8);
 }
 
-fn get(bytes: &[u8], at: &mut usize) -> Option<u64> {
-    let mut x = 0u64;
+/// Reads the varint at `at` and moves behind it; `None` if it is cut short or has more than five bytes.
+fn read_varint(bytes: &[u8], at: &mut usize) -> Option<u64> {
+    let mut number = 0u64;
     for shift in (0..35).step_by(7) {
-        let b = *bytes.get(*at)?;
+        let byte = *bytes.get(*at)?;
         *at += 1;
-        x |= u64::from(b & 0x7f) << shift;
-        if b < 0x80 {
-            return Some(x);
+        number |= u64::from(byte & 0x7f) << shift;
+        if byte < 0x80 {
+            return Some(number);
         }
     }
     None
 }
 
-/// Messages that hold `counts` of (hits, tenant) in the order given.
-pub fn encode(digest: TenantsDigest, ms: u64, counts: &[(u32, u32)]) -> Vec<Vec<u8>> {
-    let mut all: Vec<Vec<u8>> = Vec::new();
+/// Messages that hold `counts` of (served requests, tenant) in the order given; none without counts.
+pub fn encode(digest: TenantsDigest, span_ms: u64, counts: &[(u32, u32)]) -> Vec<Vec<u8>> {
+    let mut messages: Vec<Vec<u8>> = Vec::new();
     for &(count, tenant) in counts {
         let mut pair = Vec::new();
-        put(u64::from(tenant), &mut pair);
-        put(u64::from(count), &mut pair);
-        match all.last_mut() {
+        write_varint(u64::from(tenant), &mut pair);
+        write_varint(u64::from(count), &mut pair);
+        match messages.last_mut() {
             Some(last) if last.len() + pair.len() <= MAX_MESSAGE_BYTES => last.extend(pair),
             _ => {
                 let mut message = digest.0.to_vec();
-                put(ms, &mut message);
+                write_varint(span_ms, &mut message);
                 message.extend(pair);
-                all.push(message);
+                messages.push(message);
             }
         }
     }
-    all
+    messages
 }
 
-/// Reads a message that a gateway with the same digest has written; all of it or nothing.
+/// Reads a message that a router with the same digest has written; all of it or nothing.
+///
+/// # Errors
+/// The message is of a router with another digest, or malformed.
 pub fn decode(digest: TenantsDigest, bytes: &[u8]) -> Result<ServedReport, ReportError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(ReportError::Malformed);
     }
     let body = bytes.strip_prefix(&digest.0).ok_or(ReportError::ForeignDigest)?;
-    read(body).ok_or(ReportError::Malformed)
+    read_body(body).ok_or(ReportError::Malformed)
 }
 
-fn read(body: &[u8]) -> Option<ServedReport> {
+fn read_body(body: &[u8]) -> Option<ServedReport> {
     let mut at = 0;
-    let span_ms = get(body, &mut at)?;
-    let mut hits = Vec::new();
+    let span_ms = read_varint(body, &mut at)?;
+    let mut served = Vec::new();
     while at < body.len() {
-        let tenant = get(body, &mut at)?;
-        let count = get(body, &mut at)?;
+        let tenant = read_varint(body, &mut at)?;
+        let count = read_varint(body, &mut at)?;
         if count > MAX_COUNT {
             return None;
         }
-        hits.push((u32::try_from(tenant).ok()?, u32::try_from(count).ok()?));
+        served.push((u32::try_from(tenant).ok()?, u32::try_from(count).ok()?));
     }
-    Some(ServedReport { span_ms, served: hits })
+    Some(ServedReport { span_ms, served })
 }
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -1,25 +1,28 @@
-//! When a replica started, as far as the list's word on it can be believed.
+//! When a replica started, as far as the endpoint list can be believed.
 //!
-//! Starts are told as wall time, and wall clocks are stepped: a start may seem to lie ahead, or so long ago that a replica
-//! that has just started would pass for warm. What the gateway knows by its own clock, which never steps, bounds it: a
-//! replica cannot have started later than now, nor before the list was last held without that start.
+//! The list states starts as wall time, and wall clocks are stepped: a start may seem to lie ahead, or so long ago that a
+//! replica that has just started would pass for warm. What the router knows by its own clock, which never steps, bounds
+//! it: a replica cannot have started later than now, nor before the list was last known to be complete without that
+//! start.
 
 use crate::api::{Nanos, SECOND};
 
-/// The list may tell of a start so late.
+/// The list may state a start so long after it.
 const MAX_NOTIFICATION_DELAY: Nanos = 2 * SECOND;
-/// A subscription that has ended may have told nothing for so long before that was seen.
+/// A watch that has ended may have been silent for so long before that was detected.
 const MAX_UNDETECTED_SILENCE: Nanos = 4 * SECOND;
 
-/// Until when a list is known to have told all there was to tell.
+/// Until when the endpoint list is known to be complete.
 #[derive(Debug, Default)]
 pub struct ListCoverage {
+    /// A watch follows the list: it is complete until now.
     watched: bool,
+    /// Until when it was complete, once it is not watched.
     complete_until: Nanos,
 }
 
 impl ListCoverage {
-    /// A list of now has come, and changes follow it.
+    /// A current list has come, and its changes follow.
     pub fn watch_began(&mut self) {
         self.watched = true;
     }
@@ -31,12 +34,12 @@
         }
     }
 
-    /// When a replica started whose start, told as `start`, is new to the gateway at `now`.
+    /// When a replica started whose stated start `start` is new to the router at `now`.
     pub fn plausible_start(&self, now: Nanos, start: Nanos) -> Nanos {
-        let held_until = if self.watched { now } else { self.complete_until };
+        let complete_until = if self.watched { now } else { self.complete_until };
         let start = start.min(now);
-        if start.saturating_add(MAX_NOTIFICATION_DELAY) < held_until {
-            return held_until;
+        if start.saturating_add(MAX_NOTIFICATION_DELAY) < complete_until {
+            return complete_until;
         }
         start
     }
