--- a/src/view.rs
+++ b/src/view.rs
@@ -32,18 +32,22 @@
 impl Balancer {
     /// The replicas that take work, as the module sees them at `now`.
     pub fn view(&self, now: Nanos) -> Vec<Seen> {
-        let ready = self.replicas.iter().filter(|r| r.row.state == EndpointState::Ready);
+        let ready = self.replicas.iter().filter(|r| r.entry.state == EndpointState::Ready);
         ready
             .map(|r| Seen {
-                replica: r.row.replica,
-                open: r.open,
-                waiting: r.waiting.len(),
-                wait: r.wait as Nanos,
-                sampled: (r.sampled_at > 0).then(|| now.saturating_sub(r.sampled_at)),
+                replica: r.entry.replica,
+                open: r.in_flight,
+                waiting: r.awaiting_first_token.len(),
+                wait: r.first_token_wait as Nanos,
+                sampled: (r.wait_sampled_at > 0).then(|| now.saturating_sub(r.wait_sampled_at)),
                 excluded: r.ejected_until.saturating_sub(now),
-                cold: self.is_cold(now, r),
-                warmth: self.warmth(now, r),
-                pace: r.pace.relative_duration(now, self.fleet.mean_pace, self.warmth(now, r)),
+                cold: self.is_warming_up(now, r),
+                warmth: self.capacity_share(now, r),
+                pace: r.decode_rate.relative_duration(
+                    now,
+                    self.statistics.mean_stream_s,
+                    self.capacity_share(now, r),
+                ),
             })
             .collect()
     }
