--- a/src/choice.rs
+++ b/src/choice.rs
@@ -143,36 +143,37 @@
 
 impl Balancer {
     /// A gateway that has just started. Settings that cannot be decided by are refused.
-    pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
-        set.check()?;
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
         let mut rng = Rng::with_seed(seed);
-        let n = set.router_count as f64;
-        let period = (REPORT_PERIOD_PER_ROUTER_S * n).clamp(REPORT_PERIOD_RANGE_S.0, REPORT_PERIOD_RANGE_S.1);
+        let router_count = settings.router_count as f64;
+        let period = (REPORT_PERIOD_PER_ROUTER_S * router_count)
+            .clamp(REPORT_PERIOD_RANGE_S.0, REPORT_PERIOD_RANGE_S.1);
         // Without tenants all traffic is one tenant without a limit: same path, bucket never empty.
-        let quotas: Vec<f64> = match set.tenants.is_empty() {
+        let quotas: Vec<f64> = match settings.tenants.is_empty() {
             true => vec![f64::INFINITY],
-            false => set.tenants.iter().map(|t| t.quota_per_s).collect(),
+            false => settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
         };
         let bucket = |quota: f64, rng: &mut Rng| LeakyBucket {
             quota_per_s: quota,
             refill_per_s: quota,
             // Guards against N full bursts after a start or restart: each gateway begins with its share.
-            tokens: BURST_SECONDS * quota / n * 2.0 * rng.f64().max(0.01),
+            tokens: BURST_SECONDS * quota / router_count * 2.0 * rng.f64().max(0.01),
             updated_at: 0,
             served_since_report: 0,
             own_served_per_s: 0.0,
             peers_served_per_s: 0.0,
             drain_integral: 0.0,
-            peers: vec![PeerRate::default(); set.router_count as usize],
+            peers: vec![PeerRate::default(); settings.router_count as usize],
         };
-        let buckets = quotas.iter().map(|&q| bucket(q, &mut rng)).collect();
+        let buckets = quotas.iter().map(|&quota| bucket(quota, &mut rng)).collect();
         Ok(Balancer {
             rng,
             started: false,
             replicas: Vec::new(),
             slots: FxHashMap::default(),
             membership: ReadyReplicas::default(),
-            other_zone_weight: (-set.cross_zone_cost / CROSS_ZONE_PREFERENCE_SCALE).exp().max(1e-6),
+            other_zone_weight: (-settings.cross_zone_cost / CROSS_ZONE_PREFERENCE_SCALE).exp().max(1e-6),
             warming_up: ReplicaSet::default(),
             candidates: Vec::with_capacity(
                 MAX_PREFERRED_REPLICAS + RANDOM_CANDIDATES * 2 + MAX_WARMING_CANDIDATES + 1,
@@ -188,7 +189,7 @@
             list_held: ListCoverage::default(),
             statistics: ReplicaStatistics::with_load_level(OVERLOAD_LOAD_LEVEL),
             attempt_checks: BinaryHeap::new(),
-            settings: set,
+            settings,
         })
     }
 
@@ -210,7 +211,7 @@
             Event::Timer(ATTEMPT_CHECK_TIMER) => self.check_attempts(now, out),
             Event::Timer(_) => {}
             Event::ProbeEnded { replica, outcome, load } => match self.slots.get(&replica) {
-                Some(&i) if outcome == Outcome::Completed => self.record_load_report(now, i, &load),
+                Some(&slot) if outcome == Outcome::Completed => self.record_load_report(now, slot, &load),
                 _ => {}
             },
             Event::PeerMessage { from, bytes } => self.apply_peer_report(now, from, &bytes),
@@ -220,18 +221,18 @@
     fn start(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.started = true;
         (self.statistics.started_at, self.last_report_at) = (now, now);
-        for b in &mut self.buckets {
-            b.updated_at = now;
-            b.peers.iter_mut().for_each(|p| p.updated_at = now);
+        for bucket in &mut self.buckets {
+            bucket.updated_at = now;
+            bucket.peers.iter_mut().for_each(|peer| peer.updated_at = now);
         }
         // Staggered, so that peers' reports do not land together.
         let phase =
             self.report_period * u64::from(self.settings.own_index.0) / u64::from(self.settings.router_count);
         out.push(Action::WakeAt { at: now + self.report_period / 2 + phase, token: REPORT_TIMER });
-        if let EndpointListMode::Polled { max_poll_interval: must_ask_in } = self.settings.list_mode {
+        if let EndpointListMode::Polled { max_poll_interval } = self.settings.list_mode {
             // All gateways may have started together: the list could not answer them at once.
             let jitter = 0.3 * self.rng.f64();
-            self.schedule_poll(now + (must_ask_in as f64 * jitter) as Nanos, out);
+            self.schedule_poll(now + (max_poll_interval as f64 * jitter) as Nanos, out);
         }
     }
 
@@ -241,16 +242,16 @@
         &mut self,
         now: Nanos,
         kind: ListUpdate,
-        rows: Vec<EndpointEntry>,
+        entries: Vec<EndpointEntry>,
         out: &mut Vec<Action>,
     ) {
         if kind == ListUpdate::Failed {
             self.list_held.watch_ended(now);
             // Either a call failed or the subscription ended, which is not said: ask again, later each time.
-            if let EndpointListMode::Polled { max_poll_interval: must_ask_in } = self.settings.list_mode {
+            if let EndpointListMode::Polled { max_poll_interval } = self.settings.list_mode {
                 self.list_polling.subscribed = false;
                 self.list_polling.failures = (self.list_polling.failures + 1).min(4);
-                let wait = must_ask_in as f64 * 0.1 * f64::from(self.list_polling.failures);
+                let wait = max_poll_interval as f64 * 0.1 * f64::from(self.list_polling.failures);
                 let wait = wait.min(MAX_LIST_POLL_DELAY as f64) * (0.5 + 0.5 * self.rng.f64());
                 self.schedule_poll(now + wait as Nanos, out);
             }
@@ -262,30 +263,31 @@
         }
         if kind != ListUpdate::Delta {
             // Whoever is not in a full list is gone.
-            let listed: FxHashSet<_> = rows.iter().map(|r| r.replica).collect();
-            for i in 0..self.replicas.len() {
-                let row = &self.replicas[i].entry;
-                if !listed.contains(&row.replica) {
-                    self.apply_entry(i, EndpointEntry { state: EndpointState::Gone, ..row.clone() });
+            let listed: FxHashSet<_> = entries.iter().map(|entry| entry.replica).collect();
+            for slot in 0..self.replicas.len() {
+                let entry = &self.replicas[slot].entry;
+                if !listed.contains(&entry.replica) {
+                    self.apply_entry(slot, EndpointEntry { state: EndpointState::Gone, ..entry.clone() });
                 }
             }
         }
-        for row in rows {
-            match self.slots.get(&row.replica) {
-                Some(&i) => {
+        for entry in entries {
+            match self.slots.get(&entry.replica) {
+                Some(&slot) => {
                     // Another start, earlier or later: a clock that was set back tells an earlier one.
-                    let restarted = row.started_at != self.replicas[i].entry.started_at && row.started_at > 0;
-                    self.apply_entry(i, row);
+                    let restarted =
+                        entry.started_at != self.replicas[slot].entry.started_at && entry.started_at > 0;
+                    self.apply_entry(slot, entry);
                     if restarted {
-                        self.reset_replica(now, i);
+                        self.reset_replica(now, slot);
                     }
                 }
-                None if row.state == EndpointState::Gone => {}
+                None if entry.state == EndpointState::Gone => {}
                 None => {
-                    let i = self.allocate_slot();
-                    self.slots.insert(row.replica, i);
-                    self.apply_entry(i, row);
-                    self.reset_replica(now, i);
+                    let slot = self.allocate_slot();
+                    self.slots.insert(entry.replica, slot);
+                    self.apply_entry(slot, entry);
+                    self.reset_replica(now, slot);
                 }
             }
         }
@@ -296,59 +298,68 @@
     }
 
     /// The list's word on a replica.
-    fn apply_entry(&mut self, i: usize, row: EndpointEntry) {
-        let was = std::mem::replace(&mut self.replicas[i].entry, row);
-        self.membership.apply_entry(i, &was, &self.replicas[i].entry, self.settings.zone);
-        self.update_warming_up(i);
+    fn apply_entry(&mut self, slot: usize, entry: EndpointEntry) {
+        let previous = std::mem::replace(&mut self.replicas[slot].entry, entry);
+        self.membership.apply_entry(slot, &previous, &self.replicas[slot].entry, self.settings.zone);
+        self.update_warming_up(slot);
     }
 
     /// Keeps the cold apart: those that are ready and taken for cold. Rule 3: no others.
-    fn update_warming_up(&mut self, i: usize) {
-        let r = &self.replicas[i];
-        match r.entry.state == EndpointState::Ready && r.warming_up_since.is_some() {
-            true => self.warming_up.add(i),
-            false => self.warming_up.remove(i),
+    fn update_warming_up(&mut self, slot: usize) {
+        let replica = &self.replicas[slot];
+        match replica.entry.state == EndpointState::Ready && replica.warming_up_since.is_some() {
+            true => self.warming_up.add(slot),
+            false => self.warming_up.remove(slot),
         };
     }
 
     /// A place for a new replica: that of one gone for good, or one more.
     fn allocate_slot(&mut self) -> usize {
-        let Some(i) = self.membership.reuse_index(|i| self.replicas[i].in_flight == 0) else {
+        let Some(slot) = self.membership.reuse_index(|slot| self.replicas[slot].in_flight == 0) else {
             self.replicas.push(Replica::default());
             return self.replicas.len() - 1;
         };
-        let left = std::mem::take(&mut self.replicas[i]);
-        self.slots.remove(&left.entry.replica);
-        i
+        let gone = std::mem::take(&mut self.replicas[slot]);
+        self.slots.remove(&gone.entry.replica);
+        slot
     }
 
     /// A replica is new or has started again: nothing known of it holds any longer.
-    fn reset_replica(&mut self, now: Nanos, i: usize) {
+    fn reset_replica(&mut self, now: Nanos, slot: usize) {
         // Spaced evenly short of a request: somewhere one can be sent at any time, and never by all at once.
-        let row = &self.replicas[i].entry;
-        let turn =
-            turn(mix(row.replica.0, row.started_at), self.settings.own_index.0, self.settings.router_count);
-        let (cold, peak) = (self.settings.warm_up_time, self.statistics.highest_wait);
-        let r = &mut self.replicas[i];
-        (r.first_token_wait, r.wait_sampled_at, r.decode_rate) = (peak, 0, DecodeRate::default());
-        (r.consecutive_failures, r.next_ejection, r.ejected_until, r.half_open_check) =
-            (0, EJECTION_TIME_RANGE.0, 0, false);
-        (r.prefill_backlog, r.backlog_reported_at, r.last_completed_at) = (0.0, 0, 0);
-        let start = r.entry.started_at;
-        let believed = self.list_held.plausible_start(now, start);
-        r.warming_up_since = (start > 0 && now < believed.saturating_add(cold)).then_some(believed);
-        (r.slow_start_credit, r.credit_updated_at) = (1.0 - turn, now);
-        self.update_warming_up(i);
+        let entry = &self.replicas[slot].entry;
+        let turn = turn(
+            mix(entry.replica.0, entry.started_at),
+            self.settings.own_index.0,
+            self.settings.router_count,
+        );
+        let (warm_up_time, highest_wait) = (self.settings.warm_up_time, self.statistics.highest_wait);
+        let replica = &mut self.replicas[slot];
+        (replica.first_token_wait, replica.wait_sampled_at, replica.decode_rate) =
+            (highest_wait, 0, DecodeRate::default());
+        (
+            replica.consecutive_failures,
+            replica.next_ejection,
+            replica.ejected_until,
+            replica.half_open_check,
+        ) = (0, EJECTION_TIME_RANGE.0, 0, false);
+        (replica.prefill_backlog, replica.backlog_reported_at, replica.last_completed_at) = (0.0, 0, 0);
+        let started_at = replica.entry.started_at;
+        let believed_start = self.list_held.plausible_start(now, started_at);
+        replica.warming_up_since =
+            (started_at > 0 && now < believed_start.saturating_add(warm_up_time)).then_some(believed_start);
+        (replica.slow_start_credit, replica.credit_updated_at) = (1.0 - turn, now);
+        self.update_warming_up(slot);
     }
 
     fn poll_list(&mut self, now: Nanos, out: &mut Vec<Action>) {
         match self.settings.list_mode {
-            EndpointListMode::Polled { max_poll_interval: must_ask_in }
+            EndpointListMode::Polled { max_poll_interval }
                 if !self.list_polling.subscribed && now >= self.list_polling.next_poll_at =>
             {
                 out.push(Action::WatchEndpoints);
                 // The answer may be lost: ask again in good time.
-                self.schedule_poll(now + must_ask_in / 2, out);
+                self.schedule_poll(now + max_poll_interval / 2, out);
             }
             _ => {}
         }
@@ -364,34 +375,37 @@
     /// Takes a token; false if the bucket holds none.
     fn take_token(&mut self, now: Nanos, tenant: usize) -> bool {
         self.refill_bucket(now, tenant);
-        let b = &mut self.buckets[tenant];
-        let granted = b.tokens > 1.0 - 1e-6;
-        b.tokens -= f64::from(u8::from(granted));
+        let bucket = &mut self.buckets[tenant];
+        let granted = bucket.tokens > 1.0 - 1e-6;
+        bucket.tokens -= f64::from(u8::from(granted));
         granted
     }
 
     fn refill_bucket(&mut self, now: Nanos, tenant: usize) {
-        let n = f64::from(self.settings.router_count);
+        let router_count = f64::from(self.settings.router_count);
         // Exception: what is late, lost or refused by chance leaves a tenant short of its quota. While first
         // tokens come early there is room to make up for it.
         let headroom = MAX_HEADROOM * (1.0 - self.statistics.load_level / NO_HEADROOM_LOAD_LEVEL).max(0.0);
         // Exception: once first tokens take most of the aim, all tenants are cut alike, before all come late.
-        let cut = (OVERLOAD_LOAD_LEVEL / self.statistics.load_level.max(1e-9)).clamp(MIN_QUOTA_SHARE, 1.0);
-        let b = &mut self.buckets[tenant];
-        let dt = now.saturating_sub(b.updated_at) as f64 / SECOND as f64;
-        b.updated_at = now;
-        if b.quota_per_s.is_infinite() {
-            b.tokens = f64::INFINITY;
+        let overload_cut =
+            (OVERLOAD_LOAD_LEVEL / self.statistics.load_level.max(1e-9)).clamp(MIN_QUOTA_SHARE, 1.0);
+        let bucket = &mut self.buckets[tenant];
+        let elapsed_s = now.saturating_sub(bucket.updated_at) as f64 / SECOND as f64;
+        bucket.updated_at = now;
+        if bucket.quota_per_s.is_infinite() {
+            bucket.tokens = f64::INFINITY;
             return;
         }
         // Exception to plain subtraction: between reports the bucket drains by the peers' smoothed rate,
         // scaled down where all together are over quota, so that gateways share the quota as they do the
         // traffic. Guards against buckets that refill unseen and reopen in step at every gateway.
-        b.refill_per_s = b.quota_per_s * (1.0 + headroom) * cut;
-        let (scale, share) = b.drain_share(n);
-        b.drain_integral += scale * dt;
-        let cap = (BURST_SECONDS * b.refill_per_s * share).max(MIN_BURST_TOKENS);
-        b.tokens = (b.tokens + (b.refill_per_s - scale * b.peers_served_per_s) * dt).clamp(-cap, cap);
+        bucket.refill_per_s = bucket.quota_per_s * (1.0 + headroom) * overload_cut;
+        let (drained_share, own_share) = bucket.drain_share(router_count);
+        bucket.drain_integral += drained_share * elapsed_s;
+        let max_tokens = (BURST_SECONDS * bucket.refill_per_s * own_share).max(MIN_BURST_TOKENS);
+        bucket.tokens = (bucket.tokens
+            + (bucket.refill_per_s - drained_share * bucket.peers_served_per_s) * elapsed_s)
+            .clamp(-max_tokens, max_tokens);
     }
 
     fn handle_request(&mut self, now: Nanos, mut request: Request, out: &mut Vec<Action>) {
@@ -405,56 +419,60 @@
         self.statistics.record_arrival();
         let deadline = now.saturating_add(request.time_left);
         // A stream that comes back was paid for when it first came.
-        let returned = request.resumes_stream;
-        let paid = returned || self.take_token(now, tenant);
-        let open =
-            RequestState { quota_charged: paid && !returned, ..RequestState::new(now, deadline, request) };
+        let resumes_stream = request.resumes_stream;
+        let admitted = resumes_stream || self.take_token(now, tenant);
+        let state = RequestState {
+            quota_charged: admitted && !resumes_stream,
+            ..RequestState::new(now, deadline, request)
+        };
         // Refused early: no token, or no replica that would begin in time.
-        let pick = if paid { self.select_replica(now, &open) } else { None };
-        let pick = pick.filter(|p| self.begins_in_time(now, &open, p));
-        self.requests.insert(id, open);
+        let selection = if admitted { self.select_replica(now, &state) } else { None };
+        let selection = selection.filter(|selection| self.begins_in_time(now, &state, selection));
+        self.requests.insert(id, state);
         self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
-        match pick {
-            Some(p) => self.send_attempt(now, id, p, out),
-            None if paid => self.reject_no_capacity(id, out),
+        match selection {
+            Some(selection) => self.send_attempt(now, id, selection, out),
+            None if admitted => self.reject_no_capacity(id, out),
             None => self.reject_quota_exceeded(id, tenant, out),
         }
     }
 
-    fn latency_objective(&self, r: &Request) -> f64 {
-        self.settings.classes[r.class.0 as usize].latency_objective_for(r.prompt_tokens)
+    fn latency_objective(&self, request: &Request) -> f64 {
+        self.settings.classes[request.class.0 as usize].latency_objective_for(request.prompt_tokens)
     }
 
     /// Whether an attempt is likely to begin in time: the replica is not known to take longer, and there is
     /// left what first tokens take on the average. What is called off costs replicas work, and others time.
-    fn begins_in_time(&self, now: Nanos, open: &RequestState, pick: &Selection) -> bool {
-        let left = open.deadline.saturating_sub(now) as f64;
-        let mean = self.statistics.load_level_at(now) * self.latency_objective(&open.request);
-        pick.predicted_wait < self.first_token_wanted_within(now, open) && mean < left
+    fn begins_in_time(&self, now: Nanos, state: &RequestState, selection: &Selection) -> bool {
+        let time_left = state.deadline.saturating_sub(now) as f64;
+        let usual_wait = self.statistics.load_level_at(now) * self.latency_objective(&state.request);
+        selection.predicted_wait < self.first_token_wanted_within(now, state) && usual_wait < time_left
     }
 
     /// So many ns from now a first token is wanted: before the client leaves; under strain within the aim,
     /// where late answers earn less. Those that lost their kept tokens would delay the others.
-    fn first_token_wanted_within(&self, now: Nanos, open: &RequestState) -> f64 {
-        let (r, left) = (&open.request, open.deadline.saturating_sub(now) as f64);
-        let late_pays = r.resumes_stream || self.settings.classes[r.class.0 as usize].late_value_share >= 1.0;
-        let bound = !late_pays && self.statistics.load_level_at(now) >= HEDGE_MAX_LOAD_LEVEL;
-        left.min(if bound {
-            self.latency_objective(r) - now.saturating_sub(open.arrived_at) as f64
+    fn first_token_wanted_within(&self, now: Nanos, state: &RequestState) -> f64 {
+        let (request, time_left) = (&state.request, state.deadline.saturating_sub(now) as f64);
+        let late_has_full_value =
+            request.resumes_stream || self.settings.classes[request.class.0 as usize].late_value_share >= 1.0;
+        let within_objective =
+            !late_has_full_value && self.statistics.load_level_at(now) >= HEDGE_MAX_LOAD_LEVEL;
+        time_left.min(if within_objective {
+            self.latency_objective(request) - now.saturating_sub(state.arrived_at) as f64
         } else {
-            left
+            time_left
         })
     }
 
     // ---- Selection ----
 
-    fn smoothed_wait(&self, now: Nanos, r: &Replica) -> f64 {
-        if r.wait_sampled_at == 0 {
-            return self.statistics.highest_wait.max(r.first_token_wait);
+    fn smoothed_wait(&self, now: Nanos, replica: &Replica) -> f64 {
+        if replica.wait_sampled_at == 0 {
+            return self.statistics.highest_wait.max(replica.first_token_wait);
         }
         self.statistics.first_token_wait
-            + (r.first_token_wait - self.statistics.first_token_wait)
-                * sample_freshness(now, r.wait_sampled_at)
+            + (replica.first_token_wait - self.statistics.first_token_wait)
+                * sample_freshness(now, replica.wait_sampled_at)
     }
 
     /// Nanoseconds to read a prompt token, fitted to the own first tokens.
@@ -463,170 +481,191 @@
         self.statistics.prefill_fit.slope(prior).clamp(prior / 10.0, prior * 5.0)
     }
 
-    fn select_replica(&mut self, now: Nanos, open: &RequestState) -> Option<Selection> {
+    fn select_replica(&mut self, now: Nanos, state: &RequestState) -> Option<Selection> {
         if self.membership.ready.all().is_empty() {
             return None;
         }
-        let r = &open.request;
-        let per_token = self.prefill_ns_per_token();
-        let aim = self.latency_objective(r);
-        let (prompt, prefix) = (f64::from(r.prompt_tokens), f64::from(r.prefix_tokens));
-        let session = r.session.map_or(0, |s| s.0);
-        let mut found = std::mem::take(&mut self.candidates);
-        found.clear();
-        let mut known = usize::MAX;
-        if let Some(key) = r.prefix.map(|p| p.0).or(r.session.map(|s| s.0)) {
-            let (near, all) =
+        let request = &state.request;
+        let ns_per_token = self.prefill_ns_per_token();
+        let objective = self.latency_objective(request);
+        let (prompt, prefix) = (f64::from(request.prompt_tokens), f64::from(request.prefix_tokens));
+        let session = request.session.map_or(0, |s| s.0);
+        let mut candidates = std::mem::take(&mut self.candidates);
+        candidates.clear();
+        let mut session_holder = usize::MAX;
+        if let Some(key) = request.prefix.map(|selection| selection.0).or(request.session.map(|s| s.0)) {
+            let (own_zone, ready) =
                 (self.membership.nearby.all().len() as f64, self.membership.ready.all().len() as f64);
-            let reach = near + (all - near) * self.other_zone_weight;
+            let reach = own_zone + (ready - own_zone) * self.other_zone_weight;
             // Told by few requests the share is a guess, another one at each gateway. As far as it is, all
             // are homes, which gateways agree on: a session's turns meet at one, whoever gets them.
-            let share = self.prefix_traffic.share(r.prefix, 1.0 / PREFERRED_PER_SHARE, PREFIX_SHARE_DOUBT);
+            let share =
+                self.prefix_traffic.share(request.prefix, 1.0 / PREFERRED_PER_SHARE, PREFIX_SHARE_DOUBT);
             let spread = share * reach * PREFERRED_PER_SHARE;
             // More homes than a pick looks at: the beginning is split; gateways agree on a session's part.
             let parts = (spread / MAX_PREFERRED_REPLICAS as f64).max(1.0).log2().ceil().exp2();
             let key = if parts > 1.0 { mix(key, mix(session, 0) % parts as u64) } else { key };
             let spread = (spread / parts).clamp(MIN_PREFERRED, MAX_PREFERRED_REPLICAS as f64);
-            let homes =
-                self.membership.preferred_replicas(key, self.settings.zone, self.other_zone_weight, |i| {
-                    &self.replicas[i].entry
+            let preferred =
+                self.membership.preferred_replicas(key, self.settings.zone, self.other_zone_weight, |slot| {
+                    &self.replicas[slot].entry
                 });
             // Among the homes a session has one of its own, drawn by weighted rendezvous: gateways whose
             // views of the beginning's share differ a little still agree for most sessions.
-            let mut own = (f64::MAX, 0);
-            for (rank, &i) in homes.iter().enumerate() {
+            let mut closest = (f64::MAX, 0);
+            for (rank, &slot) in preferred.iter().enumerate() {
                 let weight = (-(rank as f64) / spread).exp();
-                let row = &self.replicas[i].entry;
-                let race = unit_race(mix(session, row.replica.0))
-                    / (weight * self.statistics.speed_of_kind(row.kind));
-                if race < own.0 {
-                    own = (race, rank);
+                let entry = &self.replicas[slot].entry;
+                let draw = unit_race(mix(session, entry.replica.0))
+                    / (weight * self.statistics.speed_of_kind(entry.kind));
+                if draw < closest.0 {
+                    closest = (draw, rank);
                 }
-                found.push((i, prompt - prefix * weight.max(self.statistics.cached_elsewhere)));
+                candidates.push((slot, prompt - prefix * weight.max(self.statistics.cached_elsewhere)));
             }
-            if r.session.is_some() {
+            if request.session.is_some() {
                 // Its home, unless its last answer here began elsewhere: then the rest was read there.
                 let holder = self.sessions.last_replica(now, session);
-                let place = holder.and_then(|h| self.slots.get(&h.replica).copied().zip(Some(h)));
-                let held = place.filter(|&(i, h)| self.replicas[i].holds_session(&h));
-                match held.filter(|&(i, _)| i != homes[own.1]) {
-                    None => found[own.1].1 = 0.0,
-                    Some((i, h)) => {
-                        let unread = (prompt - f64::from(h.tokens)).max(0.0);
-                        match found.iter_mut().find(|f| f.0 == i) {
-                            Some(f) => f.1 = f.1.min(unread),
-                            None => found.push((i, unread)),
+                let located =
+                    holder.and_then(|holder| self.slots.get(&holder.replica).copied().zip(Some(holder)));
+                let held = located.filter(|&(slot, holder)| self.replicas[slot].holds_session(&holder));
+                match held.filter(|&(slot, _)| slot != preferred[closest.1]) {
+                    None => candidates[closest.1].1 = 0.0,
+                    Some((slot, holder)) => {
+                        let prefill_tokens = (prompt - f64::from(holder.tokens)).max(0.0);
+                        match candidates.iter_mut().find(|candidate| candidate.0 == slot) {
+                            Some(candidate) => candidate.1 = candidate.1.min(prefill_tokens),
+                            None => candidates.push((slot, prefill_tokens)),
                         }
                     }
                 }
-                known = held.map_or(known, |(i, _)| i);
+                session_holder = held.map_or(session_holder, |(slot, _)| slot);
             }
         }
         for k in 0..RANDOM_CANDIDATES * 2 {
-            let (near, ready) = (self.membership.nearby.all(), self.membership.ready.all());
-            let pool = if k < RANDOM_CANDIDATES && !near.is_empty() { near } else { ready };
-            let i = pool[self.rng.usize(..pool.len())];
-            if !found.iter().any(|f| f.0 == i) {
-                found.push((i, prompt - prefix * self.statistics.cached_elsewhere));
+            let (own_zone, ready) = (self.membership.nearby.all(), self.membership.ready.all());
+            let pool = if k < RANDOM_CANDIDATES && !own_zone.is_empty() { own_zone } else { ready };
+            let slot = pool[self.rng.usize(..pool.len())];
+            if !candidates.iter().any(|candidate| candidate.0 == slot) {
+                candidates.push((slot, prompt - prefix * self.statistics.cached_elsewhere));
             }
         }
         // Few requests would draw a cold replica while there is credit for it, and with many gateways each
         // has little: so those with credit are all looked at.
-        let cold = self.warming_up.all();
-        let first = if cold.is_empty() { 0 } else { self.rng.usize(..cold.len()) };
-        for &i in cold[first..].iter().chain(&cold[..first]).take(MAX_WARMING_CANDIDATES) {
+        let warming_up = self.warming_up.all();
+        let first = if warming_up.is_empty() { 0 } else { self.rng.usize(..warming_up.len()) };
+        for &slot in warming_up[first..].iter().chain(&warming_up[..first]).take(MAX_WARMING_CANDIDATES) {
             // One that is warm by now is like the others: looked at by every pick, it would run over.
-            if self.is_warming_up(now, &self.replicas[i]) && !found.iter().any(|f| f.0 == i) {
-                found.push((i, prompt - prefix * self.statistics.cached_elsewhere));
+            if self.is_warming_up(now, &self.replicas[slot])
+                && !candidates.iter().any(|candidate| candidate.0 == slot)
+            {
+                candidates.push((slot, prompt - prefix * self.statistics.cached_elsewhere));
             }
         }
-        let spared =
-            (1.0 - cold.len() as f64 / self.membership.ready.all().len() as f64).powi(WARMING_SHARE_POWER);
-        let many = self.membership.ready.all().len() > MAX_SCANNED_REPLICAS;
+        let warming_discount = (1.0 - warming_up.len() as f64 / self.membership.ready.all().len() as f64)
+            .powi(WARMING_SHARE_POWER);
+        let is_large_fleet = self.membership.ready.all().len() > MAX_SCANNED_REPLICAS;
         let mut chosen: Option<((bool, f64), Selection)> = None;
-        for &(i, unread) in &found {
+        for &(slot, prefill_tokens) in &candidates {
             // A replica that has just started keeps little, home or not, but what it is known to hold.
-            let unread = match self.replicas[i].warming_up_since {
-                Some(from) if i != known => {
-                    prefix_cache::uncached_tokens_after_start(unread, prompt, now.saturating_sub(from))
-                }
-                _ => unread,
+            let prefill_tokens = match self.replicas[slot].warming_up_since {
+                Some(from) if slot != session_holder => prefix_cache::uncached_tokens_after_start(
+                    prefill_tokens,
+                    prompt,
+                    now.saturating_sub(from),
+                ),
+                _ => prefill_tokens,
             };
-            if !self.is_eligible(now, i, open) {
+            if !self.is_eligible(now, slot, state) {
                 continue;
             }
-            let c = &self.replicas[i];
-            let age = now.saturating_sub(c.backlog_reported_at) as f64 / SECOND as f64;
-            let backlog = c.prefill_backlog * (-age).exp2();
-            let crowd = if c.wait_sampled_at > 0 { c.concurrency } else { self.statistics.concurrency };
-            let smoothed = self.smoothed_wait(now, c) / crowd.max(1.0);
-            let base = smoothed * f64::from(1 + c.in_flight);
-            let read = (unread + backlog) * per_token / self.statistics.speed_of_kind(c.entry.kind);
+            let replica = &self.replicas[slot];
+            let report_age_s = now.saturating_sub(replica.backlog_reported_at) as f64 / SECOND as f64;
+            let backlog = replica.prefill_backlog * (-report_age_s).exp2();
+            let concurrency =
+                if replica.wait_sampled_at > 0 { replica.concurrency } else { self.statistics.concurrency };
+            let smoothed = self.smoothed_wait(now, replica) / concurrency.max(1.0);
+            let queue_wait = smoothed * f64::from(1 + replica.in_flight);
+            let prefill =
+                (prefill_tokens + backlog) * ns_per_token / self.statistics.speed_of_kind(replica.entry.kind);
             // What queues everywhere queues less at one just started, the less it is sent of what it can do.
             // One not met lately queues by as much more or less as its kind does.
-            let kind = (self.statistics.wait_for_kind(now, c.entry.kind) - self.statistics.first_token_wait)
-                * (1.0 - sample_freshness(now, c.wait_sampled_at));
-            let queue = (self.statistics.first_token_wait.min(smoothed) + kind).max(0.0)
-                * self.capacity_share(now, c);
-            let queued = first_token_wait::queueing_wait(queue, aim);
+            let kind_excess = (self.statistics.wait_for_kind(now, replica.entry.kind)
+                - self.statistics.first_token_wait)
+                * (1.0 - sample_freshness(now, replica.wait_sampled_at));
+            let queue = (self.statistics.first_token_wait.min(smoothed) + kind_excess).max(0.0)
+                * self.capacity_share(now, replica);
+            let queued = first_token_wait::queueing_wait(queue, objective);
             // What has waited longest without a token tells the least that the next one may wait.
-            let oldest = c.awaiting_first_token.first().map_or(0.0, |&t| now.saturating_sub(t) as f64);
-            let far = c.entry.zone != self.settings.zone;
-            let cross = if far { CROSS_ZONE_OBJECTIVES * self.settings.cross_zone_cost * aim } else { 0.0 };
+            let longest_waiting =
+                replica.awaiting_first_token.first().map_or(0.0, |&t| now.saturating_sub(t) as f64);
+            let is_other_zone = replica.entry.zone != self.settings.zone;
+            let zone_cost = if is_other_zone {
+                CROSS_ZONE_OBJECTIVES * self.settings.cross_zone_cost * objective
+            } else {
+                0.0
+            };
             // Without a sample no more than the reading is known.
-            let wait = (if c.wait_sampled_at > 0 { base + read } else { read }).max(oldest);
+            let wait = (if replica.wait_sampled_at > 0 { queue_wait + prefill } else { prefill })
+                .max(longest_waiting);
             // Ranked by what is believed, admitted by what was sampled: the first compares replicas,
             // the second asks whether there is time.
             // The more are cold, the more the others carry, and that shows only once they queue: so reading
             // at a cold one counts for less, where it still begins within the aim.
-            let early = self.is_warming_up(now, c) && base + read / self.capacity_share(now, c) < aim;
-            let reading = if early { read * spared } else { read };
-            let connected = !many || c.is_connected(now, self.settings.idle_timeout);
-            let connect = if connected { 0.0 } else { CONNECT_OBJECTIVE_SHARE * aim };
-            let rank = first_token_wait::ranked_wait(smoothed, aim, c.in_flight)
-                + reading
-                + cross
+            let prefers_warming = self.is_warming_up(now, replica)
+                && queue_wait + prefill / self.capacity_share(now, replica) < objective;
+            let ranked_prefill = if prefers_warming { prefill * warming_discount } else { prefill };
+            let connected = !is_large_fleet || replica.is_connected(now, self.settings.idle_timeout);
+            let connect_cost = if connected { 0.0 } else { CONNECT_OBJECTIVE_SHARE * objective };
+            let rank = first_token_wait::ranked_wait(smoothed, objective, replica.in_flight)
+                + ranked_prefill
+                + zone_cost
                 + queued
-                + connect;
-            let pick = Selection { slot: i, prefill_tokens: unread, predicted_wait: wait };
+                + connect_cost;
+            let selection = Selection { slot, prefill_tokens, predicted_wait: wait };
             // Ties are broken at random.
             let rank = rank * (1.0 + 1e-6 * self.rng.f64());
             // Whoever is left out goes last, however many are; if all are, it may be the own view.
-            let out = c.ejected_until > now || (c.ejected_until > 0 && c.half_open_check);
-            if chosen.as_ref().is_none_or(|(best, _)| (out, rank) < *best) {
-                chosen = Some(((out, rank), pick));
+            let left_out =
+                replica.ejected_until > now || (replica.ejected_until > 0 && replica.half_open_check);
+            if chosen.as_ref().is_none_or(|(best, _)| (left_out, rank) < *best) {
+                chosen = Some(((left_out, rank), selection));
             }
         }
-        self.candidates = found;
-        chosen.map(|(_, p)| p)
+        self.candidates = candidates;
+        chosen.map(|(_, selection)| selection)
     }
 
     /// Whether an attempt of this request may go to a replica now.
-    fn is_eligible(&self, now: Nanos, i: usize, open: &RequestState) -> bool {
-        let r = &self.replicas[i];
-        let tried = open.attempts.iter().any(|a| a.entry.replica == r.entry.replica);
+    fn is_eligible(&self, now: Nanos, slot: usize, state: &RequestState) -> bool {
+        let replica = &self.replicas[slot];
+        let already_tried =
+            state.attempts.iter().any(|attempt| attempt.entry.replica == replica.entry.replica);
         // Rules 2 and 4.
-        let repeats = open.may_repeat(now, self.effect(open), &r.entry, self.settings.concurrent_attempts);
-        !tried && repeats && (!self.is_warming_up(now, r) || self.slow_start_credit(now, r) >= 1.0)
+        let may_repeat =
+            state.may_repeat(now, self.effect(state), &replica.entry, self.settings.concurrent_attempts);
+        !already_tried
+            && may_repeat
+            && (!self.is_warming_up(now, replica) || self.slow_start_credit(now, replica) >= 1.0)
     }
 
-    fn effect(&self, open: &RequestState) -> Effect {
-        self.settings.classes[open.request.class.0 as usize].effect
+    fn effect(&self, state: &RequestState) -> Effect {
+        self.settings.classes[state.request.class.0 as usize].effect
     }
 
-    fn may_reject(&self, open: &RequestState) -> bool {
-        self.effect(open).may_reject(open.may_have_run())
+    fn may_reject(&self, state: &RequestState) -> bool {
+        self.effect(state).may_reject(state.may_have_run())
     }
 
     /// Whether a replica is within its cold time.
-    pub(crate) fn is_warming_up(&self, now: Nanos, r: &Replica) -> bool {
-        r.warming_up_since.is_some_and(|from| now < from.saturating_add(self.settings.warm_up_time))
+    pub(crate) fn is_warming_up(&self, now: Nanos, replica: &Replica) -> bool {
+        replica.warming_up_since.is_some_and(|from| now < from.saturating_add(self.settings.warm_up_time))
     }
 
     /// What a replica is taken to be able to do, as a share of what it can when warm.
-    pub(crate) fn capacity_share(&self, now: Nanos, r: &Replica) -> f64 {
+    pub(crate) fn capacity_share(&self, now: Nanos, replica: &Replica) -> f64 {
         let age = |from| now.saturating_sub(from);
-        r.warming_up_since.map_or(1.0, |from| {
+        replica.warming_up_since.map_or(1.0, |from| {
             warm_up::capacity_share(
                 age(from),
                 self.settings.warm_up_time,
@@ -643,108 +682,118 @@
     /// others have no room. So a gateway with few requests gains by as much more as it will lose. Replicas
     /// that leave at once don't raise the mean flow of the others: what is left of a fleet can do no more
     /// than before.
-    fn slow_start_credit(&self, now: Nanos, r: &Replica) -> f64 {
-        let fall = self.settings.overload_window as f64 / SECOND as f64;
+    fn slow_start_credit(&self, now: Nanos, replica: &Replica) -> f64 {
+        let window_s = self.settings.overload_window as f64 / SECOND as f64;
         let since = now.saturating_sub(self.last_report_at);
-        let flow = self.statistics.first_tokens_per_s(now, since);
-        let used =
-            (1.0 - (-self.statistics.arrivals_per_s(since).max(flow) * fall).exp()).max(MIN_CREDIT_USE);
-        let share = self.capacity_share(now, r) * self.statistics.speed_of_kind(r.entry.kind).min(1.0);
-        let gain =
-            self.settings.overload_multiple * flow / self.statistics.ready_replicas.max(1.0) * share / used;
-        let dt = now.saturating_sub(r.credit_updated_at) as f64 / SECOND as f64;
-        let saved = r.slow_start_credit + dt * gain;
-        let most = (1.0 + gain * fall).min(MAX_CREDIT);
-        let over = (saved - most).max(0.0);
+        let own_flow = self.statistics.first_tokens_per_s(now, since);
+        let used_share = (1.0 - (-self.statistics.arrivals_per_s(since).max(own_flow) * window_s).exp())
+            .max(MIN_CREDIT_USE);
+        let capacity =
+            self.capacity_share(now, replica) * self.statistics.speed_of_kind(replica.entry.kind).min(1.0);
+        let credit_per_s =
+            self.settings.overload_multiple * own_flow / self.statistics.ready_replicas.max(1.0) * capacity
+                / used_share;
+        let elapsed_s = now.saturating_sub(replica.credit_updated_at) as f64 / SECOND as f64;
+        let saved = replica.slow_start_credit + elapsed_s * credit_per_s;
+        let max_credit = (1.0 + credit_per_s * window_s).min(MAX_CREDIT);
+        let excess = (saved - max_credit).max(0.0);
         // Whole credits are lost; where two or more are earned within that time, only what is over the most.
-        saved - if most < MAX_CREDIT { over.ceil() } else { over }
+        saved - if max_credit < MAX_CREDIT { excess.ceil() } else { excess }
     }
 
     // ---- Attempts ----
 
-    fn send_attempt(&mut self, now: Nanos, id: RequestId, pick: Selection, out: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id) else { return };
-        let left = open.deadline.saturating_sub(now);
-        let aim = self.latency_objective(&open.request);
-        let more = (open.attempts.len() as u32 + 1) < self.settings.max_attempts;
+    fn send_attempt(&mut self, now: Nanos, id: RequestId, selection: Selection, out: &mut Vec<Action>) {
+        let Some(state) = self.requests.get(&id) else { return };
+        let time_left = state.deadline.saturating_sub(now);
+        let objective = self.latency_objective(&state.request);
+        let may_retry = (state.attempts.len() as u32 + 1) < self.settings.max_attempts;
         // Leave room for another attempt, unless there will be none. Where attempts can be called off,
         // a check after this time tells silence from slowness; elsewhere it is the time-out.
-        let spent = now.saturating_sub(open.arrived_at) as f64;
+        let elapsed = now.saturating_sub(state.arrived_at) as f64;
         // Patience grows with what first tokens take now and with what may have to be read: in a jam, calling
         // slow attempts off and ejecting the slow would only make more work.
-        let unsure =
-            TIMEOUT_PREFILL_MULTIPLE * f64::from(open.request.prompt_tokens) * self.prefill_ns_per_token();
-        let patience = (TIMEOUT_OBJECTIVE_SHARE * aim + unsure)
-            .max(3.0 * pick.predicted_wait)
-            .max(TIMEOUT_LOAD_MULTIPLE * self.statistics.load_level * aim);
-        let patience = patience.max(0.5 * (aim - spent)).min(left as f64 * 0.7);
-        let limit = if more && !self.settings.can_cancel { patience } else { left as f64 };
-        let patient_until = now + patience as Nanos;
-        if more && self.settings.can_cancel {
-            let hedge = (HEDGE_OBJECTIVE_SHARE * aim + unsure).max(3.0 * pick.predicted_wait);
+        let prefill_allowance =
+            TIMEOUT_PREFILL_MULTIPLE * f64::from(state.request.prompt_tokens) * self.prefill_ns_per_token();
+        let first_token_timeout = (TIMEOUT_OBJECTIVE_SHARE * objective + prefill_allowance)
+            .max(3.0 * selection.predicted_wait)
+            .max(TIMEOUT_LOAD_MULTIPLE * self.statistics.load_level * objective);
+        let first_token_timeout =
+            first_token_timeout.max(0.5 * (objective - elapsed)).min(time_left as f64 * 0.7);
+        let timeout =
+            if may_retry && !self.settings.can_cancel { first_token_timeout } else { time_left as f64 };
+        let first_token_timeout_at = now + first_token_timeout as Nanos;
+        if may_retry && self.settings.can_cancel {
+            let hedge_after =
+                (HEDGE_OBJECTIVE_SHARE * objective + prefill_allowance).max(3.0 * selection.predicted_wait);
             let hedges = self.settings.concurrent_attempts
                 && self.statistics.load_level < HEDGE_MAX_LOAD_LEVEL
-                && hedge < patience;
-            let hedge = hedges.then_some(now + hedge as Nanos);
-            for at in hedge.into_iter().chain([patient_until]) {
-                self.attempt_checks.push(Reverse((at, id, open.attempts.len() as u32)));
+                && hedge_after < first_token_timeout;
+            let hedge_after = hedges.then_some(now + hedge_after as Nanos);
+            for at in hedge_after.into_iter().chain([first_token_timeout_at]) {
+                self.attempt_checks.push(Reverse((at, id, state.attempts.len() as u32)));
                 out.push(Action::WakeAt { at, token: ATTEMPT_CHECK_TIMER });
             }
         }
-        let i = pick.slot;
-        if self.is_warming_up(now, &self.replicas[i]) {
-            let credit = self.slow_start_credit(now, &self.replicas[i]) - 1.0;
-            let r = &mut self.replicas[i];
-            (r.slow_start_credit, r.credit_updated_at) = (credit, now);
+        let slot = selection.slot;
+        if self.is_warming_up(now, &self.replicas[slot]) {
+            let credit = self.slow_start_credit(now, &self.replicas[slot]) - 1.0;
+            let replica = &mut self.replicas[slot];
+            (replica.slow_start_credit, replica.credit_updated_at) = (credit, now);
         } else {
-            self.replicas[i].warming_up_since = None;
-            self.update_warming_up(i);
-        }
-        let r = &mut self.replicas[i];
-        let crowd = f64::from(1 + r.in_flight);
-        r.in_flight += 1;
-        if r.unanswered_since == 0 {
-            r.unanswered_since = now;
-        }
-        r.awaiting_first_token.push(now);
-        if r.consecutive_failures > 0 && r.ejected_until > 0 {
-            r.half_open_check = true;
-        }
-        let (replica, row) = (r.entry.replica, r.entry.clone());
-        let open = self.requests.get_mut(&id).expect("looked up above");
-        open.attempts.push(Attempt {
-            slot: i,
-            entry: row,
+            self.replicas[slot].warming_up_since = None;
+            self.update_warming_up(slot);
+        }
+        let replica = &mut self.replicas[slot];
+        let concurrency = f64::from(1 + replica.in_flight);
+        replica.in_flight += 1;
+        if replica.unanswered_since == 0 {
+            replica.unanswered_since = now;
+        }
+        replica.awaiting_first_token.push(now);
+        if replica.consecutive_failures > 0 && replica.ejected_until > 0 {
+            replica.half_open_check = true;
+        }
+        let (replica, entry) = (replica.entry.replica, replica.entry.clone());
+        let state = self.requests.get_mut(&id).expect("looked up above");
+        state.attempts.push(Attempt {
+            slot,
+            entry,
             sent_at: now,
-            prefill_tokens: pick.prefill_tokens,
-            concurrency: crowd,
+            prefill_tokens: selection.prefill_tokens,
+            concurrency,
             first_token_after: 0,
-            first_token_timeout_at: patient_until,
+            first_token_timeout_at,
             outcome: None,
         });
-        out.push(Action::Send { request: id, replica, timeout: (limit as Nanos).max(1) });
+        out.push(Action::Send { request: id, replica, timeout: (timeout as Nanos).max(1) });
     }
 
     /// Attempts without a first token after their patience: called off if their replica is silent.
     fn check_attempts(&mut self, now: Nanos, out: &mut Vec<Action>) {
-        while let Some(&Reverse((at, id, attempt))) = self.attempt_checks.peek().filter(|c| c.0 .0 <= now) {
+        while let Some(&Reverse((at, id, attempt_index))) =
+            self.attempt_checks.peek().filter(|check| check.0 .0 <= now)
+        {
             self.attempt_checks.pop();
-            let Some(o) = self.requests.get(&id) else { continue };
-            let Some(a) = o.attempts.get(attempt as usize) else { continue };
-            if at < a.first_token_timeout_at {
-                if self.replicas[a.slot].last_response_at < a.sent_at {
+            let Some(state) = self.requests.get(&id) else { continue };
+            let Some(attempt) = state.attempts.get(attempt_index as usize) else { continue };
+            if at < attempt.first_token_timeout_at {
+                if self.replicas[attempt.slot].last_response_at < attempt.sent_at {
                     self.send_hedge(now, id, out);
                 }
                 continue;
             }
             // A replica that has begun another answer since is alive: waiting on beats starting over. So it
             // does where no other is likely to be in time, if late answers earn anything and it can be told.
-            let silent = self.replicas[a.slot].last_response_at < a.sent_at;
-            let waits = !o.answered && !o.stream_started && a.outcome.is_none() && silent;
-            let earns = self.settings.classes[o.request.class.0 as usize].late_value_share > 0.0;
-            let asks = earns && self.settings.concurrent_attempts;
-            if waits && self.retry_budget >= 1.0 && (!asks || self.retry_target(now, id).is_some()) {
-                out.push(Action::Cancel { request: id, attempt });
+            let silent = self.replicas[attempt.slot].last_response_at < attempt.sent_at;
+            let is_waiting = !state.answered && !state.stream_started && attempt.outcome.is_none() && silent;
+            let late_has_value = self.settings.classes[state.request.class.0 as usize].late_value_share > 0.0;
+            let needs_target = late_has_value && self.settings.concurrent_attempts;
+            if is_waiting
+                && self.retry_budget >= 1.0
+                && (!needs_target || self.retry_target(now, id).is_some())
+            {
+                out.push(Action::Cancel { request: id, attempt: attempt_index });
             }
         }
     }
@@ -752,31 +801,35 @@
     /// One attempt is out and has not begun where most have: a second copy, if that is likely to be in time.
     fn send_hedge(&mut self, now: Nanos, id: RequestId, out: &mut Vec<Action>) {
         // Those that have just started are slow by nature, and more work makes them slower.
-        let young = self.warming_up.all().iter().any(|&i| self.is_warming_up(now, &self.replicas[i]));
-        let calm = self.statistics.load_level < HEDGE_MAX_LOAD_LEVEL && self.retry_budget >= 1.0 && !young;
-        let Some(o) = self.requests.get(&id).filter(|o| calm && !o.answered && !o.stream_started) else {
+        let any_warming_up =
+            self.warming_up.all().iter().any(|&slot| self.is_warming_up(now, &self.replicas[slot]));
+        let may_hedge =
+            self.statistics.load_level < HEDGE_MAX_LOAD_LEVEL && self.retry_budget >= 1.0 && !any_warming_up;
+        let Some(state) =
+            self.requests.get(&id).filter(|state| may_hedge && !state.answered && !state.stream_started)
+        else {
             return;
         };
-        let left = self.latency_objective(&o.request) - now.saturating_sub(o.arrived_at) as f64;
-        let out_now = o.attempts.iter().filter(|a| a.outcome.is_none()).count();
-        let pick = if out_now == 1 { self.retry_target(now, id) } else { None };
-        if let Some(p) = pick.filter(|p| p.predicted_wait < left) {
+        let time_left = self.latency_objective(&state.request) - now.saturating_sub(state.arrived_at) as f64;
+        let in_flight = state.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count();
+        let selection = if in_flight == 1 { self.retry_target(now, id) } else { None };
+        if let Some(selection) = selection.filter(|selection| selection.predicted_wait < time_left) {
             self.retry_budget -= 1.0;
-            self.send_attempt(now, id, p, out);
+            self.send_attempt(now, id, selection, out);
         }
     }
 
-    fn reject(&mut self, id: RequestId, retry_after: Nanos, why: RejectReason, out: &mut Vec<Action>) {
+    fn reject(&mut self, id: RequestId, retry_after: Nanos, reason: RejectReason, out: &mut Vec<Action>) {
         self.refund_quota(id);
         self.close_request(id);
-        out.push(Action::Reject { request: id, retry_after, reason: why });
+        out.push(Action::Reject { request: id, retry_after, reason });
     }
 
     /// The next token of the tenant's bucket tells when to come back; up to twice as late, so that those
     /// refused together do not come back together.
     fn reject_quota_exceeded(&mut self, id: RequestId, tenant: usize, out: &mut Vec<Action>) {
-        let b = &self.buckets[tenant];
-        let wait = (1.0 - b.tokens) / b.quota_per_s * SECOND as f64 * (1.0 + self.rng.f64());
+        let bucket = &self.buckets[tenant];
+        let wait = (1.0 - bucket.tokens) / bucket.quota_per_s * SECOND as f64 * (1.0 + self.rng.f64());
         self.reject(id, (wait as Nanos).min(self.settings.max_retry_after), RejectReason::QuotaExceeded, out);
     }
 
@@ -789,133 +842,161 @@
 
     /// A token comes back when an admitted request ends unserved.
     fn refund_quota(&mut self, id: RequestId) {
-        if let Some(o) = self.requests.get_mut(&id) {
-            if o.quota_charged && !o.counted_as_served {
-                o.quota_charged = false;
-                self.buckets[o.request.tenant.0 as usize].tokens += 1.0;
+        if let Some(state) = self.requests.get_mut(&id) {
+            if state.quota_charged && !state.counted_as_served {
+                state.quota_charged = false;
+                self.buckets[state.request.tenant.0 as usize].tokens += 1.0;
             }
         }
     }
 
     /// Nothing more is owed; the entry stays until its last attempt has ended.
     fn close_request(&mut self, id: RequestId) {
-        if let Some(o) = self.requests.get_mut(&id) {
-            o.answered = true;
-            if o.attempts.iter().all(|a| a.outcome.is_some()) {
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.answered = true;
+            if state.attempts.iter().all(|attempt| attempt.outcome.is_some()) {
                 self.requests.remove(&id);
             }
         }
     }
 
-    fn handle_first_token(&mut self, now: Nanos, id: RequestId, attempt: u32, after: Nanos) {
-        let Some(o) = self.requests.get_mut(&id) else { return };
-        let Some(a) = o.attempts.get_mut(attempt as usize).filter(|a| a.outcome.is_none()) else { return };
-        a.first_token_after = after;
-        let (i, sent, unread, crowd, life) =
-            (a.slot, a.sent_at, a.prefill_tokens, a.concurrency, a.entry.started_at);
-        o.stream_started = true;
-        let aim =
-            self.settings.classes[o.request.class.0 as usize].latency_objective_for(o.request.prompt_tokens);
-        let taken = now.saturating_sub(o.arrived_at) as f64 / aim;
-        if o.quota_charged && !o.counted_as_served {
-            o.counted_as_served = true;
-            let b = &mut self.buckets[o.request.tenant.0 as usize];
-            b.served_since_report = b.served_since_report.saturating_add(1);
+    fn handle_first_token(&mut self, now: Nanos, id: RequestId, attempt_index: u32, elapsed: Nanos) {
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) =
+            state.attempts.get_mut(attempt_index as usize).filter(|attempt| attempt.outcome.is_none())
+        else {
+            return;
+        };
+        attempt.first_token_after = elapsed;
+        let (slot, sent_at, prefill_tokens, concurrency, started_at) = (
+            attempt.slot,
+            attempt.sent_at,
+            attempt.prefill_tokens,
+            attempt.concurrency,
+            attempt.entry.started_at,
+        );
+        state.stream_started = true;
+        let objective = self.settings.classes[state.request.class.0 as usize]
+            .latency_objective_for(state.request.prompt_tokens);
+        let objectives_taken = now.saturating_sub(state.arrived_at) as f64 / objective;
+        if state.quota_charged && !state.counted_as_served {
+            state.counted_as_served = true;
+            let bucket = &mut self.buckets[state.request.tenant.0 as usize];
+            bucket.served_since_report = bucket.served_since_report.saturating_add(1);
         }
-        if let Some(session) = o.request.session {
-            self.sessions.record(now, session.0, &a.entry, o.request.prompt_tokens);
+        if let Some(session) = state.request.session {
+            self.sessions.record(now, session.0, &attempt.entry, state.request.prompt_tokens);
         }
-        self.replicas[i].stop_awaiting_first_token(sent);
+        self.replicas[slot].stop_awaiting_first_token(sent_at);
         // What is sent in a jam is no measure of what replicas can do; what they begin is.
         self.statistics.record_first_token(now);
-        self.statistics.record_load_level(now, taken);
-        if life != self.replicas[i].entry.started_at {
+        self.statistics.record_load_level(now, objectives_taken);
+        if started_at != self.replicas[slot].entry.started_at {
             return; // An earlier life's answer tells nothing of this one.
         }
-        self.replicas[i].decode_rate.stream_began(now);
-        let wait = (after as f64 - unread * self.prefill_ns_per_token()).max(0.0);
-        self.record_wait_sample(now, i, wait, crowd);
-        self.record_success(now, i);
-    }
-
-    fn record_wait_sample(&mut self, now: Nanos, i: usize, wait: f64, crowd: f64) {
-        let base = self.smoothed_wait(now, &self.replicas[i]);
-        let r = &mut self.replicas[i];
-        let fresh = r.wait_sampled_at == 0;
-        r.first_token_wait = if fresh { wait } else { base + WAIT_SAMPLE_WEIGHT * (wait - base) };
-        r.concurrency =
-            if fresh { crowd } else { r.concurrency + WAIT_SAMPLE_WEIGHT * (crowd - r.concurrency) };
-        r.wait_sampled_at = now;
-        let kind = r.entry.kind;
-        self.statistics.record_wait(now, kind, wait, crowd);
-    }
-
-    fn handle_attempt_ended(&mut self, now: Nanos, e: AttemptEnded, out: &mut Vec<Action>) {
-        let (id, outcome, after) = (e.request, e.outcome, e.elapsed);
-        let Some(o) = self.requests.get_mut(&id) else { return };
-        let Some(a) = o.attempts.get_mut(e.attempt as usize).filter(|a| a.outcome.is_none()) else { return };
-        a.outcome = Some(outcome);
-        let (i, sent, first, guess, kind) =
-            (a.slot, a.sent_at, a.first_token_after, a.prefill_tokens, a.entry.kind);
-        let (started, prompt, prefix) = (o.stream_started, o.request.prompt_tokens, o.request.prefix_tokens);
+        self.replicas[slot].decode_rate.stream_began(now);
+        let wait = (elapsed as f64 - prefill_tokens * self.prefill_ns_per_token()).max(0.0);
+        self.record_wait_sample(now, slot, wait, concurrency);
+        self.record_success(now, slot);
+    }
+
+    fn record_wait_sample(&mut self, now: Nanos, slot: usize, wait: f64, concurrency: f64) {
+        let smoothed = self.smoothed_wait(now, &self.replicas[slot]);
+        let replica = &mut self.replicas[slot];
+        let is_first = replica.wait_sampled_at == 0;
+        replica.first_token_wait =
+            if is_first { wait } else { smoothed + WAIT_SAMPLE_WEIGHT * (wait - smoothed) };
+        replica.concurrency = if is_first {
+            concurrency
+        } else {
+            replica.concurrency + WAIT_SAMPLE_WEIGHT * (concurrency - replica.concurrency)
+        };
+        replica.wait_sampled_at = now;
+        let kind = replica.entry.kind;
+        self.statistics.record_wait(now, kind, wait, concurrency);
+    }
+
+    fn handle_attempt_ended(&mut self, now: Nanos, ended: AttemptEnded, out: &mut Vec<Action>) {
+        let (id, outcome, elapsed) = (ended.request, ended.outcome, ended.elapsed);
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        let Some(attempt) =
+            state.attempts.get_mut(ended.attempt as usize).filter(|attempt| attempt.outcome.is_none())
+        else {
+            return;
+        };
+        attempt.outcome = Some(outcome);
+        let (slot, sent_at, first_token_after, expected_prefill, kind) = (
+            attempt.slot,
+            attempt.sent_at,
+            attempt.first_token_after,
+            attempt.prefill_tokens,
+            attempt.entry.kind,
+        );
+        let (stream_started, prompt_tokens, prefix_tokens) =
+            (state.stream_started, state.request.prompt_tokens, state.request.prefix_tokens);
         // What became of an earlier life's attempts tells nothing of this one: above all not that it is ill.
-        let same = a.entry.started_at == self.replicas[i].entry.started_at;
-        self.replicas[i].in_flight = self.replicas[i].in_flight.saturating_sub(1);
-        self.replicas[i].stop_awaiting_first_token(sent);
-        if same {
-            if first > 0 {
-                self.replicas[i].decode_rate.stream_ended(now, outcome == Outcome::Completed);
+        let same_incarnation = attempt.entry.started_at == self.replicas[slot].entry.started_at;
+        self.replicas[slot].in_flight = self.replicas[slot].in_flight.saturating_sub(1);
+        self.replicas[slot].stop_awaiting_first_token(sent_at);
+        if same_incarnation {
+            if first_token_after > 0 {
+                self.replicas[slot].decode_rate.stream_ended(now, outcome == Outcome::Completed);
             }
-            self.record_load_report(now, i, &e.load);
+            self.record_load_report(now, slot, &ended.load);
         }
         match outcome {
             Outcome::Completed => {
-                if same {
-                    (self.replicas[i].last_response_at, self.replicas[i].unanswered_since) = (now, 0);
-                    self.replicas[i].last_completed_at = now;
+                if same_incarnation {
+                    (self.replicas[slot].last_response_at, self.replicas[slot].unanswered_since) = (now, 0);
+                    self.replicas[slot].last_completed_at = now;
                 }
-                if let Some(kept) = e.cached_tokens {
-                    let unread = f64::from(prompt.saturating_sub(kept));
-                    if guess > 0.5 * f64::from(prefix) && prefix > 0 {
-                        let share = f64::from(kept.min(prefix)) / f64::from(prefix);
+                if let Some(cached_tokens) = ended.cached_tokens {
+                    let prefill_tokens = f64::from(prompt_tokens.saturating_sub(cached_tokens));
+                    if expected_prefill > 0.5 * f64::from(prefix_tokens) && prefix_tokens > 0 {
+                        let share = f64::from(cached_tokens.min(prefix_tokens)) / f64::from(prefix_tokens);
                         self.statistics.cached_elsewhere +=
                             MIN_SAMPLE_WEIGHT * (share - self.statistics.cached_elsewhere);
                     }
-                    self.statistics.record_stream(kind, after.saturating_sub(first) as f64 / SECOND as f64);
-                    if first > 0 {
-                        self.statistics.prefill_fit.add(unread, first as f64);
+                    self.statistics.record_stream(
+                        kind,
+                        elapsed.saturating_sub(first_token_after) as f64 / SECOND as f64,
+                    );
+                    if first_token_after > 0 {
+                        self.statistics.prefill_fit.add(prefill_tokens, first_token_after as f64);
                     }
                 }
             }
-            _ if !same => {}
+            _ if !same_incarnation => {}
             // Called off by a check: as good as timed out.
-            Outcome::Cancelled if !e.request_over && !started => {
-                self.record_failure(now, i, Outcome::TimedOut, started, after)
+            Outcome::Cancelled if !ended.request_over && !stream_started => {
+                self.record_failure(now, slot, Outcome::TimedOut, stream_started, elapsed)
             }
             // Its copy was faster: what it would have taken is at least this.
             Outcome::Cancelled
-                if !e.request_over && first == 0 && self.replicas[i].last_response_at < sent =>
+                if !ended.request_over
+                    && first_token_after == 0
+                    && self.replicas[slot].last_response_at < sent_at =>
             {
-                self.record_wait_sample(now, i, after as f64, 1.0)
+                self.record_wait_sample(now, slot, elapsed as f64, 1.0)
             }
             Outcome::TimedOut
             | Outcome::ConnectionReset
             | Outcome::ConnectionRefused
-            | Outcome::ReplicaError => self.record_failure(now, i, outcome, started, after),
+            | Outcome::ReplicaError => self.record_failure(now, slot, outcome, stream_started, elapsed),
             Outcome::Rejected => {
-                self.record_wait_sample(now, i, self.statistics.highest_wait.max(after as f64), 1.0)
+                self.record_wait_sample(now, slot, self.statistics.highest_wait.max(elapsed as f64), 1.0)
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
-        self.replicas[i].half_open_check &= !same;
-        if e.request_over || self.requests.get(&id).is_none_or(|o| o.answered) {
+        self.replicas[slot].half_open_check &= !same_incarnation;
+        if ended.request_over || self.requests.get(&id).is_none_or(|state| state.answered) {
             if outcome != Outcome::Completed {
                 self.refund_quota(id);
             }
             return self.close_request(id);
         }
-        let o = &self.requests[&id];
-        if o.attempts.iter().any(|a| a.outcome.is_none()) {
+        let state = &self.requests[&id];
+        if state.attempts.iter().any(|attempt| attempt.outcome.is_none()) {
             return; // Another attempt is still out and will answer.
         }
         self.retry_or_answer(now, id, out);
@@ -923,14 +1004,14 @@
 
     /// No attempt is out and no answer given: another attempt, or the final answer.
     fn retry_or_answer(&mut self, now: Nanos, id: RequestId, out: &mut Vec<Action>) {
-        let pick = self.retry_target(now, id);
-        let Some(refuse) = self.requests.get(&id).map(|o| self.may_reject(o)) else { return };
-        match pick {
-            Some(p) => {
+        let selection = self.retry_target(now, id);
+        let Some(may_reject) = self.requests.get(&id).map(|state| self.may_reject(state)) else { return };
+        match selection {
+            Some(selection) => {
                 self.retry_budget -= 1.0;
-                self.send_attempt(now, id, p, out)
+                self.send_attempt(now, id, selection, out)
             }
-            None if refuse => self.reject_no_capacity(id, out),
+            None if may_reject => self.reject_no_capacity(id, out),
             None => {
                 self.refund_quota(id);
                 self.close_request(id);
@@ -941,11 +1022,12 @@
 
     /// Where another attempt is likely to be in time, if there may be one.
     fn retry_target(&mut self, now: Nanos, id: RequestId) -> Option<Selection> {
-        let o = self.requests.remove(&id)?;
-        let more = (o.attempts.len() as u32) < self.settings.max_attempts && self.retry_budget >= 1.0;
-        let pick = if more { self.select_replica(now, &o) } else { None };
-        let pick = pick.filter(|p| self.begins_in_time(now, &o, p));
-        self.requests.insert(id, o);
-        pick
+        let state = self.requests.remove(&id)?;
+        let may_retry =
+            (state.attempts.len() as u32) < self.settings.max_attempts && self.retry_budget >= 1.0;
+        let selection = if may_retry { self.select_replica(now, &state) } else { None };
+        let selection = selection.filter(|selection| self.begins_in_time(now, &state, selection));
+        self.requests.insert(id, state);
+        selection
     }
 }
--- a/src/choice/health.rs
+++ b/src/choice/health.rs
@@ -6,58 +6,60 @@
 use crate::api::{LoadField, Nanos, Outcome};
 
 impl Balancer {
-    pub(super) fn record_load_report(&mut self, now: Nanos, i: usize, load: &[f64]) {
-        let r = &mut self.replicas[i];
-        for (field, &x) in self.settings.report_fields.iter().zip(load) {
-            if *field == LoadField::PrefillBacklogThousands && x.is_finite() && x >= 0.0 {
-                r.prefill_backlog = x * 1000.0;
-                r.backlog_reported_at = now;
+    pub(super) fn record_load_report(&mut self, now: Nanos, slot: usize, load: &[f64]) {
+        let replica = &mut self.replicas[slot];
+        for (field, &value) in self.settings.report_fields.iter().zip(load) {
+            if *field == LoadField::PrefillBacklogThousands && value.is_finite() && value >= 0.0 {
+                replica.prefill_backlog = value * 1000.0;
+                replica.backlog_reported_at = now;
             }
         }
     }
 
-    pub(super) fn record_success(&mut self, now: Nanos, i: usize) {
-        let r = &mut self.replicas[i];
-        let silent = now.saturating_sub(r.last_response_at);
-        (r.last_response_at, r.unanswered_since) = (now, 0);
-        if r.ejected_until > 0 && silent > RESTART_SUSPECTED_AFTER {
+    pub(super) fn record_success(&mut self, now: Nanos, slot: usize) {
+        let replica = &mut self.replicas[slot];
+        let silent_for = now.saturating_sub(replica.last_response_at);
+        (replica.last_response_at, replica.unanswered_since) = (now, 0);
+        if replica.ejected_until > 0 && silent_for > RESTART_SUSPECTED_AFTER {
             // Back after silence: perhaps started anew, perhaps not. Treated as cold from now on.
-            r.warming_up_since = Some(now);
-            (r.slow_start_credit, r.credit_updated_at) = (0.0, now);
-            self.update_warming_up(i);
+            replica.warming_up_since = Some(now);
+            (replica.slow_start_credit, replica.credit_updated_at) = (0.0, now);
+            self.update_warming_up(slot);
         }
-        let r = &mut self.replicas[i];
-        (r.consecutive_failures, r.ejected_until, r.next_ejection) = (0, 0, EJECTION_TIME_RANGE.0);
+        let replica = &mut self.replicas[slot];
+        (replica.consecutive_failures, replica.ejected_until, replica.next_ejection) =
+            (0, 0, EJECTION_TIME_RANGE.0);
     }
 
     pub(super) fn record_failure(
         &mut self,
         now: Nanos,
-        i: usize,
+        slot: usize,
         outcome: Outcome,
-        started: bool,
-        after: Nanos,
+        stream_started: bool,
+        elapsed: Nanos,
     ) {
-        if outcome == Outcome::TimedOut && !started {
-            self.record_wait_sample(now, i, after as f64, 1.0);
+        if outcome == Outcome::TimedOut && !stream_started {
+            self.record_wait_sample(now, slot, elapsed as f64, 1.0);
         }
         let jitter = 0.75 + 0.5 * self.rng.f64();
-        let silence = self.settings.classes[0].latency_objective as f64
+        let silence_limit = self.settings.classes[0].latency_objective as f64
             * (TIMEOUT_LOAD_MULTIPLE * self.statistics.load_level).max(1.0);
-        let r = &mut self.replicas[i];
+        let replica = &mut self.replicas[slot];
         // It answers: one error alone says nothing of its health. Several with nothing else between them do:
         // whoever fails fast always seems free, and would draw all the traffic.
-        r.consecutive_failures += 1;
+        replica.consecutive_failures += 1;
         // Slowness is not silence: unless it had been asked for long without a word to anyone here, a
         // time-out proves only that this prompt was not read yet.
-        let silent = now.saturating_sub(r.unanswered_since.max(r.last_response_at)) as f64 >= silence
+        let is_silent = now.saturating_sub(replica.unanswered_since.max(replica.last_response_at)) as f64
+            >= silence_limit
             || outcome != Outcome::TimedOut;
-        if (r.consecutive_failures >= FAILURES_TO_EJECT && silent)
+        if (replica.consecutive_failures >= FAILURES_TO_EJECT && is_silent)
             || outcome == Outcome::ConnectionRefused
-            || r.half_open_check
+            || replica.half_open_check
         {
-            r.ejected_until = now + (r.next_ejection as f64 * jitter) as Nanos;
-            r.next_ejection = (r.next_ejection * 2).min(EJECTION_TIME_RANGE.1);
+            replica.ejected_until = now + (replica.next_ejection as f64 * jitter) as Nanos;
+            replica.next_ejection = (replica.next_ejection * 2).min(EJECTION_TIME_RANGE.1);
         }
     }
 }
