--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -83,11 +83,14 @@
         let since = |get: fn(&Tallies) -> u64| get(&self.tallies) - get(&before);
         let fleet = Fleet {
             ready: view.len(),
-            cold: view.iter().filter(|n| n.cold).count(),
-            excluded: view.iter().filter(|n| n.excluded > 0).count(),
+            cold: view.iter().filter(|n| n.is_warming_up).count(),
+            excluded: view.iter().filter(|n| n.ejected_for > 0).count(),
             usable: match view.len() {
                 0 => 0.0,
-                n => view.iter().filter(|n| n.excluded == 0).map(|n| n.warmth).sum::<f64>() / n as f64,
+                n => {
+                    view.iter().filter(|n| n.ejected_for == 0).map(|n| n.capacity_share).sum::<f64>()
+                        / n as f64
+                }
             },
             list_lost: host.list_silence(),
         };
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -12,7 +12,7 @@
 pub use request::{Ask, AttemptEnd, CloseReason};
 use rustc_hash::FxHashMap;
 use tallypin::api::*;
-use tallypin::view::Seen;
+use tallypin::replica_snapshot::ReplicaSnapshot;
 use tallypin::Balancer;
 
 use crate::operator_override::OverriddenList;
@@ -390,8 +390,8 @@
     }
 
     /// What the module holds of the model nodes that take work.
-    pub fn view(&self, now: Nanos) -> Vec<Seen> {
-        self.module.view(now)
+    pub fn view(&self, now: Nanos) -> Vec<ReplicaSnapshot> {
+        self.module.replica_snapshots(now)
     }
 
     /// How many times to look at something are noted.
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -87,7 +87,7 @@
         let (rows, view) =
             host.with(|core, now| (core.listed().cloned().collect::<Vec<_>>(), core.view(now)));
         let seen: FxHashMap<_, bool> =
-            view.into_iter().map(|s| (s.replica, s.cold || s.excluded > 0)).collect();
+            view.into_iter().map(|s| (s.replica, s.is_warming_up || s.ejected_for > 0)).collect();
         let nodes = rows.into_iter().map(|row| {
             let out = row.state != EndpointState::Ready || seen.get(&row.replica) == Some(&true);
             let (zone, kind) =
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -32,19 +32,19 @@
     for node in view {
         let at = host.nodes.at(node.replica).map_or("unknown".into(), |at| at.to_string());
         let ms = |nanos: u64| nanos / 1_000_000;
-        let _ = write!(line, "; {at}: {} out", node.open);
-        if host.nodes.out(node.replica) != node.open {
+        let _ = write!(line, "; {at}: {} out", node.in_flight);
+        if host.nodes.out(node.replica) != node.in_flight {
             let _ = write!(line, " ({} written)", host.nodes.out(node.replica));
         }
-        let _ = write!(line, ", {} waiting, {} ms", node.waiting, ms(node.wait));
-        if let Some(age) = node.sampled {
+        let _ = write!(line, ", {} waiting, {} ms", node.awaiting_first_token, ms(node.first_token_wait));
+        if let Some(age) = node.wait_sample_age {
             let _ = write!(line, " {} ms ago", ms(age));
         }
-        if node.excluded > 0 {
-            let _ = write!(line, ", excluded for {} ms", ms(node.excluded));
+        if node.ejected_for > 0 {
+            let _ = write!(line, ", excluded for {} ms", ms(node.ejected_for));
         }
-        let _ = write!(line, ", streams {:.1} times as long", node.pace.factor);
-        line.push_str(if node.cold { ", cold" } else { "" });
+        let _ = write!(line, ", streams {:.1} times as long", node.decode_rate.factor);
+        line.push_str(if node.is_warming_up { ", cold" } else { "" });
     }
     line
 }
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use tallypin::name_hash;
-use tallypin::view::Seen as View;
+use tallypin::replica_snapshot::ReplicaSnapshot as View;
 use tallypin_router::dialect::Dialect::Chat;
 
 const MS: Duration = Duration::from_millis(1);
@@ -40,19 +40,19 @@
         let mut streams = 0;
         for (fault, status, outcomes) in faults {
             node.plan(&[fault]);
-            let unsure = view(&router).0.pace.log_std_dev;
+            let unsure = view(&router).0.decode_rate.log_std_dev;
             assert_eq!(Client::to(router.addr).await.ask("").await.0, status, "{fault:?}");
             until(|| router.open() == 0).await;
             assert_eq!(router.tallies().outcomes, outcomes, "{fault:?}");
             let (seen, out) = view(&router);
             assert_eq!(
-                (seen.open, seen.waiting, out),
+                (seen.in_flight, seen.awaiting_first_token, out),
                 (0, 0, 0),
                 "after {fault:?} nothing is out, on either side"
             );
             let whole = status == 200 && fault != Fault::Break;
             assert_eq!(
-                seen.pace.log_std_dev < unsure,
+                seen.decode_rate.log_std_dev < unsure,
                 whole,
                 "{fault:?}: only a whole stream tells of a pace"
             );
@@ -60,11 +60,11 @@
             assert_eq!(router.tallies().begun, streams, "{fault:?}");
         }
         let slow = view(&router).0;
-        assert!(slow.sampled.is_some_and(|age| age < 5_000_000_000), "sampled at its time");
+        assert!(slow.wait_sample_age.is_some_and(|age| age < 5_000_000_000), "sampled at its time");
         assert!(
-            slow.wait > 0 && slow.wait < 1_000_000_000,
+            slow.first_token_wait > 0 && slow.first_token_wait < 1_000_000_000,
             "a first token here takes between 0 and 40 ms, not {}",
-            slow.wait
+            slow.first_token_wait
         );
     });
 }
@@ -82,11 +82,11 @@
         node.next_request().await;
         until(|| router.tallies().begun == 1).await;
         let (seen, out) = view(&router);
-        assert_eq!((seen.open, seen.waiting, out), (2, 1, 2), "one has begun, one waits");
+        assert_eq!((seen.in_flight, seen.awaiting_first_token, out), (2, 1, 2), "one has begun, one waits");
         drop((mute, silent));
         until(|| router.open() == 0).await;
         until(|| view(&router).1 == 0).await;
-        assert_eq!((view(&router).0.open, view(&router).0.waiting), (0, 0));
+        assert_eq!((view(&router).0.in_flight, view(&router).0.awaiting_first_token), (0, 0));
     });
 }
 
@@ -109,8 +109,11 @@
     router.list([listed]);
     until(|| router.tallies().broken == 3).await;
     let seen = view(&router).0;
-    assert_eq!((seen.open, seen.cold, seen.sampled.is_none()), (0, restarted, restarted));
-    seen.excluded > 0
+    assert_eq!(
+        (seen.in_flight, seen.is_warming_up, seen.wait_sample_age.is_none()),
+        (0, restarted, restarted)
+    );
+    seen.ejected_for > 0
 }
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,10 +14,10 @@
 pub mod ready_replicas;
 mod rendezvous_hash;
 pub mod replica_set;
+pub mod replica_snapshot;
 pub mod served_report;
 pub mod start_time;
 mod state;
-pub mod view;
 pub mod warm_up;
 
 pub use api::{Action, Event, Settings, SettingsError};
--- a/src/view.rs
+++ b/src/replica_snapshot.rs
@@ -7,43 +7,43 @@
 
 /// What the module holds of a replica that takes work.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
+pub struct ReplicaSnapshot {
     /// Which replica.
     pub replica: ReplicaId,
     /// Own attempts out.
-    pub open: u32,
+    pub in_flight: u32,
     /// Those without a first token yet.
-    pub waiting: usize,
+    pub awaiting_first_token: usize,
     /// The smoothed wait for a first token, and how old its last sample is, if there is one.
-    pub wait: Nanos,
+    pub first_token_wait: Nanos,
     /// The age of that wait's last sample; `None` without one.
-    pub sampled: Option<Nanos>,
+    pub wait_sample_age: Option<Nanos>,
     /// Excluded for so long yet; 0: not excluded.
-    pub excluded: Nanos,
+    pub ejected_for: Nanos,
     /// Taken for cold.
-    pub cold: bool,
+    pub is_warming_up: bool,
     /// What it is taken to be able to do at the moment, as a share of what it can when warm: from the cold share
     /// evenly to 1, 0 to 1.
-    pub warmth: f64,
+    pub capacity_share: f64,
     /// How long its streams take, against the fleet's and apart from its warmth.
-    pub pace: RelativeDuration,
+    pub decode_rate: RelativeDuration,
 }
 
 impl Balancer {
     /// The replicas that take work, as the module sees them at `now`.
-    pub fn view(&self, now: Nanos) -> Vec<Seen> {
+    pub fn replica_snapshots(&self, now: Nanos) -> Vec<ReplicaSnapshot> {
         let ready = self.replicas.iter().filter(|r| r.entry.state == EndpointState::Ready);
         ready
-            .map(|r| Seen {
+            .map(|r| ReplicaSnapshot {
                 replica: r.entry.replica,
-                open: r.in_flight,
-                waiting: r.awaiting_first_token.len(),
-                wait: r.first_token_wait as Nanos,
-                sampled: (r.wait_sampled_at > 0).then(|| now.saturating_sub(r.wait_sampled_at)),
-                excluded: r.ejected_until.saturating_sub(now),
-                cold: self.is_warming_up(now, r),
-                warmth: self.capacity_share(now, r),
-                pace: r.decode_rate.relative_duration(
+                in_flight: r.in_flight,
+                awaiting_first_token: r.awaiting_first_token.len(),
+                first_token_wait: r.first_token_wait as Nanos,
+                wait_sample_age: (r.wait_sampled_at > 0).then(|| now.saturating_sub(r.wait_sampled_at)),
+                ejected_for: r.ejected_until.saturating_sub(now),
+                is_warming_up: self.is_warming_up(now, r),
+                capacity_share: self.capacity_share(now, r),
+                decode_rate: r.decode_rate.relative_duration(
                     now,
                     self.statistics.mean_stream_s,
                     self.capacity_share(now, r),
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -87,7 +87,7 @@
     world.list(ListUpdate::Failed, Vec::new());
     world.run_to(world.now + outage);
     world.list(ListUpdate::Full, vec![EndpointEntry { started_at: start(world.now), ..row(0) }]);
-    world.gateway.view(world.now)[0].warmth
+    world.gateway.replica_snapshots(world.now)[0].capacity_share
 }
 
 /// After an outage a start may be as old as the outage, with the silence before it, and no older.
@@ -107,7 +107,7 @@
         world.list(ListUpdate::Full, vec![row(0)]);
         world.list(ListUpdate::Delta, vec![EndpointEntry { started_at: start, ..row(0) }]);
         world.run_to(world.now + world.set.warm_up_time);
-        let seen = world.gateway.view(world.now).into_iter().next().expect("it is ready");
-        prop_assert_eq!(seen.warmth, 1.0);
+        let seen = world.gateway.replica_snapshots(world.now).into_iter().next().expect("it is ready");
+        prop_assert_eq!(seen.capacity_share, 1.0);
     }
 }
--- a/tests/common/played.rs
+++ b/tests/common/played.rs
@@ -199,7 +199,7 @@
         }
         self.trace.event(self.events);
         if self.events % LOOK_EVERY == 0 {
-            let seen = self.gateways[g].module.view(self.now);
+            let seen = self.gateways[g].module.replica_snapshots(self.now);
             self.trace.view(&seen);
         }
     }
--- a/tests/common/trace_text.rs
+++ b/tests/common/trace_text.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 
 use tallypin::api::*;
-use tallypin::view::Seen;
+use tallypin::replica_snapshot::ReplicaSnapshot;
 
 /// Lines kept in clear, so that a difference can be read.
 const CLEAR: usize = 300;
@@ -55,20 +55,20 @@
     }
 
     /// What the module holds of its replicas; fractions as their bits.
-    pub fn view(&mut self, seen: &[Seen]) {
+    pub fn view(&mut self, seen: &[ReplicaSnapshot]) {
         for s in seen {
             let line = format!(
                 "seen {} open {} waiting {} wait {} sampled {:?} excluded {} cold {} warmth {:016x} times {:016x} unsure {:016x}",
                 s.replica.0,
-                s.open,
-                s.waiting,
-                s.wait,
-                s.sampled,
-                s.excluded,
-                s.cold,
-                s.warmth.to_bits(),
-                s.pace.factor.to_bits(),
-                s.pace.log_std_dev.to_bits(),
+                s.in_flight,
+                s.awaiting_first_token,
+                s.first_token_wait,
+                s.wait_sample_age,
+                s.ejected_for,
+                s.is_warming_up,
+                s.capacity_share.to_bits(),
+                s.decode_rate.factor.to_bits(),
+                s.decode_rate.log_std_dev.to_bits(),
             );
             self.line(&line);
         }
--- a/tests/holders.rs
+++ b/tests/holders.rs
@@ -146,8 +146,8 @@
 }
 
 /// The module's view of a replica.
-fn seen(w: &World, id: ReplicaId) -> tallypin::view::Seen {
-    w.gateway.view(w.now).into_iter().find(|s| s.replica == id).expect("listed as ready")
+fn seen(w: &World, id: ReplicaId) -> tallypin::replica_snapshot::ReplicaSnapshot {
+    w.gateway.replica_snapshots(w.now).into_iter().find(|s| s.replica == id).expect("listed as ready")
 }
 
 #[test]
@@ -163,7 +163,7 @@
         let id = ReplicaId(0);
         (0..8).for_each(|n| drop(w.demand(request(n))));
         (0..4).for_each(|n| drop(w.first(RequestId(n), 0)));
-        assert!(seen(&w, id).sampled.is_some() && seen(&w, id).open == 8);
+        assert!(seen(&w, id).wait_sample_age.is_some() && seen(&w, id).in_flight == 8);
         // The list tells of the restart before the attempts end.
         let now = w.now;
         told(&mut w, id, EndpointState::Ready, now);
@@ -175,8 +175,12 @@
             w.end(RequestId(n), 0, outcome);
         }
         let after = seen(&w, id);
-        assert_eq!((after.excluded, after.sampled), (0, None), "after {outcome:?}");
-        assert_eq!((after.pace.factor, after.pace.log_std_dev), (1.0, 0.5), "after {outcome:?}");
+        assert_eq!((after.ejected_for, after.wait_sample_age), (0, None), "after {outcome:?}");
+        assert_eq!(
+            (after.decode_rate.factor, after.decode_rate.log_std_dev),
+            (1.0, 0.5),
+            "after {outcome:?}"
+        );
     }
 }
 
