--- a/router/src/cli/parse.rs
+++ b/router/src/cli/parse.rs
@@ -152,7 +152,8 @@
             [release, ..] if release == "release" => return Err("release wants one plan, a file".into()),
             words => format!("{id}{}", words.join(" ")),
         };
-        operator_orders::parse(&order.split_ascii_whitespace().collect::<Vec<_>>())?;
+        operator_orders::parse(&order.split_ascii_whitespace().collect::<Vec<_>>())
+            .map_err(|error| error.to_string())?;
         Ok(Command::Ctl { socket, order: format!("fleet {order}") })
     }
 }
--- a/router/src/fleet/connection.rs
+++ b/router/src/fleet/connection.rs
@@ -1,5 +1,6 @@
-//! Connections to the members of the council. One each, kept; a call at a time; each has a deadline. A member that accepts
-//! and says nothing costs its own calls their time and nobody else's.
+//! Connections to the members of the council: one each, kept open, with one call at a time and a timeout for each call.
+//!
+//! A member that accepts connections and never answers costs its own calls their timeout and delays nobody else.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -10,100 +11,125 @@
 
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, oneshot};
+use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use super::wire::{self, Call, Direction, Keys, Reply};
+use super::wire::{self, Call, Direction, Keys, MessageError, Reply};
 
-/// Calls that may wait for one member; more are not made, as an answer would come too late to count.
+/// Calls that may wait for one member; a further one fails at once, as its reply would come too late to count.
 const MAX_PENDING_CALLS: usize = 8;
 
-type PendingCall = (Call, oneshot::Sender<Reply>);
+struct PendingCall {
+    call: Call,
+    reply: oneshot::Sender<Reply>,
+}
+
+/// Why a call has no reply.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    /// The member did not reply within the timeout.
+    #[error("timed out")]
+    TimedOut,
+    /// A reply came that belongs to another call, or is of another version.
+    #[error("another call's answer")]
+    Mismatched,
+    /// The message could not be sent, or the reply not be read.
+    #[error("{0}")]
+    Message(#[from] MessageError),
+}
 
-/// The way to one member.
+impl From<io::Error> for CallError {
+    fn from(e: io::Error) -> CallError {
+        CallError::Message(e.into())
+    }
+}
+
+/// The connection to one member. Its task ends with it.
 pub struct CouncilConnection {
     calls: mpsc::Sender<PendingCall>,
-    /// Whether the last call was answered.
-    answered_last: Rc<Cell<bool>>,
+    reachable: Rc<Cell<bool>>,
+    _task: JoinSet<()>,
 }
 
 impl CouncilConnection {
-    /// Starts the task that keeps it. It ends with this.
-    pub fn start(to: SocketAddr, keys: Rc<RefCell<Keys>>, deadline: Duration) -> CouncilConnection {
-        let (calls, waiting) = mpsc::channel(MAX_PENDING_CALLS);
-        let answered_last = Rc::new(Cell::new(false));
-        tokio::task::spawn_local(keep(to, keys, deadline, waiting, answered_last.clone()));
-        CouncilConnection { calls, answered_last }
-    }
-
-    /// Makes a call; `None`: not answered in time.
-    pub async fn call(&self, call: Call) -> Option<Reply> {
-        self.calling(call).await
+    /// Starts the task that makes the calls. It connects with the first of them.
+    pub fn start(address: SocketAddr, keys: Rc<RefCell<Keys>>, call_timeout: Duration) -> CouncilConnection {
+        let (calls, pending) = mpsc::channel(MAX_PENDING_CALLS);
+        let reachable = Rc::new(Cell::new(false));
+        let caller = Caller { address, keys, call_timeout, reachable: reachable.clone(), stream: None };
+        let mut task = JoinSet::new();
+        task.spawn_local(caller.run(pending));
+        CouncilConnection { calls, reachable, _task: task }
     }
 
-    /// The same, made at once, for a task of its own to wait for.
-    pub fn calling(&self, call: Call) -> impl Future<Output = Option<Reply>> + 'static {
-        let (answer, answered) = oneshot::channel();
-        let made = self.calls.try_send((call, answer));
+    /// Makes a call; `None`: there was no reply in time. The call is in the queue when this returns, and is made whether
+    /// the future is polled or not; one whose future has been dropped by its turn is passed over.
+    pub fn call(&self, call: Call) -> impl Future<Output = Option<Reply>> + 'static {
+        let (reply, replied) = oneshot::channel();
+        let queued = self.calls.try_send(PendingCall { call, reply });
         async move {
-            made.ok()?;
-            answered.await.ok()
+            queued.ok()?;
+            replied.await.ok()
         }
     }
 
-    /// Whether the last call was answered.
-    pub fn answered_last(&self) -> bool {
-        self.answered_last.get()
+    /// Whether the last call had a reply.
+    pub fn is_reachable(&self) -> bool {
+        self.reachable.get()
     }
 }
 
-async fn keep(
-    to: SocketAddr,
+struct Caller {
+    address: SocketAddr,
     keys: Rc<RefCell<Keys>>,
-    deadline: Duration,
-    mut calls: mpsc::Receiver<PendingCall>,
-    answered_last: Rc<Cell<bool>>,
-) {
-    let mut stream: Option<TcpStream> = None;
-    while let Some((call, answer)) = calls.recv().await {
-        if answer.is_closed() {
-            continue; // Nobody waits for it any more.
-        }
-        let number = call.sequence;
-        let made = timeout(deadline, one(&mut stream, to, &keys, &call)).await;
-        match made.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
-            Ok(reply) if reply.sequence == number && reply.version == wire::VERSION => {
-                answered_last.set(true);
-                let _ = answer.send(reply);
+    call_timeout: Duration,
+    reachable: Rc<Cell<bool>>,
+    stream: Option<TcpStream>,
+}
+
+impl Caller {
+    async fn run(mut self, mut pending: mpsc::Receiver<PendingCall>) {
+        while let Some(PendingCall { call, reply }) = pending.recv().await {
+            if reply.is_closed() {
+                continue; // Nobody waits for it any more.
             }
-            other => {
-                if answered_last.replace(false) {
-                    let why = other.err().map_or("another call's answer".to_string(), |e| e.to_string());
-                    tracing::warn!(target: "fleet", %to, why, "member of the council lost");
+            match self.call(&call).await {
+                Ok(received) => {
+                    self.reachable.set(true);
+                    let _ = reply.send(received);
+                }
+                Err(error) => {
+                    if self.reachable.replace(false) {
+                        tracing::warn!(target: "fleet", address = %self.address, %error, "council member not reachable");
+                    }
+                    // What may still come on it would be taken for the reply to the next call.
+                    self.stream = None;
                 }
-                // Request may still come on it would be taken for the next call's answer.
-                stream = None;
             }
         }
     }
-}
 
-async fn one(
-    stream: &mut Option<TcpStream>,
-    to: SocketAddr,
-    keys: &RefCell<Keys>,
-    call: &Call,
-) -> io::Result<Reply> {
-    let stream = match stream {
-        Some(open) => open,
-        none => {
-            let opened = TcpStream::connect(to).await?;
-            opened.set_nodelay(true)?;
-            none.insert(opened)
+    async fn call(&mut self, call: &Call) -> Result<Reply, CallError> {
+        let exchanged = timeout(self.call_timeout, self.exchange(call)).await;
+        let reply = exchanged.map_err(|_| CallError::TimedOut)??;
+        match reply.sequence == call.sequence && reply.version == wire::VERSION {
+            true => Ok(reply),
+            false => Err(CallError::Mismatched),
         }
-    };
-    let bytes = keys.borrow().seal(Direction::Call, call)?;
-    wire::write(stream, &bytes).await?;
-    let bytes = wire::read(stream).await?;
-    let opened = keys.borrow().open(Direction::Reply, &bytes);
-    opened
+    }
+
+    async fn exchange(&mut self, call: &Call) -> Result<Reply, CallError> {
+        let stream = match &mut self.stream {
+            Some(open) => open,
+            none => {
+                let opened = TcpStream::connect(self.address).await?;
+                opened.set_nodelay(true)?;
+                none.insert(opened)
+            }
+        };
+        let bytes = self.keys.borrow().seal(Direction::Call, call)?;
+        wire::write(stream, &bytes).await?;
+        let bytes = wire::read(stream).await?;
+        Ok(self.keys.borrow().open(Direction::Reply, &bytes)?)
+    }
 }
--- /dev/null
+++ b/router/src/fleet/proposer.rs
@@ -0,0 +1,221 @@
+//! A member's rounds of agreement: commands that wait are proposed together, in as few rounds as it takes.
+//!
+//! All routers submit to one member, so that hundreds of them do not overtake each other's rounds.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState, Rejection};
+use tallypin_consensus::register::{AcceptorReply, Ballot, Proposal, Proposer, RoundStep};
+use tokio::sync::{oneshot, Notify};
+use tokio::time::{sleep, timeout_at};
+
+use super::control::RouterControl;
+use super::council::{Council, CouncilAnswer, MemberAnswer};
+use super::known_state::KnownState;
+use super::local_router::LocalRouter;
+use super::settings::FleetSettings;
+use super::unix_ms;
+use super::wire::CommandOutcome;
+
+/// The first and the longest pause after a round that another has overtaken, doubled in between: two that overtake each
+/// other part.
+const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const LONGEST_BACKOFF: Duration = Duration::from_millis(640);
+/// Commands that one round applies at the most: bounds the time that it takes.
+const MAX_BATCH: usize = 64;
+/// Commands that may wait: a few of every router of the largest fleet.
+const MAX_QUEUED: usize = 4096;
+
+struct QueuedCommand {
+    command: Command,
+    outcome: oneshot::Sender<CommandOutcome>,
+}
+
+/// Proposes the queued commands of a member.
+pub struct CommandProposer {
+    settings: Rc<FleetSettings>,
+    local: Rc<LocalRouter>,
+    control: Rc<dyn RouterControl>,
+    council: Rc<Council>,
+    state: Rc<KnownState>,
+    queue: RefCell<Vec<QueuedCommand>>,
+    queued: Notify,
+    highest_ballot: Cell<Ballot>,
+}
+
+impl CommandProposer {
+    /// With an empty queue.
+    pub fn new(
+        settings: Rc<FleetSettings>,
+        local: Rc<LocalRouter>,
+        control: Rc<dyn RouterControl>,
+        council: Rc<Council>,
+        state: Rc<KnownState>,
+    ) -> CommandProposer {
+        CommandProposer {
+            settings,
+            local,
+            control,
+            council,
+            state,
+            queue: RefCell::default(),
+            queued: Notify::new(),
+            highest_ballot: Cell::default(),
+        }
+    }
+
+    /// Has a command proposed with the next round, and waits for its outcome. `None`: this router is no member, too many
+    /// wait, or no round ended in time.
+    pub async fn enqueue(&self, command: Command) -> Option<CommandOutcome> {
+        if !self.council.is_member() || self.queue.borrow().len() >= MAX_QUEUED {
+            return None;
+        }
+        let (outcome, decided) = oneshot::channel();
+        self.queue.borrow_mut().push(QueuedCommand { command, outcome });
+        self.queued.notify_one();
+        decided.await.ok()
+    }
+
+    /// Proposes what is queued, again and again. Never returns.
+    pub async fn run(self: Rc<Self>) {
+        loop {
+            self.queued.notified().await;
+            loop {
+                let batch = self.next_batch();
+                if batch.is_empty() {
+                    break;
+                }
+                let (commands, outcomes): (Vec<_>, Vec<_>) =
+                    batch.into_iter().map(|queued| (queued.command, queued.outcome)).unzip();
+                // Without a result the senders are dropped, which the waiting take for no majority.
+                if let Some(results) = self.propose(&commands).await {
+                    for (outcome, result) in outcomes.into_iter().zip(results) {
+                        let _ = outcome.send(result);
+                    }
+                }
+            }
+        }
+    }
+
+    fn next_batch(&self) -> Vec<QueuedCommand> {
+        let mut queue = self.queue.borrow_mut();
+        // Nobody waits for these any more.
+        queue.retain(|queued| !queued.outcome.is_closed());
+        // Operators' orders first: a halt does not wait for what it is to stop.
+        queue.sort_by_key(|queued| !queued.command.is_operator_order());
+        let count = queue.len().min(MAX_BATCH);
+        queue.drain(..count).collect()
+    }
+
+    /// Rounds until one is not overtaken; `None`: none was within the time of an order.
+    async fn propose(&self, commands: &[Command]) -> Option<Vec<CommandOutcome>> {
+        let deadline = (Instant::now() + self.settings.order_timeout).into();
+        let mut backoff = FIRST_BACKOFF;
+        let joining = commands.iter().filter_map(|command| match command {
+            Command::JoinCouncil(member) => Some(*member),
+            _ => None,
+        });
+        let joining: Vec<_> = joining.collect();
+        loop {
+            let round = Proposer::joining(self.next_ballot(), self.council.size(), joining.clone());
+            if let Some(results) = timeout_at(deadline, self.run_round(round, commands)).await.ok()? {
+                return Some(results);
+            }
+            timeout_at(deadline, sleep(self.local.jittered(backoff))).await.ok()?;
+            backoff = (backoff * 2).min(LONGEST_BACKOFF);
+        }
+    }
+
+    /// One round. Its commands are applied one after the other, each accepted or rejected by itself. `None`: another round
+    /// has overtaken it, or no majority answered.
+    async fn run_round(
+        &self,
+        mut round: Proposer<FleetState>,
+        commands: &[Command],
+    ) -> Option<Vec<CommandOutcome>> {
+        let mut view = self.empty_view(commands);
+        let mut results: Vec<Result<(), Rejection>> = vec![];
+        let mut answers = self.council.ask_all(&round.request());
+        while let Some(CouncilAnswer { member, request, answer }) = answers.recv().await {
+            let Some(answer) = answer else { continue };
+            self.note_answer(&answer, &mut view);
+            match round.handle_reply(member, &request, answer.reply) {
+                RoundStep::Wait => {}
+                RoundStep::Superseded(_) => return None,
+                RoundStep::Propose(state) => {
+                    let applied = self.apply(state, commands, &view);
+                    results = applied.results;
+                    if results.iter().all(Result::is_err) {
+                        return Some(outcomes(results, &FleetState::default()));
+                    }
+                    round.propose(applied.state);
+                    answers = self.council.ask_all(&round.request());
+                }
+                RoundStep::Chosen(value) => {
+                    let state = value.state.clone();
+                    self.council.join(Proposal { ballot: round.ballot(), value });
+                    self.state.learn(&state);
+                    return Some(outcomes(results, &state));
+                }
+            }
+        }
+        None
+    }
+
+    fn empty_view(&self, commands: &[Command]) -> CouncilView {
+        let needs_list =
+            |command: &Command| matches!(command, Command::DrainReplicas { .. } | Command::AdvanceReplica(_));
+        CouncilView {
+            majority: self.council.majority(),
+            replicas: commands.iter().any(needs_list).then(|| self.control.replica_views()).flatten(),
+            unix_ms: unix_ms(),
+            ..CouncilView::default()
+        }
+    }
+
+    /// Adds a promise's view of who is out of service, and notes a ballot above the own one.
+    fn note_answer(&self, answer: &MemberAnswer, view: &mut CouncilView) {
+        match (&answer.reply, &answer.out_of_service) {
+            (AcceptorReply::Superseded(ballot), _) => self.note_ballot(*ballot),
+            (AcceptorReply::Promised { .. }, Some(out_of_service)) => {
+                view.informed_members += 1;
+                view.out_of_service.extend(out_of_service);
+            }
+            _ => {}
+        }
+    }
+
+    fn apply(&self, mut state: FleetState, commands: &[Command], view: &CouncilView) -> AppliedCommands {
+        let mut results = vec![];
+        for command in commands {
+            let applied = state.apply(command, &self.settings.limits, view);
+            results.push(applied.map(|new| state = new));
+        }
+        AppliedCommands { state, results }
+    }
+
+    /// Above all ballots that were heard of.
+    pub fn next_ballot(&self) -> Ballot {
+        let own = Ballot { number: 0, proposer: self.local.index(), incarnation: self.local.incarnation() };
+        let ballot = own.above(self.highest_ballot.get());
+        self.highest_ballot.set(ballot);
+        ballot
+    }
+
+    /// Notes a ballot that a member has promised.
+    pub fn note_ballot(&self, ballot: Ballot) {
+        self.highest_ballot.set(self.highest_ballot.get().max(ballot));
+    }
+}
+
+/// A state with commands applied, and what became of each.
+struct AppliedCommands {
+    state: FleetState,
+    results: Vec<Result<(), Rejection>>,
+}
+
+fn outcomes(results: Vec<Result<(), Rejection>>, state: &FleetState) -> Vec<CommandOutcome> {
+    results.into_iter().map(|result| result.map(|()| state.clone())).collect()
+}
--- a/router/src/fleet/release_controller.rs
+++ b/router/src/fleet/release_controller.rs
@@ -1,81 +1,129 @@
-//! Request members of the council ask for on behalf of all: the next wave of a release or its end, model nodes that are to go
-//! out or whose time has come. Each member could; one asks first, the others after it, if it does not.
+//! What members of the council submit on behalf of all: the next wave of a release or its end, replicas that are to leave
+//! service or whose time has come.
+//!
+//! Each member could. They take turns, so that one submits first, and the others after it if it does not.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
 use tallypin_consensus::fleet_state::{Command, FleetState};
-use tallypin_consensus::release_monitor::{ReleaseMonitor, RouterReport};
+use tallypin_consensus::release_monitor::ReleaseMonitor;
 use tallypin_consensus::replica_drains::ReplicaStage;
-use tallypin_membership::{Nanos, RouterIndex};
+use tallypin_membership::Nanos;
 use tokio::time::sleep;
 
-use super::{now_ms, FleetAgent, SubmitError};
+use super::known_state::KnownState;
+use super::local_router::LocalRouter;
+use super::peer_table::PeerTable;
+use super::settings::FleetSettings;
+use super::submission::{CommandSubmitter, SubmitError};
+use super::unix_ms;
 
-/// Beats between the turns of two members: guards against all that ask for the same at once and overtake each other.
+/// Heartbeat intervals between the turns of two members: enough for the first one's command to be agreed on.
 const TURN_HEARTBEATS: u64 = 4;
 
-impl FleetAgent {
-    /// Ends never.
-    pub(super) async fn control_releases(self: Rc<Self>) {
-        let every = self.settings.heartbeat.interval;
-        let place =
-            self.settings.council.iter().position(|&p| p == self.settings.own_index).unwrap_or(0) as u64;
-        let round = self.settings.council.len() as u64 * TURN_HEARTBEATS * every;
-        let mut watch = ReleaseMonitor::default();
-        // By what is wanted: when it is this member's turn to ask for it.
-        let mut turns: BTreeMap<String, Nanos> = BTreeMap::new();
+/// What a command is about: of two about the same only one is due at a time.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+enum Subject {
+    WaveCompleted,
+    WaveFailed,
+    Replica(String),
+}
+
+struct DueCommand {
+    subject: Subject,
+    command: Command,
+}
+
+/// Submits what is due for all.
+pub struct ReleaseController {
+    settings: Rc<FleetSettings>,
+    local: Rc<LocalRouter>,
+    peers: Rc<PeerTable>,
+    state: Rc<KnownState>,
+    submitter: Rc<CommandSubmitter>,
+    monitor: ReleaseMonitor,
+    /// When it is this member's turn to submit what is due.
+    turns: BTreeMap<Subject, Nanos>,
+}
+
+impl ReleaseController {
+    /// One that watches from now on.
+    pub fn new(
+        settings: Rc<FleetSettings>,
+        local: Rc<LocalRouter>,
+        peers: Rc<PeerTable>,
+        state: Rc<KnownState>,
+        submitter: Rc<CommandSubmitter>,
+    ) -> ReleaseController {
+        let (monitor, turns) = (ReleaseMonitor::default(), BTreeMap::new());
+        ReleaseController { settings, local, peers, state, submitter, monitor, turns }
+    }
+
+    /// Looks at each heartbeat interval. Never returns.
+    pub async fn run(mut self) {
         loop {
-            sleep(Duration::from_nanos(every)).await;
-            let wanted = self.due_commands(&mut watch);
-            turns.retain(|key, _| wanted.iter().any(|(k, _)| k == key));
-            for (key, act) in wanted {
-                let turn = *turns.entry(key.clone()).or_insert(self.now() + place * TURN_HEARTBEATS * every);
-                if self.now() < turn {
+            sleep(Duration::from_nanos(self.settings.heartbeat.interval)).await;
+            let due = self.due_commands();
+            self.turns.retain(|subject, _| due.iter().any(|d| d.subject == *subject));
+            for DueCommand { subject, command } in due {
+                if !self.is_own_turn(subject) {
                     continue;
                 }
-                turns.insert(key, self.now() + round);
-                match self.submit(&act).await {
-                    Ok(_) => tracing::info!(target: "fleet", ?act, "asked for, and agreed on"),
-                    Err(SubmitError::Rejected(no)) => tracing::debug!(target: "fleet", ?act, %no, "not now"),
+                match self.submitter.submit(&command).await {
+                    Ok(_) => tracing::info!(target: "fleet", ?command, "command applied for the fleet"),
+                    Err(SubmitError::Rejected(reason)) => {
+                        tracing::debug!(target: "fleet", ?command, %reason, "command rejected");
+                    }
                     Err(SubmitError::NoMajority) => break,
                 }
             }
         }
     }
 
-    /// Request is to be asked for now, each with what it is known by.
-    fn due_commands(&self, watch: &mut ReleaseMonitor) -> Vec<(String, Command)> {
-        let now = self.now();
-        let Some(document) = self.state.borrow().clone() else { return vec![] };
-        let mut presence = self.failure_detector.borrow_mut();
-        presence.note_clock(now);
-        // One that was stopped knows nobody's silence, and would call a crash what is none.
-        if !presence.can_detect_silence(now) {
-            return vec![];
+    /// Whether it is this member's turn; if so, the next one is after all the others'.
+    fn is_own_turn(&mut self, subject: Subject) -> bool {
+        let turn = TURN_HEARTBEATS * self.settings.heartbeat.interval;
+        let own = self.settings.own_member_index().unwrap_or(0) as u64;
+        let now = self.local.now();
+        let next = self.turns.entry(subject).or_insert(now + own * turn);
+        if now < *next {
+            return false;
         }
-        let told = self.reports.borrow();
-        let heard = (0..).zip(told.iter()).map(|(place, told): (RouterIndex, _)| {
-            let life = presence.live_peer(now, place)?.incarnation;
-            let told = told.as_ref().filter(|(of, _)| *of == life);
-            Some(RouterReport { incarnation: life, counts: told.map(|(_, t)| t.counts).unwrap_or_default() })
+        *next = now + self.settings.council.len() as u64 * turn;
+        true
+    }
+
+    fn due_commands(&mut self) -> Vec<DueCommand> {
+        let Some(state) = self.state.current() else { return vec![] };
+        let now = self.local.now();
+        let Some(reports) = self.peers.release_reports(now) else { return vec![] };
+        let command = self.monitor.next_command(now, &state, &self.settings.limits, &reports);
+        let of_release = command.map(|command| {
+            let subject = match command {
+                Command::FailWave(_) => Subject::WaveFailed,
+                _ => Subject::WaveCompleted,
+            };
+            DueCommand { subject, command }
         });
-        let heard: Vec<Option<RouterReport>> = heard.collect();
-        let release = watch.next_command(now, &document, &self.settings.limits, &heard);
-        let key =
-            |act: &Command| if matches!(act, Command::FailWave(..)) { "fail" } else { "wave" }.to_string();
-        let release = release.map(|act| (key(&act), act));
-        release.into_iter().chain(nodes(&document)).collect()
+        of_release.into_iter().chain(due_replicas(&state)).collect()
     }
 }
 
-fn nodes(document: &FleetState) -> Vec<(String, Command)> {
-    let now = now_ms();
-    let due = document.replicas.iter().filter(|(_, e)| match e.stage {
-        ReplicaStage::Requested => document.halted.is_none() || e.until.is_some_and(|at| now >= at),
-        ReplicaStage::OutOfService(_) => e.until.is_some_and(|at| now >= at),
-        ReplicaStage::Restored(_) => false,
+fn due_replicas(state: &FleetState) -> Vec<DueCommand> {
+    let now = unix_ms();
+    let due = state.replicas.iter().filter(|(_, entry)| {
+        let time_is_over = entry.until.is_some_and(|until| now >= until);
+        match entry.stage {
+            ReplicaStage::Requested => state.halted.is_none() || time_is_over,
+            ReplicaStage::OutOfService(_) => time_is_over,
+            ReplicaStage::Restored(_) => false,
+        }
     });
-    due.map(|(id, _)| (format!("node {id}"), Command::AdvanceReplica(id.clone()))).collect()
+    due.map(|(id, _)| DueCommand {
+        subject: Subject::Replica(id.clone()),
+        command: Command::AdvanceReplica(id.clone()),
+    })
+    .collect()
 }
--- a/router/src/fleet/release_files/tests.rs
+++ b/router/src/fleet/release_files/tests.rs
@@ -1,56 +1,91 @@
 use super::*;
 
-fn place(test: &str) -> ReleaseFile {
-    let dir = std::env::temp_dir().join(format!("tallypin-files-{test}-{}", std::process::id()));
-    let _ = fs::remove_dir_all(&dir);
-    let r =
-        ReleaseFile { artifact: "settings".into(), path: dir.join("t.conf"), store_dir: dir.join("store") };
-    fs::create_dir_all(&r.store_dir).unwrap();
-    fs::write(&r.path, "old").unwrap();
-    fs::write(r.store_dir.join(digest(b"new")), "new").unwrap();
-    r
+/// `old` installed, `new` in the store.
+struct Installed {
+    dir: tempfile::TempDir,
+    file: ReleaseFile,
+}
+
+impl Installed {
+    fn new() -> Installed {
+        let dir = tempfile::tempdir().unwrap();
+        let (path, store_dir) = (dir.path().join("t.conf"), dir.path().join("store"));
+        let file = ReleaseFile { artifact: "settings".into(), path, store_dir };
+        fs::create_dir_all(&file.store_dir).unwrap();
+        fs::write(&file.path, "old").unwrap();
+        let installed = Installed { dir, file };
+        installed.store(&digest(b"new"), "new");
+        installed
+    }
+
+    fn store(&self, digest: &str, text: &str) {
+        fs::write(self.file.store_dir.join(digest), text).unwrap();
+    }
+
+    fn text(&self) -> String {
+        assert!(self.dir.path().exists());
+        fs::read_to_string(&self.file.path).unwrap()
+    }
+
+    /// What a start says of a trial.
+    fn start(&self) -> Option<String> {
+        begin_trial(&self.file.path).map(|event| event.to_string())
+    }
 }
 
 #[test]
-fn a_file_is_put_in_its_place_on_trial_and_goes_back_after_too_many_starts() {
-    let r = place("trial");
-    r.install(&digest(b"new")).unwrap();
+fn a_file_is_installed_on_trial_and_rolled_back_after_too_many_starts() {
+    let installed = Installed::new();
+    installed.file.install(&digest(b"new")).unwrap();
     assert_eq!(
-        (r.installed_digest().unwrap(), fs::read_to_string(&r.path).unwrap()),
+        (installed.file.installed_digest().unwrap(), installed.text()),
         (digest(b"new"), "new".into())
     );
     for _ in 0..MAX_TRIAL_STARTS {
-        assert_eq!(begin_trial(&r.path), None);
-        assert_eq!(fs::read_to_string(&r.path).unwrap(), "new");
+        assert_eq!(installed.start(), None);
+        assert_eq!(installed.text(), "new");
     }
-    assert!(begin_trial(&r.path).unwrap().contains("back to"));
-    assert_eq!((fs::read_to_string(&r.path).unwrap().as_str(), begin_trial(&r.path)), ("old", None));
-    r.install(&digest(b"new")).unwrap();
-    assert_eq!(begin_trial(&r.path), None);
-    r.confirm().unwrap();
-    assert!((0..9).all(|_| begin_trial(&r.path).is_none()), "kept");
-    r.install(&digest(b"old")).unwrap();
-    assert_eq!(fs::read_to_string(&r.path).unwrap(), "old", "and the way back");
+    assert!(installed.start().unwrap().contains("back to"));
+    assert_eq!((installed.text().as_str(), installed.start()), ("old", None));
 }
 
-/// What a disk that lies leaves: nothing is put in place by it, and what is there stays.
 #[test]
-fn torn_missing_and_foreign_files_change_nothing() {
-    let r = place("torn");
+fn a_confirmed_file_is_on_trial_no_longer_and_can_be_replaced() {
+    let installed = Installed::new();
+    installed.file.install(&digest(b"new")).unwrap();
+    assert_eq!(installed.start(), None);
+    installed.file.confirm().unwrap();
+    assert!((0..9).all(|_| installed.start().is_none()), "confirmed");
+    installed.file.install(&digest(b"old")).unwrap();
+    assert_eq!(installed.text(), "old", "and the way back");
+}
+
+#[test]
+fn files_of_the_store_that_are_torn_missing_or_foreign_are_not_installed() {
+    let installed = Installed::new();
     let (new, other) = (digest(b"new"), digest(b"other"));
     for (name, held) in [(&new, "ne"), (&new, ""), (&other, "new")] {
-        fs::write(r.store_dir.join(name), held).unwrap();
-        assert!(r.install(name).unwrap_err().to_string().contains("something else"));
+        installed.store(name, held);
+        let error = installed.file.install(name).unwrap_err().to_string();
+        assert!(error.contains("something else"), "{error}");
     }
-    assert!(r.install(&digest(b"nowhere")).is_err());
-    assert!(r.install("../t.conf").unwrap_err().to_string().contains("not a digest"));
-    fs::write(beside(&r.path, "trial"), "{torn").unwrap();
-    assert_eq!((begin_trial(&r.path), fs::read_to_string(&r.path).unwrap()), (None, "old".into()));
-    // The way back is gone: said, and what is there stays.
-    fs::write(r.store_dir.join(&new), "new").unwrap();
-    r.install(&new).unwrap();
-    fs::write(r.store_dir.join(digest(b"old")), "ol").unwrap();
-    (0..MAX_TRIAL_STARTS).for_each(|_| drop(begin_trial(&r.path)));
-    assert!(begin_trial(&r.path).unwrap().contains("no way back"));
-    assert_eq!(fs::read_to_string(&r.path).unwrap(), "new");
+    assert!(installed.file.install(&digest(b"nowhere")).is_err());
+    assert!(installed.file.install("../t.conf").unwrap_err().to_string().contains("not a digest"));
+}
+
+#[test]
+fn a_torn_trial_changes_nothing() {
+    let installed = Installed::new();
+    fs::write(trial_path(&installed.file.path), "{torn").unwrap();
+    assert_eq!((installed.start(), installed.text()), (None, "old".into()));
+}
+
+#[test]
+fn what_is_installed_stays_if_the_file_of_before_is_lost() {
+    let installed = Installed::new();
+    installed.file.install(&digest(b"new")).unwrap();
+    installed.store(&digest(b"old"), "ol");
+    (0..MAX_TRIAL_STARTS).for_each(|_| drop(installed.start()));
+    assert!(installed.start().unwrap().contains("no way back"));
+    assert_eq!(installed.text(), "new");
 }
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -1,88 +1,34 @@
-//! Section `fleet` of the settings: who belongs to it, who of it agrees, and how many may be out.
+//! Section `fleet` of the settings: the routers of the fleet, the council, and how many may be out of service.
+
+mod limits;
+mod schema;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use tallypin_consensus::drain_lease;
+use tallypin_consensus::drain_lease::LeaseTiming;
 use tallypin_consensus::fleet_state::DrainLimits;
 use tallypin_consensus::register::MAX_MEMBERS;
 use tallypin_consensus::replica_drains::{Limit, ReplicaLimits};
-use tallypin_membership::RouterIndex;
-use tallypin_settings_schema::{nearest, Checked, Directive, Entry, Kind, Problem, Section};
+use tallypin_membership::{HeartbeatTiming, Nanos, RouterIndex};
+use tallypin_settings_schema::{nearest, Checked, Entry, Problem, Value};
 
 use super::release_files::ReleaseFile;
+use limits::{parse_replica_limit, parse_router_limit, WholeGroup};
+pub use schema::SECTION;
 
-/// The most routers of a fleet.
+/// The most routers of a fleet: what the size of messages and the council's work are sized for.
 pub const MAX_ROUTERS: usize = 1000;
-/// Descriptors beside the connections of the routers: the listener, and who is turned away.
+/// Descriptors beside the connections of the routers: the listener, and connections that are rejected.
 const SPARE_DESCRIPTORS: usize = 4;
-const MINUTE_MS: u64 = 60_000;
-
-/// The section.
-pub const SECTION: Section = Section {
-    name: "fleet",
-    always: false,
-    about: "drains that the routers of a fleet agree on",
-    directives: &[
-        Directive::required("name", &[Kind::Text], "the fleet's name; messages of another are not read"),
-        Directive::required("me", &[Kind::Text], "which of its routers this is"),
-        Directive::required(
-            "key",
-            &[Kind::Path],
-            "a file with the key that signs messages, or two while they change",
-        ),
-        Directive::required(
-            "router",
-            &[Kind::Text, Kind::Address, Kind::Text],
-            "a router, its address, its zone",
-        )
-        .many(),
-        Directive::required("council", &[Kind::Text], "the routers that agree: 1, 3, 5 or 7 of them").rest(),
-        Directive::required(
-            "out-most",
-            &[Kind::Text],
-            "routers that may be out at once, a number or a share",
-        ),
-        Directive::required("out-zone", &[Kind::Text], "the same, of a zone; a share is of the smallest"),
-        Directive::optional("nodes-out-most", &[Kind::Text], "model nodes that may be out by order at once"),
-        Directive::optional("nodes-out-zone", &[Kind::Text], "the same, of a zone"),
-        Directive::optional("nodes-out-kind", &[Kind::Text], "the same, of a kind of machine"),
-        Directive::optional(
-            "release",
-            &[Kind::OneOf(&["settings", "configuration", "program"]), Kind::Path, Kind::Path],
-            "a file that a release may change: where it is found, and the store with one for each digest",
-        )
-        .many(),
-        Directive::optional(
-            "store",
-            &[Kind::Path],
-            "where a member of the council stores what is agreed on, on a disk that lasts",
-        ),
-        Directive::with("beat", &[Kind::Duration(50, MINUTE_MS)], &["500ms"], "a router is heard so often"),
-        Directive::with(
-            "silent",
-            &[Kind::Duration(100, MINUTE_MS)],
-            &["3s"],
-            "not heard for so long it is out",
-        ),
-        Directive::with(
-            "lease",
-            &[Kind::Duration(500, MINUTE_MS)],
-            &["5s"],
-            "a leave to go out is good for so long",
-        ),
-        Directive::with("answer", &[Kind::Duration(100, MINUTE_MS)], &["1s"], "a member answers within this"),
-        Directive::with(
-            "within",
-            &[Kind::Duration(500, MINUTE_MS)],
-            &["5s"],
-            "an order is agreed on within this, or not",
-        ),
-    ],
-    sections: &[],
-};
+/// Connections between a router and a member of the council: for commands, and for other calls.
+const CONNECTIONS_PER_MEMBER: usize = 2;
+/// Heartbeats that must fit in the silence limit: one that is lost is no silence.
+const HEARTBEATS_PER_SILENCE: u32 = 3;
+/// Clocks of two routers may drift apart by one part in so many of a lease: far above what any clock does.
+const CLOCK_DRIFT_DIVISOR: u64 = 20;
 
 /// A router of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -100,203 +46,228 @@
 pub struct FleetSettings {
     /// The fleet's name.
     pub name: String,
-    /// This router.
+    /// This router's index in `routers`.
     pub own_index: RouterIndex,
     /// The file with the keys.
     pub key_file: PathBuf,
-    /// All routers, by place.
+    /// All routers, by index.
     pub routers: Vec<FleetRouter>,
-    /// Those that agree.
+    /// The members of the council.
     pub council: Vec<RouterIndex>,
-    /// How many may be out.
+    /// How many routers and replicas may be out of service.
     pub limits: DrainLimits,
-    /// Where a member of the council stores what is agreed on.
+    /// Where a member of the council stores the fleet state.
     pub state_file: Option<PathBuf>,
-    /// What a release may change.
+    /// The files that a release may change.
     pub release_files: Vec<ReleaseFile>,
-    /// Beats, and when silence is believed.
-    pub heartbeat: tallypin_membership::HeartbeatTiming,
-    /// The figures of a leave.
-    pub lease: drain_lease::LeaseTiming,
-    /// A member answers within this.
+    /// The heartbeat interval, and the silence after which a router counts as out of service.
+    pub heartbeat: HeartbeatTiming,
+    /// The timing of the drain lease.
+    pub lease: LeaseTiming,
+    /// A member of the council replies within this, or counts as unreachable.
     pub reply_timeout: Duration,
-    /// An order is agreed on within this, or not.
+    /// An order is agreed on within this, or fails.
     pub order_timeout: Duration,
 }
 
 impl FleetSettings {
-    /// Reads the section; what is wrong is told with its line.
-    pub fn from_section(s: &Checked, problems: &mut Vec<Problem>) -> FleetSettings {
-        let routers: Vec<FleetRouter> = s.all("router").map(router).collect();
-        let names: Vec<&str> = routers.iter().map(|r| r.name.as_str()).collect();
-        let find = |entry: &Entry, word: usize, problems: &mut Vec<Problem>| -> RouterIndex {
-            let name = entry.text(word);
-            names.iter().position(|n| *n == name).unwrap_or_else(|| {
-                let what = format!("the fleet has no router `{name}`");
-                let mut problem = Problem::new(entry.place(word + 1), what);
-                problem.help =
-                    nearest(name, names.iter().copied()).map(|near| format!("did you mean `{near}`?"));
-                problems.push(problem);
-                0
-            }) as RouterIndex
-        };
-        let wrong = |what: String| Problem::new(s.place, what);
-        if routers.len() > MAX_ROUTERS {
-            problems.push(wrong(format!("a fleet has {MAX_ROUTERS} routers at the most")));
-        }
-        let addresses: BTreeSet<SocketAddr> = routers.iter().map(|r| r.address).collect();
-        if addresses.len() < routers.len() {
-            problems.push(wrong("two routers of the fleet have one address".into()));
-        }
-        let me = s.entry("me").map_or(0, |e| find(e, 0, problems));
-        let council: Vec<RouterIndex> = s
-            .entry("council")
-            .map_or(vec![], |e| (0..e.values.len()).map(|word| find(e, word, problems)).collect());
-        let apart: BTreeSet<RouterIndex> = council.iter().copied().collect();
-        if council.len() > MAX_MEMBERS || council.len() % 2 == 0 || apart.len() < council.len() {
-            problems.push(wrong("a council has 1, 3, 5 or 7 members, each once".into()));
-        }
-        let mut zones: Vec<&str> = routers.iter().map(|r| r.zone.as_str()).collect();
-        zones.sort_unstable();
-        let smallest = zones.chunk_by(|a, b| a == b).map(<[_]>::len).min().unwrap_or(0);
-        zones.dedup();
-        let zone_of = |r: &FleetRouter| zones.iter().position(|z| *z == r.zone).unwrap_or(0) as u16;
-        let mut most = |name: &str, of: usize, whole: bool| {
-            s.entry(name).map_or(0, |e| {
-                parse_router_limit(e.text(0), of, whole).unwrap_or_else(|why| {
-                    problems.push(Problem::new(e.place(1), format!("`{name}`: {why}")));
-                    0
-                })
-            })
-        };
-        let (all, zone) = (most("out-most", routers.len(), false), most("out-zone", smallest, true));
-        let nodes = replica_limits(s, problems);
-        let path = |e: &Entry, at: usize| match e.values.get(at) {
-            Some(tallypin_settings_schema::Value::Path(path)) => PathBuf::from(path),
-            _ => PathBuf::new(),
-        };
-        let released = s.all("release").map(|e| ReleaseFile {
-            artifact: e.text(0).into(),
-            path: path(e, 1),
-            store_dir: path(e, 2),
-        });
-        let released: Vec<ReleaseFile> = released.collect();
-        let wrong = |what: String| Problem::new(s.place, what);
-        let kinds: BTreeSet<&str> = released.iter().map(|r| r.artifact.as_str()).collect();
-        if kinds.len() < released.len() {
-            problems.push(wrong("`release`: a kind of file has one place".into()));
-        }
-        let (beat, silent) = (s.duration("beat"), s.duration("silent"));
-        if silent < beat * 3 {
-            problems.push(wrong(
-                "`silent` is less than three times `beat`: a lost beat would be a silence".into(),
-            ));
-        }
-        let nanos = |d: Duration| d.as_nanos() as u64;
+    /// Reads the section. What is wrong goes to `problems`, with its line; the result is then not to be used.
+    pub fn from_section(section: &Checked, problems: &mut Vec<Problem>) -> FleetSettings {
+        let mut reader = Reader { section, routers: section.all("router").map(router).collect(), problems };
+        reader.check_routers();
+        let own_index = section.entry("me").map_or(0, |entry| reader.router_index(entry, 0));
+        let council = reader.council();
+        let limits = reader.limits(council.clone());
+        let release_files = reader.release_files();
+        let heartbeat = reader.heartbeat();
         FleetSettings {
-            name: s.text("name").into(),
-            own_index: me,
-            key_file: s.path("key").map(PathBuf::from).unwrap_or_default(),
-            limits: DrainLimits {
-                names: routers.iter().map(|r| r.name.clone()).collect(),
-                zones: routers.iter().map(zone_of).collect(),
-                total: all,
-                per_zone: zone,
-                council: council.clone(),
-                replicas: nodes,
-            },
-            state_file: s.path("store").map(PathBuf::from),
-            release_files: released,
-            routers,
+            name: section.text("name").into(),
+            own_index,
+            key_file: section.path("key").map(PathBuf::from).unwrap_or_default(),
+            routers: reader.routers,
             council,
-            heartbeat: tallypin_membership::HeartbeatTiming {
-                interval: nanos(beat),
-                silence_limit: nanos(silent),
+            limits,
+            state_file: section.path("store").map(PathBuf::from),
+            release_files,
+            heartbeat,
+            lease: LeaseTiming {
+                duration: nanos(section.duration("lease")),
+                drift_divisor: CLOCK_DRIFT_DIVISOR,
+                retry_after: heartbeat.interval,
             },
-            lease: drain_lease::LeaseTiming {
-                duration: nanos(s.duration("lease")),
-                drift_divisor: 20,
-                retry_after: nanos(beat),
-            },
-            reply_timeout: s.duration("answer"),
-            order_timeout: s.duration("within"),
+            reply_timeout: section.duration("answer"),
+            order_timeout: section.duration("within"),
         }
     }
 
-    /// The descriptors that it needs: a member of the council has two connections of each router, and each has two to every
-    /// member: one for beats and answers, one for changes.
+    /// The file descriptors that the fleet needs here: connections to all members of the council, and, of a member, those
+    /// of all routers.
     pub fn descriptors(&self) -> usize {
-        let served = if self.council.contains(&self.own_index) { 2 * self.routers.len() } else { 0 };
-        2 * self.council.len() + served + SPARE_DESCRIPTORS
+        let accepted = match self.own_member_index() {
+            Some(_) => CONNECTIONS_PER_MEMBER * self.routers.len(),
+            None => 0,
+        };
+        CONNECTIONS_PER_MEMBER * self.council.len() + accepted + SPARE_DESCRIPTORS
     }
 
-    /// A router's place, by its name.
+    /// A router's index, by its name.
     pub fn index_of(&self, name: &str) -> Option<RouterIndex> {
-        self.routers.iter().position(|r| r.name == name).map(|p| p as RouterIndex)
+        index_of(&self.routers, name)
+    }
+
+    /// This router's index in the council; `None`: it is no member.
+    pub fn own_member_index(&self) -> Option<usize> {
+        self.council.iter().position(|router| *router == self.own_index)
+    }
+
+    /// Where this router stores the fleet state; `None`: it is no member, or the settings name no file.
+    pub fn own_state_file(&self) -> Option<PathBuf> {
+        self.state_file.clone().filter(|_| self.own_member_index().is_some())
     }
 }
 
-fn router(e: &Entry) -> FleetRouter {
-    let at = match e.values.get(1) {
-        Some(tallypin_settings_schema::Value::Address(at)) => *at,
+fn index_of(routers: &[FleetRouter], name: &str) -> Option<RouterIndex> {
+    routers.iter().position(|router| router.name == name).map(|index| index as RouterIndex)
+}
+
+fn nanos(time: Duration) -> Nanos {
+    time.as_nanos() as u64
+}
+
+fn router(entry: &Entry) -> FleetRouter {
+    let address = match entry.values.get(1) {
+        Some(Value::Address(address)) => *address,
+        // Told already as a problem of the entry.
         _ => ([127, 0, 0, 1], 0).into(),
     };
-    FleetRouter { name: e.text(0).into(), address: at, zone: e.text(2).into() }
+    FleetRouter { name: entry.text(0).into(), address, zone: entry.text(2).into() }
 }
 
-/// The bounds for model nodes: by zone and kind as in all, where nothing else is said.
-fn replica_limits(s: &Checked, problems: &mut Vec<Problem>) -> Option<ReplicaLimits> {
-    let mut most = |name: &str| {
-        let e = s.entry(name)?;
-        let read = parse_replica_limit(e.text(0));
-        read.map_err(|why| problems.push(Problem::new(e.place(1), format!("`{name}`: {why}")))).ok()
-    };
-    let (all, zone, kind) = (most("nodes-out-most"), most("nodes-out-zone"), most("nodes-out-kind"));
-    if all.is_none() && (zone.is_some() || kind.is_some()) {
-        problems.push(Problem::new(
-            s.place,
-            "`nodes-out-zone` and `nodes-out-kind` want `nodes-out-most`".to_string(),
-        ));
+fn path(entry: &Entry, word: usize) -> PathBuf {
+    match entry.values.get(word) {
+        Some(Value::Path(path)) => Path::to_path_buf(path),
+        // Told already as a problem of the entry.
+        _ => PathBuf::new(),
     }
-    all.map(|all| ReplicaLimits { total: all, per_zone: zone.unwrap_or(all), per_kind: kind.unwrap_or(all) })
 }
 
-/// `3`, or `10%`, up to so large a share.
-fn parse_count_or_percent(word: &str, largest: usize) -> Result<Limit, String> {
-    let digits = |w: &str| w.parse::<usize>().ok().filter(|_| w.bytes().all(|b| b.is_ascii_digit()));
-    match word.strip_suffix('%') {
-        Some(share) => digits(share)
-            .filter(|s| (1..=largest).contains(s))
-            .map(Limit::Percent)
-            .ok_or_else(|| format!("a share is 1% to {largest}%")),
-        None => digits(word).map(Limit::Count).ok_or_else(|| "wants a number, or a share as 10%".into()),
-    }
+/// Reads the section part by part.
+struct Reader<'a> {
+    section: &'a Checked,
+    routers: Vec<FleetRouter>,
+    problems: &'a mut Vec<Problem>,
 }
 
-/// Of as many as are listed when it counts, rounded down, so at times of none.
-fn parse_replica_limit(word: &str) -> Result<Limit, String> {
-    match parse_count_or_percent(word, 99)? {
-        Limit::Count(0) => Err("a bound of none would let nothing out; leave it away for that".into()),
-        most => Ok(most),
+impl Reader<'_> {
+    /// A problem of the whole section.
+    fn problem(&mut self, what: impl Into<String>) {
+        self.problems.push(Problem::new(self.section.place, what.into()));
     }
-}
 
-/// Of so many, rounded down. A share that is none is an error: it would stop every release, by accident.
-/// The whole of a zone may go out, where the bound says so; the whole of a fleet may not.
-fn parse_router_limit(word: &str, of: usize, whole: bool) -> Result<usize, String> {
-    let most = match parse_count_or_percent(word, 100)? {
-        Limit::Percent(share) => match of * share / 100 {
-            0 => return Err(format!("{share}% of {of} is none; say 1 to let one out")),
-            most => most,
-        },
-        Limit::Count(most) => most,
-    };
-    match most {
-        0 => Err("a bound of none would let nobody out".into()),
-        most if !whole && of > 1 && most >= of => {
-            Err(format!("{most} of {of} may be out: nobody would serve"))
+    fn check_routers(&mut self) {
+        if self.routers.len() > MAX_ROUTERS {
+            self.problem(format!("a fleet has {MAX_ROUTERS} routers at the most"));
+        }
+        let addresses: BTreeSet<SocketAddr> = self.routers.iter().map(|router| router.address).collect();
+        if addresses.len() < self.routers.len() {
+            self.problem("two routers of the fleet have one address");
+        }
+    }
+
+    /// The index of the router that a word names; 0 if there is none, with a problem.
+    fn router_index(&mut self, entry: &Entry, word: usize) -> RouterIndex {
+        let name = entry.text(word);
+        index_of(&self.routers, name).unwrap_or_else(|| {
+            let mut problem =
+                Problem::new(entry.place(word + 1), format!("the fleet has no router `{name}`"));
+            let near = nearest(name, self.routers.iter().map(|router| router.name.as_str()));
+            problem.help = near.map(|near| format!("did you mean `{near}`?"));
+            self.problems.push(problem);
+            0
+        })
+    }
+
+    fn council(&mut self) -> Vec<RouterIndex> {
+        let entry = self.section.entry("council");
+        let council: Vec<RouterIndex> = entry.map_or(vec![], |entry| {
+            (0..entry.values.len()).map(|word| self.router_index(entry, word)).collect()
+        });
+        let distinct: BTreeSet<RouterIndex> = council.iter().copied().collect();
+        if council.len() > MAX_MEMBERS || council.len() % 2 == 0 || distinct.len() < council.len() {
+            self.problem("a council has 1, 3, 5 or 7 members, each once");
+        }
+        council
+    }
+
+    fn limits(&mut self, council: Vec<RouterIndex>) -> DrainLimits {
+        let mut zones: Vec<String> = self.routers.iter().map(|router| router.zone.clone()).collect();
+        zones.sort_unstable();
+        let smallest_zone = zones.chunk_by(|a, b| a == b).map(<[_]>::len).min().unwrap_or(0);
+        zones.dedup();
+        let zone = |router: &FleetRouter| zones.iter().position(|z| *z == router.zone).unwrap_or(0) as u16;
+        let (names, zones) = (
+            self.routers.iter().map(|router| router.name.clone()).collect(),
+            self.routers.iter().map(zone).collect(),
+        );
+        let total = self.router_limit("out-most", self.routers.len(), WholeGroup::MustNotLeave);
+        let per_zone = self.router_limit("out-zone", smallest_zone, WholeGroup::MayLeave);
+        DrainLimits { names, zones, total, per_zone, council, replicas: self.replica_limits() }
+    }
+
+    fn router_limit(&mut self, name: &str, group_size: usize, whole_group: WholeGroup) -> usize {
+        let Some(entry) = self.section.entry(name) else { return 0 };
+        parse_router_limit(entry.text(0), group_size, whole_group).unwrap_or_else(|error| {
+            self.problems.push(Problem::new(entry.place(1), format!("`{name}`: {error}")));
+            0
+        })
+    }
+
+    /// By zone and kind as in all, where nothing else is said.
+    fn replica_limits(&mut self) -> Option<ReplicaLimits> {
+        let total = self.replica_limit("nodes-out-most");
+        let per_zone = self.replica_limit("nodes-out-zone");
+        let per_kind = self.replica_limit("nodes-out-kind");
+        if total.is_none() && (per_zone.is_some() || per_kind.is_some()) {
+            self.problem("`nodes-out-zone` and `nodes-out-kind` want `nodes-out-most`");
+        }
+        total.map(|total| ReplicaLimits {
+            total,
+            per_zone: per_zone.unwrap_or(total),
+            per_kind: per_kind.unwrap_or(total),
+        })
+    }
+
+    fn replica_limit(&mut self, name: &str) -> Option<Limit> {
+        let entry = self.section.entry(name)?;
+        match parse_replica_limit(entry.text(0)) {
+            Ok(limit) => Some(limit),
+            Err(error) => {
+                self.problems.push(Problem::new(entry.place(1), format!("`{name}`: {error}")));
+                None
+            }
+        }
+    }
+
+    fn release_files(&mut self) -> Vec<ReleaseFile> {
+        let file = |entry: &Entry| ReleaseFile {
+            artifact: entry.text(0).into(),
+            path: path(entry, 1),
+            store_dir: path(entry, 2),
+        };
+        let files: Vec<ReleaseFile> = self.section.all("release").map(file).collect();
+        let artifacts: BTreeSet<&str> = files.iter().map(|file| file.artifact.as_str()).collect();
+        if artifacts.len() < files.len() {
+            self.problem("`release`: a kind of file has one place");
+        }
+        files
+    }
+
+    fn heartbeat(&mut self) -> HeartbeatTiming {
+        let (interval, silence) = (self.section.duration("beat"), self.section.duration("silent"));
+        if silence < interval * HEARTBEATS_PER_SILENCE {
+            self.problem("`silent` is less than three times `beat`: a lost beat would be a silence");
         }
-        most => Ok(most),
+        HeartbeatTiming { interval: nanos(interval), silence_limit: nanos(silence) }
     }
 }
 
--- /dev/null
+++ b/router/src/fleet/status_report.rs
@@ -0,0 +1,131 @@
+//! The answer to an order that was carried out: what is agreed on, and what this router knows of the others.
+//!
+//! Its keys are read by operators' scripts and must not change.
+
+use std::rc::Rc;
+
+use serde_json::{json, Value};
+use tallypin_consensus::fleet_state::{DrainEntry, DrainStage, FleetState};
+use tallypin_consensus::release::{Release, ReleasePhase};
+use tallypin_consensus::replica_drains::{ReplicaEntry, ReplicaStage};
+use tallypin_membership::RouterIndex;
+
+use super::artifacts::Artifacts;
+use super::council::Council;
+use super::local_router::LocalRouter;
+use super::peer_table::PeerTable;
+use super::server::RejectedMessages;
+use super::settings::FleetSettings;
+use super::submission::CommandSubmitter;
+
+/// Forms the answers.
+pub struct StatusReporter {
+    /// The fleet's settings.
+    pub settings: Rc<FleetSettings>,
+    /// This router.
+    pub local: Rc<LocalRouter>,
+    /// Which members answer, and whether this router is one.
+    pub council: Rc<Council>,
+    /// What the others have reported.
+    pub peers: Rc<PeerTable>,
+    /// What this router runs.
+    pub artifacts: Rc<Artifacts>,
+    /// Which routers still use a drained replica.
+    pub submitter: Rc<CommandSubmitter>,
+    /// How many messages were rejected.
+    pub rejected: Rc<RejectedMessages>,
+}
+
+impl StatusReporter {
+    /// The answer to an order of this id.
+    pub fn report(&self, id: &str, state: &FleetState) -> Value {
+        let limits = &self.settings.limits;
+        let mut report = json!({
+            "done": true,
+            "id": id,
+            "version": state.version,
+            "halted": state.halted,
+            "entries": state.drains.iter().map(|(router, drain)| self.drain(*router, drain)).collect::<Vec<_>>(),
+            "bounds": {"all": limits.total, "zone": limits.per_zone},
+            "council": self.reachable_members(),
+            "spoilt": self.rejected.count(),
+            "nodes": state.replicas.iter().map(|(id, entry)| self.replica(id, entry)).collect::<Vec<_>>(),
+        });
+        if let Some(release) = &state.release {
+            report["release"] = self.release(release);
+        }
+        if self.council.is_member() {
+            report["runs"] = json!(self.peers.running_digests());
+            let out_of_service = self.peers.out_of_service(self.local.now());
+            report["out_here"] = out_of_service.iter().map(|router| self.name(*router)).collect();
+        }
+        report
+    }
+
+    /// The members of the council that answered last.
+    pub fn reachable_members(&self) -> Vec<&str> {
+        let members = self.settings.council.iter().enumerate();
+        let reachable = members.filter(|(member, _)| self.council.is_reachable(*member));
+        reachable.map(|(_, router)| self.name(*router)).collect()
+    }
+
+    fn name(&self, router: RouterIndex) -> &str {
+        self.settings.routers.get(usize::from(router)).map_or("?", |router| router.name.as_str())
+    }
+
+    fn drain(&self, router: RouterIndex, drain: &DrainEntry) -> Value {
+        let stage = match drain.stage {
+            DrainStage::Requested => "wanted",
+            DrainStage::Leased(_) => "leave",
+            DrainStage::OutOfService(_) => "out",
+            DrainStage::Returning(_) => "back",
+        };
+        let mut report = json!({"router": self.name(router), "stage": stage, "order": drain.order});
+        if let Some(digest) = &drain.target_digest {
+            report["to"] = digest.as_str().into();
+        }
+        report
+    }
+
+    fn replica(&self, id: &str, entry: &ReplicaEntry) -> Value {
+        let mut report = json!({"node": id, "order": entry.order, "until_ms": entry.until});
+        match entry.stage {
+            ReplicaStage::Requested => report["stage"] = "wanted".into(),
+            ReplicaStage::Restored(at) => {
+                report["stage"] = "back".into();
+                report["since_ms"] = at.into();
+            }
+            ReplicaStage::OutOfService(_) => {
+                let not_clear = self.submitter.not_clear(id);
+                let names = |routers: &[RouterIndex]| -> Vec<&str> {
+                    routers.iter().map(|router| self.name(*router)).collect()
+                };
+                report["stage"] = "out".into();
+                report["clear"] = not_clear.as_ref().is_some_and(|known| known.router_count == 0).into();
+                report["not_clear"] = not_clear.as_ref().map(|known| known.router_count).into();
+                report["first"] = not_clear.as_ref().map(|known| names(&known.first_routers)).into();
+            }
+        }
+        report
+    }
+
+    fn release(&self, release: &Release) -> Value {
+        let (phase, cause) = match &release.phase {
+            ReleasePhase::Running => ("running", None),
+            ReleasePhase::Failed(cause) => ("failed", Some(cause)),
+            ReleasePhase::RollingBack(cause) => ("back", Some(cause)),
+            ReleasePhase::Done => ("done", None),
+            ReleasePhase::RolledBack(cause) => ("undone", Some(cause)),
+        };
+        json!({
+            "order": release.order,
+            "what": release.artifact,
+            "digest": release.digest,
+            "phase": phase,
+            "cause": cause,
+            "wave": release.wave + 1,
+            "waves": release.waves.len(),
+            "runs_here": self.artifacts.running_digest(&release.artifact),
+        })
+    }
+}
--- a/router/src/fleet/stored_state/tests.rs
+++ b/router/src/fleet/stored_state/tests.rs
@@ -5,7 +5,7 @@
     let document = FleetState { version: 7, halted: Some("x".into()), ..FleetState::default() };
     let bytes = encode("nord", &document).unwrap();
     assert_eq!(decode("nord", &bytes).unwrap(), document);
-    assert!(decode("sued", &bytes).unwrap_err().contains("another fleet"));
+    assert!(decode("sued", &bytes).unwrap_err().to_string().contains("another fleet"));
     for k in 0..bytes.len() {
         let mut flipped = bytes.clone();
         flipped[k] ^= 1;
@@ -22,7 +22,7 @@
     let bytes = std::fs::read(&path).unwrap();
     let body = &bytes[bytes.iter().position(|b| *b == b'\n').unwrap() + 1..];
     let stored: Stored = serde_json::from_slice(body).unwrap();
-    let written = encode(&stored.fleet, &stored.document).unwrap();
+    let written = encode(&stored.fleet, &stored.state).unwrap();
     let signed =
         |body: &str| [release_files::digest(body.as_bytes()).as_bytes(), b"\n", body.as_bytes()].concat();
     let text = std::str::from_utf8(body).unwrap();
@@ -46,7 +46,7 @@
         got += &format!("{case}: {}\n", read.unwrap_or_else(|why| format!("can't be read: {why}")));
     }
     got += &format!("nowhere: {:?}\n", read(&dir.path().join("nowhere"), "test"));
-    write(&dir.path().join("again"), "test", &stored.document).unwrap();
+    write(&dir.path().join("again"), "test", &stored.state).unwrap();
     assert_eq!(std::fs::read(dir.path().join("again")).unwrap(), written);
     if std::env::var_os("RECORD").is_some() {
         std::fs::write(&path, &written).unwrap();
--- a/router/src/fleet/wire/tests.rs
+++ b/router/src/fleet/wire/tests.rs
@@ -1,3 +1,6 @@
+use tallypin_consensus::register::{AcceptorReply, AcceptorRequest};
+use tallypin_membership::AdvertisedStatus;
+
 use super::*;
 
 const KEY: &str = "a key of sixteen bytes and more";
@@ -47,7 +50,7 @@
             "holds 3 keys",
         ),
     ] {
-        assert!(Keys::read("nord", text).unwrap_err().contains(why), "{text:?}");
+        assert!(Keys::read("nord", text).unwrap_err().to_string().contains(why), "{text:?}");
     }
 }
 
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -218,7 +218,8 @@
     node_list::take(&host, &known, tallypin::api::ListUpdate::Cached);
     host.start();
     let mut board = None;
-    let (mut adopting, mut _listening) = (None, None);
+    // The agent ends its tasks when it is dropped: it lasts as long as the program.
+    let (mut adopting, mut _listening, mut _fleet) = (None, None, None);
     if let Some(installation) = &installation {
         host.outward.guard(installation.gate.clone());
         if installation.checks.is_some() || installation.control.is_some() {
@@ -240,6 +241,7 @@
             if let Some(fleet) = &fleet {
                 fleet.wait_for_first_state().await;
             }
+            _fleet = fleet;
             _listening = Some(checks::start(&host, &started).await?);
             board = Some(started);
         }
@@ -267,8 +269,8 @@
         let fleet = fleet.clone();
         Box::pin(async move {
             match operator_orders::parse(&words.split_ascii_whitespace().collect::<Vec<_>>()) {
-                Ok((id, order)) => fleet.execute_order(id, order).await,
-                Err(why) => serde_json::json!({"done": false, "why": why}),
+                Ok(order) => fleet.execute_order(order).await,
+                Err(error) => serde_json::json!({"done": false, "why": error.to_string()}),
             }
         })
     })
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -1,5 +1,5 @@
-//! What the fleet has this router do: it drains by the plan that balancers are told of, serves again, ends to start anew
-//! with another file, and sends nothing new to model nodes that are out by order.
+//! What the fleet has this process do: it drains by the stages that balancers are told of, serves again, shuts down to
+//! start with another file, and sends nothing new to replicas that operators have drained.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -9,43 +9,46 @@
 use tallypin::api::{EndpointState, Nanos};
 use tallypin::name_hash;
 use tallypin_consensus::release_monitor::AnswerCounts;
-use tallypin_consensus::replica_drains::{ReplicaView, UnixMs};
+use tallypin_consensus::replica_drains::ReplicaView;
 use tallypin_health::plan::{Phase, Wish};
 use tallypin_health::state::{Order, State};
 use tallypin_membership::AdvertisedStatus;
+use tallypin_settings_schema::Problems;
 
 use crate::checks::{signals, Board};
 use crate::config::Config;
-use crate::fleet::RouterControl;
+use crate::fleet::{InvalidArtifact, RestoredReplica, RouterControl, ShuttingDown};
 use crate::host::Host;
 use crate::installation::Installation;
 
-/// A router with its board.
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// This process as the fleet controls it.
 pub struct ProcessControl {
-    /// Its clients and requests.
+    /// Its requests and connections.
     pub host: Rc<Host>,
     /// What balancers are told.
     pub board: Rc<Board>,
-    /// Its settings file, for names in errors.
+    /// Its settings file: a released one is read in its place.
     pub settings: PathBuf,
 }
 
 impl ProcessControl {
-    fn request_phase(&self, wish: Wish, order: Order) -> bool {
-        let can = self.board.want(wish, order);
-        if can {
-            signals::follow(&self.host, self.board.phase());
+    fn request_phase(&self, wish: Wish, order: Order) -> Result<(), ShuttingDown> {
+        if !self.board.want(wish, order) {
+            return Err(ShuttingDown);
         }
-        can
+        signals::follow(&self.host, self.board.phase());
+        Ok(())
     }
 }
 
 impl RouterControl for ProcessControl {
-    fn begin_drain(&self) -> bool {
+    fn begin_drain(&self) -> Result<(), ShuttingDown> {
         self.request_phase(Wish::Drain, Order::Drain)
     }
 
-    fn resume_service(&self) -> bool {
+    fn resume_service(&self) -> Result<(), ShuttingDown> {
         self.request_phase(Wish::Serve, Order::Ready)
     }
 
@@ -55,7 +58,8 @@
     }
 
     fn shut_down(&self) {
-        self.request_phase(Wish::End, Order::Drain);
+        // It shuts down already: as wanted.
+        let _ = self.request_phase(Wish::End, Order::Drain);
     }
 
     fn advertised_status(&self) -> AdvertisedStatus {
@@ -97,34 +101,41 @@
         Some(nodes.collect())
     }
 
-    fn set_replica_overrides(&self, out: &[String], back: &[(String, UnixMs)]) {
-        let out: Vec<_> = out.iter().map(|id| name_hash::replica_id(id)).collect();
-        let ns = |ms: UnixMs| -> Nanos { ms.saturating_mul(1_000_000) };
+    fn set_replica_overrides(&self, drained: &[String], restored: &[RestoredReplica]) {
+        let drained: Vec<_> = drained.iter().map(|id| name_hash::replica_id(id)).collect();
         self.host.with(|core, now| {
-            // A clock that is ahead of ours makes no node colder than one that starts now.
-            let back: Vec<_> =
-                back.iter().map(|(id, at)| (name_hash::replica_id(id), ns(*at).min(now))).collect();
-            core.override_replicas(now, &out, &back);
+            let restored = restored.iter().map(|replica| {
+                // A clock that is ahead of ours makes no replica warm up for longer than one that starts now.
+                let at = replica.at.saturating_mul(NANOS_PER_MS).min(now);
+                (name_hash::replica_id(&replica.id), at)
+            });
+            core.override_replicas(now, &drained, &restored.collect::<Vec<_>>());
         });
     }
 
-    fn has_in_flight(&self, node: &str) -> bool {
-        self.host.replicas.out(name_hash::replica_id(node)) > 0
+    fn has_in_flight(&self, replica: &str) -> bool {
+        self.host.replicas.out(name_hash::replica_id(replica)) > 0
     }
 
-    fn validate_artifact(&self, what: &str, text: &[u8]) -> Result<(), String> {
-        let words = || std::str::from_utf8(text).map_err(|_| "not text".to_string());
-        match what {
+    fn validate_artifact(&self, artifact: &str, bytes: &[u8]) -> Result<(), InvalidArtifact> {
+        let text = || std::str::from_utf8(bytes).map_err(|_| InvalidArtifact::NotText);
+        match artifact {
             "settings" => {
-                let text = words()?;
+                let text = text()?;
                 let read = |path: &std::path::Path| match path == self.settings {
                     true => Ok(text.to_string()),
                     false => std::fs::read_to_string(path),
                 };
                 let read = Installation::read_by(&self.settings, &self.host.deployment, &read);
-                read.map(drop).map_err(|p| p.short().next().unwrap_or_else(|| "not understood".into()))
+                let first = |problems: Problems| problems.short().next();
+                read.map(drop).map_err(|problems| {
+                    InvalidArtifact::Settings(first(problems).unwrap_or_else(|| "not understood".into()))
+                })
+            }
+            "configuration" => {
+                let parsed = Config::parse(text()?);
+                parsed.map(drop).map_err(|e| InvalidArtifact::Configuration(e.to_string()))
             }
-            "configuration" => Config::parse(words()?).map(drop).map_err(|e| e.to_string()),
             // Of a program nothing is known before it starts.
             _ => Ok(()),
         }
--- a/router/tests/fleet.rs
+++ b/router/tests/fleet.rs
@@ -178,7 +178,7 @@
     for r in [0, 1] {
         fleet.kill(r);
         fleet.start(r);
-        fleet.until("it takes part again", || fleet.log(r).matches("takes part in the council").count() == 2);
+        fleet.until("it takes part again", || fleet.log(r).matches("joined the council").count() == 2);
         assert_eq!(fleet.stage(r, 2), "out", "what was agreed on is kept");
     }
     // One that was out and starts anew serves: its entry ends.
@@ -583,11 +583,11 @@
     for (step, text) in [format!("{old}\n{new}"), format!("{new}\n{old}"), new.to_string()].iter().enumerate()
     {
         (0..5).for_each(|r| write(r, text));
-        fleet.until("all go by it", || (0..5).all(|r| lines(r, "goes by other keys now") == step + 1));
+        fleet.until("all go by it", || (0..5).all(|r| lines(r, "fleet keys replaced") == step + 1));
         assert_eq!(fleet.order(step, "status")["release"]["phase"], "running");
     }
     (0..5).for_each(|r| write(r, "short"));
-    fleet.until("all have read it", || (0..5).all(|r| lines(r, "the key file can't be used") == 1));
+    fleet.until("all have read it", || (0..5).all(|r| lines(r, "fleet key file can't be used") == 1));
     assert_eq!(fleet.order(0, "back")["code"], 0, "they go on with the keys they have");
     // Before r3 starts anew: it would not by such a file.
     (0..5).for_each(|r| write(r, new));
--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -131,7 +131,7 @@
             fleet.until("one to stop", || fleet.out(stopped) == Some(false));
             faults.fetch_add(1, Ordering::SeqCst);
             fleet.signal(stopped, "-STOP");
-            let part = |fleet: &Fleet| fleet.log(member).matches("takes part in the council").count();
+            let part = |fleet: &Fleet| fleet.log(member).matches("joined the council").count();
             fleet.until("the killed member takes part again", || part(&fleet) >= fleet.starts(member));
             println!("  a member killed, and part of it again");
             fleet.until("it serves", || fleet.out(member) == Some(false));
--- a/router/tests/fleet_rig/mod.rs
+++ b/router/tests/fleet_rig/mod.rs
@@ -283,7 +283,9 @@
     pub fn refused(&self, r: usize) -> usize {
         let log = self.log(r);
         log.lines()
-            .filter(|l| l.contains("not now act=AcquireLease") && l.contains("may be out at once"))
+            .filter(|l| {
+                l.contains("command rejected command=AcquireLease") && l.contains("may be out at once")
+            })
             .count()
     }
 
--- a/router/tests/recorded_fleet.rs
+++ b/router/tests/recorded_fleet.rs
@@ -167,7 +167,9 @@
     let show = |result: std::io::Result<()>| {
         result.map_or_else(|e| format!("{:?}: {e}", e.kind()), |()| "done".into())
     };
-    let begin = || release_files::begin_trial(&released.path).unwrap_or_else(|| "nothing said".into());
+    let begin = || {
+        release_files::begin_trial(&released.path).map_or("nothing said".into(), |event| event.to_string())
+    };
     let trial = dir.join("t.conf.trial");
     step("swap, torn in the store", show(released.install(&torn)));
     step("swap, not a digest", show(released.install("../t.conf")));
