--- /dev/null
+++ b/src/decisions/endpoint_list.rs
@@ -0,0 +1,146 @@
+//! Decides which replicas there are, by the endpoint list, and when the list is polled.
+
+use rustc_hash::FxHashSet;
+
+use super::outlier_ejection::FIRST_EJECTION;
+use super::{Balancer, LIST_POLL_TIMER};
+use crate::api::{
+    Action, EndpointEntry, EndpointListMode, EndpointState, ListUpdate, Nanos, MAX_LIST_POLL_DELAY,
+};
+use crate::decode_rate::DecodeRate;
+use crate::start_time::ListCoverage;
+
+/// The first poll comes within this share of the longest poll interval, drawn at random: all routers may have
+/// started together, and the list could not answer them at once.
+const FIRST_POLL_SHARE: f64 = 0.3;
+/// Each failure in a row adds this share of the longest poll interval to the backoff.
+const BACKOFF_SHARE: f64 = 0.1;
+/// So many failures are counted.
+const MAX_FAILURES: u32 = 4;
+
+/// The watch on the endpoint list, and until when the list is known to have told all.
+#[derive(Default)]
+pub(super) struct ListPolling {
+    /// Changes follow the last list.
+    is_watched: bool,
+    /// Failures since the last list.
+    failures: u32,
+    /// The next poll is due then.
+    next_poll_at: Nanos,
+    list_coverage: ListCoverage,
+}
+
+impl ListPolling {
+    /// When a replica started, as far as the time the list tells can be believed.
+    pub(super) fn believed_start(&self, now: Nanos, started_at: Nanos) -> Nanos {
+        self.list_coverage.plausible_start(now, started_at)
+    }
+
+    /// The backoff after another failure, ns, before jitter.
+    fn backoff(&mut self, max_poll_interval: Nanos) -> f64 {
+        self.is_watched = false;
+        self.failures = (self.failures + 1).min(MAX_FAILURES);
+        let backoff = max_poll_interval as f64 * BACKOFF_SHARE * f64::from(self.failures);
+        backoff.min(MAX_LIST_POLL_DELAY as f64)
+    }
+}
+
+impl Balancer {
+    /// Time begins.
+    pub(super) fn start_polling(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        if let EndpointListMode::Polled { max_poll_interval } = self.settings.list_mode {
+            let jitter = FIRST_POLL_SHARE * self.rng.f64();
+            self.schedule_poll(now + (max_poll_interval as f64 * jitter) as Nanos, out);
+        }
+    }
+
+    /// A poll is due: asks for the list unless it is watched by now.
+    pub(super) fn poll_list(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let EndpointListMode::Polled { max_poll_interval } = self.settings.list_mode else { return };
+        if !self.list_polling.is_watched && now >= self.list_polling.next_poll_at {
+            out.push(Action::WatchEndpoints);
+            // The answer may be lost: polls again in good time.
+            self.schedule_poll(now + max_poll_interval / 2, out);
+        }
+    }
+
+    fn schedule_poll(&mut self, at: Nanos, out: &mut Vec<Action>) {
+        self.list_polling.next_poll_at = at;
+        out.push(Action::WakeAt { at, token: LIST_POLL_TIMER });
+    }
+
+    /// A list, a change of it, or the end of the watch.
+    pub(super) fn handle_list_update(
+        &mut self,
+        now: Nanos,
+        kind: ListUpdate,
+        entries: Vec<EndpointEntry>,
+        out: &mut Vec<Action>,
+    ) {
+        if kind == ListUpdate::Failed {
+            return self.handle_list_failure(now, out);
+        }
+        if kind != ListUpdate::Cached {
+            self.list_polling.is_watched = true;
+            self.list_polling.failures = 0;
+        }
+        if kind != ListUpdate::Delta {
+            self.remove_unlisted(&entries);
+        }
+        for entry in entries {
+            self.apply_entry(now, entry);
+        }
+        if kind != ListUpdate::Cached {
+            self.list_polling.list_coverage.watch_began();
+        }
+        self.statistics.begin_ready_replicas(self.replicas.ready().len());
+    }
+
+    /// Either a poll has failed or the watch has ended, which is not told apart: polls again, after a longer
+    /// backoff each time.
+    fn handle_list_failure(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        self.list_polling.list_coverage.watch_ended(now);
+        if let EndpointListMode::Polled { max_poll_interval } = self.settings.list_mode {
+            let backoff = self.list_polling.backoff(max_poll_interval) * (0.5 + 0.5 * self.rng.f64());
+            self.schedule_poll(now + backoff as Nanos, out);
+        }
+    }
+
+    /// A replica that is not in a whole list is gone.
+    fn remove_unlisted(&mut self, entries: &[EndpointEntry]) {
+        let listed: FxHashSet<_> = entries.iter().map(|entry| entry.replica).collect();
+        for slot in 0..self.replicas.len() {
+            let entry = &self.replicas[slot].entry;
+            if !listed.contains(&entry.replica) {
+                let gone = EndpointEntry { state: EndpointState::Gone, ..entry.clone() };
+                self.replicas.set_entry(slot, gone, self.settings.zone);
+            }
+        }
+    }
+
+    /// An entry of the list: a new replica, or a change of one that was listed before.
+    fn apply_entry(&mut self, now: Nanos, entry: EndpointEntry) {
+        let known = self.replicas.slot_of(entry.replica);
+        if known.is_none() && entry.state == EndpointState::Gone {
+            return;
+        }
+        let slot = known.unwrap_or_else(|| self.replicas.allocate(entry.replica));
+        // Another start, earlier or later: a clock that was set back tells an earlier one.
+        let is_restarted = entry.started_at != self.replicas[slot].entry.started_at && entry.started_at > 0;
+        self.replicas.set_entry(slot, entry, self.settings.zone);
+        if known.is_none() || is_restarted {
+            self.reset_replica(now, slot);
+        }
+    }
+
+    /// A replica is new or has started again: nothing known of it holds any longer.
+    fn reset_replica(&mut self, now: Nanos, slot: usize) {
+        let replica = &mut self.replicas[slot];
+        (replica.first_token_wait, replica.wait_sampled_at) = (self.statistics.highest_wait, 0);
+        replica.decode_rate = DecodeRate::default();
+        (replica.consecutive_failures, replica.next_ejection) = (0, FIRST_EJECTION);
+        (replica.ejected_until, replica.half_open_check) = (0, false);
+        (replica.prefill_backlog, replica.backlog_reported_at, replica.last_completed_at) = (0.0, 0, 0);
+        self.begin_slow_start(now, slot);
+    }
+}
--- /dev/null
+++ b/src/decisions/load_reports.rs
@@ -0,0 +1,113 @@
+//! Decides what load reports change: those of replicas, that come with answers, and those between routers, of
+//! the requests that each has served for each tenant. At the end of each report period the own are sent to
+//! the peers.
+
+use std::cmp::Reverse;
+
+use super::{Balancer, REPORT_TIMER};
+use crate::api::{Action, LoadField, Nanos, PeerId, SECOND};
+use crate::served_report;
+
+/// Report period for each router, s: the load of reports grows with the square of the routers, so the period
+/// grows too.
+const PERIOD_PER_ROUTER_S: f64 = 0.05;
+/// Shortest and longest report period, s.
+const PERIOD_RANGE_S: (f64, f64) = (0.25, 16.0);
+/// A peer silent for so many periods is forecast at half, and half again in each period.
+const PEER_SILENCE_PERIODS: f64 = 3.0;
+/// A report is taken to cover at least this time, s: no rate is beyond belief.
+const MIN_SPAN_S: f64 = 0.01;
+
+/// The report period.
+pub(super) struct ReportPeriod {
+    length: Nanos,
+    /// When the last one ended.
+    pub(super) last_end: Nanos,
+}
+
+impl ReportPeriod {
+    pub(super) fn new(router_count: u32) -> ReportPeriod {
+        let length_s =
+            (PERIOD_PER_ROUTER_S * f64::from(router_count)).clamp(PERIOD_RANGE_S.0, PERIOD_RANGE_S.1);
+        ReportPeriod { length: (length_s * SECOND as f64) as Nanos, last_end: 0 }
+    }
+}
+
+impl Balancer {
+    /// The first report period begins. Staggered, so that peers' reports do not arrive together.
+    pub(super) fn start_report_period(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let length = self.report_period.length;
+        let phase = length * u64::from(self.settings.own_index.0) / u64::from(self.settings.router_count);
+        self.report_period.last_end = now;
+        out.push(Action::WakeAt { at: now + length / 2 + phase, token: REPORT_TIMER });
+    }
+
+    /// A report period has ended: rates are smoothed, and what was served is reported.
+    pub(super) fn end_report_period(&mut self, now: Nanos, out: &mut Vec<Action>) {
+        let length = self.report_period.length;
+        out.push(Action::WakeAt { at: now + length, token: REPORT_TIMER });
+        let period_s = now.saturating_sub(self.report_period.last_end).max(1) as f64 / SECOND as f64;
+        self.report_period.last_end = now;
+        let (ready, warm_up_time) = (self.replicas.ready().len(), self.settings.warm_up_time);
+        self.statistics.end_period(period_s);
+        self.statistics.record_ready_replicas(period_s, ready, warm_up_time);
+        let mut served = Vec::new();
+        let silence_limit = PEER_SILENCE_PERIODS * length as f64;
+        for (tenant, bucket) in self.buckets.iter_mut().enumerate() {
+            bucket.refill(now, self.statistics.load_level);
+            let count = bucket.end_report_period(now, period_s, silence_limit);
+            if count > 0 {
+                served.push((count, tenant as u32));
+            }
+        }
+        self.update_highest_wait(now);
+        if self.settings.has_peers && self.settings.router_count > 1 && !self.settings.tenants.is_empty() {
+            served.sort_unstable_by_key(|&(count, tenant)| (Reverse(count), tenant));
+            let period_ms = (period_s * 1000.0) as u64;
+            out.extend(
+                served_report::encode(self.settings.digest, period_ms, &served)
+                    .into_iter()
+                    .map(Action::Gossip),
+            );
+        }
+    }
+
+    /// The highest smoothed wait is where replicas without a sample start.
+    fn update_highest_wait(&mut self, now: Nanos) {
+        self.statistics.highest_wait = 0.0;
+        for &slot in self.replicas.ready() {
+            let replica = &self.replicas[slot];
+            if replica.ejected_until <= now && replica.wait_sampled_at > 0 {
+                let wait = self.statistics.smoothed_wait(now, replica);
+                self.statistics.highest_wait = self.statistics.highest_wait.max(wait);
+            }
+        }
+    }
+
+    /// A message from a peer. One that is no report of this deployment's tenants is skipped.
+    pub(super) fn apply_peer_report(&mut self, now: Nanos, from: PeerId, bytes: &[u8]) {
+        let is_peer = from != self.settings.own_index && from.0 < self.settings.router_count;
+        if !is_peer || self.settings.tenants.is_empty() {
+            return;
+        }
+        let Ok(report) = served_report::decode(self.settings.digest, bytes) else { return };
+        let span_s = (report.span_ms.max(1) as f64 / 1000.0).max(MIN_SPAN_S);
+        for (tenant, count) in report.served {
+            if let Some(bucket) = self.buckets.get_mut(tenant as usize) {
+                bucket.refill(now, self.statistics.load_level);
+                bucket.apply_peer_report(now, from.0 as usize, f64::from(count), span_s);
+            }
+        }
+    }
+
+    /// A replica's load report. Values that are no numbers of 0 or more are skipped.
+    pub(super) fn record_load_report(&mut self, now: Nanos, slot: usize, load: &[f64]) {
+        let replica = &mut self.replicas[slot];
+        for (field, &value) in self.settings.report_fields.iter().zip(load) {
+            if *field == LoadField::PrefillBacklogThousands && value.is_finite() && value >= 0.0 {
+                replica.prefill_backlog = value * 1000.0;
+                replica.backlog_reported_at = now;
+            }
+        }
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 #![doc = include_str!("../README.md")]
 
 pub mod api;
-pub mod choice;
 mod decaying_count;
+pub mod decisions;
 pub mod decode_rate;
 pub mod deployment;
 pub mod effect;
@@ -21,4 +21,4 @@
 pub mod warm_up;
 
 pub use api::{Action, Event, Settings, SettingsError};
-pub use choice::Balancer;
+pub use decisions::Balancer;
--- a/src/replica_snapshot.rs
+++ b/src/replica_snapshot.rs
@@ -22,8 +22,8 @@
     pub ejected_for: Nanos,
     /// Taken for cold.
     pub is_warming_up: bool,
-    /// What it is taken to be able to do at the moment, as a share of what it can when warm: from the cold share
-    /// evenly to 1, 0 to 1.
+    /// What it is taken to be able to do at the moment, as a share of what it can when warm: from the cold
+    /// share evenly to 1, 0 to 1.
     pub capacity_share: f64,
     /// How long its streams take, against the fleet's and apart from its warmth.
     pub decode_rate: RelativeDuration,
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -7,7 +7,7 @@
 /// The most characters of a line in the files that decide.
 const MOST_CHARACTERS: usize = 110;
 /// Files that are still longer, and by how much; each is to be split or shortened.
-const LONGER: [(&str, usize); 3] = [("choice.rs", 1050), ("state.rs", 440), ("api.rs", 440)];
+const LONGER: [(&str, usize); 1] = [("api.rs", 440)];
 
 fn files(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).expect("a folder").map(|e| e.expect("an entry").path());
@@ -25,7 +25,7 @@
         let most = LONGER.iter().find(|(file, _)| *file == name).map_or(MOST_LINES, |(_, most)| *most);
         let lines = text.lines().count();
         assert!(lines <= most, "{name} has {lines} lines");
-        if !name.starts_with("choice") {
+        if !name.starts_with("decisions") && !name.starts_with("state") {
             continue;
         }
         for (i, line) in text.lines().enumerate() {
@@ -33,6 +33,6 @@
             assert!(characters <= MOST_CHARACTERS, "{name}: line {} is too long", i + 1);
         }
     }
-    let top = std::fs::read_to_string(src.join("choice.rs")).expect("text");
+    let top = std::fs::read_to_string(src.join("decisions/mod.rs")).expect("text");
     assert!(top.lines().next().is_some_and(|l| l.contains("api.rs")), "the top names api.rs");
 }
