--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,29 +1,15 @@
 //! Decides whether a request is admitted: whether its tenant has quota left, and whether a first token is
 //! likely to come in time. A rejected client is told when to come back.
 
-use fastrand::Rng;
-
-use super::leaky_bucket::LeakyBucket;
-use super::ranking::Selection;
+use super::candidate::Selection;
 use super::timeouts::CALM_LOAD_LEVEL;
 use super::Balancer;
-use crate::api::{Action, Nanos, RejectReason, Request, RequestId, Settings, SECOND};
+use crate::api::{Action, Nanos, RejectReason, Request, RequestId, SECOND};
 use crate::state::request::RequestState;
 
 /// The least Retry-After of a request that is rejected for want of capacity, ns.
 const MIN_RETRY_AFTER: Nanos = SECOND / 10;
 
-/// The buckets of all tenants. Without tenants all traffic is one tenant without a limit: the same path, and
-/// a bucket that is never empty.
-pub(super) fn buckets(settings: &Settings, rng: &mut Rng) -> Vec<LeakyBucket> {
-    let quotas: Vec<f64> = if settings.tenants.is_empty() {
-        vec![f64::INFINITY]
-    } else {
-        settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect()
-    };
-    quotas.iter().map(|&quota| LeakyBucket::new(quota, settings.router_count, rng)).collect()
-}
-
 impl Balancer {
     /// Takes a token of the request's tenant; whether there was one. A resumed stream was charged when it
     /// first came.
--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -2,11 +2,10 @@
 //! preferred replicas of its prefix, which routers agree on without a word, and the one where its session's
 //! last answer began.
 
-use super::ranking::Candidate;
+use super::candidate::Candidate;
 use super::Balancer;
 use crate::api::{Nanos, Request};
-use crate::prefix_cache::{SessionAffinity, SessionReplica};
-use crate::prefix_traffic::PrefixTraffic;
+use crate::prefix_cache::SessionReplica;
 use crate::ready_replicas::MAX_PREFERRED_REPLICAS;
 use crate::rendezvous_hash::{mix, unit_race};
 
@@ -17,32 +16,6 @@
 /// A prefix's share of the traffic is believed for a half after so many requests: enough to tell one of a
 /// twentieth, a replica's worth times five in a hundred, to within a third of itself.
 const PREFIX_SHARE_DOUBT: f64 = 150.0;
-/// A replica of another zone is preferred e times less for each so much of the cost of crossing.
-const CROSS_ZONE_PREFERENCE_SCALE: f64 = 0.05;
-/// The least weight of a replica of another zone, however dear crossing is.
-const MIN_OTHER_ZONE_WEIGHT: f64 = 1e-6;
-
-/// What is remembered to find a prompt's tokens again.
-pub(super) struct Affinity {
-    /// Where sessions' last answers began.
-    pub(super) sessions: SessionAffinity,
-    /// The prefixes' shares of the traffic.
-    pub(super) prefix_traffic: PrefixTraffic,
-    /// Weight of a replica of another zone as a preferred one, against one of the own.
-    other_zone_weight: f64,
-}
-
-impl Affinity {
-    pub(super) fn new(cross_zone_cost: f64) -> Affinity {
-        let weight = (-cross_zone_cost / CROSS_ZONE_PREFERENCE_SCALE).exp();
-        Affinity {
-            sessions: SessionAffinity::default(),
-            prefix_traffic: PrefixTraffic::default(),
-            other_zone_weight: weight.max(MIN_OTHER_ZONE_WEIGHT),
-        }
-    }
-}
-
 impl Balancer {
     /// Adds the preferred replicas of a request, and the one that its session was last answered by. The slot
     /// of the latter, if it still has what it read.
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -4,47 +4,12 @@
 
 use super::outlier_ejection::FIRST_EJECTION;
 use super::{Balancer, LIST_POLL_TIMER};
-use crate::api::{
-    Action, EndpointEntry, EndpointListMode, EndpointState, ListUpdate, Nanos, MAX_LIST_POLL_DELAY,
-};
+use crate::api::{Action, EndpointEntry, EndpointListMode, EndpointState, ListUpdate, Nanos};
 use crate::decode_rate::DecodeRate;
-use crate::start_time::ListCoverage;
 
 /// The first poll comes within this share of the longest poll interval, drawn at random: all routers may have
 /// started together, and the list could not answer them at once.
 const FIRST_POLL_SHARE: f64 = 0.3;
-/// Each failure in a row adds this share of the longest poll interval to the backoff.
-const BACKOFF_SHARE: f64 = 0.1;
-/// So many failures are counted.
-const MAX_FAILURES: u32 = 4;
-
-/// The watch on the endpoint list, and until when the list is known to have told all.
-#[derive(Default)]
-pub(super) struct ListPolling {
-    /// Changes follow the last list.
-    is_watched: bool,
-    /// Failures since the last list.
-    failures: u32,
-    /// The next poll is due then.
-    next_poll_at: Nanos,
-    list_coverage: ListCoverage,
-}
-
-impl ListPolling {
-    /// When a replica started, as far as the time the list tells can be believed.
-    pub(super) fn believed_start(&self, now: Nanos, started_at: Nanos) -> Nanos {
-        self.list_coverage.plausible_start(now, started_at)
-    }
-
-    /// The backoff after another failure, ns, before jitter.
-    fn backoff(&mut self, max_poll_interval: Nanos) -> f64 {
-        self.is_watched = false;
-        self.failures = (self.failures + 1).min(MAX_FAILURES);
-        let backoff = max_poll_interval as f64 * BACKOFF_SHARE * f64::from(self.failures);
-        backoff.min(MAX_LIST_POLL_DELAY as f64)
-    }
-}
-
 impl Balancer {
     /// Time begins.
     pub(super) fn start_polling(&mut self, now: Nanos, out: &mut Vec<Action>) {
--- a/src/decisions/leaky_bucket.rs
+++ b/src/decisions/leaky_bucket.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 
-use crate::api::{Nanos, SECOND};
+use crate::api::{Nanos, Settings, SECOND};
 use crate::state::smoothing::RATE_SAMPLE_WEIGHT;
 
 /// Seconds of quota that all routers together may grant at once. Shorter rejects chance clusters, longer lets
@@ -63,9 +63,19 @@
 }
 
 impl LeakyBucket {
+    /// The buckets of all tenants. Without tenants all traffic is one tenant without a limit: the same path,
+    /// and a bucket that is never empty.
+    pub(super) fn of_all_tenants(settings: &Settings, rng: &mut Rng) -> Vec<LeakyBucket> {
+        let without_limit = [f64::INFINITY];
+        let quotas = settings.tenants.iter().map(|tenant| tenant.quota_per_s);
+        let quotas: Vec<f64> =
+            if settings.tenants.is_empty() { without_limit.to_vec() } else { quotas.collect() };
+        quotas.iter().map(|&quota| LeakyBucket::new(quota, settings.router_count, rng)).collect()
+    }
+
     /// The bucket of a router that has just started. It begins with the router's own share of the burst,
     /// drawn at random: after a restart of all routers there would otherwise be as many full bursts.
-    pub(super) fn new(quota_per_s: f64, router_count: u32, rng: &mut Rng) -> LeakyBucket {
+    fn new(quota_per_s: f64, router_count: u32, rng: &mut Rng) -> LeakyBucket {
         LeakyBucket {
             quota_per_s,
             refill_per_s: quota_per_s,
--- a/src/decisions/load_reports.rs
+++ b/src/decisions/load_reports.rs
@@ -8,31 +8,11 @@
 use crate::api::{Action, LoadField, Nanos, PeerId, SECOND};
 use crate::served_report;
 
-/// Report period for each router, s: the load of reports grows with the square of the routers, so the period
-/// grows too.
-const PERIOD_PER_ROUTER_S: f64 = 0.05;
-/// Shortest and longest report period, s.
-const PERIOD_RANGE_S: (f64, f64) = (0.25, 16.0);
 /// A peer silent for so many periods is forecast at half, and half again in each period.
 const PEER_SILENCE_PERIODS: f64 = 3.0;
 /// A report is taken to cover at least this time, s: no rate is beyond belief.
 const MIN_SPAN_S: f64 = 0.01;
 
-/// The report period.
-pub(super) struct ReportPeriod {
-    length: Nanos,
-    /// When the last one ended.
-    pub(super) last_end: Nanos,
-}
-
-impl ReportPeriod {
-    pub(super) fn new(router_count: u32) -> ReportPeriod {
-        let length_s =
-            (PERIOD_PER_ROUTER_S * f64::from(router_count)).clamp(PERIOD_RANGE_S.0, PERIOD_RANGE_S.1);
-        ReportPeriod { length: (length_s * SECOND as f64) as Nanos, last_end: 0 }
-    }
-}
-
 impl Balancer {
     /// The first report period begins. Staggered, so that peers' reports do not arrive together.
     pub(super) fn start_report_period(&mut self, now: Nanos, out: &mut Vec<Action>) {
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -4,20 +4,24 @@
 //! [`Event`] at a time, with the time it came at, and appends the [`Action`]s that follow. It does no I/O,
 //! reads no clock and draws only from its own seeded generator, so the same events give the same actions.
 //!
-//! Each module decides one thing:
+//! Each of these modules decides one thing:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`admission`], [`leaky_bucket`] | whether a request is admitted, by quota and by time left |
-//! | [`ranking`] | which replica an attempt goes to: the one with the least predicted first-token wait |
-//! | [`affinity`] | which replicas are likely to have a prompt cached, and are candidates for that |
-//! | [`slow_start`] | how much a replica gets that is warming up |
-//! | [`timeouts`] | when an attempt without a first token is cancelled, or hedged by another |
-//! | [`retry`] | whether another attempt follows one that has failed |
-//! | [`outlier_ejection`] | which replicas are left out because they fail |
-//! | [`load_reports`] | what peers are told of served requests, and what their reports change |
-//! | [`endpoint_list`] | which replicas there are, and when the list is polled |
-//! | [`request_lifecycle`] | nothing: it takes a request through the above |
+//! | `admission` | whether a request is admitted, by quota and by time left |
+//! | `ranking` | which replica an attempt goes to: the one with the least predicted first-token wait |
+//! | `affinity` | which replicas are likely to have a prompt cached, and are candidates for that |
+//! | `slow_start` | how much a replica gets that is warming up |
+//! | `timeouts` | when an attempt without a first token is cancelled, or hedged by another |
+//! | `retry` | whether another attempt follows one that has failed |
+//! | `outlier_ejection` | which replicas are left out because they fail |
+//! | `load_reports` | what peers are told of served requests, and what their reports change |
+//! | `endpoint_list` | which replicas there are, and when the list is polled |
+//!
+//! `request_lifecycle` takes a request through them, from its arrival to the end of its last attempt. All of
+//! these extend [`Balancer`]. What they decide with are values that know nothing of it: `leaky_bucket`,
+//! `retry_budget`, `candidate`, `attempt_checks`, `list_polling`, `report_period`, and the state of replicas
+//! and requests in `src/state/`. `tests/decision_imports.rs` holds that imports run one way.
 //!
 //! The rules that the comments number: 1, each request gets exactly one final answer, by its deadline; 2,
 //! nothing is repeated or rejected that could take effect twice; 3, only ready replicas get anything new; 4,
@@ -25,13 +29,18 @@
 
 mod admission;
 mod affinity;
+mod attempt_checks;
+mod candidate;
 mod endpoint_list;
 mod leaky_bucket;
+mod list_polling;
 mod load_reports;
 mod outlier_ejection;
 mod ranking;
+mod report_period;
 mod request_lifecycle;
 mod retry;
+mod retry_budget;
 mod slow_start;
 mod timeouts;
 
@@ -39,16 +48,16 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::{Action, Event, Nanos, Outcome, RequestId, Settings, SettingsError};
+use crate::state::affinity::AffinityState;
 use crate::state::replica_statistics::ReplicaStatistics;
 use crate::state::replica_table::ReplicaTable;
 use crate::state::request::RequestState;
-use affinity::Affinity;
-use endpoint_list::ListPolling;
+use attempt_checks::AttemptChecks;
+use candidate::Candidate;
 use leaky_bucket::LeakyBucket;
-use load_reports::ReportPeriod;
-use ranking::Candidate;
-use retry::RetryBudget;
-use timeouts::AttemptChecks;
+use list_polling::ListPolling;
+use report_period::ReportPeriod;
+use retry_budget::RetryBudget;
 
 /// Token of the timer that ends a report period.
 const REPORT_TIMER: u64 = 1;
@@ -68,7 +77,7 @@
     requests: FxHashMap<RequestId, RequestState>,
     /// By tenant.
     buckets: Vec<LeakyBucket>,
-    affinity: Affinity,
+    affinity: AffinityState,
     /// What a ranking looks at; kept so that none allocates.
     candidates: Vec<Candidate>,
     retry_budget: RetryBudget,
@@ -87,14 +96,14 @@
         settings.check()?;
         let mut rng = Rng::with_seed(seed);
         Ok(Balancer {
-            buckets: admission::buckets(&settings, &mut rng),
+            buckets: LeakyBucket::of_all_tenants(&settings, &mut rng),
             rng,
             started: false,
             replicas: ReplicaTable::default(),
             statistics: ReplicaStatistics::with_load_level(leaky_bucket::OVERLOAD_LOAD_LEVEL),
             requests: FxHashMap::default(),
-            affinity: Affinity::new(settings.cross_zone_cost),
-            candidates: Vec::with_capacity(ranking::MAX_CANDIDATES),
+            affinity: AffinityState::new(settings.cross_zone_cost),
+            candidates: Vec::with_capacity(candidate::MAX_CANDIDATES),
             retry_budget: RetryBudget::default(),
             attempt_checks: AttemptChecks::default(),
             report_period: ReportPeriod::new(settings.router_count),
--- a/src/decisions/ranking.rs
+++ b/src/decisions/ranking.rs
@@ -4,23 +4,16 @@
 //! Candidates are the replicas that are likely to have the prompt cached (see [`super::affinity`]), some
 //! drawn at random, and those that are warming up.
 
+use super::candidate::{Candidate, Selection, MAX_WARMING_CANDIDATES, RANDOM_CANDIDATES};
 use super::Balancer;
 use crate::api::{Nanos, Request};
 use crate::first_token_wait;
 use crate::prefix_cache;
-use crate::ready_replicas::{MAX_PREFERRED_REPLICAS, MAX_SCANNED_REPLICAS};
+use crate::ready_replicas::MAX_SCANNED_REPLICAS;
 use crate::state::replica::Replica;
 use crate::state::replica_statistics::sample_freshness;
 use crate::state::request::RequestState;
 
-/// Replicas drawn at random of the own zone, and as many of all zones.
-const RANDOM_CANDIDATES: usize = 4;
-/// The most warming replicas that are looked at.
-const MAX_WARMING_CANDIDATES: usize = 64;
-/// The most candidates: the preferred replicas, the drawn, the warming, and where the session was last
-/// answered.
-pub(super) const MAX_CANDIDATES: usize =
-    MAX_PREFERRED_REPLICAS + RANDOM_CANDIDATES * 2 + MAX_WARMING_CANDIDATES + 1;
 /// How strongly the share of warming replicas draws requests there before the others queue: a power.
 const WARMING_SHARE_POWER: i32 = 3;
 /// Crossing a zone is worth so many latency objectives of waiting for each unit of its cost.
@@ -32,22 +25,6 @@
 /// Ranks are drawn apart by up to this share of themselves, so that ties are broken at random.
 const TIE_BREAK_SHARE: f64 = 1e-6;
 
-/// A replica that an attempt may go to, and the prompt tokens that it would have to read when warm.
-pub(super) struct Candidate {
-    pub(super) slot: usize,
-    pub(super) prefill_tokens: f64,
-}
-
-/// The replica that an attempt goes to.
-#[derive(Clone, Copy)]
-pub(super) struct Selection {
-    pub(super) slot: usize,
-    /// Prompt tokens that it is expected to read.
-    pub(super) prefill_tokens: f64,
-    /// The first-token wait to expect by what was sampled of it, ns.
-    pub(super) predicted_wait: f64,
-}
-
 /// What all candidates for one attempt are compared by.
 struct Comparison {
     now: Nanos,
--- a/src/decisions/request_lifecycle.rs
+++ b/src/decisions/request_lifecycle.rs
@@ -1,7 +1,7 @@
 //! Takes a request from its arrival to the end of its last attempt: asks the deciding modules in turn, and
 //! records what is learnt of replicas on the way.
 
-use super::ranking::Selection;
+use super::candidate::Selection;
 use super::Balancer;
 use crate::api::{Action, AttemptEnded, Nanos, Outcome, Request, RequestId, SECOND};
 use crate::state::request::{Attempt, RequestState};
--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -1,44 +1,11 @@
 //! Decides whether another attempt follows: after one that has failed, or beside one that is silent. Attempts
 //! are limited per request, and over all requests by a budget, so that retries cannot make an overload worse.
 
-use super::ranking::Selection;
+use super::candidate::Selection;
 use super::Balancer;
 use crate::api::{Action, Nanos, RequestId};
 use crate::state::request::RequestState;
 
-/// Retries that each request earns for the budget of all.
-const RETRIES_PER_REQUEST: f64 = 0.2;
-/// The most retries that can be saved.
-const MAX_SAVED_RETRIES: f64 = 20.0;
-
-/// Retries and hedged requests that may still be sent, over all requests. Full at the start.
-pub(super) struct RetryBudget {
-    saved: f64,
-}
-
-impl Default for RetryBudget {
-    fn default() -> RetryBudget {
-        RetryBudget { saved: MAX_SAVED_RETRIES }
-    }
-}
-
-impl RetryBudget {
-    /// A request has come.
-    pub(super) fn earn(&mut self) {
-        self.saved = (self.saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
-    }
-
-    /// Whether a further attempt may be sent.
-    pub(super) fn allows(&self) -> bool {
-        self.saved >= 1.0
-    }
-
-    /// A further attempt is sent.
-    pub(super) fn spend(&mut self) {
-        self.saved -= 1.0;
-    }
-}
-
 impl Balancer {
     /// No attempt is in flight and no answer given: another attempt, or the final answer.
     pub(super) fn retry_or_answer(&mut self, now: Nanos, id: RequestId, out: &mut Vec<Action>) {
--- a/src/decisions/timeouts.rs
+++ b/src/decisions/timeouts.rs
@@ -1,10 +1,7 @@
 //! Decides when an attempt without a first token has waited too long: when it is cancelled, and when a hedged
 //! request is sent beside it.
 
-use std::cmp::Reverse;
-use std::collections::BinaryHeap;
-
-use super::ranking::Selection;
+use super::candidate::Selection;
 use super::{Balancer, ATTEMPT_CHECK_TIMER};
 use crate::api::{Action, Nanos, RequestId};
 use crate::state::request::RequestState;
@@ -41,22 +38,6 @@
     is_checked: bool,
 }
 
-/// Attempts to look at again, the earliest first: when, of which request, which attempt.
-#[derive(Default)]
-pub(super) struct AttemptChecks(BinaryHeap<Reverse<(Nanos, RequestId, u32)>>);
-
-impl AttemptChecks {
-    fn add(&mut self, at: Nanos, id: RequestId, attempt: u32) {
-        self.0.push(Reverse((at, id, attempt)));
-    }
-
-    /// The earliest that is due at `now`.
-    fn next_due(&mut self, now: Nanos) -> Option<(Nanos, RequestId, u32)> {
-        self.0.peek().filter(|check| check.0 .0 <= now)?;
-        self.0.pop().map(|check| check.0)
-    }
-}
-
 impl Balancer {
     /// The time-outs of the next attempt of a request.
     ///
