--- a/consensus/src/fleet_state/router_drains.rs
+++ b/consensus/src/fleet_state/router_drains.rs
@@ -67,7 +67,7 @@
     ) -> Result<(), Rejection> {
         for &router in routers {
             limits.check_known(router)?;
-            // One that is out of service stays so. One that was to return goes out again, with a lease of its own.
+            // A drain that exists stays as it is, in any stage: one that is returning is not drained again by this order.
             self.drains.entry(router).or_insert_with(|| DrainEntry::requested(order, None));
         }
         Ok(())
--- a/consensus/src/fleet_state/tests.rs
+++ b/consensus/src/fleet_state/tests.rs
@@ -118,5 +118,5 @@
         "it holds the lease"
     );
     let back = apply(&state, &Command::ReportServing(of(0, 8))).unwrap();
-    assert!(!back.drains.contains_key(&0), "started anew, and serves");
+    assert!(!back.drains.contains_key(&0), "restarted, and serves");
 }
--- a/consensus/src/register/acceptor.rs
+++ b/consensus/src/register/acceptor.rs
@@ -41,7 +41,7 @@
     /// The same with a deliberate defect.
     #[cfg(feature = "defects")]
     pub fn with_defect(self, defect: Option<Defect>) -> Acceptor<D> {
-        let joined = self.joined || defect == Some(Defect::NotBlank);
+        let joined = self.joined || defect == Some(Defect::JoinsAtOnce);
         Acceptor { defect, joined, ..self }
     }
 
@@ -120,7 +120,7 @@
     }
 
     fn accept(&mut self, proposal: Proposal<D>) -> AcceptorReply<D> {
-        if proposal.ballot < self.promised && !defect!(self, TakesOlder) {
+        if proposal.ballot < self.promised && !defect!(self, AcceptsOlder) {
             return AcceptorReply::Superseded(self.promised);
         }
         self.promised = self.promised.max(proposal.ballot);
--- a/consensus/src/register/defect.rs
+++ b/consensus/src/register/defect.rs
@@ -5,19 +5,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Defect {
     /// A promise counts whatever incarnation gave it.
-    AnyLife,
+    AnyIncarnation,
     /// One member less than a majority is enough.
-    OneShort,
+    OneShortOfMajority,
     /// An acceptor forgets what it has promised.
     ForgetsPromise,
     /// The proposer builds on the oldest accepted value that was reported, not on the newest.
-    FirstHeard,
+    BuildsOnOldest,
     /// An acceptor that has restarted takes part at once, and its replies count.
-    NotBlank,
+    JoinsAtOnce,
     /// An acceptor accepts older values after newer ones.
-    TakesOlder,
+    AcceptsOlder,
     /// A reply that arrives twice counts twice.
-    CountsTwice,
+    CountsDuplicates,
 }
 
 /// Without the feature there is no defect to enable, and the checks for one are compiled away.
--- a/consensus/src/register/proposer.rs
+++ b/consensus/src/register/proposer.rs
@@ -34,7 +34,7 @@
     reports: Vec<Option<MemberReport<D>>>,
     /// The proposed value, once the first phase is over.
     proposed: Option<RegisterValue<D>>,
-    /// Replies that were counted twice, by the defect `CountsTwice`.
+    /// Replies that were counted twice, by the defect `CountsDuplicates`.
     duplicates: usize,
     defect: Option<Defect>,
 }
@@ -124,7 +124,7 @@
     }
 
     fn record(&mut self, from: usize, report: MemberReport<D>) {
-        let duplicate = self.reports[from].is_some() && defect!(self, CountsTwice);
+        let duplicate = self.reports[from].is_some() && defect!(self, CountsDuplicates);
         self.duplicates += usize::from(duplicate);
         self.reports[from] = Some(report);
     }
@@ -149,7 +149,7 @@
     /// accepted by someone.
     fn newest(&self) -> Option<&Proposal<D>> {
         let accepted = self.reports.iter().flatten().filter_map(|report| report.accepted.as_ref());
-        match defect!(self, FirstHeard) {
+        match defect!(self, BuildsOnOldest) {
             true => accepted.min_by_key(|proposal| proposal.ballot),
             false => accepted.max_by_key(|proposal| proposal.ballot),
         }
@@ -161,11 +161,11 @@
         let counts = |(member, report): &(usize, &Option<MemberReport<D>>)| {
             report.as_ref().is_some_and(|report| {
                 incarnations.get(*member) == Some(&report.incarnation)
-                    || defect!(self, AnyLife)
-                    || defect!(self, NotBlank)
+                    || defect!(self, AnyIncarnation)
+                    || defect!(self, JoinsAtOnce)
             })
         };
         let replies = self.reports.iter().enumerate().filter(counts).count() + self.duplicates;
-        replies * 2 > self.members || (defect!(self, OneShort) && (replies + 1) * 2 > self.members)
+        replies * 2 > self.members || (defect!(self, OneShortOfMajority) && (replies + 1) * 2 > self.members)
     }
 }
--- a/consensus/src/register/tests.rs
+++ b/consensus/src/register/tests.rs
@@ -5,9 +5,9 @@
 /// A council of which all members have accepted the first value, 0.
 fn bootstrapped(n: usize) -> Members {
     let mut members: Members = (0..n as u64).map(Acceptor::new).collect();
-    let blank: Vec<_> =
+    let uninitialized: Vec<_> =
         (0..n as u64).map(|incarnation| Some(MemberReport { incarnation, accepted: None })).collect();
-    let value = bootstrap_value(&blank, |_| 0).expect("all are blank");
+    let value = bootstrap_value(&uninitialized, |_| 0).expect("all are uninitialized");
     let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
     for (incarnation, member) in (0..).zip(&mut members) {
         let prepared = member.handle(AcceptorRequest::Prepare(ballot));
@@ -82,7 +82,7 @@
     play(&mut members, Proposer::new(ballot(2, 0), 3), &[0, 1]);
     members[0] = Acceptor::new(100);
     let step = play(&mut members, Proposer::new(ballot(3, 1), 3), &[0, 2]);
-    assert_eq!(step, RoundStep::Wait, "blank, and one");
+    assert_eq!(step, RoundStep::Wait, "one, and one that is uninitialized");
     let joining = vec![CouncilMember { member: 0, incarnation: 100 }];
     let alone = Proposer::joining(ballot(4, 0), 3, joining.clone());
     assert_eq!(play(&mut members, alone, &[0, 1]), RoundStep::Wait, "itself does not count");
@@ -96,8 +96,8 @@
 
 #[test]
 fn the_first_value_wants_a_report_of_each_member() {
-    let blank = |incarnation| Some(MemberReport { incarnation, accepted: None });
-    let value = bootstrap_value(&[blank(1), None, blank(3)], |_| 0);
+    let uninitialized = |incarnation| Some(MemberReport { incarnation, accepted: None });
+    let value = bootstrap_value(&[uninitialized(1), None, uninitialized(3)], |_| 0);
     assert_eq!(value, None::<RegisterValue<u64>>, "one has not answered");
 }
 
--- a/consensus/src/release_monitor/tests.rs
+++ b/consensus/src/release_monitor/tests.rs
@@ -90,7 +90,7 @@
 #[test]
 fn a_wave_is_observed_before_the_next_one_and_the_last_one_ends_the_release() {
     let (mut monitor, state) = (ReleaseMonitor::default(), begun(false));
-    assert_eq!(next(&mut monitor, S, &state, &reports(0, 0)), None, "it has yet to go");
+    assert_eq!(next(&mut monitor, S, &state, &reports(0, 0)), None, "it has yet to drain");
     let state = restart(&state, 0, 7, "old");
     assert_eq!(next(&mut monitor, 2 * S, &state, &reports(0, 0)), None);
     assert_eq!(next(&mut monitor, 9 * S, &state, &reports(0, 99)), None, "not enough to tell");
@@ -98,7 +98,7 @@
     let state = apply(&state, Command::CompleteWave(0));
     assert_eq!(rejection(&state, &Command::CompleteWave(0), &view()), Rejection::NothingToChange);
     let state = (1..=3).fold(state, |state, router| restart(&state, router, 7, "old"));
-    assert_eq!(next(&mut monitor, 11 * S, &state, &reports(0, 100)), None, "watched from anew");
+    assert_eq!(next(&mut monitor, 11 * S, &state, &reports(0, 100)), None, "observed from the beginning");
     assert_eq!(next(&mut monitor, 16 * S, &state, &reports(0, 200)), Some(Command::CompleteWave(1)));
     let state = apply(&state, Command::CompleteWave(1));
     assert_eq!(state.release.as_ref().unwrap().phase, ReleasePhase::Done);
--- a/consensus/src/replica_drains/tests.rs
+++ b/consensus/src/replica_drains/tests.rs
@@ -67,7 +67,7 @@
     assert_eq!(
         routers_not_clear("n1", 5, &uses),
         [0, 1, 3],
-        "one goes by what was before, one is busy, one is not heard"
+        "one applies an earlier version, one has requests in flight, one has not reported"
     );
     assert_eq!(routers_not_clear("n2", 5, &uses), [0, 2, 3]);
     assert!(routers_not_clear("n1", 5, &[live(Some(&done)), left(Some(&late))]).is_empty());
--- a/consensus/tests/fleet/checks.rs
+++ b/consensus/tests/fleet/checks.rs
@@ -21,7 +21,7 @@
     pub fn begin_drain(&mut self, r: usize, known: &FleetState) {
         assert!(
             !self.halt.is_some_and(|halt| halt.answered),
-            "{r} goes out after a halt was answered, by {}",
+            "{r} drains after a halt was answered, by {}",
             known.version
         );
         self.routers[r].phase = LocalPhase::OutOfService;
--- a/consensus/tests/fleet/main.rs
+++ b/consensus/tests/fleet/main.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn bounds_and_halts_hold_whatever_fails_and_all_agree_once_it_is_mended() {
+fn limits_and_halts_hold_under_faults_and_all_routers_agree_once_they_are_mended() {
     for (routers, seeds) in [(5, 60), (50, 2)] {
         let Outcome { drained, settled, restarted, released } = play(0..seeds, routers);
         println!("{routers} routers, {seeds} seeds: {drained} went out, {restarted} for a release; {settled} came to one document, {released} with a release done");
--- a/consensus/tests/fleet/world.rs
+++ b/consensus/tests/fleet/world.rs
@@ -114,8 +114,8 @@
 /// Routers that all serve, and a council that has begun.
 fn first_routers(n: usize) -> Vec<Router> {
     let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
-    let blank = vec![Some(MemberReport { incarnation: 0, accepted: None }); COUNCIL];
-    let value = bootstrap_value(&blank, |_| FleetState::default()).expect("all blank");
+    let uninitialized = vec![Some(MemberReport { incarnation: 0, accepted: None }); COUNCIL];
+    let value = bootstrap_value(&uninitialized, |_| FleetState::default()).expect("all uninitialized");
     let acceptor = || {
         let mut acceptor = Acceptor::new(0);
         acceptor.handle(AcceptorRequest::Prepare(ballot));
--- a/consensus/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -122,9 +122,10 @@
 
     fn init_states(&self) -> Vec<State> {
         let incarnations: Vec<u64> = (1..=MEMBERS as u64).collect();
-        let blank = |&incarnation: &u64| Some(MemberReport { incarnation, accepted: None });
-        let blank: Vec<_> = incarnations.iter().map(blank).collect();
-        let value: RegisterValue<History> = bootstrap_value(&blank, |_| vec![]).expect("all are blank");
+        let uninitialized = |&incarnation: &u64| Some(MemberReport { incarnation, accepted: None });
+        let uninitialized: Vec<_> = incarnations.iter().map(uninitialized).collect();
+        let value: RegisterValue<History> =
+            bootstrap_value(&uninitialized, |_| vec![]).expect("all are uninitialized");
         let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         let members = incarnations.iter().map(|&incarnation| {
             let mut member = Acceptor::new(incarnation);
@@ -259,19 +260,19 @@
 
 /// As deep as seconds allow; the deep check below is run by hand, with `--release -- --ignored`.
 #[test]
-fn two_proposers_and_a_member_that_forgets_never_agree_on_two_things() {
+fn two_proposers_and_a_member_that_forgets_never_choose_diverging_values() {
     holds(&[(0, 12), (1, 8)]);
-    finds(&[(Defect::OneShort, 0, 12)]);
+    finds(&[(Defect::OneShortOfMajority, 0, 12)]);
 }
 
 #[test]
 #[ignore = "minutes"]
-fn the_same_deep_enough_for_two_changes_and_for_deliberate_mistakes() {
+fn the_same_deep_enough_for_two_changes_and_for_each_deliberate_defect() {
     holds(&[(0, 20), (1, 14)]);
     finds(&[
-        (Defect::CountsTwice, 0, 16),
+        (Defect::CountsDuplicates, 0, 16),
         (Defect::ForgetsPromise, 0, 20),
-        (Defect::TakesOlder, 0, 20),
-        (Defect::FirstHeard, 0, 20),
+        (Defect::AcceptsOlder, 0, 20),
+        (Defect::BuildsOnOldest, 0, 20),
     ]);
 }
--- a/consensus/tests/net/earlier_promise.rs
+++ b/consensus/tests/net/earlier_promise.rs
@@ -50,10 +50,10 @@
 }
 
 #[test]
-fn a_promise_of_an_earlier_life_is_void() {
-    match late_round(Some(Defect::AnyLife)) {
+fn a_promise_of_an_earlier_incarnation_is_void() {
+    match late_round(Some(Defect::AnyIncarnation)) {
         RoundStep::Chosen(value) => {
-            assert_eq!(value.state, vec![1, 3], "the mistake loses what was agreed on");
+            assert_eq!(value.state, vec![1, 3], "the defect loses what was chosen");
         }
         other => panic!("{other:?}"),
     }
--- a/consensus/tests/net/main.rs
+++ b/consensus/tests/net/main.rs
@@ -31,16 +31,16 @@
     assert!(agreements > 10_000, "only {agreements}: the net is too bad to show anything");
 }
 
-/// What guards the promise is needed: without any one of these the same seeds find two that read different things.
+/// Each guard of a promise is needed: without any one of them the same seeds find two processes that learn diverging values.
 #[test]
-fn each_deliberate_mistake_is_found() {
+fn each_deliberate_defect_is_detected() {
     for defect in [
-        Defect::OneShort,
+        Defect::OneShortOfMajority,
         Defect::ForgetsPromise,
-        Defect::FirstHeard,
-        Defect::NotBlank,
-        Defect::TakesOlder,
-        Defect::CountsTwice,
+        Defect::BuildsOnOldest,
+        Defect::JoinsAtOnce,
+        Defect::AcceptsOlder,
+        Defect::CountsDuplicates,
     ] {
         let found = play(0..20_000, Some(defect));
         let Err((seed, _)) = found else { panic!("{defect:?} is not found") };
--- a/consensus/tests/net/network.rs
+++ b/consensus/tests/net/network.rs
@@ -66,9 +66,9 @@
 impl Network {
     pub fn new(seed: u64, members: usize, defect: Option<Defect>) -> Network {
         let incarnations: Vec<u64> = (0..members as u64).collect();
-        let blank = |&incarnation: &u64| Some(MemberReport { incarnation, accepted: None });
-        let blank: Vec<_> = incarnations.iter().map(blank).collect();
-        let value = bootstrap_value(&blank, |_| History::new()).expect("all blank");
+        let uninitialized = |&incarnation: &u64| Some(MemberReport { incarnation, accepted: None });
+        let uninitialized: Vec<_> = incarnations.iter().map(uninitialized).collect();
+        let value = bootstrap_value(&uninitialized, |_| History::new()).expect("all uninitialized");
         let mut all: Vec<Acceptor<History>> = incarnations.iter().map(|&of| Acceptor::new(of)).collect();
         let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         for member in &mut all {
--- a/consensus/tests/recorded/drain_lease.rs
+++ b/consensus/tests/recorded/drain_lease.rs
@@ -79,7 +79,7 @@
 
 /// Each stage of a drain, by what the router does and runs and what became of its lease.
 #[test]
-fn a_router_goes_by_its_leave_as_recorded() {
+fn a_router_follows_its_drain_lease_as_recorded() {
     let holders = holders();
     let mut transcript = String::new();
     let digests = [
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn who_keeps_a_model_node_from_being_clear_is_as_recorded() {
+fn routers_that_keep_a_replica_from_being_clear_are_as_recorded() {
     let applied: [AppliedState; 3] = [
         parse(r#"{"version":4,"open":[]}"#),
         parse(r#"{"version":5,"open":["n1"]}"#),
--- a/consensus/tests/recorded/membership.rs
+++ b/consensus/tests/recorded/membership.rs
@@ -9,7 +9,7 @@
 const S: u64 = 1_000_000_000;
 
 #[test]
-fn beats_are_believed_as_recorded() {
+fn heartbeats_are_judged_as_recorded() {
     let advertised = [
         AdvertisedStatus::Serving,
         AdvertisedStatus::Starting,
@@ -25,7 +25,7 @@
         writeln!(transcript, "{} out {}", json(status), status.is_out_of_service()).expect("text");
     }
     let mut detector = FailureDetector::new(HeartbeatTiming { interval: S / 2, silence_limit: 2 * S }, 5, 0);
-    // By half seconds: router 0 goes on, 1 stops, 2 ends, 3 starts anew and is heard late, 4 never is. The member that
+    // By half seconds: router 0 goes on, 1 stops, 2 ends, 3 restarts and some of its heartbeats are late, 4 sends none. The member that
     // listens is paused itself from 8 s to 14 s.
     for half in (0..=16).chain(28..=36) {
         let now = half * S / 2;
--- a/consensus/tests/recorded/register.rs
+++ b/consensus/tests/recorded/register.rs
@@ -15,7 +15,7 @@
 
 /// One member that starts uninitialized, is asked this, and replies that.
 #[test]
-fn a_member_of_the_council_answers_as_recorded() {
+fn an_acceptor_replies_as_recorded() {
     let mut transcript = String::new();
     for stored in [None, Some(5)] {
         let mut acceptor: Acceptor<u64> = Acceptor::new(7).with_stored(stored);
@@ -47,7 +47,7 @@
 
 /// Rounds that receive these replies; each adds one to the state that it reads.
 #[test]
-fn a_round_goes_on_as_recorded() {
+fn rounds_proceed_as_recorded() {
     let mut transcript = String::new();
     let mut round: Proposer<u64> = Proposer::new(ballot(5, 9, 1), 3);
     let mut prepare = round.request();
@@ -78,7 +78,7 @@
 
 /// All that three members can report, of two values and two incarnations each.
 #[test]
-fn what_is_agreed_on_and_the_first_value_are_as_recorded() {
+fn the_chosen_value_and_the_first_value_are_as_recorded() {
     let proposal = |ballot, incarnations: &[u64], state: u64| {
         Some(Proposal { ballot, value: RegisterValue { incarnations: incarnations.to_vec(), state } })
     };
--- a/membership/src/failure_detector/tests.rs
+++ b/membership/src/failure_detector/tests.rs
@@ -62,7 +62,7 @@
     /// Whatever comes in whatever order: a router whose heartbeats come within the limit, in its newest incarnation, is
     /// never silent.
     #[test]
-    fn no_router_that_beats_is_silent(
+    fn no_router_with_recent_heartbeats_is_silent(
         heartbeats in proptest::collection::vec((0u64..400, 0u16..4, 0u64..3), 1..200)
     ) {
         let mut detector = FailureDetector::new(TIMING, 4, 0);
