--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -97,7 +97,7 @@
         let health = board.health();
         let gateways = host.deployment.decisions.router_count.max(1) as usize;
         let free = |used: usize, most: usize| 1.0 - used.min(most) as f64 / most.max(1) as f64;
-        let (links, idle) = host.replicas.links();
+        let (links, idle) = host.replicas.connection_counts();
         let signals = Signals {
             fleet,
             open,
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -8,8 +8,8 @@
 use serde_json::value::RawValue;
 use tallypin::deployment::{self, Deployment};
 
+use crate::endpoint_list::EndpointListMessage;
 use crate::limits::Limits;
-use crate::node_list::Page;
 
 /// What is wrong with the configuration: where, and why.
 #[derive(Debug, Clone, PartialEq)]
@@ -55,7 +55,7 @@
     #[serde(default)]
     peers_all: Option<SocketAddr>,
     #[serde(default)]
-    known: Option<Page>,
+    known: Option<EndpointListMessage>,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -85,7 +85,7 @@
     /// The other routers, if there are any to talk to.
     pub peers: Option<PeerAddresses>,
     /// The node list as last held before the start.
-    pub known: Option<Page>,
+    pub known: Option<EndpointListMessage>,
     /// The deployment's settings.
     pub deployment: Deployment,
     /// The limits.
--- a/router/src/node_list.rs
+++ b/router/src/endpoint_list.rs
@@ -19,24 +19,25 @@
 
 use crate::host::Host;
 use crate::http::{Body, Framing, Head, Part, Start, Wire};
-use crate::list_clock::{Backoff, ListClock, Step, Terms};
-use crate::pages::{NoObject, ObjectReader};
+use crate::object_reader::{NotAnObject, ObjectReader};
+use crate::watch_clock::{Backoff, WatchClock, WatchStep, WatchTimeouts};
 
 /// One object of the list: the whole of it, or what changed.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Page {
+pub struct EndpointListMessage {
     /// The version that it leads to.
     pub version: u64,
     /// The whole list.
     #[serde(default)]
     pub full: bool,
     /// The rows.
-    pub servers: Vec<Row>,
+    #[serde(rename = "servers")]
+    pub endpoints: Vec<EndpointRecord>,
 }
 
 /// A row of the list.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
-pub struct Row {
+pub struct EndpointRecord {
     /// The model node's name, the same at every router.
     pub id: String,
     /// Where this router reaches it.
@@ -57,9 +58,9 @@
     pub started_ms: u64,
 }
 
-impl Row {
+impl EndpointRecord {
     /// The row as the module reads it.
-    pub fn decode(&self, of: &Deployment) -> EndpointEntry {
+    pub fn to_entry(&self, of: &Deployment) -> EndpointEntry {
         // A name that the settings lack is none of theirs: not the first zone, which may be the own one. A row that
         // names none is of a deployment that tells none apart.
         let place = |list: &[String], name: &str| match name {
@@ -83,10 +84,10 @@
 }
 
 /// Takes news of the list.
-pub fn take(host: &Rc<Host>, page: &Page, kind: ListUpdate) {
+pub fn apply(host: &Rc<Host>, page: &EndpointListMessage, kind: ListUpdate) {
     let rows = last_rows(page, &host.deployment);
-    if rows.len() < page.servers.len() {
-        tracing::warn!(target: "node_list", version = page.version, rows = page.servers.len(), nodes = rows.len(),
+    if rows.len() < page.endpoints.len() {
+        tracing::warn!(target: "node_list", version = page.version, rows = page.endpoints.len(), nodes = rows.len(),
             "node list: rows of one node twice, the last counts");
     }
     for (row, decoded) in &rows {
@@ -94,8 +95,8 @@
             started_ms = row.started_ms, machine = %row.kind, "node list: a row");
         if decoded.state != EndpointState::Gone {
             let ready = decoded.state == EndpointState::Ready;
-            host.replicas.set(decoded.replica, row.addr, row.started_ms, ready);
-            host.replicas.name(decoded.replica, &row.id);
+            host.replicas.upsert(decoded.replica, row.addr, row.started_ms, ready);
+            host.replicas.set_name(decoded.replica, &row.id);
         }
     }
     let (gone, there): (Vec<&EndpointEntry>, Vec<&EndpointEntry>) =
@@ -112,83 +113,83 @@
 }
 
 /// The rows of a page in their order, of each node the last one.
-fn last_rows<'a>(page: &'a Page, of: &Deployment) -> Vec<(&'a Row, EndpointEntry)> {
+fn last_rows<'a>(page: &'a EndpointListMessage, of: &Deployment) -> Vec<(&'a EndpointRecord, EndpointEntry)> {
     let mut seen = FxHashSet::default();
-    let from_the_end = page.servers.iter().rev().map(|row| (row, row.decode(of)));
+    let from_the_end = page.endpoints.iter().rev().map(|row| (row, row.to_entry(of)));
     let mut rows: Vec<_> = from_the_end.filter(|(_, decoded)| seen.insert(decoded.replica)).collect();
     rows.reverse();
     rows
 }
 
 /// A watch that runs until it is lost, and then says why.
-type Watching = Pin<Box<dyn Future<Output = String>>>;
+type WatchFuture = Pin<Box<dyn Future<Output = String>>>;
 
 /// What goes with one place of the list: its versions may be its own.
-struct Place {
-    at: SocketAddr,
+struct ListSource {
+    address: SocketAddr,
     version: Cell<Option<u64>>,
     /// The log has been told that it says what is older than that.
-    told_older: Cell<bool>,
+    older_reported: Cell<bool>,
     /// The place that this one takes over from once it has told the list.
-    former: RefCell<Option<Rc<Place>>>,
+    predecessor: RefCell<Option<Rc<ListSource>>>,
     /// Another place has taken over: what still arrives from this one is older than what is known.
-    retired: Cell<bool>,
+    superseded: Cell<bool>,
     /// Told when it has said something of the list.
     answered: Notify,
     /// Told when a call has been answered: from then on the watch is held to other times.
-    stands: Notify,
-    clock: ListClock,
+    established: Notify,
+    clock: WatchClock,
 }
 
-impl Place {
+impl ListSource {
     /// Whether a page tells something newer than is known: a whole list always does, as its versions may begin anew,
     /// but changes from before a version that is known would undo what came after them.
-    fn advances(&self, page: &Page) -> bool {
+    fn advances(&self, page: &EndpointListMessage) -> bool {
         page.full || self.version.get().is_none_or(|known| page.version >= known)
     }
 }
 
 /// A place and the watch on it, if there is one.
-struct Follow {
-    place: Rc<Place>,
-    watching: Option<Watching>,
+struct SourceWatch {
+    place: Rc<ListSource>,
+    watching: Option<WatchFuture>,
 }
 
-impl Follow {
-    fn new(at: SocketAddr, terms: Terms, former: Option<Rc<Place>>) -> Follow {
-        let place = Place {
-            at,
+impl SourceWatch {
+    fn new(at: SocketAddr, terms: WatchTimeouts, former: Option<Rc<ListSource>>) -> SourceWatch {
+        let place = ListSource {
+            address: at,
             version: Cell::new(None),
-            told_older: Cell::new(false),
-            former: RefCell::new(former),
-            retired: Cell::new(false),
+            older_reported: Cell::new(false),
+            predecessor: RefCell::new(former),
+            superseded: Cell::new(false),
             answered: Notify::new(),
-            stands: Notify::new(),
-            clock: ListClock::new(terms),
+            established: Notify::new(),
+            clock: WatchClock::new(terms),
         };
-        Follow { place: Rc::new(place), watching: None }
+        SourceWatch { place: Rc::new(place), watching: None }
     }
 
     /// Follows the list until the watch is lost; says why. Dropped and called again, it goes on.
     async fn run(&mut self, host: &Rc<Host>) -> String {
         let lost = loop {
-            match self.place.clock.step(host.clock.now()) {
-                Step::Open => {
-                    self.place.clock.opened(host.clock.now());
+            match self.place.clock.next_step(host.clock.now()) {
+                WatchStep::Open => {
+                    self.place.clock.watch_opened(host.clock.now());
                     self.watching = Some(Box::pin(watch(host.clone(), self.place.clone())));
                 }
-                Step::Broken => break "silent for too long".into(),
-                Step::Wait(until) => tokio::select! {
+                WatchStep::Abandon => break "silent for too long".into(),
+                WatchStep::Wait(until) => tokio::select! {
                     biased;
                     why = or_never(self.watching.as_mut()) => break why,
-                    () = self.place.stands.notified() => {}
+                    () = self.place.established.notified() => {}
                     // What is heard meanwhile puts the time off: looked at again then.
                     () = or_never(until.map(|at| sleep_until(host.clock.instant(at).into()))) => {}
                 },
             }
         };
         self.watching = None;
-        self.place.clock.lost(host.clock.now(), host.random());
+        self.place.clock.watch_lost(host.clock.now(), host.random());
         lost
     }
 }
@@ -205,31 +206,31 @@
 /// old place is left only when the new one has told the whole list: until then its news goes on counting,
 /// and what is held goes on being used. Where lists are pushed, a watch on the agent costs nobody anything and
 /// what the agent holds counts as told: there is one from the start, whatever the module asks. Ends never.
-pub async fn keep(host: Rc<Host>) {
+pub async fn follow(host: Rc<Host>) {
     let limits = &host.limits;
     let pushed = host.deployment.decisions.list_mode == EndpointListMode::Pushed;
-    let asked = Terms { answer: limits.list_answer, silence: limits.list_silence, again: None };
+    let asked = WatchTimeouts { answer: limits.list_answer, silence: limits.list_silence, reconnect: None };
     // The agent is the router's own: no others ask it, and it is asked as often as ever.
-    let steady = Backoff { first: limits.agent_again, most: limits.agent_again };
-    let agent = Terms { answer: limits.agent_answer, again: Some(steady), ..asked };
-    let backoff = Backoff { first: limits.list_again, most: limits.list_again_most };
-    let moving = Terms { again: Some(backoff), ..asked };
+    let steady = Backoff { first: limits.agent_again, max: limits.agent_again };
+    let agent = WatchTimeouts { answer: limits.agent_answer, reconnect: Some(steady), ..asked };
+    let backoff = Backoff { first: limits.list_again, max: limits.list_again_most };
+    let moving = WatchTimeouts { reconnect: Some(backoff), ..asked };
     let (terms, moving) = if pushed { (agent, agent) } else { (asked, moving) };
     let mut named = host.endpoint_list_address.subscribe();
-    let mut current = Follow::new(*named.borrow_and_update(), terms, None);
-    let mut next: Option<Follow> = None;
+    let mut current = SourceWatch::new(*named.borrow_and_update(), terms, None);
+    let mut next: Option<SourceWatch> = None;
     if pushed {
-        current.place.clock.wanted(host.clock.now());
+        current.place.clock.request_watch(host.clock.now());
     }
     loop {
         let next_place = next.as_ref().map(|n| n.place.clone());
         tokio::select! {
             biased;
-            // First of all: a place that has answered has retired the one before it.
+            // First of all: a place that has answered has superseded the one before it.
             () = or_never(next_place.as_ref().map(|p| p.answered.notified())) => {
                 if let Some(told) = next.take() {
-                    tracing::info!(target: "node_list", at = %told.place.at, "node list: now from the new place");
-                    told.place.clock.hold_to(terms);
+                    tracing::info!(target: "node_list", at = %told.place.address, "node list: now from the new place");
+                    told.place.clock.set_timeouts(terms);
                     current = told;
                 }
             }
@@ -239,21 +240,21 @@
                 // Asked at once, as the old place may end soon, and again soon if it fails: whoever never answers
                 // is not waited for.
                 let former = Some(current.place.clone());
-                let follow = Follow::new(*named.borrow_and_update(), moving, former);
-                follow.place.clock.wanted(host.clock.now());
+                let follow = SourceWatch::new(*named.borrow_and_update(), moving, former);
+                follow.place.clock.request_watch(host.clock.now());
                 next = Some(follow);
             }
             why = or_never(next.as_mut().map(|n| n.run(&host))) => {
-                tracing::warn!(target: "node_list", at = ?next.as_ref().map(|n| n.place.at), why, "node list: asked again");
+                tracing::warn!(target: "node_list", at = ?next.as_ref().map(|n| n.place.address), why, "node list: asked again");
             }
             // A further wish means that the last one has not been answered in good time.
             () = host.endpoint_list_requested.notified() => {
                 if next.is_none() {
-                    current.place.clock.wanted(host.clock.now());
+                    current.place.clock.request_watch(host.clock.now());
                 }
             }
             why = current.run(&host) => {
-                tracing::warn!(target: "node_list", at = %current.place.at, why, "node list: watch lost");
+                tracing::warn!(target: "node_list", at = %current.place.address, why, "node list: watch lost");
                 host.with(|core, now| core.endpoints_changed(now, ListUpdate::Failed, Vec::new()));
             }
         }
@@ -261,10 +262,10 @@
 }
 
 /// Follows the list until the watch is lost; says why.
-async fn watch(host: Rc<Host>, place: Rc<Place>) -> String {
+async fn watch(host: Rc<Host>, place: Rc<ListSource>) -> String {
     let host = &host;
     let limits = &host.limits;
-    let stream = match timeout(limits.list_silence, TcpStream::connect(place.at)).await {
+    let stream = match timeout(limits.list_silence, TcpStream::connect(place.address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return e.to_string(),
         Err(_) => return "not connected in time".into(),
@@ -292,7 +293,7 @@
         (start, _) => return format!("answered {start:?}"),
     };
     place.clock.heard(host.clock.now());
-    place.stands.notify_one();
+    place.established.notify_one();
     let (mut body, mut held) = (Body::new(framing, limits.list_line as u64), ObjectReader::default());
     loop {
         match body.next(&mut wire.buf) {
@@ -301,31 +302,31 @@
                 place.clock.heard(host.clock.now());
                 held.push(&data);
                 loop {
-                    let page: Page = match held.take() {
+                    let page: EndpointListMessage = match held.take() {
                         Ok(Some(object)) => match serde_json::from_slice(&object) {
                             Ok(page) => page,
                             Err(e) => return format!("malformed: {e}"),
                         },
                         Ok(None) => break,
-                        Err(NoObject) => return "malformed: no object".into(),
+                        Err(NotAnObject) => return "malformed: no object".into(),
                     };
-                    if place.retired.get() {
+                    if place.superseded.get() {
                         // This watch is dropped as soon as its follower has seen that the new place answered.
                         return std::future::pending().await;
                     }
                     if !place.advances(&page) {
-                        if !place.told_older.replace(true) {
+                        if !place.older_reported.replace(true) {
                             tracing::warn!(target: "node_list", version = page.version, known = place.version.get(),
                                 "node list: older versions are ignored");
                         }
                         continue;
                     }
-                    place.told_older.set(false);
-                    if let Some(former) = place.former.take() {
-                        former.retired.set(true);
+                    place.older_reported.set(false);
+                    if let Some(former) = place.predecessor.take() {
+                        former.superseded.set(true);
                     }
                     place.version.set(Some(page.version));
-                    take(host, &page, if page.full { ListUpdate::Full } else { ListUpdate::Delta });
+                    apply(host, &page, if page.full { ListUpdate::Full } else { ListUpdate::Delta });
                     place.answered.notify_one();
                 }
                 if held.held() > limits.list_line {
--- a/router/src/health.rs
+++ b/router/src/health.rs
@@ -35,7 +35,7 @@
         if host.lifecycle.stage() > Stage::Serving {
             return FrontHealth::Draining;
         }
-        if host.replicas.ready() == 0 {
+        if host.replicas.ready_count() == 0 {
             return FrontHealth::Down;
         }
         let (most, used) = (host.limits.clients, host.clients.open());
--- a/router/src/host.rs
+++ b/router/src/host.rs
@@ -17,11 +17,11 @@
 use crate::config::Config;
 use crate::core::{AnswerCause, Core, FinalAnswer, Instruction, NewRequest, RequestSummary};
 use crate::dialect::{Dialect, Event};
+use crate::endpoint_list;
 use crate::limits::Limits;
-use crate::node::{self, Nodes};
-use crate::node_list;
 use crate::outward::Outward;
 use crate::peers::{self, Peers};
+use crate::replica::{self, ReplicaPool};
 use crate::request_ids::{RequestIdGuard, RequestIds};
 use crate::shutdown::{Lifecycle, Stage};
 
@@ -148,7 +148,7 @@
     /// The clock.
     pub clock: Clock,
     /// The model nodes and the connections to them.
-    pub replicas: Nodes,
+    pub replicas: ReplicaPool,
     /// The way to the other routers.
     pub peers: Option<Peers>,
     /// How far the end has come.
@@ -188,7 +188,7 @@
         Ok(Rc::new(Host {
             core: RefCell::new(Core::new(deployment.decisions.clone(), seed, slack)?),
             clock: Clock::new(),
-            replicas: Nodes::new(nodes, &limits),
+            replicas: ReplicaPool::new(nodes, &limits),
             peers,
             lifecycle: Lifecycle::new(),
             endpoint_list_address: watch::Sender::new(node_list),
@@ -297,9 +297,9 @@
                     let waiting = self.waiting.borrow();
                     let Some(w) = waiting.get(&id).and_then(|w| w.pending.as_ref()) else { continue };
                     let (pieces, prompt, text) = (w.events.clone(), Some(w.request.clone()), w.request.text);
-                    tracing::debug!(target: "node", request = id.0, attempt, node = %self.replicas.named(node),
+                    tracing::debug!(target: "node", request = id.0, attempt, node = %self.replicas.name(node),
                         "attempt begun");
-                    let run = node::Attempt {
+                    let run = replica::Attempt {
                         host: self.clone(),
                         id,
                         attempt,
@@ -330,7 +330,7 @@
                     }
                 }
                 Instruction::Probe(id) => {
-                    tokio::task::spawn_local(node::probe(self.clone(), id));
+                    tokio::task::spawn_local(replica::probe(self.clone(), id));
                 }
                 Instruction::WatchEndpoints => self.endpoint_list_requested.notify_one(),
                 Instruction::SendReport(bytes) => {
@@ -338,7 +338,7 @@
                     if let Some(peers) =
                         self.peers.as_ref().filter(|_| self.lifecycle.stage() < Stage::Closing)
                     {
-                        peers.tell(&bytes);
+                        peers.gossip(&bytes);
                     }
                 }
             }
@@ -360,14 +360,14 @@
     /// Starts what a router does beside its clients.
     pub fn start(self: &Rc<Self>) {
         tokio::task::spawn_local(self.clone().run_timers());
-        tokio::task::spawn_local(peers::listen(self.clone()));
-        tokio::task::spawn_local(node_list::keep(self.clone()));
+        tokio::task::spawn_local(peers::receive_gossip(self.clone()));
+        tokio::task::spawn_local(endpoint_list::follow(self.clone()));
         let host = self.clone();
         tokio::task::spawn_local(async move {
             let mut every = tokio::time::interval(host.limits.idle_node / 16);
             loop {
                 every.tick().await;
-                host.replicas.sweep();
+                host.replicas.close_expired();
             }
         });
     }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -12,12 +12,12 @@
 use tallypin_router::checks::{self, Board};
 use tallypin_router::config::Config;
 use tallypin_router::dialect::Dialect;
+use tallypin_router::endpoint_list::{self, EndpointListMessage};
 use tallypin_router::fleet::{operator_orders, release_files, FleetAgent};
 use tallypin_router::front::{self, Front};
 use tallypin_router::host::Host;
 use tallypin_router::installation::Installation;
 use tallypin_router::log::{Log, LogSettings};
-use tallypin_router::node_list::{self, Page};
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::{self, SettingsReloader, StartupConfiguration};
 use tallypin_router::router_control::ProcessControl;
@@ -214,8 +214,8 @@
     let dialect = messages.as_ref().map_or(Dialect::Chat, |front| front.nodes);
     let host = Host::new(config, dialect, peers)?;
     // Old or empty, it sets the module going.
-    let known = known.unwrap_or(Page { version: 0, full: true, servers: Vec::new() });
-    node_list::take(&host, &known, tallypin::api::ListUpdate::Cached);
+    let known = known.unwrap_or(EndpointListMessage { version: 0, full: true, endpoints: Vec::new() });
+    endpoint_list::apply(&host, &known, tallypin::api::ListUpdate::Cached);
     host.start();
     let mut board = None;
     // The agent ends its tasks when it is dropped: it lasts as long as the program.
--- a/router/src/pages.rs
+++ b/router/src/object_reader.rs
@@ -5,7 +5,7 @@
 
 /// Something stands where an object should begin.
 #[derive(Debug, PartialEq, Eq)]
-pub struct NoObject;
+pub struct NotAnObject;
 
 /// What has come of the list and is not taken yet.
 #[derive(Debug, Default)]
@@ -40,7 +40,7 @@
     }
 
     /// Takes the next object, once it is whole. Blank lines between objects are signs of life, and nothing else.
-    pub fn take(&mut self) -> Result<Option<Bytes>, NoObject> {
+    pub fn take(&mut self) -> Result<Option<Bytes>, NotAnObject> {
         while let Some(&byte) = self.held.get(self.seen) {
             self.seen += 1;
             self.text = match (self.text, byte) {
@@ -63,7 +63,7 @@
                 }
                 (Text::Outside, _) if self.depth > 0 => Text::Outside,
                 (Text::Outside, byte) if byte.is_ascii_whitespace() => Text::Outside,
-                (Text::Outside, _) => return Err(NoObject),
+                (Text::Outside, _) => return Err(NotAnObject),
             };
         }
         if self.depth == 0 {
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -15,14 +15,14 @@
 use crate::host::Host;
 
 /// The most bytes of a message; a longer one would void the run.
-pub const MOST: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 
 /// After an error of a moment a message is waited for again after this.
-const RECEIVE_AGAIN: Duration = Duration::from_millis(5);
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Messages that were not gone by, since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DroppedMessages {
     /// From addresses that are no peer's, or too long.
     pub strangers: u64,
     /// From peers with other tenants, or of another version.
@@ -49,7 +49,7 @@
     /// What the own reports are told apart by.
     digest: TenantsDigest,
     /// Messages from strangers, from routers with other tenants or of another version, and malformed ones.
-    dropped: Cell<Dropped>,
+    dropped: Cell<DroppedMessages>,
     /// When another router was heard last.
     heard: Cell<Option<Instant>>,
     /// When another router last told of requests that it had served.
@@ -74,9 +74,9 @@
     }
 
     /// Tells all other routers. What cannot go out at once is lost, as it may be on the way.
-    pub fn tell(&self, bytes: &[u8]) {
-        if bytes.len() > MOST {
-            tracing::warn!(target: "peers", bytes = bytes.len(), most = MOST, "message too long, dropped");
+    pub fn gossip(&self, bytes: &[u8]) {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            tracing::warn!(target: "peers", bytes = bytes.len(), most = MAX_MESSAGE_BYTES, "message too long, dropped");
             return;
         }
         match self.addresses.all {
@@ -89,17 +89,18 @@
     }
 
     /// The next message, and the number of the router that it came from.
-    pub async fn next(&self) -> (PeerId, Vec<u8>) {
+    pub async fn receive(&self) -> (PeerId, Vec<u8>) {
         // One byte more than a message may have, to tell a longer one.
-        let mut buf = [0u8; MOST + 1];
+        let mut buf = [0u8; MAX_MESSAGE_BYTES + 1];
         loop {
             let Ok((n, from)) = self.socket.recv_from(&mut buf).await else {
                 // Want of memory, say: at once it would fail again, and again.
-                tokio::time::sleep(RECEIVE_AGAIN).await;
+                tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
             };
             // Whoever is not among the peers, or says too much, is not heard.
-            let Some(peer) = self.number(from).filter(|peer| n <= MOST && *peer != self.me) else {
+            let Some(peer) = self.number(from).filter(|peer| n <= MAX_MESSAGE_BYTES && *peer != self.me)
+            else {
                 self.note_dropped(Unusable::Stranger);
                 continue;
             };
@@ -116,7 +117,7 @@
     }
 
     /// Messages that were not gone by, since the start.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedMessages {
         self.dropped.get()
     }
 
@@ -153,10 +154,10 @@
 }
 
 /// Hands what the other routers say to the core. Ends never.
-pub async fn listen(host: Rc<Host>) {
+pub async fn receive_gossip(host: Rc<Host>) {
     let Some(peers) = &host.peers else { return };
     loop {
-        let (from, bytes) = peers.next().await;
+        let (from, bytes) = peers.receive().await;
         host.with(|core, now| core.report_received(now, from, bytes));
     }
 }
--- a/router/src/node/attempt.rs
+++ b/router/src/replica/attempt.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use super::answer::{drained, read_head};
-use super::pool::{Link, Nodes};
+use super::pool::{ReplicaConnection, ReplicaPool};
 use crate::core::{AttemptResult, FinalAnswer};
 use crate::dialect::{self, Dialect, Event, Events};
 use crate::host::{Host, ResponseEvent, UpstreamRequest};
@@ -39,7 +39,7 @@
     pub async fn run(mut self) {
         let end = self.stream().await;
         tracing::debug!(target: "node", request = self.id.0, attempt = self.attempt,
-            node = %self.host.replicas.named(self.node), outcome = ?end.outcome,
+            node = %self.host.replicas.name(self.node), outcome = ?end.outcome,
             kept = end.cached_tokens, "attempt ended");
         let answer = match end.outcome {
             Outcome::Completed => FinalAnswer::Completed,
@@ -54,7 +54,7 @@
     }
 
     fn bound(&self) -> bool {
-        self.deadline == BOUND
+        self.deadline == NO_DEADLINE
     }
 
     async fn stream(&mut self) -> AttemptResult {
@@ -75,8 +75,8 @@
         }
         tracing::debug!(target: "node", request = self.id.0, attempt = self.attempt, reused = link.reused,
             "attempt written");
-        let _out = Out::on(&self.host, self.node);
-        let silent = Silent { nodes: &self.host.replicas, node: self.node };
+        let _out = InFlight::on(&self.host, self.node);
+        let silent = SilentReplica { nodes: &self.host.replicas, node: self.node };
         let more = link.wire.more().await;
         std::mem::forget(silent);
         let head = match more {
@@ -116,10 +116,10 @@
     /// A connection on which the request may be written now. Before that the event loop looks at the sockets once more:
     /// a front that hears of its client's end calls this off first, the node list may have told that the node takes no
     /// work, and an idle connection may have been closed by its node.
-    async fn reach(&self) -> Result<Link, Outcome> {
+    async fn reach(&self) -> Result<ReplicaConnection, Outcome> {
         let nodes = &self.host.replicas;
         loop {
-            let mut link = nodes.reach(self.node).await?;
+            let mut link = nodes.connect(self.node).await?;
             tokio::task::yield_now().await;
             if !nodes.takes_work(&link.to) {
                 return Err(Outcome::NotSent);
@@ -210,7 +210,7 @@
                         return (AttemptResult { outcome: Outcome::ReplicaError, ..end }, false);
                     }
                     tracing::debug!(target: "node", request = id.0, attempt, "stream begun");
-                    self.deadline = BOUND;
+                    self.deadline = NO_DEADLINE;
                     // No further attempt will need the prompt: its part of the budget is free again.
                     self.prompt = None;
                     host.release_upstream_request(id);
@@ -251,21 +251,21 @@
 }
 
 /// The deadline of an attempt whose stream has begun: none.
-const BOUND: Nanos = Nanos::MAX;
+const NO_DEADLINE: Nanos = Nanos::MAX;
 
 /// An attempt out on a connection.
-struct Out(Rc<Host>, ReplicaId);
+struct InFlight(Rc<Host>, ReplicaId);
 
-impl Out {
-    fn on(host: &Rc<Host>, id: ReplicaId) -> Out {
-        *host.replicas.out.borrow_mut().entry(id).or_default() += 1;
-        Out(host.clone(), id)
+impl InFlight {
+    fn on(host: &Rc<Host>, id: ReplicaId) -> InFlight {
+        *host.replicas.in_flight.borrow_mut().entry(id).or_default() += 1;
+        InFlight(host.clone(), id)
     }
 }
 
-impl Drop for Out {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        let mut out = self.0.replicas.out.borrow_mut();
+        let mut out = self.0.replicas.in_flight.borrow_mut();
         if let Some(n) = out.get_mut(&self.1) {
             *n -= 1;
             if *n == 0 {
@@ -276,13 +276,13 @@
 }
 
 /// Dropped while a node owes the first byte of an answer, it tells that the node was silent.
-struct Silent<'a> {
-    nodes: &'a Nodes,
+struct SilentReplica<'a> {
+    nodes: &'a ReplicaPool,
     node: ReplicaId,
 }
 
-impl Drop for Silent<'_> {
+impl Drop for SilentReplica<'_> {
     fn drop(&mut self) {
-        self.nodes.distrust(self.node);
+        self.nodes.close_idle(self.node);
     }
 }
--- a/router/src/node/mod.rs
+++ b/router/src/replica/mod.rs
@@ -6,5 +6,5 @@
 mod probe;
 
 pub use attempt::Attempt;
-pub use pool::Nodes;
+pub use pool::ReplicaPool;
 pub use probe::probe;
--- a/router/src/node/probe.rs
+++ b/router/src/replica/probe.rs
@@ -22,7 +22,7 @@
 async fn ask_health(host: &Host, node: ReplicaId) -> AttemptResult {
     let names = &host.deployment.report_field_names;
     let target = if names.is_empty() { "/alive" } else { "/metrics/load" };
-    let mut link = match host.replicas.reach(node).await {
+    let mut link = match host.replicas.connect(node).await {
         Ok(reached) => reached,
         Err(outcome) => return outcome.into(),
     };
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -66,7 +66,7 @@
         match (self.board.phase(), self.board.assessment().state) {
             (Phase::Closing, _) => AdvertisedStatus::Ending,
             // It has just started, or has lost all: whoever came would be turned away.
-            (Phase::Serving, _) if self.host.replicas.ready() == 0 => AdvertisedStatus::Starting,
+            (Phase::Serving, _) if self.host.replicas.ready_count() == 0 => AdvertisedStatus::Starting,
             (Phase::Serving, State::Up | State::Degraded) => AdvertisedStatus::Serving,
             _ => AdvertisedStatus::Draining,
         }
@@ -96,7 +96,7 @@
             let out = row.state != EndpointState::Ready || seen.get(&row.replica) == Some(&true);
             let (zone, kind) =
                 (word(&host.deployment.zones, row.zone.0), word(&host.deployment.kinds, row.kind));
-            (host.replicas.named(row.replica).to_string(), ReplicaView { zone, kind, out_of_service: out })
+            (host.replicas.name(row.replica).to_string(), ReplicaView { zone, kind, out_of_service: out })
         });
         Some(nodes.collect())
     }
@@ -114,7 +114,7 @@
     }
 
     fn has_in_flight(&self, replica: &str) -> bool {
-        self.host.replicas.out(name_hash::replica_id(replica)) > 0
+        self.host.replicas.in_flight(name_hash::replica_id(replica)) > 0
     }
 
     fn validate_artifact(&self, artifact: &str, bytes: &[u8]) -> Result<(), InvalidArtifact> {
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -38,7 +38,7 @@
 pub fn format_state(host: &Rc<Host>) -> String {
     let (open, noted, view) =
         host.with(|core, now| (core.open_requests(), core.scheduled_timers(), core.view(now)));
-    let (links, idle) = host.replicas.links();
+    let (links, idle) = host.replicas.connection_counts();
     let mut line = format!(
         "open {open}, clients {}, links {links} ({idle} idle), names {}, noted {noted}, room for bodies {} KiB",
         host.clients.open(),
@@ -46,11 +46,11 @@
         host.body_budget_left() >> 10,
     );
     for node in view {
-        let at = host.replicas.at(node.replica).map_or("unknown".into(), |at| at.to_string());
+        let at = host.replicas.address(node.replica).map_or("unknown".into(), |at| at.to_string());
         let ms = |nanos: u64| nanos / 1_000_000;
         let _ = write!(line, "; {at}: {} out", node.in_flight);
-        if host.replicas.out(node.replica) != node.in_flight {
-            let _ = write!(line, " ({} written)", host.replicas.out(node.replica));
+        if host.replicas.in_flight(node.replica) != node.in_flight {
+            let _ = write!(line, " ({} written)", host.replicas.in_flight(node.replica));
         }
         let _ = write!(line, ", {} waiting, {} ms", node.awaiting_first_token, ms(node.first_token_wait));
         if let Some(age) = node.wait_sample_age {
--- a/router/src/list_clock.rs
+++ b/router/src/watch_clock.rs
@@ -12,13 +12,13 @@
 
 /// What a place of the list is held to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Terms {
+pub struct WatchTimeouts {
     /// A call that has not been answered within this is given up.
     pub answer: Duration,
     /// A watch that has said nothing for so long is broken.
     pub silence: Duration,
     /// After a loss it is opened again; `None`: at the next wish.
-    pub again: Option<Backoff>,
+    pub reconnect: Option<Backoff>,
 }
 
 /// How long it waits after a loss: twice as long after each further one, and half of it by chance, so that hundreds of
@@ -28,13 +28,13 @@
     /// After the first.
     pub first: Duration,
     /// At the most.
-    pub most: Duration,
+    pub max: Duration,
 }
 
 impl Backoff {
     /// The wait after so many losses in a row before this one; `draw` is random, from 0 to 1.
-    fn wait(self, losses: u32, draw: f64) -> Duration {
-        let whole = self.first.saturating_mul(1 << losses.min(20)).min(self.most);
+    fn delay(self, losses: u32, draw: f64) -> Duration {
+        let whole = self.first.saturating_mul(1 << losses.min(20)).min(self.max);
         whole.mul_f64(0.5 + 0.5 * draw)
     }
 }
@@ -44,28 +44,28 @@
     /// Nobody watches, and nobody wishes to.
     Idle,
     /// To be opened then.
-    Due(Nanos),
+    OpenAt(Nanos),
     /// Called then, and not answered yet.
-    Called(Nanos),
+    Opened(Nanos),
     /// It said something then.
     Heard(Nanos),
 }
 
 /// What is to be done now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum WatchStep {
     /// Nothing before this time; `None`: before somebody wishes it.
     Wait(Option<Nanos>),
     /// The watch is to be opened.
     Open,
     /// It is broken.
-    Broken,
+    Abandon,
 }
 
 /// The clock of one watch.
 #[derive(Debug)]
-pub struct ListClock {
-    terms: Cell<Terms>,
+pub struct WatchClock {
+    timeouts: Cell<WatchTimeouts>,
     state: Cell<State>,
     /// Losses since it last said something.
     losses: Cell<u32>,
@@ -75,25 +75,25 @@
     at.saturating_add(wait.as_nanos() as Nanos)
 }
 
-impl ListClock {
+impl WatchClock {
     /// Of a place that nobody watches yet.
-    pub fn new(terms: Terms) -> ListClock {
-        ListClock { terms: Cell::new(terms), state: Cell::new(State::Idle), losses: Cell::new(0) }
+    pub fn new(timeouts: WatchTimeouts) -> WatchClock {
+        WatchClock { timeouts: Cell::new(timeouts), state: Cell::new(State::Idle), losses: Cell::new(0) }
     }
 
-    /// It is held to other terms from now on.
-    pub fn hold_to(&self, terms: Terms) {
-        self.terms.set(terms);
+    /// It is held to other timeouts from now on.
+    pub fn set_timeouts(&self, timeouts: WatchTimeouts) {
+        self.timeouts.set(timeouts);
     }
 
     /// A watch is wished for; if there is one, it did not do.
-    pub fn wanted(&self, now: Nanos) {
-        self.state.set(State::Due(now));
+    pub fn request_watch(&self, now: Nanos) {
+        self.state.set(State::OpenAt(now));
     }
 
     /// It has been opened.
-    pub fn opened(&self, now: Nanos) {
-        self.state.set(State::Called(now));
+    pub fn watch_opened(&self, now: Nanos) {
+        self.state.set(State::Opened(now));
     }
 
     /// It has said something.
@@ -103,24 +103,24 @@
     }
 
     /// It has ended, or was broken. `draw` is random, from 0 to 1.
-    pub fn lost(&self, now: Nanos, draw: f64) {
+    pub fn watch_lost(&self, now: Nanos, draw: f64) {
         let losses = self.losses.replace(self.losses.get().saturating_add(1));
-        let due = |again: Backoff| State::Due(after(now, again.wait(losses, draw)));
-        self.state.set(self.terms.get().again.map_or(State::Idle, due));
+        let due = |again: Backoff| State::OpenAt(after(now, again.delay(losses, draw)));
+        self.state.set(self.timeouts.get().reconnect.map_or(State::Idle, due));
     }
 
     /// What is to be done now.
-    pub fn step(&self, now: Nanos) -> Step {
-        let terms = self.terms.get();
+    pub fn next_step(&self, now: Nanos) -> WatchStep {
+        let timeouts = self.timeouts.get();
         let (at, then) = match self.state.get() {
-            State::Idle => return Step::Wait(None),
-            State::Due(at) => (Some(at), Step::Open),
-            State::Called(at) => (Some(after(at, terms.answer)), Step::Broken),
-            State::Heard(at) => (Some(after(at, terms.silence)), Step::Broken),
+            State::Idle => return WatchStep::Wait(None),
+            State::OpenAt(at) => (Some(at), WatchStep::Open),
+            State::Opened(at) => (Some(after(at, timeouts.answer)), WatchStep::Abandon),
+            State::Heard(at) => (Some(after(at, timeouts.silence)), WatchStep::Abandon),
         };
         match at {
             Some(at) if at <= now => then,
-            at => Step::Wait(at),
+            at => WatchStep::Wait(at),
         }
     }
 }
--- a/router/src/list_clock/tests.rs
+++ b/router/src/watch_clock/tests.rs
@@ -3,31 +3,31 @@
 use tallypin::api::SECOND;
 
 const MS: Nanos = SECOND / 1000;
-const PUSHED: Terms = Terms {
+const PUSHED: WatchTimeouts = WatchTimeouts {
     answer: Duration::from_millis(250),
     silence: Duration::from_secs(4),
-    again: Some(Backoff { first: Duration::from_millis(200), most: Duration::from_millis(200) }),
+    reconnect: Some(Backoff { first: Duration::from_millis(200), max: Duration::from_millis(200) }),
 };
 
 /// What an agent does over time: silent in outages, else it answers at once and gives a sign every 2 s to watches
 /// that have not fallen silent. Gives the longest time in which the agent spoke and no watch of it stood.
 fn longest_deaf(outages: &[(Nanos, Nanos)], mute: &[Nanos], end: Nanos) -> Nanos {
-    let clock = ListClock::new(PUSHED);
+    let clock = WatchClock::new(PUSHED);
     let down = |t: Nanos| outages.iter().any(|&(from, to)| (from..to).contains(&t));
     let (mut watch_mute, mut deaf, mut longest) = (true, 0, 0);
-    clock.wanted(0);
+    clock.request_watch(0);
     for t in (0..end).step_by(MS as usize) {
         watch_mute |= mute.contains(&t) || down(t);
-        match clock.step(t) {
-            Step::Open => {
-                clock.opened(t);
+        match clock.next_step(t) {
+            WatchStep::Open => {
+                clock.watch_opened(t);
                 watch_mute = down(t);
                 if !watch_mute {
                     clock.heard(t);
                 }
             }
-            Step::Broken => clock.lost(t, 1.0),
-            Step::Wait(_) => {}
+            WatchStep::Abandon => clock.watch_lost(t, 1.0),
+            WatchStep::Wait(_) => {}
         }
         if !watch_mute && t % (2 * SECOND) == 0 {
             clock.heard(t);
@@ -54,28 +54,32 @@
 
 #[test]
 fn where_the_list_is_asked_for_the_wish_decides_when() {
-    let clock = ListClock::new(Terms { answer: Duration::from_secs(2), again: None, ..PUSHED });
-    assert_eq!(clock.step(0), Step::Wait(None));
-    clock.wanted(5);
-    assert_eq!(clock.step(5), Step::Open);
-    clock.opened(5);
-    assert_eq!(clock.step(6), Step::Wait(Some(5 + 2 * SECOND)));
-    assert_eq!(clock.step(5 + 2 * SECOND), Step::Broken, "whoever wished for it is told that it has failed");
+    let clock = WatchClock::new(WatchTimeouts { answer: Duration::from_secs(2), reconnect: None, ..PUSHED });
+    assert_eq!(clock.next_step(0), WatchStep::Wait(None));
+    clock.request_watch(5);
+    assert_eq!(clock.next_step(5), WatchStep::Open);
+    clock.watch_opened(5);
+    assert_eq!(clock.next_step(6), WatchStep::Wait(Some(5 + 2 * SECOND)));
+    assert_eq!(
+        clock.next_step(5 + 2 * SECOND),
+        WatchStep::Abandon,
+        "whoever wished for it is told that it has failed"
+    );
     clock.heard(SECOND);
-    assert_eq!(clock.step(SECOND), Step::Wait(Some(5 * SECOND)));
-    assert_eq!(clock.step(5 * SECOND), Step::Broken);
-    clock.lost(5 * SECOND, 1.0);
-    assert_eq!(clock.step(60 * SECOND), Step::Wait(None), "a budget of calls is not spent here");
+    assert_eq!(clock.next_step(SECOND), WatchStep::Wait(Some(5 * SECOND)));
+    assert_eq!(clock.next_step(5 * SECOND), WatchStep::Abandon);
+    clock.watch_lost(5 * SECOND, 1.0);
+    assert_eq!(clock.next_step(60 * SECOND), WatchStep::Wait(None), "a budget of calls is not spent here");
 }
 
 #[test]
 fn waits_grow_to_their_bound_by_losses_in_a_row_and_are_spread() {
-    let again = Backoff { first: Duration::from_millis(300), most: Duration::from_secs(3) };
-    let clock = ListClock::new(Terms { again: Some(again), ..PUSHED });
+    let again = Backoff { first: Duration::from_millis(300), max: Duration::from_secs(3) };
+    let clock = WatchClock::new(WatchTimeouts { reconnect: Some(again), ..PUSHED });
     let wait = |draw| {
-        clock.lost(0, draw);
-        match clock.step(0) {
-            Step::Wait(Some(at)) => at / MS,
+        clock.watch_lost(0, draw);
+        match clock.next_step(0) {
+            WatchStep::Wait(Some(at)) => at / MS,
             step => panic!("{step:?}"),
         }
     };
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -17,10 +17,10 @@
 use tallypin_router::checks::control::{obey, Command, Control};
 use tallypin_router::checks::{self, Board, Listening};
 use tallypin_router::dialect::Dialect::Chat;
+use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
 use tallypin_router::front::{self, Front};
 use tallypin_router::host::Host;
 use tallypin_router::installation::{ControlSettings, Installation};
-use tallypin_router::node_list::{self, Page, Row};
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::SettingsReloader;
 use tallypin_router::{config, probe, shutdown};
@@ -72,7 +72,7 @@
 
 async fn start_by(
     mut config: config::Config,
-    rows: Vec<Row>,
+    rows: Vec<EndpointRecord>,
     at: &[SocketAddr; 4],
     more: &[(&str, &str)],
     peers: Option<Peers>,
@@ -82,7 +82,11 @@
     let host = Host::new(config, Chat, peers).unwrap();
     host.start();
     host.outward.guard(installation.gate.clone());
-    node_list::take(&host, &Page { version: 1, full: true, servers: rows }, ListUpdate::Cached);
+    endpoint_list::apply(
+        &host,
+        &EndpointListMessage { version: 1, full: true, endpoints: rows },
+        ListUpdate::Cached,
+    );
     let board = Board::new(&installation, host.outward.clone());
     let listening = checks::start(&host, &board).await.unwrap();
     let (listener, second) =
@@ -239,9 +243,13 @@
         let node = Node::new(Chat).await;
         let router = start(&[&node], &ANYWHERE, &[]).await;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-        let cold = Row { started_ms: now, ..row("s-9", node.addr, "active") };
+        let cold = EndpointRecord { started_ms: now, ..row("s-9", node.addr, "active") };
         let list = |servers| {
-            node_list::take(&router.host, &Page { version: 1, full: true, servers }, ListUpdate::Full)
+            endpoint_list::apply(
+                &router.host,
+                &EndpointListMessage { version: 1, full: true, endpoints: servers },
+                ListUpdate::Full,
+            )
         };
         list(vec![cold]);
         router.until(|s| s == State::Degraded).await;
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -14,11 +14,11 @@
 use tallypin_router::config::Config;
 use tallypin_router::core::RequestCounts;
 use tallypin_router::dialect::Dialect;
+use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
 use tallypin_router::front::{self, Front};
 use tallypin_router::host::Host;
 use tallypin_router::installation::Installation;
 use tallypin_router::limits::Limits;
-use tallypin_router::node_list::{self, Page, Row};
 use tallypin_router::peers::Peers;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -419,13 +419,17 @@
         let router = Router { host, addr, messages, _ports: ports };
         let servers = nodes.iter().enumerate();
         let servers = servers.map(|(i, n)| row(&format!("s-{i}"), n.addr, "active")).collect();
-        node_list::take(&router.host, &Page { version: 1, full: true, servers }, ListUpdate::Cached);
+        endpoint_list::apply(
+            &router.host,
+            &EndpointListMessage { version: 1, full: true, endpoints: servers },
+            ListUpdate::Cached,
+        );
         router
     }
 
-    pub fn list(&self, rows: impl IntoIterator<Item = Row>) {
-        let page = Page { version: 1, full: true, servers: rows.into_iter().collect() };
-        node_list::take(&self.host, &page, ListUpdate::Full);
+    pub fn list(&self, rows: impl IntoIterator<Item = EndpointRecord>) {
+        let page = EndpointListMessage { version: 1, full: true, endpoints: rows.into_iter().collect() };
+        endpoint_list::apply(&self.host, &page, ListUpdate::Full);
     }
 
     pub fn tallies(&self) -> RequestCounts {
@@ -462,7 +466,7 @@
     HEAD.to_string() + &events + "0\r\n\r\n"
 }
 
-pub fn row(id: &str, addr: SocketAddr, state: &str) -> Row {
+pub fn row(id: &str, addr: SocketAddr, state: &str) -> EndpointRecord {
     let text = format!(r#"{{"id": "{id}", "addr": "{addr}", "state": "{state}"}}"#);
     serde_json::from_str(&text).unwrap()
 }
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -39,7 +39,7 @@
                 }
                 turns(wait).await;
                 drop(clients);
-                host.replicas.out(name_hash::replica_id("s-0"))
+                host.replicas.in_flight(name_hash::replica_id("s-0"))
             });
             let out = left.await.unwrap();
             until(|| router.tallies().client_disconnects == 8).await;
@@ -71,7 +71,7 @@
             let router = Router::by(config, Chat, &[&first, &second], None).await;
             // Copies are sent where first tokens are known to come at once.
             assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
-            until(|| router.host.replicas.links().0 == 0).await;
+            until(|| router.host.replicas.connection_counts().0 == 0).await;
             first.plan(&[Fault::Mute]);
             second.plan(&[Fault::Mute]);
             assert_eq!(first.so_far().1 + second.so_far().1, 1);
@@ -86,14 +86,14 @@
                 }
                 // One that is counted is up or on its way.
                 let begun = Instant::now();
-                while host.replicas.links().0 < 2 && open() > 0 && begun.elapsed() < HEDGE_WAIT {
+                while host.replicas.connection_counts().0 < 2 && open() > 0 && begun.elapsed() < HEDGE_WAIT {
                     turns(1).await;
                 }
-                let copied = host.replicas.links().0 == 2;
+                let copied = host.replicas.connection_counts().0 == 2;
                 turns(wait).await;
                 leave([client]);
-                let out = host.replicas.out(name_hash::replica_id("s-0"))
-                    + host.replicas.out(name_hash::replica_id("s-1"));
+                let out = host.replicas.in_flight(name_hash::replica_id("s-0"))
+                    + host.replicas.in_flight(name_hash::replica_id("s-1"));
                 copied.then_some(out)
             });
             // Where the machine stood still first tokens look late, and no copy is sent: played again.
--- a/router/tests/list_budget.rs
+++ b/router/tests/list_budget.rs
@@ -10,7 +10,7 @@
 use tallypin::api::{EndpointEntry, EndpointListMode, ListUpdate, Nanos, PeerId, SECOND};
 use tallypin_router::core::{Core, Instruction};
 use tallypin_router::limits::Limits;
-use tallypin_router::list_clock::{ListClock, Step, Terms};
+use tallypin_router::watch_clock::{WatchClock, WatchStep, WatchTimeouts};
 
 const MS: Nanos = SECOND / 1000;
 /// What the list has to tell counts as told so long after it can be reached.
@@ -37,7 +37,7 @@
 
 struct Asker {
     core: Core,
-    clock: ListClock,
+    clock: WatchClock,
     told: Option<Nanos>,
 }
 
@@ -45,10 +45,10 @@
     let mut settings = common::config().deployment.decisions;
     (settings.own_index, settings.router_count) = (PeerId(n), of);
     settings.list_mode = EndpointListMode::Polled { max_poll_interval: 10 * SECOND };
-    let terms = Terms { answer: limits.list_answer, silence: limits.list_silence, again: None };
+    let terms = WatchTimeouts { answer: limits.list_answer, silence: limits.list_silence, reconnect: None };
     let mut core = Core::new(settings, 1000 + u64::from(n), 0).expect("settings to go by");
     core.endpoints_changed(0, ListUpdate::Cached, vec![EndpointEntry::default()]);
-    Asker { core, clock: ListClock::new(terms), told: None }
+    Asker { core, clock: WatchClock::new(terms), told: None }
 }
 
 /// Routers that start together before a service that is away from `from` to `to`; each watch ends when it goes. Gives
@@ -63,21 +63,21 @@
         for (i, a) in all.iter_mut().enumerate() {
             a.core.run_timers(t);
             if is_away(t) && a.told.take().is_some() {
-                a.clock.lost(t, 0.0);
+                a.clock.watch_lost(t, 0.0);
                 a.core.endpoints_changed(t, ListUpdate::Failed, Vec::new());
             }
             if a.core.take_instructions().contains(&Instruction::WatchEndpoints) {
-                a.clock.wanted(t);
+                a.clock.request_watch(t);
             }
-            match a.clock.step(t) {
-                Step::Open => {
-                    a.clock.opened(t);
+            match a.clock.next_step(t) {
+                WatchStep::Open => {
+                    a.clock.watch_opened(t);
                     calls[(t / SECOND) as usize] += 1;
                     service.queue.push_back((i, t));
                 }
-                Step::Broken if a.told.is_none() => {
+                WatchStep::Abandon if a.told.is_none() => {
                     service.queue.retain(|(who, _)| *who != i);
-                    a.clock.lost(t, 0.0);
+                    a.clock.watch_lost(t, 0.0);
                     a.core.endpoints_changed(t, ListUpdate::Failed, Vec::new());
                 }
                 _ => {}
@@ -100,7 +100,7 @@
             !over
         });
         for who in failed {
-            all[who].clock.lost(t, 0.0);
+            all[who].clock.watch_lost(t, 0.0);
             all[who].core.endpoints_changed(t, ListUpdate::Failed, Vec::new());
         }
         while !is_away(t) && service.free_at <= t {
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -8,14 +8,14 @@
 use common::*;
 use tallypin::api::{EndpointState, ListUpdate};
 use tallypin_router::dialect::Dialect::Chat;
-use tallypin_router::node_list::{self, Page, Row};
+use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
 use tokio::net::TcpListener;
 
 /// So many rows stay within the longest object of the list.
 const MANY: usize = 30_000;
 
-fn pages(kind: ListUpdate, rows: Vec<Row>) -> Page {
-    Page { version: 1, full: kind == ListUpdate::Full, servers: rows }
+fn pages(kind: ListUpdate, rows: Vec<EndpointRecord>) -> EndpointListMessage {
+    EndpointListMessage { version: 1, full: kind == ListUpdate::Full, endpoints: rows }
 }
 
 /// Guards against a look at all rows for each of them: it held the router up for seconds.
@@ -24,15 +24,16 @@
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[], |_| {}).await;
-        let rows: Vec<Row> = (0..MANY).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
+        let rows: Vec<EndpointRecord> =
+            (0..MANY).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
         let began = Instant::now();
-        node_list::take(&router.host, &pages(ListUpdate::Full, rows.clone()), ListUpdate::Full);
-        node_list::take(&router.host, &pages(ListUpdate::Full, rows), ListUpdate::Full);
+        endpoint_list::apply(&router.host, &pages(ListUpdate::Full, rows.clone()), ListUpdate::Full);
+        endpoint_list::apply(&router.host, &pages(ListUpdate::Full, rows), ListUpdate::Full);
         let changed = vec![row("s-7", node.addr, "left")];
-        node_list::take(&router.host, &pages(ListUpdate::Delta, changed), ListUpdate::Delta);
+        endpoint_list::apply(&router.host, &pages(ListUpdate::Delta, changed), ListUpdate::Delta);
         let took = began.elapsed();
         assert!(took < Duration::from_secs(3), "two whole lists of {MANY} rows took {took:?}");
-        assert_eq!(router.host.replicas.ready(), MANY - 1);
+        assert_eq!(router.host.replicas.ready_count(), MANY - 1);
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
     });
 }
@@ -46,13 +47,13 @@
                 let node = Node::new(Chat).await;
                 let router = Router::new(Chat, &[&node], |_| {}).await;
                 let rows = states.iter().map(|state| row("s-0", node.addr, state)).collect();
-                node_list::take(&router.host, &pages(kind, rows), kind);
+                endpoint_list::apply(&router.host, &pages(kind, rows), kind);
                 let by_module = router.host.with(|core, _| {
                     core.listed_replicas().filter(|r| r.state == EndpointState::Ready).count()
                 });
                 let case = format!("{kind:?}, {states:?}");
                 assert_eq!(
-                    (by_module, router.host.replicas.ready()),
+                    (by_module, router.host.replicas.ready_count()),
                     (usize::from(ready), usize::from(ready)),
                     "{case}"
                 );
@@ -86,7 +87,7 @@
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, _) = next_call(&list).await;
         call.send(&(WATCH.to_string() + &long_list(41, 1, &"n".repeat(60_000), &node))).await;
-        until(|| router.host.replicas.ready() == 1).await;
+        until(|| router.host.replicas.ready_count() == 1).await;
         call.send(&long_list(42, 5_000, "u", &node)).await;
         until(|| router.host.with(|core, _| core.listed_replicas().count()) == 5_001).await;
         let endless = long_list(43, 100_000, "t", &node);
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -6,11 +6,11 @@
 use bytes::BytesMut;
 use tallypin_router::config::Config;
 use tallypin_router::dialect::{read_load, Asked, Dialect, Event, Events};
+use tallypin_router::endpoint_list::EndpointListMessage;
 use tallypin_router::http::{Bad, Body, Framing, Head, Part};
 use tallypin_router::installation::Installation;
 use tallypin_router::limits::Limits;
-use tallypin_router::node_list::Page;
-use tallypin_router::pages::{NoObject, ObjectReader};
+use tallypin_router::object_reader::{NotAnObject, ObjectReader};
 
 #[test]
 fn heads() {
@@ -226,10 +226,10 @@
         }
         let asked = [Asked::chat(&bytes), Asked::messages(&bytes)];
         asked.iter().flatten().for_each(|a| drop((a.chat_body(), a.messages_body(1), a.streaming_body())));
-        if let Ok(page) = serde_json::from_slice::<Page>(&bytes) {
+        if let Ok(page) = serde_json::from_slice::<EndpointListMessage>(&bytes) {
             let of = common::config().deployment;
-            for row in &page.servers {
-                assert_eq!(row.decode(&of).replica, tallypin::name_hash::replica_id(&row.id));
+            for row in &page.endpoints {
+                assert_eq!(row.to_entry(&of).replica, tallypin::name_hash::replica_id(&row.id));
             }
         }
         read_load(&String::from_utf8_lossy(&bytes), &["q".into()]);
@@ -335,7 +335,7 @@
 }
 
 /// All objects that come of these pieces, one after the other.
-fn pages(pieces: &[&[u8]]) -> Result<Vec<Page>, NoObject> {
+fn pages(pieces: &[&[u8]]) -> Result<Vec<EndpointListMessage>, NotAnObject> {
     let (mut held, mut all) = (ObjectReader::default(), Vec::new());
     for piece in pieces {
         held.push(piece);
@@ -353,7 +353,7 @@
         {\n  \"version\": 44,\n  \"load\": -0.5,\n  \"servers\": [\n  ],\n  \"later\": {\"x\": []}\n}\n\n";
     let whole = pages(&[text]).unwrap();
     assert_eq!(whole.iter().map(|p| p.version).collect::<Vec<_>>(), [43, 44]);
-    assert_eq!(whole[0].servers[0].id, "a}\"{\\");
+    assert_eq!(whole[0].endpoints[0].id, "a}\"{\\");
     for cut in 0..text.len() {
         let (front, back) = text.split_at(cut);
         assert_eq!(pages(&[front, back]).as_ref(), Ok(&whole), "cut at {cut}");
@@ -364,8 +364,8 @@
         ("", Ok(vec![])),
         ("\n\r\n \n", Ok(vec![])),
         ("{\"version\":", Ok(vec![])),
-        ("]", Err(NoObject)),
-        ("}", Err(NoObject)),
+        ("]", Err(NotAnObject)),
+        ("}", Err(NotAnObject)),
     ] {
         assert_eq!(pages(&[text.as_bytes()]), wanted, "{text:?}");
     }
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -29,9 +29,9 @@
             let mut node = asked(&listener).await;
             node.send(&answer("first")).await;
             assert_eq!(client.answer().await.0, 200);
-            until(|| router.host.replicas.links() == (1, 1)).await;
+            until(|| router.host.replicas.connection_counts() == (1, 1)).await;
             // From here on the router has to be told of what comes on the idle connection.
-            router.host.replicas.sweep();
+            router.host.replicas.close_expired();
             let (mut client, node) = (into_blocking(client), into_blocking(node));
             client.write_all(request().as_bytes()).unwrap();
             arrived(&[&client], Arrival::Data);
@@ -66,7 +66,7 @@
                 let mut client = Client::to(addr).await;
                 client.send(&request()).await;
                 assert_eq!(client.answer().await.0, 200);
-                until(|| router.host.replicas.links() == (1, 1)).await;
+                until(|| router.host.replicas.connection_counts() == (1, 1)).await;
                 assert_eq!(first.so_far().1, 1);
                 client.send(&request()).await;
                 while router.open() == 0 {
@@ -76,7 +76,9 @@
                 let told = match news {
                     "drains" => Some(row("s-0", first.addr, "leaving")),
                     "moves" => Some(row("s-0", second.addr, "active")),
-                    "restarts" => Some(tallypin_router::node_list::Row { started_ms: 1, ..former }),
+                    "restarts" => {
+                        Some(tallypin_router::endpoint_list::EndpointRecord { started_ms: 1, ..former })
+                    }
                     _ => None,
                 };
                 router.list(told.into_iter().chain([row("s-1", second.addr, "active")]));
@@ -184,7 +186,7 @@
     let router = Router::by(config, Chat, &[], None).await;
     let mut old_watch = watched(&former).await;
     old_watch.write_all(page(41, true, "s-1", node, "active").as_bytes()).unwrap();
-    until(|| router.host.replicas.ready() == 1).await;
+    until(|| router.host.replicas.ready_count() == 1).await;
     reload::apply(&router.host, &running, &moved);
     let new_watch = watched(&new).await;
     (router, old_watch, new_watch)
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -13,9 +13,9 @@
 use tallypin_router::config::PeerAddresses;
 use tallypin_router::dialect::Dialect::{self, Chat, Messages};
 use tallypin_router::limits::Limits;
-use tallypin_router::node;
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::{self, StartupConfiguration};
+use tallypin_router::replica;
 use tallypin_router::shutdown::Stage;
 use tokio::io::AsyncReadExt;
 use tokio::net::UdpSocket;
@@ -441,7 +441,7 @@
             }
             let node = Node::new(Chat).await;
             let router = Router::by(config, Chat, &[&node], None).await;
-            tokio::task::spawn_local(node::probe(
+            tokio::task::spawn_local(replica::probe(
                 router.host.clone(),
                 tallypin::name_hash::replica_id("s-0"),
             ));
@@ -469,7 +469,7 @@
             let (mut call, head) = next_call(&old).await;
             recording.case(&format!("{title}, the first call"), head);
             call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
-            until(|| router.host.replicas.ready() == 1).await;
+            until(|| router.host.replicas.ready_count() == 1).await;
             drop(call);
             let (_call, head) = next_call(&old).await;
             recording.case(&format!("{title}, after a loss"), head);
@@ -501,7 +501,7 @@
         let mut buf = [0; 512];
         for counts in [&[(3, 0), (200, 1), (70_000, 130)][..], &[(1, 0)], &[]] {
             for message in tallypin::served_report::encode(digest, 500, counts) {
-                peers.tell(&message);
+                peers.gossip(&message);
                 let (length, from) = other.recv_from(&mut buf).await.unwrap();
                 assert_eq!(from, mine);
                 recording.case(&format!("{counts:?}"), hex(&buf[..length]));
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -180,7 +180,7 @@
             router.list([]);
             assert!(!reused.await.unwrap(), "{what}");
         }
-        assert_eq!(router.host.replicas.links(), (0, 0));
+        assert_eq!(router.host.replicas.connection_counts(), (0, 0));
     });
 }
 
@@ -268,7 +268,7 @@
             }),
         ] {
             router.list(rows);
-            assert_eq!(router.host.replicas.links(), (0, 0), "{id}");
+            assert_eq!(router.host.replicas.connection_counts(), (0, 0), "{id}");
             node.so_far();
             assert_eq!((client.ask("").await.0, node.so_far()), (200, (1, 1)), "{id}");
         }
@@ -277,7 +277,7 @@
         client.send(&platform("", "{}")).await;
         node.next_request().await;
         router.list([row("s-2", node.addr, "active")]);
-        assert_eq!((client.answer().await.0, router.host.replicas.links().1), (200, 0));
+        assert_eq!((client.answer().await.0, router.host.replicas.connection_counts().1), (200, 0));
     });
 }
 
@@ -293,9 +293,9 @@
         a.send(&platform("", "{}")).await;
         b.send(&platform("", "{}")).await;
         assert_eq!((a.answer().await.0, b.answer().await.0), (200, 200));
-        assert_eq!(router.host.replicas.links(), (2, 2));
+        assert_eq!(router.host.replicas.connection_counts(), (2, 2));
         assert_eq!(a.ask("Req-Deadline-Ms: 60\r\n").await.0, 503);
-        until(|| router.host.replicas.links() == (0, 0)).await;
+        until(|| router.host.replicas.connection_counts() == (0, 0)).await;
     });
 }
 
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -12,9 +12,9 @@
 use tallypin_router::config::PeerAddresses;
 use tallypin_router::dialect::Dialect::Chat;
 use tallypin_router::limits::Limits;
-use tallypin_router::peers::{Dropped, Peers};
+use tallypin_router::peers::{DroppedMessages, Peers};
 use tallypin_router::reload::{self, StartupConfiguration};
-use tallypin_router::{node, shutdown};
+use tallypin_router::{replica, shutdown};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::spawn_local;
@@ -347,7 +347,8 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let router = Router::new(Chat, &[], |l| l.node_rest = Duration::ZERO).await;
         router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
-        let probe = || spawn_local(node::probe(router.host.clone(), tallypin::name_hash::replica_id("s-1")));
+        let probe =
+            || spawn_local(replica::probe(router.host.clone(), tallypin::name_hash::replica_id("s-1")));
         let first = probe();
         let mut node = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
         for next in [Some(probe), None] {
@@ -549,7 +550,7 @@
         let (mut call, head) = next_call(&list).await;
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
         call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
-        until(|| router.host.replicas.ready() == 1).await;
+        until(|| router.host.replicas.ready_count() == 1).await;
         // Silent for too long, malformed, refused: each time the list is kept and asked for anew.
         for answer in ["", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", "HTTP/1.1 503 No\r\n\r\n"] {
             let (mut again, head) = next_call(&list).await;
@@ -585,7 +586,7 @@
         let (first, second) = text.split_at(70);
         call.send(&format!("{WATCH}{:x}\r\n{first}\r\n", first.len())).await;
         call.send(&format!("{:x}\r\n{second}\r\n", second.len())).await;
-        until(|| router.host.replicas.ready() == 1).await;
+        until(|| router.host.replicas.ready_count() == 1).await;
         // It falls silent, and so does whoever is called after it.
         let mut unanswered = Vec::new();
         for _ in 0..3 {
@@ -596,7 +597,7 @@
         }
         let (mut back, _) = next_call(&agent).await;
         back.send(&(WATCH.to_string() + &page(42, false, "s-1", &node, "leaving"))).await;
-        until(|| router.host.replicas.ready() == 0).await;
+        until(|| router.host.replicas.ready_count() == 0).await;
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 503);
     });
 }
@@ -618,7 +619,7 @@
         let router = Router::by(config, Chat, &[], None).await;
         let (mut first, _) = next_call(&old).await;
         first.send(&(WATCH.to_string() + &page(41, true, "s-1", &a, "active"))).await;
-        until(|| router.host.replicas.ready() == 1).await;
+        until(|| router.host.replicas.ready_count() == 1).await;
         moved.node_list = new.local_addr().unwrap();
         reload::apply(&router.host, &running, &moved);
         // Its versions are its own: the whole list is asked for, and again when that fails.
@@ -629,10 +630,10 @@
         }
         let (mut second, _) = next_call(&new).await;
         first.send(&page(42, false, "s-2", &b, "active")).await;
-        until(|| router.host.replicas.ready() == 2).await;
+        until(|| router.host.replicas.ready_count() == 2).await;
         second.send(&(WATCH.to_string() + &page(3, true, "s-2", &b, "active"))).await;
         assert!(first.message().await.is_none(), "the old watch is closed");
-        until(|| router.host.replicas.ready() == 1).await;
+        until(|| router.host.replicas.ready_count() == 1).await;
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
         // Lost, it is asked for where it is now, from what that place has told.
         drop(second);
@@ -652,19 +653,19 @@
             Peers::new(PeerAddresses { listen: mine, each, all: None }, PeerId(0), TenantsDigest::default())
                 .await
                 .unwrap();
-        peers.tell(&[7; 257]);
-        peers.tell(&[7; 256]);
+        peers.gossip(&[7; 257]);
+        peers.gossip(&[7; 256]);
         let mut buf = [0; 512];
         assert_eq!(other.recv_from(&mut buf).await.unwrap(), (256, mine));
         stranger.send_to(b"lies", mine).await.unwrap();
         other.send_to(&[1; 300], mine).await.unwrap();
         other.send_to(b"news", mine).await.unwrap();
-        assert_eq!(peers.next().await, (PeerId(1), b"news".to_vec()));
-        assert_eq!(peers.dropped(), Dropped { strangers: 2, foreign: 1, malformed: 0 });
+        assert_eq!(peers.receive().await, (PeerId(1), b"news".to_vec()));
+        assert_eq!(peers.dropped(), DroppedMessages { strangers: 2, foreign: 1, malformed: 0 });
         let torn = [&served_report::encode(TenantsDigest::default(), 1000, &[(1, 0)]).remove(0)[..], &[0xff]]
             .concat();
         other.send_to(&torn, mine).await.unwrap();
-        assert_eq!(peers.next().await, (PeerId(1), torn));
-        assert_eq!(peers.dropped(), Dropped { strangers: 2, foreign: 1, malformed: 1 });
+        assert_eq!(peers.receive().await, (PeerId(1), torn));
+        assert_eq!(peers.dropped(), DroppedMessages { strangers: 2, foreign: 1, malformed: 1 });
     });
 }
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -18,7 +18,7 @@
     let id = name_hash::replica_id("s-0");
     let seen = router.host.with(|core, now| core.view(now));
     let seen = seen.into_iter().find(|s| s.replica == id).expect("listed as active");
-    (seen, router.host.replicas.out(id))
+    (seen, router.host.replicas.in_flight(id))
 }
 
 #[test]
