--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -15,7 +15,7 @@
 use tallypin::replica_snapshot::ReplicaSnapshot;
 use tallypin::Balancer;
 
-use crate::operator_override::OverriddenList;
+use crate::operator_override::{OverriddenList, Restoration};
 use request::OpenRequest;
 
 /// What is to be done, in this order.
@@ -195,9 +195,9 @@
         self.notify(now, Event::EndpointList { kind, rows });
     }
 
-    /// Which model nodes are out by hand, and which were put back and when, from now on.
-    pub fn override_replicas(&mut self, now: Nanos, out: &[ReplicaId], back: &[(ReplicaId, Nanos)]) {
-        let rows = self.endpoints.set_overrides(out, back);
+    /// Replaces the operator overrides of the endpoint list.
+    pub fn override_replicas(&mut self, now: Nanos, drained: &[ReplicaId], restored: &[Restoration]) {
+        let rows = self.endpoints.set_overrides(drained, restored);
         if !rows.is_empty() {
             self.notify(now, Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
--- a/router/src/operator_override/tests.rs
+++ b/router/src/operator_override/tests.rs
@@ -1,35 +1,52 @@
 use super::*;
+use EndpointState::{Draining, Gone, Ready};
 
-fn row(id: u64, state: EndpointState, last_start: Nanos) -> EndpointEntry {
-    EndpointEntry { replica: ReplicaId(id), state, started_at: last_start, ..EndpointEntry::default() }
+const FIRST: ReplicaId = ReplicaId(1);
+const UNLISTED: ReplicaId = ReplicaId(9);
+
+fn entry(id: u64, state: EndpointState, started_at: Nanos) -> EndpointEntry {
+    EndpointEntry { replica: ReplicaId(id), state, started_at, ..EndpointEntry::default() }
 }
 
-#[test]
-fn what_is_out_by_hand_stays_so_whatever_the_list_says_and_comes_back_as_just_started() {
-    use EndpointState::{Draining, Gone, Ready};
+/// Two replicas, both started at 5.
+fn list() -> OverriddenList {
     let mut list = OverriddenList::default();
-    let all = vec![row(1, Ready, 5), row(2, Ready, 5)];
-    assert_eq!(list.apply_update(ListUpdate::Full, all.clone()), all, "nothing is effective over it");
-    assert_eq!(list.set_overrides(&[ReplicaId(1), ReplicaId(9)], &[]), [row(1, Draining, 5)]);
-    assert_eq!(list.set_overrides(&[ReplicaId(1), ReplicaId(9)], &[]), [], "once");
-    // It starts again, elsewhere: it is still out. Another that takes its address is another.
-    assert_eq!(list.apply_update(ListUpdate::Delta, vec![row(1, Ready, 8)]), [row(1, Draining, 8)]);
-    assert_eq!(
-        list.apply_update(ListUpdate::Full, vec![row(1, Ready, 8), row(3, Ready, 1)])[1],
-        row(3, Ready, 1)
-    );
-    assert_eq!(list.set_overrides(&[], &[(ReplicaId(1), 20)]), [row(1, Ready, 20)]);
-    assert_eq!(
-        list.apply_update(ListUpdate::Delta, vec![row(1, Ready, 8)]),
-        [row(1, Ready, 20)],
-        "no start by the list's word"
-    );
-    assert_eq!(list.set_overrides(&[], &[]), [], "no longer told, and still the same start");
-    assert_eq!(
-        list.apply_update(ListUpdate::Delta, vec![row(1, Ready, 30)]),
-        [row(1, Ready, 30)],
-        "a real one"
-    );
-    assert_eq!(list.apply_update(ListUpdate::Delta, vec![row(1, Gone, 30)]), [row(1, Gone, 30)]);
-    assert_eq!((list.set_overrides(&[ReplicaId(1)], &[]), list.entries().count()), (vec![], 1));
+    let all = vec![entry(1, Ready, 5), entry(2, Ready, 5)];
+    assert_eq!(list.apply_update(ListUpdate::Full, all.clone()), all, "nothing is laid over it");
+    list
+}
+
+fn update(list: &mut OverriddenList, entry: EndpointEntry) -> Vec<EndpointEntry> {
+    list.apply_update(ListUpdate::Delta, vec![entry])
+}
+
+#[test]
+fn a_drained_replica_stays_drained_whatever_the_list_says() {
+    let mut list = list();
+    assert_eq!(list.set_overrides(&[FIRST, UNLISTED], &[]), [entry(1, Draining, 5)]);
+    assert_eq!(list.set_overrides(&[FIRST, UNLISTED], &[]), [], "once");
+    // It starts again, elsewhere: it is still drained. Another that takes its address is another.
+    assert_eq!(update(&mut list, entry(1, Ready, 8)), [entry(1, Draining, 8)]);
+    let all = vec![entry(1, Ready, 8), entry(3, Ready, 1)];
+    assert_eq!(list.apply_update(ListUpdate::Full, all)[1], entry(3, Ready, 1));
+}
+
+#[test]
+fn a_restored_replica_counts_as_just_started() {
+    let mut list = list();
+    list.set_overrides(&[FIRST], &[]);
+    update(&mut list, entry(1, Ready, 8));
+    let restored = Restoration { replica: FIRST, at: 20 };
+    assert_eq!(list.set_overrides(&[], &[restored]), [entry(1, Ready, 20)]);
+    assert_eq!(update(&mut list, entry(1, Ready, 8)), [entry(1, Ready, 20)], "no start by the list's word");
+    assert_eq!(list.set_overrides(&[], &[]), [], "no longer named, and still the same start");
+    assert_eq!(update(&mut list, entry(1, Ready, 30)), [entry(1, Ready, 30)], "a real one");
+}
+
+#[test]
+fn a_replica_that_has_left_the_list_is_not_overridden() {
+    let mut list = list();
+    list.set_overrides(&[], &[Restoration { replica: FIRST, at: 20 }]);
+    assert_eq!(update(&mut list, entry(1, Gone, 30)), [entry(1, Gone, 30)]);
+    assert_eq!((list.set_overrides(&[FIRST], &[]), list.entries().count()), (vec![], 1));
 }
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -20,6 +20,7 @@
 use crate::fleet::{InvalidArtifact, RestoredReplica, RouterControl, ShuttingDown};
 use crate::host::Host;
 use crate::installation::Installation;
+use crate::operator_override::Restoration;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
@@ -107,7 +108,7 @@
             let restored = restored.iter().map(|replica| {
                 // A clock that is ahead of ours makes no replica warm up for longer than one that starts now.
                 let at = replica.at.saturating_mul(NANOS_PER_MS).min(now);
-                (name_hash::replica_id(&replica.id), at)
+                Restoration { replica: name_hash::replica_id(&replica.id), at }
             });
             core.override_replicas(now, &drained, &restored.collect::<Vec<_>>());
         });
