--- /dev/null
+++ b/router/tests/recorded_fleet/messages.rs
@@ -0,0 +1,117 @@
+//! Sealed messages, and what is rejected.
+
+use std::fmt::Write as _;
+use std::io::{Read, Write as _};
+use std::net::TcpStream;
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use tallypin_router::fleet::wire::{self, Call, Direction, Keys, Reply};
+
+use crate::data::{hex, read, same, HEAD, KEY};
+use crate::fleet_rig::{self, Fleet};
+
+/// Each line of a file: the head of a sealed message in hex, and its JSON. Sealing has nothing random in it: the same
+/// message gives the same bytes.
+fn messages_are_as_recorded<T: Serialize + DeserializeOwned>(name: &str, way: Direction) {
+    let keys = Keys::read("nord", KEY).unwrap();
+    let text = String::from_utf8(read(name)).unwrap();
+    let mut got = String::new();
+    for line in text.lines() {
+        let json = line.split_once(' ').expect("a head and a body").1;
+        let message: T = serde_json::from_str(json).unwrap_or_else(|e| panic!("{json}: {e}"));
+        let sealed = keys.seal(way, &message).unwrap();
+        let body = std::str::from_utf8(&sealed[HEAD..]).unwrap();
+        writeln!(got, "{} {body}", hex(&sealed[..HEAD])).unwrap();
+        // The recorded bytes, opened again.
+        let head = line.split_once(' ').unwrap().0;
+        let head = (0..HEAD).map(|at| u8::from_str_radix(&head[2 * at..2 * at + 2], 16).unwrap());
+        let bytes: Vec<u8> = head.chain(json.bytes()).collect();
+        if std::env::var_os("RECORD").is_none() {
+            let opened: T = keys.open(way, &bytes[4..]).unwrap_or_else(|e| panic!("{json}: {e}"));
+            assert_eq!(serde_json::to_string(&opened).unwrap(), json);
+        }
+    }
+    same(name, &got);
+}
+
+#[test]
+fn calls_are_sealed_and_opened_as_recorded() {
+    messages_are_as_recorded::<Call>("calls.txt", Direction::Call);
+}
+
+#[test]
+fn replies_are_sealed_and_opened_as_recorded() {
+    messages_are_as_recorded::<Reply>("replies.txt", Direction::Reply);
+}
+
+fn message(json: &str) -> Vec<u8> {
+    let value: serde_json::Value = serde_json::from_str(json).unwrap();
+    Keys::read("nord", KEY).unwrap().seal(Direction::Call, &value).unwrap()
+}
+
+#[tokio::test(flavor = "current_thread")]
+async fn messages_and_keys_are_rejected_as_recorded() {
+    let mut got = String::new();
+    let line = String::from_utf8(read("calls.txt")).unwrap();
+    let json = line.lines().next().unwrap().split_once(' ').unwrap().1.to_string();
+    let (right, whole) = (Keys::read("nord", KEY).unwrap(), message(&json));
+    let other = Keys::read("nord", "another key, also long enough").unwrap();
+    let foreign = Keys::read("sued", KEY).unwrap();
+    let flipped: Vec<u8> = whole.iter().enumerate().map(|(at, b)| b ^ u8::from(at == 40)).collect();
+    for (case, keys, way, bytes) in [
+        ("another key", &other, Direction::Call, &whole),
+        ("another fleet", &foreign, Direction::Call, &whole),
+        ("the other way", &right, Direction::Reply, &whole),
+        ("a bit flipped", &right, Direction::Call, &flipped),
+        ("cut", &right, Direction::Call, &whole[..60].to_vec()),
+        ("no whole hash", &right, Direction::Call, &whole[..20].to_vec()),
+        ("an unknown question", &right, Direction::Call, &message(&json.replace("beat", "dance"))),
+        ("an unknown state", &right, Direction::Call, &message(&json.replace("starting", "asleep"))),
+        ("a field missing", &right, Direction::Call, &message(r#"{"v":1}"#)),
+        ("a version above 255", &right, Direction::Call, &message(&json.replace("\"v\":1", "\"v\":256"))),
+    ] {
+        let why = keys.open::<Call>(way, &bytes[4..]).unwrap_err();
+        writeln!(got, "open, {case}: {:?}: {why}", why.kind()).unwrap();
+    }
+    for (case, length) in
+        [("short", 31_u32), ("long", 32 + (128 << 10) + 1), ("all ones", u32::MAX), ("cut", 40)]
+    {
+        let bytes = [&length.to_be_bytes()[..], &[7; 39]].concat();
+        let why = wire::read(&mut &bytes[..]).await.unwrap_err();
+        writeln!(got, "read, {case}: {:?}: {why}", why.kind()).unwrap();
+    }
+    let why = right.seal(Direction::Call, &"x".repeat(wire::MAX_BODY_BYTES)).unwrap_err();
+    writeln!(got, "seal, too long: {:?}: {why}", why.kind()).unwrap();
+    let three = format!("{KEY}\n{KEY}2\n{KEY}3\n");
+    for text in ["", "\n \n", "short", &format!("{KEY}\nshort"), &three] {
+        writeln!(got, "keys {text:?}: {}", Keys::read("nord", text).unwrap_err()).unwrap();
+    }
+    writeln!(got, "debug: {:?}", Keys::read("nord", &format!("{KEY}\n\n{KEY}2")).unwrap()).unwrap();
+    same("rejected.txt", &got);
+}
+
+/// Calls at the socket of a router: one of a router that it does not know, which may ask for its life; one of a later
+/// version, which is not answered.
+#[test]
+fn a_running_router_answers_a_sealed_call_as_recorded() {
+    let fleet = Fleet::begun("recorded-calls", 73, 1, 1, fleet_rig::ONE);
+    let keys = Keys::read("test", "the key of this fleet of tests").unwrap();
+    let mut got = String::new();
+    for (case, body) in [
+        ("of no router, its life", r#"{"v":1,"from":200,"life":7,"number":5,"what":"life"}"#),
+        ("of no router, a look", r#"{"v":1,"from":200,"life":7,"number":5,"what":{"ask":"look"}}"#),
+        ("of a later version", r#"{"v":2,"from":200,"life":7,"number":5,"what":"life"}"#),
+    ] {
+        let value: Box<serde_json::value::RawValue> = serde_json::from_str(body).unwrap();
+        let mut stream = TcpStream::connect(fleet.routers[0].at).unwrap();
+        stream.write_all(&keys.seal(Direction::Call, &value).unwrap()).unwrap();
+        stream.shutdown(std::net::Shutdown::Write).unwrap();
+        let mut said = Vec::new();
+        let _ = stream.read_to_end(&mut said);
+        let (head, json) = said.split_at(HEAD.min(said.len()));
+        writeln!(got, "{case}: {} {}", hex(head), std::str::from_utf8(json).unwrap()).unwrap();
+    }
+    fleet.until("two are counted", || fleet.order(0, "status")["spoilt"] == 2);
+    same("answered.txt", &got);
+}
