--- a/router/src/checks/agent.rs
+++ b/router/src/checks/agent.rs
@@ -36,7 +36,7 @@
     let known = says.is_none();
     let says = says.unwrap_or_else(|| {
         let now = call.board.assessment();
-        let room = call.host.limits.clients * usize::from(now.weight) / 100;
+        let room = call.context.limits.clients * usize::from(now.weight) / 100;
         Says::of(&now, maxconn.then(|| u32::try_from(room.max(1)).unwrap_or(u32::MAX)))
     });
     let line = Bytes::from(format!("{says}\n"));
@@ -50,7 +50,7 @@
     // What the balancer may have sent is read before the close, which would else reset the line away. Whoever
     // stays on after its answer holds no place that is wanted.
     tokio::select! {
-        _ = timeout_at(by, linger(call.wire, call.host.limits.linger)) => {}
+        _ = timeout_at(by, linger(call.wire, call.context.limits.linger)) => {}
         () = idle.close_requested() => {}
     }
 }
--- a/router/src/checks/control.rs
+++ b/router/src/checks/control.rs
@@ -17,8 +17,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use super::Board;
-use crate::host::Host;
+use super::{Board, CheckContext};
 use crate::installation::ControlSettings;
 
 /// The longest line, and the longest of an order to the fleet, which names its routers.
@@ -112,7 +111,7 @@
     }
 
     /// Takes orders. Ends never.
-    pub async fn serve(self, host: Rc<Host>, board: Rc<Board>, fleet: Option<ToFleet>) {
+    pub async fn serve(self, context: Rc<CheckContext>, board: Rc<Board>, fleet: Option<ToFleet>) {
         let places = std::sync::Arc::new(Semaphore::new(MOST));
         loop {
             let Ok(place) = places.clone().acquire_owned().await else { return };
@@ -120,9 +119,9 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 continue;
             };
-            let (host, board, fleet) = (host.clone(), board.clone(), fleet.clone());
+            let (context, board, fleet) = (context.clone(), board.clone(), fleet.clone());
             tokio::task::spawn_local(async move {
-                let _ = one(stream, &host, &board, fleet).await;
+                let _ = one(stream, &context, &board, fleet).await;
                 drop(place);
             });
         }
@@ -131,7 +130,7 @@
 
 async fn one(
     mut stream: UnixStream,
-    host: &Rc<Host>,
+    context: &Rc<CheckContext>,
     board: &Rc<Board>,
     fleet: Option<ToFleet>,
 ) -> io::Result<()> {
@@ -148,7 +147,7 @@
                     json!({"done": false, "why": "this router is of no fleet: the settings have no section `fleet`"})
                 }
             },
-            Ok(command) => obey(command, host, board),
+            Ok(command) => obey(command, context, board),
             Err(why) => json!({"done": false, "why": why}),
         },
         _ => json!({"done": false, "why": "no whole line of text"}),
@@ -157,9 +156,9 @@
 }
 
 /// Carries an order out.
-pub fn obey(command: Command, host: &Rc<Host>, board: &Rc<Board>) -> Value {
+pub fn obey(command: Command, context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
     let (wish, order) = match command {
-        Command::Show => return show(host, board),
+        Command::Show => return show(context, board),
         Command::Weight(most) => {
             board.bound_weight(most);
             tracing::info!(target: "control", most, "weight bounded by the operator");
@@ -174,14 +173,14 @@
     if !board.want(wish, order) {
         return json!({"done": false, "why": "too late: the router is ending"});
     }
-    super::signals::follow(host, board.phase());
+    super::signals::follow(&context.lifecycle, board.phase());
     tracing::info!(target: "control", order = ?order, wish = ?wish, "ordered by the operator");
     let untold = board.askers().iter().filter(|a| !a.told).count();
     let waits = if board.phase() == Phase::Telling { untold } else { 0 };
     json!({"done": true, "state": board.assessment().state.name(), "balancers_to_tell": waits})
 }
 
-fn show(host: &Rc<Host>, board: &Rc<Board>) -> Value {
+fn show(context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
     let now = board.assessment();
     let ms = |d: Duration| d.as_millis() as u64;
     let asker = |a: &tallypin_health::askers::Shown| {
@@ -191,14 +190,14 @@
     let parts: Vec<Value> =
         board.parts().iter().map(|p| json!({"name": p.name, "well": p.well, "note": p.note})).collect();
     let (answered, spoilt) = board.checks();
-    let tallies = host.with(|core, _| core.counts().clone());
+    let tallies = context.dispatcher.with(|core, _| core.counts().clone());
     json!({
         "done": true, "state": now.state.name(), "weight": now.weight, "cause": now.cause.words(),
         "most": board.bound(), "phase": format!("{:?}", board.phase()).to_lowercase(),
         "untold": board.untold(),
         "balancers": board.askers().iter().map(asker).collect::<Vec<_>>(), "parts": parts,
         "checks": {"answered": answered, "spoilt": spoilt},
-        "clients": host.clients.open(), "open": host.with(|core, _| core.open_requests()),
+        "clients": context.clients.open(), "open": context.dispatcher.with(|core, _| core.open_requests()),
         "taken": tallies.accepted, "served": tallies.completed, "refused": tallies.rejected,
         "failed": tallies.failed, "broken": tallies.interrupted, "left": tallies.client_disconnects,
     })
--- a/router/src/checks/http.rs
+++ b/router/src/checks/http.rs
@@ -56,7 +56,7 @@
             return;
         }
         if !keeps {
-            let _ = timeout(budget, linger(call.wire, call.host.limits.linger)).await;
+            let _ = timeout(budget, linger(call.wire, call.context.limits.linger)).await;
             return;
         }
     }
@@ -69,7 +69,7 @@
 }
 
 async fn read(call: &mut Call) -> Read {
-    let limits = call.host.limits.clone();
+    let limits = call.context.limits.clone();
     let head = loop {
         match Head::request(&mut call.wire.buf, &limits) {
             Ok(Some(head)) => break head,
--- a/router/src/checks/listen.rs
+++ b/router/src/checks/listen.rs
@@ -9,10 +9,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-use super::Board;
+use super::{Board, CheckContext};
 use crate::bind::bind_with_retry;
 use crate::clients::{Client, IdleGuard};
-use crate::host::Host;
 use crate::http::Wire;
 use crate::installation::CheckSettings;
 use crate::outward::Door;
@@ -20,7 +19,7 @@
 /// A connection that may carry checks.
 pub struct Call {
     /// The router; what clients do is none of a check's business.
-    pub host: Rc<Host>,
+    pub context: Rc<CheckContext>,
     /// What is told.
     pub board: Rc<Board>,
     /// The connection.
@@ -47,7 +46,7 @@
 
 /// Binds an address and takes connections there; also says where that is.
 pub async fn start<F: Future<Output = ()> + 'static>(
-    host: &Rc<Host>,
+    context: &Rc<CheckContext>,
     board: &Rc<Board>,
     at: SocketAddr,
     place: impl Fn(&CheckSettings) -> Option<SocketAddr> + 'static,
@@ -55,7 +54,7 @@
 ) -> io::Result<(SocketAddr, AbortHandle)> {
     let listener = bind_with_retry(async || bind(at).await).await?;
     let bound = listener.local_addr()?;
-    let task = tokio::task::spawn_local(keep(host.clone(), board.clone(), listener, at, place, answer));
+    let task = tokio::task::spawn_local(keep(context.clone(), board.clone(), listener, at, place, answer));
     Ok((bound, task.abort_handle()))
 }
 
@@ -66,7 +65,7 @@
 
 /// Takes connections until the router is at its very end: a balancer that asks during the drain is answered.
 async fn keep<F: Future<Output = ()> + 'static>(
-    host: Rc<Host>,
+    context: Rc<CheckContext>,
     board: Rc<Board>,
     mut listener: TcpListener,
     mut at: SocketAddr,
@@ -99,7 +98,7 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, from)) => take(&host, &board, stream, from, answer),
+            Ok((stream, from)) => take(&context, &board, stream, from, answer),
             // Out of descriptors for a moment: checks have their own reserve, so this passes.
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
@@ -107,7 +106,7 @@
 }
 
 fn take<F: Future<Output = ()> + 'static>(
-    host: &Rc<Host>,
+    context: &Rc<CheckContext>,
     board: &Rc<Board>,
     stream: TcpStream,
     from: SocketAddr,
@@ -119,16 +118,16 @@
         board.spoilt();
         return;
     }
-    let (host, board, mut wire) = (host.clone(), board.clone(), Wire::new(stream));
+    let (context, board, mut wire) = (context.clone(), board.clone(), Wire::new(stream));
     tokio::task::spawn_local(async move {
         let origin = tokio::select! {
             biased;
-            origin = host.outward.origin(Door::Checks, &mut wire) => origin,
+            origin = context.outward.origin(Door::Checks, &mut wire) => origin,
             () = idle.close_requested() => None,
         };
         let Some(origin) = origin else { return board.spoilt() };
         let ip = origin.client.unwrap_or(from).ip();
-        let (ending, call) = (board.clone(), Call { host, board, wire, ip, client, idle: Some(idle) });
+        let (ending, call) = (board.clone(), Call { context, board, wire, ip, client, idle: Some(idle) });
         tokio::select! {
             () = answer(call) => {}
             () = ending.ended() => {}
--- a/router/src/checks/mod.rs
+++ b/router/src/checks/mod.rs
@@ -2,6 +2,7 @@
 //! decides. Nothing here is started unless the settings say so.
 
 pub mod agent;
+mod context;
 pub mod control;
 pub mod grpc;
 pub mod http;
@@ -23,8 +24,9 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
+pub use context::CheckContext;
+
 use crate::clients::Clients;
-use crate::host::Host;
 use crate::installation::{CheckSettings, HealthSettings, Installation};
 use crate::outward::Outward;
 
@@ -316,7 +318,7 @@
 
 /// Binds everything that the settings ask for and starts it; an address that is taken is an error, as a
 /// balancer that can't ask would take the router for dead.
-pub async fn start(host: &Rc<Host>, board: &Rc<Board>) -> io::Result<Listening> {
+pub async fn start(context: &Rc<CheckContext>, board: &Rc<Board>) -> io::Result<Listening> {
     let (agent, http, grpc) = board
         .of_checks(|c| (c.agent.map(|a| a.listen), c.http, c.grpc.map(|g| g.listen)))
         .unwrap_or_default();
@@ -324,21 +326,21 @@
         Listening { agent: None, http: None, grpc: None, tasks: Vec::new(), over: board.over.clone() };
     if let Some(at) = agent {
         let place = |c: &CheckSettings| c.agent.map(|a| a.listen);
-        let (bound, task) = listen::start(host, board, at, place, agent::answer).await?;
+        let (bound, task) = listen::start(context, board, at, place, agent::answer).await?;
         (all.agent, all.tasks) = (Some(bound), vec![task]);
     }
     if let Some(at) = http {
-        let (bound, task) = listen::start(host, board, at, |c| c.http, http::answer).await?;
+        let (bound, task) = listen::start(context, board, at, |c| c.http, http::answer).await?;
         all.http = Some(bound);
         all.tasks.push(task);
     }
     if let Some(at) = grpc {
         let place = |c: &CheckSettings| c.grpc.map(|g| g.listen);
-        let (bound, task) = listen::start(host, board, at, place, grpc::answer).await?;
+        let (bound, task) = listen::start(context, board, at, place, grpc::answer).await?;
         all.grpc = Some(bound);
         all.tasks.push(task);
     }
-    let measuring = signals::keep(host.clone(), board.clone());
+    let measuring = signals::keep(context.clone(), board.clone());
     all.tasks.push(tokio::task::spawn_local(measuring).abort_handle());
     Ok(all)
 }
--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -10,17 +10,16 @@
 use tallypin_health::plan::Phase;
 use tallypin_health::state::{Fleet, Signals};
 
-use super::Board;
+use super::{Board, CheckContext};
 use crate::core::RequestCounts;
-use crate::host::Host;
-use crate::shutdown::Stage;
+use crate::lifecycle::{Lifecycle, Stage};
 
 /// The thread's lateness is looked at so often: a longer stretch of work than this shows.
 const LATENESS: Duration = Duration::from_millis(10);
 
 /// Measures again and again, and carries a drain on. Ends never.
-pub async fn keep(host: Rc<Host>, board: Rc<Board>) {
-    let mut seen = Seen::new(&host);
+pub async fn keep(context: Rc<CheckContext>, board: Rc<Board>) {
+    let mut seen = Seen::new(&context);
     let (mut late, mut measured) = (Duration::ZERO, Instant::now());
     loop {
         let due = Instant::now() + LATENESS;
@@ -31,14 +30,14 @@
             continue;
         }
         let passed = std::mem::replace(&mut measured, Instant::now()).elapsed();
-        let (signals, report, parts) = seen.measure(&host, &board, std::mem::take(&mut late), passed);
+        let (signals, report, parts) = seen.measure(&context, &board, std::mem::take(&mut late), passed);
         board.measured(signals, report, parts);
-        follow(&host, board.go_on());
+        follow(&context.lifecycle, board.go_on());
     }
 }
 
 /// Puts the phase of a drain into effect on clients. The end of the program is `shutdown`'s.
-pub fn follow(host: &Host, phase: Phase) {
+pub fn follow(lifecycle: &Lifecycle, phase: Phase) {
     let stage = match phase {
         Phase::Serving => Stage::Serving,
         Phase::Telling => Stage::Grace,
@@ -46,8 +45,8 @@
         Phase::Drained => Stage::ClosingIdle,
         Phase::Closing => return,
     };
-    if host.lifecycle.stage() < Stage::Closing {
-        host.lifecycle.enter(stage);
+    if lifecycle.stage() < Stage::Closing {
+        lifecycle.enter(stage);
     }
 }
 
@@ -61,9 +60,9 @@
 }
 
 impl Seen {
-    fn new(host: &Rc<Host>) -> Seen {
+    fn new(context: &Rc<CheckContext>) -> Seen {
         Seen {
-            tallies: host.with(|core, _| core.counts().clone()),
+            tallies: context.dispatcher.with(|core, _| core.counts().clone()),
             processor: processor(),
             rates: (0.0, 0.0),
             cpu: 0.0,
@@ -72,13 +71,14 @@
 
     fn measure(
         &mut self,
-        host: &Rc<Host>,
+        context: &Rc<CheckContext>,
         board: &Board,
         late: Duration,
         passed: Duration,
     ) -> (Signals, OrcaLoadReport, Vec<Part>) {
-        let (view, tallies, open) =
-            host.with(|core, now| (core.view(now), core.counts().clone(), core.open_requests()));
+        let (view, tallies, open) = context
+            .dispatcher
+            .with(|core, now| (core.view(now), core.counts().clone(), core.open_requests()));
         let before = std::mem::replace(&mut self.tallies, tallies);
         let since = |get: fn(&RequestCounts) -> u64| get(&self.tallies) - get(&before);
         let fleet = Fleet {
@@ -92,26 +92,26 @@
                         / n as f64
                 }
             },
-            list_lost: host.endpoint_list_silence(),
+            list_lost: context.endpoint_list.silence(),
         };
         let health = board.health();
-        let gateways = host.deployment.decisions.router_count.max(1) as usize;
+        let gateways = context.router_count.max(1) as usize;
         let free = |used: usize, most: usize| 1.0 - used.min(most) as f64 / most.max(1) as f64;
-        let (links, idle) = host.replicas.connection_counts();
+        let (links, idle) = context.replicas.connection_counts();
         let signals = Signals {
             fleet,
             open,
             room: health.node_room * fleet.ready / gateways,
-            clients_free: free(host.clients.open(), host.limits.clients),
-            bodies_free: host.body_budget_left() as f64 / host.limits.bodies.max(1) as f64,
-            links_free: free(links - idle.min(links), host.limits.node_connections),
+            clients_free: free(context.clients.open(), context.limits.clients),
+            bodies_free: context.body_budget.available() as f64 / context.limits.bodies.max(1) as f64,
+            links_free: free(links - idle.min(links), context.limits.node_connections),
             late,
             taken: since(|t| t.accepted),
             refused_room: since(|t| t.rejected - t.rejected_over_quota),
             refused_share: since(|t| t.rejected_over_quota),
             answered: since(RequestCounts::answered),
             unanswered: since(RequestCounts::unanswered),
-            witness: host.peers.as_ref().and_then(|p| p.served_at()).map(|at| board.age_at(at)),
+            witness: context.peers.as_ref().and_then(|p| p.served_at()).map(|at| board.age_at(at)),
             ..Signals::default()
         };
         let seconds = passed.as_secs_f64().max(1e-3);
--- /dev/null
+++ b/router/src/connections.rs
@@ -0,0 +1,49 @@
+//! Carries out the core's instructions with the router's connections: attempts and health checks at replicas, the watch of
+//! the endpoint list, load reports to the other routers.
+
+use std::rc::Rc;
+
+use tallypin::api::ReplicaId;
+use tokio::task::AbortHandle;
+
+use crate::dispatcher::{AttemptStart, Dispatcher, Executor};
+use crate::endpoint_list_state::EndpointListState;
+use crate::lifecycle::{Lifecycle, Stage};
+use crate::peers::Peers;
+use crate::replica::{self, Attempt, ReplicaContext};
+
+/// The connections of one router.
+pub struct Connections {
+    /// The replicas, and what attempts at them go by.
+    pub replicas: Rc<ReplicaContext>,
+    /// The endpoint list.
+    pub endpoint_list: Rc<EndpointListState>,
+    /// The other routers, if there are any to talk to.
+    pub peers: Option<Rc<Peers>>,
+    /// How far a shutdown has come.
+    pub lifecycle: Rc<Lifecycle>,
+}
+
+impl Executor for Connections {
+    fn start_attempt(&self, dispatcher: &Rc<Dispatcher>, attempt: AttemptStart) -> AbortHandle {
+        tracing::debug!(target: "node", request = attempt.request.0, attempt = attempt.attempt,
+            node = %self.replicas.pool.name(attempt.replica), "attempt started");
+        let attempt = Attempt::new(self.replicas.clone(), dispatcher.clone(), attempt);
+        tokio::task::spawn_local(attempt.run()).abort_handle()
+    }
+
+    fn probe(&self, dispatcher: &Rc<Dispatcher>, replica: ReplicaId) {
+        tokio::task::spawn_local(replica::probe(self.replicas.clone(), dispatcher.clone(), replica));
+    }
+
+    fn watch_endpoints(&self) {
+        self.endpoint_list.request_poll();
+    }
+
+    fn send_report(&self, report: &[u8]) {
+        // A router that takes no new requests is none for others to count on.
+        if let Some(peers) = self.peers.as_ref().filter(|_| self.lifecycle.stage() < Stage::Closing) {
+            peers.gossip(report);
+        }
+    }
+}
--- a/router/src/core/answer.rs
+++ b/router/src/core/answer.rs
@@ -9,8 +9,13 @@
     Completed,
     /// The stream broke after it had begun.
     Interrupted,
-    /// Refused: trying again is harmless, best after so long (0: no advice); and for what.
-    Rejected(Nanos, RejectReason),
+    /// Rejected: no replica may have run it in a way that makes a retry do harm.
+    Rejected {
+        /// How long the client is best to wait before it asks again; 0: no advice.
+        retry_after: Nanos,
+        /// Why.
+        reason: RejectReason,
+    },
     /// Failed; in time, or for want of time.
     Failed {
         /// The client's deadline had come.
@@ -120,7 +125,7 @@
                 self.interrupted += 1;
                 self.interrupted_by_shutdown += shutdown;
             }
-            FinalAnswer::Rejected(_, why) => {
+            FinalAnswer::Rejected { reason: why, .. } => {
                 self.rejected += 1;
                 self.rejected_over_quota += u64::from(why == RejectReason::QuotaExceeded);
                 self.rejected_by_shutdown += shutdown;
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -21,17 +21,40 @@
 /// What is to be done, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Instruction {
-    /// Begin an attempt at a model node; the client waits for so long.
-    StartAttempt(RequestId, u32, ReplicaId, Nanos),
-    /// Close an attempt; its outcome is settled.
-    AbortAttempt(RequestId, u32, AbortReason),
-    /// Give the final answer. For begun streams this says how it ended.
-    Finish(RequestId, FinalAnswer, RequestSummary),
-    /// Probe a model node.
+    /// Start an attempt at a replica.
+    StartAttempt {
+        /// The request.
+        request: RequestId,
+        /// Which of its attempts, counted from 0.
+        attempt: u32,
+        /// Where.
+        replica: ReplicaId,
+        /// When the client gives up.
+        deadline: Nanos,
+    },
+    /// Abort an attempt; its outcome is settled.
+    AbortAttempt {
+        /// The request.
+        request: RequestId,
+        /// Which of its attempts.
+        attempt: u32,
+        /// Why.
+        reason: AbortReason,
+    },
+    /// Give the final answer. Of a stream that has begun this says how it ended.
+    Finish {
+        /// The request.
+        request: RequestId,
+        /// Its final answer.
+        answer: FinalAnswer,
+        /// What became of it, for the log.
+        summary: RequestSummary,
+    },
+    /// Check the health of a replica.
     Probe(ReplicaId),
-    /// Watch the node list.
+    /// Poll the endpoint list, or watch it anew.
     WatchEndpoints,
-    /// Tell the other routers.
+    /// Send a load report to the other routers.
     SendReport(Vec<u8>),
 }
 
@@ -180,7 +203,7 @@
             let answer = if begun {
                 FinalAnswer::Interrupted
             } else {
-                FinalAnswer::Rejected(0, RejectReason::NoCapacity)
+                FinalAnswer::Rejected { retry_after: 0, reason: RejectReason::NoCapacity }
             };
             self.finish(now, id, answer, AnswerCause::Shutdown);
             self.notify(now, Event::ClientLeft(id));
@@ -232,7 +255,11 @@
                 TimerKind::AttemptTimeout(id, attempt) => {
                     let Some(open) = self.requests.get(&id) else { continue };
                     if open.streaming_attempt.is_none() && open.in_flight(attempt).is_some() {
-                        self.instructions.push(Instruction::AbortAttempt(id, attempt, AbortReason::TimedOut));
+                        self.instructions.push(Instruction::AbortAttempt {
+                            request: id,
+                            attempt,
+                            reason: AbortReason::TimedOut,
+                        });
                         self.settle(now, id, attempt, Outcome::TimedOut.into());
                         self.process_events(now);
                     }
@@ -302,7 +329,7 @@
                 self.finish(
                     now,
                     request,
-                    FinalAnswer::Rejected(retry_after, why),
+                    FinalAnswer::Rejected { retry_after, reason: why },
                     AnswerCause::Rejected(why),
                 );
                 self.abort_attempts(now, request, None, AbortReason::Answered);
@@ -315,11 +342,11 @@
             Action::Cancel { request, attempt } => {
                 let Some(open) = self.requests.get(&request) else { return };
                 if open.streaming_attempt != Some(attempt) && open.in_flight(attempt).is_some() {
-                    self.instructions.push(Instruction::AbortAttempt(
+                    self.instructions.push(Instruction::AbortAttempt {
                         request,
                         attempt,
-                        AbortReason::Canceled,
-                    ));
+                        reason: AbortReason::Canceled,
+                    });
                     self.settle(now, request, attempt, Outcome::Cancelled.into());
                 }
             }
@@ -343,7 +370,12 @@
             _ => open.deadline.min(now.saturating_add(limit)),
         };
         self.timers.push(Reverse((until, TimerKind::AttemptTimeout(id, attempt))));
-        self.instructions.push(Instruction::StartAttempt(id, attempt, node, open.deadline));
+        self.instructions.push(Instruction::StartAttempt {
+            request: id,
+            attempt,
+            replica: node,
+            deadline: open.deadline,
+        });
     }
 
     /// The one place where a request gets its final answer. Whoever asks for it: none that may have run is refused where
@@ -354,7 +386,7 @@
         open.answered = true;
         let summary = open.summary(now, cause, answer != wanted);
         self.counts.count_answer(answer, &summary);
-        self.instructions.push(Instruction::Finish(id, answer, summary));
+        self.instructions.push(Instruction::Finish { request: id, answer, summary });
         self.forget_if_over(id);
     }
 
@@ -380,7 +412,7 @@
         let Some(open) = self.requests.get(&id) else { return };
         let out: Vec<u32> = open.all_in_flight().filter(|&n| Some(n) != but).collect();
         for attempt in out {
-            self.instructions.push(Instruction::AbortAttempt(id, attempt, why));
+            self.instructions.push(Instruction::AbortAttempt { request: id, attempt, reason: why });
             self.settle(now, id, attempt, Outcome::Cancelled.into());
         }
     }
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -172,7 +172,7 @@
     /// The answer that may be given in place of this one: a refusal promises that a further try does no harm.
     pub(super) fn allowed_answer(&self, now: Nanos, answer: FinalAnswer) -> FinalAnswer {
         match answer {
-            FinalAnswer::Rejected(..) if !self.effect.may_reject(self.may_have_run()) => {
+            FinalAnswer::Rejected { .. } if !self.effect.may_reject(self.may_have_run()) => {
                 FinalAnswer::Failed { past_deadline: now >= self.deadline }
             }
             answer => answer,
--- a/router/src/endpoint_list.rs
+++ b/router/src/endpoint_list.rs
@@ -17,9 +17,13 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout};
 
-use crate::host::Host;
+use crate::clock::Clock;
+use crate::dispatcher::Dispatcher;
+use crate::endpoint_list_state::EndpointListState;
 use crate::http::{Body, Framing, Head, Part, Start, Wire};
+use crate::limits::Limits;
 use crate::object_reader::{NotAnObject, ObjectReader};
+use crate::replica::ReplicaPool;
 use crate::watch_clock::{Backoff, WatchClock, WatchStep, WatchTimeouts};
 
 /// One object of the list: the whole of it, or what changed.
@@ -83,9 +87,27 @@
     }
 }
 
+/// What the watch of the endpoint list needs of its router.
+pub struct EndpointListContext {
+    /// Zones and kinds by name, and how lists come.
+    pub deployment: Rc<Deployment>,
+    /// Sizes and times of calls.
+    pub limits: Rc<Limits>,
+    /// The clock.
+    pub clock: Clock,
+    /// Told which replicas there are, and where.
+    pub replicas: Rc<ReplicaPool>,
+    /// Told what has changed.
+    pub dispatcher: Rc<Dispatcher>,
+    /// Where the list is, and when it was last heard.
+    pub state: Rc<EndpointListState>,
+    /// Spreads the calls of many routers.
+    pub random: RefCell<fastrand::Rng>,
+}
+
 /// Takes news of the list.
-pub fn apply(host: &Rc<Host>, page: &EndpointListMessage, kind: ListUpdate) {
-    let rows = last_rows(page, &host.deployment);
+pub fn apply(context: &Rc<EndpointListContext>, page: &EndpointListMessage, kind: ListUpdate) {
+    let rows = last_rows(page, &context.deployment);
     if rows.len() < page.endpoints.len() {
         tracing::warn!(target: "node_list", version = page.version, rows = page.endpoints.len(), nodes = rows.len(),
             "node list: rows of one node twice, the last counts");
@@ -95,20 +117,20 @@
             started_ms = row.started_ms, machine = %row.kind, "node list: a row");
         if decoded.state != EndpointState::Gone {
             let ready = decoded.state == EndpointState::Ready;
-            host.replicas.upsert(decoded.replica, row.addr, row.started_ms, ready);
-            host.replicas.set_name(decoded.replica, &row.id);
+            context.replicas.upsert(decoded.replica, row.addr, row.started_ms, ready);
+            context.replicas.set_name(decoded.replica, &row.id);
         }
     }
     let (gone, there): (Vec<&EndpointEntry>, Vec<&EndpointEntry>) =
         rows.iter().map(|(_, decoded)| decoded).partition(|r| r.state == EndpointState::Gone);
     let gone: Vec<ReplicaId> = gone.iter().map(|r| r.replica).collect();
     let there: FxHashSet<ReplicaId> = there.iter().map(|r| r.replica).collect();
-    host.with(|core, now| {
+    context.dispatcher.with(|core, now| {
         core.endpoints_changed(now, kind, rows.into_iter().map(|(_, decoded)| decoded).collect())
     });
     match kind {
-        ListUpdate::Delta => host.replicas.remove(&gone),
-        _ => host.replicas.retain(|id| there.contains(&id)),
+        ListUpdate::Delta => context.replicas.remove(&gone),
+        _ => context.replicas.retain(|id| there.contains(&id)),
     }
 }
 
@@ -171,12 +193,12 @@
     }
 
     /// Follows the list until the watch is lost; says why. Dropped and called again, it goes on.
-    async fn run(&mut self, host: &Rc<Host>) -> String {
+    async fn run(&mut self, context: &Rc<EndpointListContext>) -> String {
         let lost = loop {
-            match self.place.clock.next_step(host.clock.now()) {
+            match self.place.clock.next_step(context.clock.now()) {
                 WatchStep::Open => {
-                    self.place.clock.watch_opened(host.clock.now());
-                    self.watching = Some(Box::pin(watch(host.clone(), self.place.clone())));
+                    self.place.clock.watch_opened(context.clock.now());
+                    self.watching = Some(Box::pin(watch(context.clone(), self.place.clone())));
                 }
                 WatchStep::Abandon => break "silent for too long".into(),
                 WatchStep::Wait(until) => tokio::select! {
@@ -184,12 +206,12 @@
                     why = or_never(self.watching.as_mut()) => break why,
                     () = self.place.established.notified() => {}
                     // What is heard meanwhile puts the time off: looked at again then.
-                    () = or_never(until.map(|at| sleep_until(host.clock.instant(at).into()))) => {}
+                    () = or_never(until.map(|at| sleep_until(context.clock.instant(at).into()))) => {}
                 },
             }
         };
         self.watching = None;
-        self.place.clock.watch_lost(host.clock.now(), host.random());
+        self.place.clock.watch_lost(context.clock.now(), context.random.borrow_mut().f64());
         lost
     }
 }
@@ -206,9 +228,9 @@
 /// old place is left only when the new one has told the whole list: until then its news goes on counting,
 /// and what is held goes on being used. Where lists are pushed, a watch on the agent costs nobody anything and
 /// what the agent holds counts as told: there is one from the start, whatever the module asks. Ends never.
-pub async fn follow(host: Rc<Host>) {
-    let limits = &host.limits;
-    let pushed = host.deployment.decisions.list_mode == EndpointListMode::Pushed;
+pub async fn follow(context: Rc<EndpointListContext>) {
+    let limits = &context.limits;
+    let pushed = context.deployment.decisions.list_mode == EndpointListMode::Pushed;
     let asked = WatchTimeouts { answer: limits.list_answer, silence: limits.list_silence, reconnect: None };
     // The agent is the router's own: no others ask it, and it is asked as often as ever.
     let steady = Backoff { first: limits.agent_again, max: limits.agent_again };
@@ -216,11 +238,11 @@
     let backoff = Backoff { first: limits.list_again, max: limits.list_again_most };
     let moving = WatchTimeouts { reconnect: Some(backoff), ..asked };
     let (terms, moving) = if pushed { (agent, agent) } else { (asked, moving) };
-    let mut named = host.endpoint_list_address.subscribe();
+    let mut named = context.state.address();
     let mut current = SourceWatch::new(*named.borrow_and_update(), terms, None);
     let mut next: Option<SourceWatch> = None;
     if pushed {
-        current.place.clock.request_watch(host.clock.now());
+        current.place.clock.request_watch(context.clock.now());
     }
     loop {
         let next_place = next.as_ref().map(|n| n.place.clone());
@@ -235,36 +257,36 @@
                 }
             }
             moved = named.changed() => {
-                // It fails only when the sender is gone, and the host holds that.
+                // It fails only when the sender is gone, and the context holds that.
                 if moved.is_err() { return };
                 // Asked at once, as the old place may end soon, and again soon if it fails: whoever never answers
                 // is not waited for.
                 let former = Some(current.place.clone());
                 let follow = SourceWatch::new(*named.borrow_and_update(), moving, former);
-                follow.place.clock.request_watch(host.clock.now());
+                follow.place.clock.request_watch(context.clock.now());
                 next = Some(follow);
             }
-            why = or_never(next.as_mut().map(|n| n.run(&host))) => {
+            why = or_never(next.as_mut().map(|n| n.run(&context))) => {
                 tracing::warn!(target: "node_list", at = ?next.as_ref().map(|n| n.place.address), why, "node list: asked again");
             }
             // A further wish means that the last one has not been answered in good time.
-            () = host.endpoint_list_requested.notified() => {
+            () = context.state.poll_requested() => {
                 if next.is_none() {
-                    current.place.clock.request_watch(host.clock.now());
+                    current.place.clock.request_watch(context.clock.now());
                 }
             }
-            why = current.run(&host) => {
+            why = current.run(&context) => {
                 tracing::warn!(target: "node_list", at = %current.place.address, why, "node list: watch lost");
-                host.with(|core, now| core.endpoints_changed(now, ListUpdate::Failed, Vec::new()));
+                context.dispatcher.with(|core, now| core.endpoints_changed(now, ListUpdate::Failed, Vec::new()));
             }
         }
     }
 }
 
 /// Follows the list until the watch is lost; says why.
-async fn watch(host: Rc<Host>, place: Rc<ListSource>) -> String {
-    let host = &host;
-    let limits = &host.limits;
+async fn watch(context: Rc<EndpointListContext>, place: Rc<ListSource>) -> String {
+    let context = &context;
+    let limits = &context.limits;
     let stream = match timeout(limits.list_silence, TcpStream::connect(place.address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return e.to_string(),
@@ -292,14 +314,14 @@
         (Start::Status(200), Ok(framing)) if framing != Framing::Length(0) => framing,
         (start, _) => return format!("answered {start:?}"),
     };
-    place.clock.heard(host.clock.now());
+    place.clock.heard(context.clock.now());
     place.established.notify_one();
     let (mut body, mut held) = (Body::new(framing, limits.list_line as u64), ObjectReader::default());
     loop {
         match body.next(&mut wire.buf) {
             Ok(Some(Part::Bytes(data))) => {
-                host.endpoint_list_heard();
-                place.clock.heard(host.clock.now());
+                context.state.heard();
+                place.clock.heard(context.clock.now());
                 held.push(&data);
                 loop {
                     let page: EndpointListMessage = match held.take() {
@@ -326,7 +348,7 @@
                         former.superseded.set(true);
                     }
                     place.version.set(Some(page.version));
-                    apply(host, &page, if page.full { ListUpdate::Full } else { ListUpdate::Delta });
+                    apply(context, &page, if page.full { ListUpdate::Full } else { ListUpdate::Delta });
                     place.answered.notify_one();
                 }
                 if held.held() > limits.list_line {
--- /dev/null
+++ b/router/src/endpoint_list_state.rs
@@ -0,0 +1,67 @@
+//! What the rest of the router sees of the endpoint list's watch: where the list is, whether it is to be polled, and when it
+//! was last heard.
+
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use tokio::sync::{watch, Notify};
+
+/// The state of the endpoint list's watch.
+#[derive(Debug)]
+pub struct EndpointListState {
+    address: watch::Sender<SocketAddr>,
+    poll_requested: Notify,
+    started_at: Instant,
+    heard_at: Cell<Option<Instant>>,
+    silence_limit: Duration,
+}
+
+impl EndpointListState {
+    /// A list at this address, not heard yet; a watch that has said nothing for longer than `silence_limit` counts as silent.
+    pub fn new(address: SocketAddr, silence_limit: Duration) -> EndpointListState {
+        EndpointListState {
+            address: watch::Sender::new(address),
+            poll_requested: Notify::new(),
+            started_at: Instant::now(),
+            heard_at: Cell::new(None),
+            silence_limit,
+        }
+    }
+
+    /// The list is elsewhere from now on; false if it was there already.
+    pub fn move_to(&self, address: SocketAddr) -> bool {
+        self.address.send_if_modified(|at| std::mem::replace(at, address) != address)
+    }
+
+    /// Where the list is, and a way to wait until it moves.
+    pub fn address(&self) -> watch::Receiver<SocketAddr> {
+        self.address.subscribe()
+    }
+
+    /// Asks for a poll of the list.
+    pub fn request_poll(&self) {
+        self.poll_requested.notify_one();
+    }
+
+    /// Waits for a request to poll the list. Cancel-safe: a request that nobody waits for is kept.
+    pub async fn poll_requested(&self) {
+        self.poll_requested.notified().await;
+    }
+
+    /// The list has said something, be it a sign of life.
+    pub fn heard(&self) {
+        self.heard_at.set(Some(Instant::now()));
+    }
+
+    /// For how long the list has said nothing, if that is longer than a standing watch would take.
+    pub fn silence(&self) -> Option<Duration> {
+        let silent = self.heard_at.get().unwrap_or(self.started_at).elapsed();
+        Some(silent).filter(|s| *s > self.silence_limit)
+    }
+
+    /// Whether the list has said something since the start, and not too long ago.
+    pub fn is_fresh(&self) -> bool {
+        self.heard_at.get().is_some() && self.silence().is_none()
+    }
+}
--- a/router/src/front/connection.rs
+++ b/router/src/front/connection.rs
@@ -9,13 +9,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
 
+use super::FrontContext;
 use super::{Front, Incoming, Rejection};
+use crate::body_budget::BufferedBody;
 use crate::clients::{Client, IdleGuard};
-use crate::host::{BufferedBody, Host};
 use crate::http::{Bad, Body, Framing, Head, Part, Start, Wire};
 use crate::keep_alive::{AfterAnswer, IdleLimit, KeepAlive};
+use crate::lifecycle::Stage;
 use crate::outward::Origin;
-use crate::shutdown::Stage;
 
 /// Why a client connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,7 +41,7 @@
 
 /// Serves a client connection to its end.
 pub(super) async fn run(
-    host: Rc<Host>,
+    context: Rc<FrontContext>,
     client: Client,
     idle: IdleGuard,
     stream: TcpStream,
@@ -50,20 +51,20 @@
     // closed for the room that it gives.
     let mut idle = Some(idle);
     let mut wire = Wire::new(stream);
-    let cause = serve_requests(&host, &client, &mut idle, &mut wire, &front).await;
-    tracing::debug!(target: "front", ?cause, stage = ?host.lifecycle.stage(), "connection closes");
+    let cause = serve_requests(&context, &client, &mut idle, &mut wire, &front).await;
+    tracing::debug!(target: "front", ?cause, stage = ?context.lifecycle.stage(), "connection closes");
     match cause {
         CloseCause::NoOrigin | CloseCause::ReadFailed(_) | CloseCause::WriteFailed(_) => {}
-        CloseCause::RoomWanted => linger(wire, host.limits.last_look).await,
+        CloseCause::RoomWanted => linger(wire, context.limits.last_look).await,
         CloseCause::Ended | CloseCause::Idle | CloseCause::Shutdown | CloseCause::Answered(_) => {
-            linger(wire, host.limits.linger).await
+            linger(wire, context.limits.linger).await
         }
     }
 }
 
 /// Serves one request after the other, until the connection is to be closed.
 async fn serve_requests(
-    host: &Rc<Host>,
+    context: &Rc<FrontContext>,
     client: &Client,
     idle: &mut Option<IdleGuard>,
     wire: &mut Wire,
@@ -72,23 +73,23 @@
     let crowded = client.over_limit;
     let origin = tokio::select! {
         biased;
-        origin = host.outward.origin(front.door(), wire) => origin,
+        origin = context.outward.origin(front.door(), wire) => origin,
         () = room_wanted(idle) => return CloseCause::RoomWanted,
     };
     let Some(Origin { client: from }) = origin else { return CloseCause::NoOrigin };
     let mut keep_alive = KeepAlive::new(Instant::now(), crowded);
     loop {
-        let rest = keep_alive.idle_limit(&host.limits);
-        if let Err(cause) = wait_for_request(host, idle, wire, rest).await {
+        let rest = keep_alive.idle_limit(&context.limits);
+        if let Err(cause) = wait_for_request(context, idle, wire, rest).await {
             return cause;
         }
         *idle = None;
-        let since = host.clock.at(wire.first_read());
-        let begun = keep_alive.request_started(Instant::now(), &host.limits);
+        let since = context.clock.at(wire.first_read());
+        let begun = keep_alive.request_started(Instant::now(), &context.limits);
         if let Some(pause) = begun.pause {
             tokio::time::sleep(pause).await;
         }
-        let read = timeout_at(begun.complete_by.into(), read_request(host, wire, since));
+        let read = timeout_at(begun.complete_by.into(), read_request(context, wire, since));
         let request = read.await.unwrap_or(Ok(Err(Rejection::Slow)));
         wire.message_taken();
         let request = match request {
@@ -98,19 +99,19 @@
         if let Err(rejection) = &request {
             tracing::debug!(target: "front", client = ?from, why = ?rejection, "no request that could be taken");
         }
-        let refused = crowded || host.lifecycle.stage() >= Stage::Rejecting;
+        let refused = crowded || context.lifecycle.stage() >= Stage::Rejecting;
         let (keeps, then) = match request {
             Ok(r) if refused && !front.asks_health(&r) => {
-                (false, front.reject(host, wire, Rejection::Full).await)
+                (false, front.reject(context, wire, Rejection::Full).await)
             }
-            Ok(request) => (request.head.keeps(), front.answer(host, wire, request).await),
-            Err(rejection) => (false, front.reject(host, wire, rejection).await),
+            Ok(request) => (request.head.keeps(), front.answer(context, wire, request).await),
+            Err(rejection) => (false, front.reject(context, wire, rejection).await),
         };
         let then = match then {
             Ok(then) => then,
             Err(e) => return CloseCause::WriteFailed(e.kind()),
         };
-        if !keep_alive.stays_open_after(Instant::now(), then, keeps, host.lifecycle.stage()) {
+        if !keep_alive.stays_open_after(Instant::now(), then, keeps, context.lifecycle.stage()) {
             return CloseCause::Answered(then);
         }
         *idle = Some(client.idle());
@@ -127,7 +128,7 @@
 
 /// Waits until a request begins; or else why the connection is to be closed instead.
 async fn wait_for_request(
-    host: &Host,
+    context: &FrontContext,
     idle: &mut Option<IdleGuard>,
     wire: &mut Wire,
     rest: IdleLimit,
@@ -141,7 +142,7 @@
     let read = tokio::select! {
         biased;
         read = wire.more() => read,
-        () = parted(host, rest.until) => return Err(CloseCause::Shutdown),
+        () = parted(context, rest.until) => return Err(CloseCause::Shutdown),
         // A request may have arrived since the event loop last looked at the sockets.
         () = room_wanted(idle) => match wire.arrived().await {
             Some(read) => read,
@@ -157,14 +158,18 @@
 
 /// Waits until a connection that carries nothing is to close with the router, and long enough for what is under way to be
 /// seen.
-pub(super) async fn parted(host: &Host, until: Stage) {
-    host.lifecycle.wait_for(until).await;
-    tokio::time::sleep(host.limits.last_look).await;
+pub(super) async fn parted(context: &FrontContext, until: Stage) {
+    context.lifecycle.wait_for(until).await;
+    tokio::time::sleep(context.limits.last_look).await;
 }
 
 /// Reads a request; an error of the connection, or why it is no request that could be taken.
-async fn read_request(host: &Host, wire: &mut Wire, since: Nanos) -> io::Result<Result<Incoming, Rejection>> {
-    let (head, framing) = match read_head(host, wire).await? {
+async fn read_request(
+    context: &FrontContext,
+    wire: &mut Wire,
+    since: Nanos,
+) -> io::Result<Result<Incoming, Rejection>> {
+    let (head, framing) = match read_head(context, wire).await? {
         Ok(read) => read,
         Err(bad) => return Ok(Err(bad.into())),
     };
@@ -173,17 +178,17 @@
         wire.write(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
     }
     let body = match framing {
-        Framing::Chunked => read_chunked(host, wire).await?,
-        Framing::Length(length) => read_sized(host, wire, length as usize).await?,
-        Framing::Unstated => read_sized(host, wire, 0).await?,
+        Framing::Chunked => read_chunked(context, wire).await?,
+        Framing::Length(length) => read_sized(context, wire, length as usize).await?,
+        Framing::Unstated => read_sized(context, wire, 0).await?,
     };
     Ok(body.map(|body| Incoming { method, target, head, body, since, client: None }))
 }
 
 /// Reads a head, and how its body ends.
-async fn read_head(host: &Host, wire: &mut Wire) -> io::Result<Result<(Head, Framing), Bad>> {
+async fn read_head(context: &FrontContext, wire: &mut Wire) -> io::Result<Result<(Head, Framing), Bad>> {
     let head = loop {
-        match Head::request(&mut wire.buf, &host.limits) {
+        match Head::request(&mut wire.buf, &context.limits) {
             Ok(Some(head)) => break head,
             Ok(None) => more(wire).await?,
             Err(bad) => return Ok(Err(bad)),
@@ -197,16 +202,19 @@
         return Ok(Err(Bad::Malformed));
     }
     match framing {
-        Framing::Length(length) if length > host.limits.body as u64 => Ok(Err(Bad::LargeBody)),
+        Framing::Length(length) if length > context.limits.body as u64 => Ok(Err(Bad::LargeBody)),
         framing => Ok(Ok((head, framing))),
     }
 }
 
 /// Reads a body in chunks. What has come is counted as it comes: many slow bodies at once would else be more than the memory
 /// holds, and what was only announced would leave no room for those that send.
-async fn read_chunked(host: &Host, wire: &mut Wire) -> io::Result<Result<BufferedBody, Rejection>> {
-    let most = host.limits.body;
-    let Some(mut reserved) = host.reserve_body(0) else { return Ok(Err(Rejection::Full)) };
+async fn read_chunked(
+    context: &FrontContext,
+    wire: &mut Wire,
+) -> io::Result<Result<BufferedBody, Rejection>> {
+    let most = context.limits.body;
+    let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
     let (mut body, mut all) = (Body::new(Framing::Chunked, most as u64), Vec::new());
     loop {
         match body.next(&mut wire.buf) {
@@ -226,11 +234,11 @@
 
 /// Reads a body of a stated length, counted as it comes.
 async fn read_sized(
-    host: &Host,
+    context: &FrontContext,
     wire: &mut Wire,
     length: usize,
 ) -> io::Result<Result<BufferedBody, Rejection>> {
-    let Some(mut reserved) = host.reserve_body(0) else { return Ok(Err(Rejection::Full)) };
+    let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
     while reserved.grow(wire.buf.len().min(length)) && wire.buf.len() < length {
         more(wire).await?;
     }
--- a/router/src/health.rs
+++ b/router/src/front/health.rs
@@ -6,10 +6,10 @@
 
 use bytes::Bytes;
 
-use crate::front::{write, write_whole};
-use crate::host::Host;
+use super::FrontContext;
+use super::{write, write_whole};
 use crate::http::{reason, Wire};
-use crate::shutdown::Stage;
+use crate::lifecycle::Stage;
 
 /// The state of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,21 +24,21 @@
 
 impl FrontHealth {
     /// The present state.
-    pub fn of(host: &Host) -> FrontHealth {
+    pub fn of(context: &FrontContext) -> FrontHealth {
         use tallypin_health::state::State as Told;
-        match host.outward.told().map(|now| (now.state, now.weight)) {
+        match context.outward.told().map(|now| (now.state, now.weight)) {
             Some((Told::Up | Told::Degraded, weight)) => return FrontHealth::Up(weight),
             Some((Told::Drain, _)) => return FrontHealth::Draining,
             Some((Told::Maint | Told::Down, _)) => return FrontHealth::Down,
             None => {}
         }
-        if host.lifecycle.stage() > Stage::Serving {
+        if context.lifecycle.stage() > Stage::Serving {
             return FrontHealth::Draining;
         }
-        if host.replicas.ready_count() == 0 {
+        if context.replicas.ready_count() == 0 {
             return FrontHealth::Down;
         }
-        let (most, used) = (host.limits.clients, host.clients.open());
+        let (most, used) = (context.limits.clients, context.clients.open());
         let free = 100 * most.saturating_sub(used) / most.max(1);
         FrontHealth::Up(free.clamp(1, 100) as u8)
     }
@@ -55,15 +55,15 @@
 }
 
 /// Answers a request for the state. To a HEAD request the body is left out, its length is not.
-pub async fn answer(host: &Host, wire: &mut Wire, bodiless: bool) -> io::Result<()> {
-    let state = FrontHealth::of(host);
+pub async fn answer(context: &FrontContext, wire: &mut Wire, bodiless: bool) -> io::Result<()> {
+    let state = FrontHealth::of(context);
     let status = if matches!(state, FrontHealth::Up(_)) { 200 } else { 503 };
     let text = format!("{state}\n");
     let fields = "Content-Type: text/plain\r\n";
     if bodiless {
         let (why, length) = (reason(status), text.len());
         let head = format!("HTTP/1.1 {status} {why}\r\n{fields}Content-Length: {length}\r\n\r\n");
-        return write(host, wire, Bytes::from(head)).await;
+        return write(context, wire, Bytes::from(head)).await;
     }
-    write_whole(host, wire, status, fields, Bytes::from(text)).await
+    write_whole(context, wire, status, fields, Bytes::from(text)).await
 }
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -12,12 +12,14 @@
 use tallypin::api::{ClassId, Nanos, RejectReason, TenantId};
 use tallypin::name_hash;
 
+use super::FrontContext;
 use super::{
     next, opening, retry_after, write, write_chunk, write_whole, AfterAnswer, Incoming, Next, Rejection,
 };
+use crate::body_budget::BufferedBody;
 use crate::core::{FinalAnswer, NewRequest};
 use crate::dialect::{Answer, Asked, Dialect, Event, MessagesWriter};
-use crate::host::{BufferedBody, Host, ResponseEvent, UpstreamRequest};
+use crate::dispatcher::{ResponseEvent, UpstreamRequest};
 use crate::http::{Bad, Wire};
 
 /// The path of requests.
@@ -74,7 +76,7 @@
 }
 
 impl MessagesFront {
-    fn read(&self, host: &Host, request: &Incoming, now: Nanos) -> Result<Understood, Unfit> {
+    fn read(&self, context: &FrontContext, request: &Incoming, now: Nanos) -> Result<Understood, Unfit> {
         if request.path() != PATH {
             return Err(Unfit::Rejection(Rejection::NotFound));
         }
@@ -93,7 +95,7 @@
         let unknown = || Unfit::Invalid(format!("{}: not a known partner", self.partner_header));
         let partner = partner.ok_or_else(unknown)?;
         let wait = match request.head.text(&self.deadline_header)? {
-            None => host.deployment.classes[class.0 as usize].deadline,
+            None => context.deployment.classes[class.0 as usize].deadline,
             Some(ms) => {
                 let ms = ms.parse().ok().filter(|ms| (1..=ABSURD_MS).contains(ms));
                 let bad = || Unfit::Invalid(format!("{}: not a wait", self.deadline_header));
@@ -116,7 +118,7 @@
             is_client_retry: false,
             resumes_stream: request.head.one("x-resume-of")?.is_some() && asked.continues(),
         };
-        let body = match host.replicas.dialect {
+        let body = match context.replicas.dialect {
             Dialect::Messages if asked.stream => None,
             Dialect::Messages => Some(asked.streaming_body()),
             Dialect::Chat => Some(asked.chat_body()),
@@ -128,47 +130,48 @@
     /// Answers one request.
     pub async fn answer(
         &self,
-        host: &Rc<Host>,
+        context: &Rc<FrontContext>,
         wire: &mut Wire,
         request: Incoming,
     ) -> io::Result<AfterAnswer> {
         let Understood { ask, asked, body, idempotency_key } =
-            match self.read(host, &request, host.clock.now()) {
+            match self.read(context, &request, context.clock.now()) {
                 Ok(understood) => understood,
-                Err(why) => return refuse(host, wire, why).await,
+                Err(why) => return refuse(context, wire, why).await,
             };
-        if host.is_full() {
-            return reject(host, wire, Rejection::Full).await;
+        if context.dispatcher.is_full() {
+            return reject(context, wire, Rejection::Full).await;
         }
         let body = match body {
             None => request.body,
             // The translated body takes the place of the one that came.
-            Some(body) => match host.reserve_body(body.len()) {
+            Some(body) => match context.body_budget.reserve(body.len()) {
                 Some(reserved) => BufferedBody { bytes: body.into(), reserved },
-                None => return reject(host, wire, Rejection::Full).await,
+                None => return reject(context, wire, Rejection::Full).await,
             },
         };
-        let same = host.replicas.dialect == Dialect::Messages;
-        let id = host.generate_request_id();
-        let (prompt_tokens, deadline) = (ask.prompt_tokens, host.clock.now().saturating_add(ask.time_left));
+        let same = context.replicas.dialect == Dialect::Messages;
+        let id = context.request_ids.generate();
+        let (prompt_tokens, deadline) =
+            (ask.prompt_tokens, context.clock.now().saturating_add(ask.time_left));
         let prompt = UpstreamRequest {
             id: Bytes::from(id.clone()),
             method: Bytes::from_static(b"POST"),
-            target: Bytes::from_static(host.replicas.dialect.path()),
+            target: Bytes::from_static(context.replicas.dialect.path()),
             body,
             idempotency_key,
             text: !(same && asked.stream),
             client: request.client,
         };
-        let Some(mut ticket) = host.submit(ask, prompt) else {
-            return reject(host, wire, Rejection::Twice).await;
+        let Some(mut ticket) = context.dispatcher.submit(ask, prompt) else {
+            return reject(context, wire, Rejection::Twice).await;
         };
         let (mut unsaid, named) = (true, format!("Request-Id: {id}\r\n"));
-        let mut head = || opening(host, &mut unsaid, BEGUN, &named);
+        let mut head = || opening(context, &mut unsaid, BEGUN, &named);
         let mut writer = MessagesWriter::new(&id, &asked.model, prompt_tokens);
         let (mut whole, mut failed) = (Answer::default(), false);
         loop {
-            let piece = match next(host, wire, &mut ticket).await {
+            let piece = match next(context, wire, &mut ticket).await {
                 Next::Piece(piece) => piece,
                 Next::Left => return Ok(AfterAnswer::Close),
             };
@@ -177,27 +180,28 @@
                     failed |= told.contains(&Event::Failed);
                     let bytes = if same { bytes } else { writer.write(&told) };
                     if !bytes.is_empty() {
-                        write_chunk(host, wire, head(), bytes).await?;
+                        write_chunk(context, wire, head(), bytes).await?;
                     }
                 }
                 ResponseEvent::Data(_, told) => {
                     told.into_iter().for_each(|event| whole.take(event));
-                    if whole.text.len() > host.limits.whole_answer {
-                        return error(host, wire, 500, "", "the answer is too long to be given whole").await;
+                    if whole.text.len() > context.limits.whole_answer {
+                        return error(context, wire, 500, "", "the answer is too long to be given whole")
+                            .await;
                     }
                 }
                 ResponseEvent::End(FinalAnswer::Completed) if asked.stream => {
                     let rest = if same { Bytes::new() } else { writer.finish() };
                     if !rest.is_empty() {
-                        write_chunk(host, wire, head(), rest).await?;
+                        write_chunk(context, wire, head(), rest).await?;
                     }
-                    write(host, wire, &b"0\r\n\r\n"[..]).await?;
+                    write(context, wire, &b"0\r\n\r\n"[..]).await?;
                     return Ok(AfterAnswer::KeepOpen);
                 }
                 ResponseEvent::End(FinalAnswer::Completed) => {
                     let fields = format!("Content-Type: application/json\r\nRequest-Id: {id}\r\n");
                     let message = whole.message(&id, &asked.model, prompt_tokens);
-                    write_whole(host, wire, 200, &fields, message.to_string().into()).await?;
+                    write_whole(context, wire, 200, &fields, message.to_string().into()).await?;
                     return Ok(AfterAnswer::KeepOpen);
                 }
                 // No `message_stop`, no last chunk: the client knows where it stands, and asks for the rest.
@@ -205,32 +209,33 @@
                     if !(same && failed) {
                         let shape = shape("api_error", "the stream broke; x-resume-of asks for the rest");
                         let event = format!("event: error\ndata: {shape}\n\n");
-                        write_chunk(host, wire, head(), event.into()).await?;
+                        write_chunk(context, wire, head(), event.into()).await?;
                     }
                     return Ok(AfterAnswer::Close);
                 }
                 ResponseEvent::End(FinalAnswer::Interrupted) => {
-                    return error(host, wire, 500, "", "the answer broke off").await;
+                    return error(context, wire, 500, "", "the answer broke off").await;
                 }
                 // Refused only when its time was up: that is what the client has to know.
-                ResponseEvent::End(FinalAnswer::Rejected(advice, RejectReason::NoCapacity))
-                    if host.clock.now() >= deadline =>
-                {
-                    return error(host, wire, 504, &come_back(host, advice), LATE).await;
+                ResponseEvent::End(FinalAnswer::Rejected {
+                    retry_after: advice,
+                    reason: RejectReason::NoCapacity,
+                }) if context.clock.now() >= deadline => {
+                    return error(context, wire, 504, &come_back(context, advice), LATE).await;
                 }
-                ResponseEvent::End(FinalAnswer::Rejected(advice, why)) => {
+                ResponseEvent::End(FinalAnswer::Rejected { retry_after: advice, reason: why }) => {
                     let (status, why) = match why {
                         RejectReason::QuotaExceeded => (429, "over the partner's share"),
                         RejectReason::NoCapacity => (529, "no model node would begin in time"),
                     };
-                    return error(host, wire, status, &come_back(host, advice), why).await;
+                    return error(context, wire, status, &come_back(context, advice), why).await;
                 }
                 ResponseEvent::End(FinalAnswer::Failed { past_deadline: true }) => {
                     // No word on when to come back: it may have run.
-                    return error(host, wire, 504, "", LATE).await;
+                    return error(context, wire, 504, "", LATE).await;
                 }
                 ResponseEvent::End(FinalAnswer::Failed { past_deadline: false }) => {
-                    return error(host, wire, 500, "", "no attempt succeeded").await;
+                    return error(context, wire, 500, "", "no attempt succeeded").await;
                 }
             }
         }
@@ -238,8 +243,8 @@
 }
 
 /// Clients of this API want whole seconds; a second field has the finer advice.
-fn come_back(host: &Host, advice: Nanos) -> String {
-    let seconds = retry_after(host, advice);
+fn come_back(context: &FrontContext, advice: Nanos) -> String {
+    let seconds = retry_after(context, advice);
     format!("Retry-After: {:.0}\r\nRetry-After-Ms: {:.0}\r\n", seconds.ceil(), (seconds * 1e3).ceil())
 }
 
@@ -248,7 +253,7 @@
 }
 
 async fn error(
-    host: &Host,
+    context: &FrontContext,
     wire: &mut Wire,
     status: u16,
     fields: &str,
@@ -264,24 +269,24 @@
         _ => "invalid_request_error",
     };
     let fields = format!("{fields}Content-Type: application/json\r\n");
-    write_whole(host, wire, status, &fields, shape(kind, why).to_string().into()).await?;
+    write_whole(context, wire, status, &fields, shape(kind, why).to_string().into()).await?;
     Ok(AfterAnswer::KeepOpenAfterRejection)
 }
 
-async fn refuse(host: &Host, wire: &mut Wire, why: Unfit) -> io::Result<AfterAnswer> {
+async fn refuse(context: &FrontContext, wire: &mut Wire, why: Unfit) -> io::Result<AfterAnswer> {
     match why {
-        Unfit::Invalid(why) => error(host, wire, 400, "", &why).await,
-        Unfit::NoModel(model) => error(host, wire, 404, "", &format!("model: {model}")).await,
-        Unfit::Rejection(why) => reject(host, wire, why).await,
+        Unfit::Invalid(why) => error(context, wire, 400, "", &why).await,
+        Unfit::NoModel(model) => error(context, wire, 404, "", &format!("model: {model}")).await,
+        Unfit::Rejection(why) => reject(context, wire, why).await,
     }
 }
 
 /// Answers what is no request that could be taken.
-pub async fn reject(host: &Host, wire: &mut Wire, why: Rejection) -> io::Result<AfterAnswer> {
+pub async fn reject(context: &FrontContext, wire: &mut Wire, why: Rejection) -> io::Result<AfterAnswer> {
     let (status, fields) = match why {
-        Rejection::Full => (529, come_back(host, 0)),
+        Rejection::Full => (529, come_back(context, 0)),
         Rejection::Method => (405, "Allow: POST\r\n".into()),
         why => (why.status(), String::new()),
     };
-    error(host, wire, status, &fields, crate::http::reason(status)).await
+    error(context, wire, status, &fields, crate::http::reason(status)).await
 }
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -3,6 +3,8 @@
 
 mod accept;
 mod connection;
+mod context;
+mod health;
 pub mod messages;
 pub mod platform;
 
@@ -13,17 +15,18 @@
 pub use accept::serve;
 use bytes::{Buf, Bytes};
 pub use connection::linger;
+pub use context::FrontContext;
 pub use messages::MessagesFront;
 use tallypin::api::Nanos;
 use tokio::time::timeout;
 
+use crate::body_budget::BufferedBody;
 use crate::core::FinalAnswer;
-use crate::health;
-use crate::host::{BufferedBody, Host, RequestHandle, ResponseEvent};
+use crate::dispatcher::{RequestHandle, ResponseEvent};
 use crate::http::{reason, Bad, Head, Wire};
 use crate::keep_alive::AfterAnswer;
+use crate::lifecycle::Stage;
 use crate::outward::Door;
-use crate::shutdown::Stage;
 
 /// A front.
 pub enum Front {
@@ -115,15 +118,15 @@
 }
 
 /// Waits for the next piece of an answer, and notices when the client leaves.
-pub async fn next(host: &Host, wire: &mut Wire, ticket: &mut RequestHandle) -> Next {
+pub async fn next(context: &FrontContext, wire: &mut Wire, ticket: &mut RequestHandle) -> Next {
     loop {
         // A client that sends on before it has its answer is read only so far; its end is seen all the same.
-        let room = wire.buf.len() < host.limits.head;
+        let room = wire.buf.len() < context.limits.head;
         let sends_on = async {
             match room {
                 true => matches!(wire.more().await, Ok(true)),
                 false => {
-                    wire.ended(host.limits.end_look).await;
+                    wire.ended(context.limits.end_look).await;
                     false
                 }
             }
@@ -142,35 +145,40 @@
 }
 
 /// Writes part of an answer; a client that takes nothing for too long counts as gone.
-pub async fn write(host: &Host, wire: &mut Wire, parts: impl Buf) -> io::Result<()> {
-    timeout(host.limits.write, wire.write(parts)).await.map_err(|_| io::ErrorKind::TimedOut)?
+pub async fn write(context: &FrontContext, wire: &mut Wire, parts: impl Buf) -> io::Result<()> {
+    timeout(context.limits.write, wire.write(parts)).await.map_err(|_| io::ErrorKind::TimedOut)?
 }
 
 /// Writes one chunk in the same way.
-pub async fn write_chunk(host: &Host, wire: &mut Wire, head: Bytes, data: Bytes) -> io::Result<()> {
+pub async fn write_chunk(
+    context: &FrontContext,
+    wire: &mut Wire,
+    head: Bytes,
+    data: Bytes,
+) -> io::Result<()> {
     let size = Bytes::from(format!("{:x}\r\n", data.len()));
-    write(host, wire, head.chain(size).chain(data).chain(&b"\r\n"[..])).await
+    write(context, wire, head.chain(size).chain(data).chain(&b"\r\n"[..])).await
 }
 
 /// Writes a whole short answer.
 pub async fn write_whole(
-    host: &Host,
+    context: &FrontContext,
     wire: &mut Wire,
     status: u16,
     fields: &str,
     body: Bytes,
 ) -> io::Result<()> {
-    let carried = carried(host);
+    let carried = carried(context);
     let (why, length) = (reason(status), body.len());
     let head = format!("HTTP/1.1 {status} {why}\r\n{fields}{carried}Content-Length: {length}\r\n\r\n");
-    write(host, wire, Bytes::from(head).chain(body)).await
+    write(context, wire, Bytes::from(head).chain(body)).await
 }
 
 /// The fields that any answer carries now: what balancers are told with it, and whether it is the last on its
 /// connection. On the platform there are none before the end.
-fn carried(host: &Host) -> String {
-    let told = host.outward.fields();
-    let last = if host.lifecycle.stage() >= Stage::AnnouncingClose { "Connection: close\r\n" } else { "" };
+fn carried(context: &FrontContext) -> String {
+    let told = context.outward.fields();
+    let last = if context.lifecycle.stage() >= Stage::AnnouncingClose { "Connection: close\r\n" } else { "" };
     if told.is_empty() {
         return last.into();
     }
@@ -178,11 +186,11 @@
 }
 
 /// The head of a stream, the first time; nothing after that. `head` ends with its blank line.
-pub fn opening(host: &Host, unsaid: &mut bool, head: &'static [u8], fields: &str) -> Bytes {
+pub fn opening(context: &FrontContext, unsaid: &mut bool, head: &'static [u8], fields: &str) -> Bytes {
     if !std::mem::take(unsaid) {
         return Bytes::new();
     }
-    let carried = carried(host);
+    let carried = carried(context);
     if carried.is_empty() && fields.is_empty() {
         return Bytes::from_static(head);
     }
@@ -191,8 +199,8 @@
 }
 
 /// How long to stay away, as a field of a refusal: the module's advice, in seconds.
-pub fn retry_after(host: &Host, advice: Nanos) -> f64 {
-    advice.max(host.limits.come_back.as_nanos() as Nanos) as f64 / 1e9
+pub fn retry_after(context: &FrontContext, advice: Nanos) -> f64 {
+    advice.max(context.limits.come_back.as_nanos() as Nanos) as f64 / 1e9
 }
 
 impl Front {
@@ -212,21 +220,31 @@
         here && matches!(&request.method[..], b"GET" | b"HEAD")
     }
 
-    async fn answer(&self, host: &Rc<Host>, wire: &mut Wire, request: Incoming) -> io::Result<AfterAnswer> {
+    async fn answer(
+        &self,
+        context: &Rc<FrontContext>,
+        wire: &mut Wire,
+        request: Incoming,
+    ) -> io::Result<AfterAnswer> {
         if self.asks_health(&request) {
             let bodiless = &request.method[..] == b"HEAD";
-            return health::answer(host, wire, bodiless).await.map(|()| AfterAnswer::KeepOpen);
+            return health::answer(context, wire, bodiless).await.map(|()| AfterAnswer::KeepOpen);
         }
         match self {
-            Front::Platform => platform::answer(host, wire, request).await,
-            Front::Messages(front) => front.answer(host, wire, request).await,
+            Front::Platform => platform::answer(context, wire, request).await,
+            Front::Messages(front) => front.answer(context, wire, request).await,
         }
     }
 
-    async fn reject(&self, host: &Host, wire: &mut Wire, why: Rejection) -> io::Result<AfterAnswer> {
+    async fn reject(
+        &self,
+        context: &FrontContext,
+        wire: &mut Wire,
+        why: Rejection,
+    ) -> io::Result<AfterAnswer> {
         match self {
-            Front::Platform => platform::reject(host, wire, why).await,
-            Front::Messages(_) => messages::reject(host, wire, why).await,
+            Front::Platform => platform::reject(context, wire, why).await,
+            Front::Messages(_) => messages::reject(context, wire, why).await,
         }
     }
 }
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -7,12 +7,14 @@
 use tallypin::api::{ClassId, Nanos, RejectReason, TenantId};
 use tallypin::name_hash;
 
+use super::FrontContext;
 use super::{
     next, opening, retry_after, write, write_chunk, write_whole, AfterAnswer, Incoming, Next, Rejection,
 };
+use crate::body_budget::BufferedBody;
 use crate::core::{FinalAnswer, NewRequest};
 use crate::dialect::{Asked, ChatWriter, Dialect};
-use crate::host::{BufferedBody, Host, ResponseEvent, UpstreamRequest};
+use crate::dispatcher::{ResponseEvent, UpstreamRequest};
 use crate::http::{Bad, Wire};
 
 /// The path of requests.
@@ -26,14 +28,18 @@
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Reads what the core wants to know of a request; also gives the request's name.
-pub fn read(host: &Host, request: &Incoming, now: Nanos) -> Result<(NewRequest, Bytes), Rejection> {
+pub fn read(
+    context: &FrontContext,
+    request: &Incoming,
+    now: Nanos,
+) -> Result<(NewRequest, Bytes), Rejection> {
     if request.path() != PATH {
         return Err(Rejection::NotFound);
     }
     if &request.method[..] != b"POST" {
         return Err(Rejection::Method);
     }
-    let (head, of) = (&request.head, &host.deployment);
+    let (head, of) = (&request.head, &context.deployment);
     let id = head.one("req-id")?.ok_or(Bad::Malformed)?.clone();
     if id.is_empty() || id.len() > LONGEST_ID || !id.iter().all(u8::is_ascii_graphic) || !head.current {
         return Err(Bad::Malformed.into());
@@ -79,75 +85,79 @@
 }
 
 /// Answers one request.
-pub async fn answer(host: &Rc<Host>, wire: &mut Wire, request: Incoming) -> io::Result<AfterAnswer> {
-    let (ask, id) = match read(host, &request, host.clock.now()) {
+pub async fn answer(
+    context: &Rc<FrontContext>,
+    wire: &mut Wire,
+    request: Incoming,
+) -> io::Result<AfterAnswer> {
+    let (ask, id) = match read(context, &request, context.clock.now()) {
         Ok(read) => read,
-        Err(why) => return reject(host, wire, why).await,
+        Err(why) => return reject(context, wire, why).await,
     };
     let idempotency_key = match request.idempotency_key() {
         Ok(key) => key,
-        Err(bad) => return reject(host, wire, bad.into()).await,
+        Err(bad) => return reject(context, wire, bad.into()).await,
     };
-    if host.is_full() {
-        return reject(host, wire, Rejection::Full).await;
+    if context.dispatcher.is_full() {
+        return reject(context, wire, Rejection::Full).await;
     }
-    let same = host.replicas.dialect == Dialect::Chat;
+    let same = context.replicas.dialect == Dialect::Chat;
     let Incoming { method, mut target, mut body, client, .. } = request;
     if !same {
         // An old client, newer model nodes: the one case in which this front is not thin.
         let Ok(asked) = Asked::chat(&body.bytes) else {
-            return reject(host, wire, Bad::Malformed.into()).await;
+            return reject(context, wire, Bad::Malformed.into()).await;
         };
-        let bytes = asked.messages_body(host.limits.answer_tokens);
-        let Some(reserved) = host.reserve_body(bytes.len()) else {
-            return reject(host, wire, Rejection::Full).await;
+        let bytes = asked.messages_body(context.limits.answer_tokens);
+        let Some(reserved) = context.body_budget.reserve(bytes.len()) else {
+            return reject(context, wire, Rejection::Full).await;
         };
         (target, body) = (
-            Bytes::from_static(host.replicas.dialect.path()),
+            Bytes::from_static(context.replicas.dialect.path()),
             BufferedBody { bytes: bytes.into(), reserved },
         );
     }
     let prompt = UpstreamRequest { id, method, target, body, idempotency_key, text: !same, client };
-    let Some(mut ticket) = host.submit(ask, prompt) else {
-        return reject(host, wire, Rejection::Twice).await;
+    let Some(mut ticket) = context.dispatcher.submit(ask, prompt) else {
+        return reject(context, wire, Rejection::Twice).await;
     };
     let mut writer = ChatWriter::default();
     let mut unsaid = true;
     loop {
-        match next(host, wire, &mut ticket).await {
+        match next(context, wire, &mut ticket).await {
             Next::Piece(ResponseEvent::Data(bytes, told)) => {
                 let bytes = if same { bytes } else { writer.write(&told) };
                 if bytes.is_empty() {
                     continue;
                 }
-                write_chunk(host, wire, opening(host, &mut unsaid, BEGUN, ""), bytes).await?;
+                write_chunk(context, wire, opening(context, &mut unsaid, BEGUN, ""), bytes).await?;
             }
             Next::Piece(ResponseEvent::End(FinalAnswer::Completed)) => {
                 if !same {
-                    let head = opening(host, &mut unsaid, BEGUN, "");
-                    write_chunk(host, wire, head, writer.finish()).await?;
+                    let head = opening(context, &mut unsaid, BEGUN, "");
+                    write_chunk(context, wire, head, writer.finish()).await?;
                 }
-                write(host, wire, &b"0\r\n\r\n"[..]).await?;
+                write(context, wire, &b"0\r\n\r\n"[..]).await?;
                 return Ok(AfterAnswer::KeepOpen);
             }
             // Nothing of the stream has reached the client: closed without a word, it would send the request again.
             Next::Piece(ResponseEvent::End(FinalAnswer::Interrupted)) if unsaid => {
-                write_whole(host, wire, 500, "", Bytes::from_static(b"failed\n")).await?;
+                write_whole(context, wire, 500, "", Bytes::from_static(b"failed\n")).await?;
                 return Ok(AfterAnswer::Close);
             }
             // Without the last chunk, so that the client knows that this is not the end.
             Next::Piece(ResponseEvent::End(FinalAnswer::Interrupted)) | Next::Left => {
                 return Ok(AfterAnswer::Close)
             }
-            Next::Piece(ResponseEvent::End(FinalAnswer::Rejected(advice, why))) => {
-                let fields = format!("Retry-After: {:.3}\r\n", retry_after(host, advice));
+            Next::Piece(ResponseEvent::End(FinalAnswer::Rejected { retry_after: advice, reason: why })) => {
+                let fields = format!("Retry-After: {:.3}\r\n", retry_after(context, advice));
                 let status = if why == RejectReason::QuotaExceeded { 429 } else { 503 };
-                write_whole(host, wire, status, &fields, Bytes::from_static(b"refused\n")).await?;
+                write_whole(context, wire, status, &fields, Bytes::from_static(b"refused\n")).await?;
                 return Ok(AfterAnswer::KeepOpenAfterRejection);
             }
             Next::Piece(ResponseEvent::End(FinalAnswer::Failed { past_deadline: late })) => {
                 let status = if late { 504 } else { 500 };
-                write_whole(host, wire, status, "", Bytes::from_static(b"failed\n")).await?;
+                write_whole(context, wire, status, "", Bytes::from_static(b"failed\n")).await?;
                 return Ok(AfterAnswer::KeepOpen);
             }
         }
@@ -155,14 +165,14 @@
 }
 
 /// Answers what is no request that could be taken.
-pub async fn reject(host: &Host, wire: &mut Wire, why: Rejection) -> io::Result<AfterAnswer> {
+pub async fn reject(context: &FrontContext, wire: &mut Wire, why: Rejection) -> io::Result<AfterAnswer> {
     let status = why.status();
     let fields = match why {
-        Rejection::Full => format!("Retry-After: {:.3}\r\n", retry_after(host, 0)),
+        Rejection::Full => format!("Retry-After: {:.3}\r\n", retry_after(context, 0)),
         Rejection::Method => "Allow: POST\r\n".into(),
         _ => String::new(),
     };
     let body = Bytes::from_static(crate::http::reason(status).as_bytes());
-    write_whole(host, wire, status, &fields, body).await?;
+    write_whole(context, wire, status, &fields, body).await?;
     Ok(AfterAnswer::KeepOpenAfterRejection)
 }
--- a/router/src/keep_alive.rs
+++ b/router/src/keep_alive.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
+use crate::lifecycle::Stage;
 use crate::limits::Limits;
-use crate::shutdown::Stage;
 
 /// What an answer leaves of its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -2,23 +2,26 @@
 //! fronts before it. `docs/ARCHITECTURE.md` follows a request through these modules.
 
 pub mod bind;
+pub mod body_budget;
 pub mod checks;
 pub mod clients;
+pub mod clock;
+pub mod components;
 pub mod config;
+pub mod connections;
 pub mod core;
 pub mod dialect;
+pub mod dispatcher;
+pub mod endpoint_list;
+pub mod endpoint_list_state;
 pub mod fleet;
 pub mod front;
-pub mod health;
-pub mod host;
 pub mod http;
 pub mod installation;
 pub mod keep_alive;
+pub mod lifecycle;
 pub mod limits;
 pub mod log;
-pub mod watch_clock;
-
-pub mod endpoint_list;
 pub mod object_reader;
 pub mod operator_override;
 pub mod outward;
@@ -31,3 +34,4 @@
 pub mod shortage;
 pub mod shutdown;
 pub mod status;
+pub mod watch_clock;
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -10,12 +10,12 @@
 use tallypin_health::exit;
 use tallypin_router::checks::control::{Control, ToFleet};
 use tallypin_router::checks::{self, Board};
+use tallypin_router::components::Components;
 use tallypin_router::config::Config;
 use tallypin_router::dialect::Dialect;
 use tallypin_router::endpoint_list::{self, EndpointListMessage};
 use tallypin_router::fleet::{operator_orders, release_files, FleetAgent};
 use tallypin_router::front::{self, Front};
-use tallypin_router::host::Host;
 use tallypin_router::installation::Installation;
 use tallypin_router::log::{Log, LogSettings};
 use tallypin_router::peers::Peers;
@@ -212,22 +212,23 @@
     };
     let messages = installation.as_ref().and_then(|i| i.messages.clone());
     let dialect = messages.as_ref().map_or(Dialect::Chat, |front| front.nodes);
-    let host = Host::new(config, dialect, peers)?;
+    let components = Components::new(config, dialect, peers)?;
     // Old or empty, it sets the module going.
     let known = known.unwrap_or(EndpointListMessage { version: 0, full: true, endpoints: Vec::new() });
-    endpoint_list::apply(&host, &known, tallypin::api::ListUpdate::Cached);
-    host.start();
+    endpoint_list::apply(&components.endpoint_list, &known, tallypin::api::ListUpdate::Cached);
+    components.start();
     let mut board = None;
     // The agent ends its tasks when it is dropped: it lasts as long as the program.
     let (mut adopting, mut _listening, mut _fleet) = (None, None, None);
     if let Some(installation) = &installation {
-        host.outward.guard(installation.gate.clone());
+        components.outward.guard(installation.gate.clone());
         if installation.checks.is_some() || installation.control.is_some() {
-            let started = Board::new(installation, host.outward.clone());
+            let started = Board::new(installation, components.outward.clone());
             let fleet = match installation.fleet.clone() {
                 Some(of) => {
                     let settings = settings.clone().unwrap_or_default();
-                    let control = ProcessControl { host: host.clone(), board: started.clone(), settings };
+                    let control =
+                        ProcessControl { components: components.clone(), board: started.clone(), settings };
                     Some(FleetAgent::start(of, Box::new(control)).await?)
                 }
                 None => None,
@@ -235,30 +236,41 @@
             if let Some(control) = &installation.control {
                 let control = Control::bind(control).await?;
                 let orders = fleet.clone().map(to_fleet);
-                tokio::task::spawn_local(control.serve(host.clone(), started.clone(), orders));
+                tokio::task::spawn_local(control.serve(components.check_context(), started.clone(), orders));
             }
             // Before balancers and clients come.
             if let Some(fleet) = &fleet {
                 fleet.wait_for_first_state().await;
             }
             _fleet = fleet;
-            _listening = Some(checks::start(&host, &started).await?);
+            _listening = Some(checks::start(&components.check_context(), &started).await?);
             board = Some(started);
         }
         adopting = Some(SettingsReloader::new(installation, board.clone(), Some(log.clone())));
     }
     if let Some(front) = messages {
         let listener = bind::bind_with_retry(async || TcpListener::bind(front.listen).await).await?;
-        tokio::task::spawn_local(front::serve(host.clone(), listener, Front::Messages(Box::new(front))));
+        tokio::task::spawn_local(front::serve(
+            components.front_context(),
+            listener,
+            Front::Messages(Box::new(front)),
+        ));
     }
     let listener = bind::bind_with_retry(async || TcpListener::bind(listen).await).await?;
-    tokio::task::spawn_local(front::serve(host.clone(), listener, Front::Platform));
-    tokio::task::spawn_local(status::log_periodically(host.clone(), Some(log)));
+    tokio::task::spawn_local(front::serve(components.front_context(), listener, Front::Platform));
+    tokio::task::spawn_local(status::log_periodically(components.clone(), Some(log)));
     let read = move || reread(settings.as_deref());
-    tokio::task::spawn_local(reload::run(host.clone(), hangup, running, adopting, read));
+    tokio::task::spawn_local(reload::run(
+        components.outward.clone(),
+        components.endpoint_list.state.clone(),
+        hangup,
+        running,
+        adopting,
+        read,
+    ));
     tracing::info!(target: "router", name, %listen, "listens");
-    shutdown::on_signal(host.clone(), board, termination).await;
-    let tallies = host.with(|core, _| core.counts().clone());
+    shutdown::on_signal(components.clone(), board, termination).await;
+    let tallies = components.with(|core, _| core.counts().clone());
     tracing::info!(target: "router", name, ?tallies, "ends");
     Ok(())
 }
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -12,7 +12,7 @@
 
 use crate::bind;
 use crate::config::PeerAddresses;
-use crate::host::Host;
+use crate::dispatcher::Dispatcher;
 
 /// The most bytes of a message; a longer one would void the run.
 pub const MAX_MESSAGE_BYTES: usize = 256;
@@ -154,10 +154,9 @@
 }
 
 /// Hands what the other routers say to the core. Ends never.
-pub async fn receive_gossip(host: Rc<Host>) {
-    let Some(peers) = &host.peers else { return };
+pub async fn receive_gossip(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
     loop {
         let (from, bytes) = peers.receive().await;
-        host.with(|core, now| core.report_received(now, from, bytes));
+        dispatcher.with(|core, now| core.report_received(now, from, bytes));
     }
 }
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -12,10 +12,11 @@
 
 use crate::checks::Board;
 use crate::config::{Config, PeerAddresses};
-use crate::host::Host;
+use crate::endpoint_list_state::EndpointListState;
 use crate::installation::Installation;
 use crate::limits::Limits;
 use crate::log::Log;
+use crate::outward::Outward;
 
 /// Takes the signal over. From here on it does not end the program, whoever listens to it.
 pub fn hangup_signal() -> io::Result<Signal> {
@@ -73,14 +74,14 @@
     }
 
     /// Takes over what it can, and names the rest.
-    pub fn apply(&mut self, host: &Host, new: &Installation) {
+    pub fn apply(&mut self, outward: &Outward, new: &Installation) {
         for change in changes(&self.started, &new.checked).iter().filter(|c| c.takes == Takes::Restart) {
             tracing::warn!(target: "reload", field = change.path, "has changed: it takes a restart");
         }
         for change in changes(&self.current, &new.checked).iter().filter(|c| c.takes == Takes::Now) {
             tracing::info!(target: "reload", field = change.path, "taken over");
         }
-        host.outward.guard(new.gate.clone());
+        outward.guard(new.gate.clone());
         self.log.iter().for_each(|log| log.adopt(&new.log));
         self.board.iter().for_each(|board| board.adopt(new));
         self.current = new.checked.clone();
@@ -90,7 +91,8 @@
 /// Reads everything again at every signal; an error says what is wrong, in lines. Ends never; a signal that comes
 /// while files are read has them read once more.
 pub async fn run(
-    host: Rc<Host>,
+    outward: Rc<Outward>,
+    endpoint_list: Rc<EndpointListState>,
     mut hangup: Signal,
     running: StartupConfiguration,
     mut adopting: Option<SettingsReloader>,
@@ -99,9 +101,9 @@
     while hangup.recv().await.is_some() {
         match read() {
             Ok((config, installation)) => {
-                apply(&host, &running, &config);
+                apply(&endpoint_list, &running, &config);
                 if let (Some(adopting), Some(installation)) = (&mut adopting, &installation) {
-                    adopting.apply(&host, installation);
+                    adopting.apply(&outward, installation);
                 }
             }
             Err(lines) => {
@@ -114,13 +116,11 @@
 }
 
 /// Takes over what a running router can of the configuration.
-pub fn apply(host: &Host, running: &StartupConfiguration, config: &Config) {
+pub fn apply(endpoint_list: &EndpointListState, running: &StartupConfiguration, config: &Config) {
     for field in running.changed_fields(config) {
         tracing::warn!(target: "reload", "{field} has changed: it takes a restart");
     }
-    let moved = host
-        .endpoint_list_address
-        .send_if_modified(|at| std::mem::replace(at, config.node_list) != config.node_list);
+    let moved = endpoint_list.move_to(config.node_list);
     let what = if moved { "the node list moves to" } else { "the node list stays at" };
     tracing::info!(target: "reload", "configuration read again: {what} {}", config.node_list);
 }
--- a/router/src/replica/attempt.rs
+++ b/router/src/replica/attempt.rs
@@ -8,46 +8,64 @@
 use tokio::sync::mpsc;
 
 use super::answer::{drained, read_head};
+use super::context::ReplicaContext;
 use super::pool::{ReplicaConnection, ReplicaPool};
 use crate::core::{AttemptResult, FinalAnswer};
 use crate::dialect::{self, Dialect, Event, Events};
-use crate::host::{Host, ResponseEvent, UpstreamRequest};
+use crate::dispatcher::{AttemptStart, Dispatcher, ResponseEvent, UpstreamRequest};
 use crate::http::{Body, Framing, Part, Start, Wire};
 
 /// One attempt.
 pub struct Attempt {
-    /// The router.
-    pub host: Rc<Host>,
+    context: Rc<ReplicaContext>,
+    dispatcher: Rc<Dispatcher>,
     /// The request.
-    pub id: RequestId,
+    id: RequestId,
     /// Which of its attempts.
-    pub attempt: u32,
+    attempt: u32,
     /// Where to.
-    pub node: ReplicaId,
+    node: ReplicaId,
     /// When the client gives up.
-    pub deadline: Nanos,
-    /// What to send; not kept once the request is bound.
-    pub prompt: Option<Rc<UpstreamRequest>>,
+    deadline: Nanos,
+    /// What to send; not kept once this attempt streams.
+    prompt: Option<Rc<UpstreamRequest>>,
     /// The front wants the text of events, not only their bytes.
-    pub text: bool,
-    /// Where its events go once the request is bound to it.
-    pub pieces: mpsc::Sender<ResponseEvent>,
+    text: bool,
+    /// Where its events go once it streams.
+    pieces: mpsc::Sender<ResponseEvent>,
 }
 
 impl Attempt {
+    /// An attempt that has not run yet.
+    pub fn new(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, start: AttemptStart) -> Attempt {
+        let AttemptStart { request, attempt, replica, deadline, upstream, events } = start;
+        let text = upstream.text;
+        Attempt {
+            context,
+            dispatcher,
+            id: request,
+            attempt,
+            node: replica,
+            deadline,
+            prompt: Some(upstream),
+            text,
+            pieces: events,
+        }
+    }
+
     /// Runs it to its end. Giving it up is dropping it: the connection closes.
     pub async fn run(mut self) {
         let end = self.stream().await;
         tracing::debug!(target: "node", request = self.id.0, attempt = self.attempt,
-            node = %self.host.replicas.name(self.node), outcome = ?end.outcome,
+            node = %self.context.pool.name(self.node), outcome = ?end.outcome,
             kept = end.cached_tokens, "attempt ended");
         let answer = match end.outcome {
             Outcome::Completed => FinalAnswer::Completed,
             _ => FinalAnswer::Interrupted,
         };
         let (id, attempt, bound) = (self.id, self.attempt, self.bound());
-        self.host.attempt_finished(id, attempt);
-        self.host.with(|core, now| core.attempt_ended(now, id, attempt, end));
+        self.dispatcher.attempt_finished(id, attempt);
+        self.dispatcher.with(|core, now| core.attempt_ended(now, id, attempt, end));
         if bound {
             let _ = self.pieces.send(ResponseEvent::End(answer)).await;
         }
@@ -64,8 +82,8 @@
         };
         // Broken before its last byte was written, the request cannot have run.
         let Some((head, body)) = self.message() else { return Outcome::NotSent.into() };
-        if !self.host.with(|core, now| core.may_write(now, self.id, self.attempt)) {
-            self.host.replicas.give_back(link);
+        if !self.dispatcher.with(|core, now| core.may_write(now, self.id, self.attempt)) {
+            self.context.pool.give_back(link);
             return Outcome::NotSent.into();
         }
         if let Err(e) = link.wire.write(head.chain(body)).await {
@@ -75,16 +93,16 @@
         }
         tracing::debug!(target: "node", request = self.id.0, attempt = self.attempt, reused = link.reused,
             "attempt written");
-        let _out = InFlight::on(&self.host, self.node);
-        let silent = SilentReplica { nodes: &self.host.replicas, node: self.node };
+        let _out = InFlight::on(&self.context.pool, self.node);
+        let silent = SilentReplica { nodes: &self.context.pool, node: self.node };
         let more = link.wire.more().await;
         std::mem::forget(silent);
         let head = match more {
-            Ok(true) => read_head(&mut link.wire, &self.host.limits).await,
+            Ok(true) => read_head(&mut link.wire, &self.context.limits).await,
             _ => None,
         };
         let Some(head) = head else { return Outcome::ConnectionReset.into() };
-        let names = &self.host.deployment.report_field_names;
+        let names = &self.context.report_fields;
         let load = head.text("srv-load").ok().flatten().map(|l| dialect::read_load(l, names));
         let load = load.unwrap_or_default();
         let framing = match head.framing() {
@@ -99,8 +117,8 @@
                     503 | 504 if declined => Outcome::Rejected,
                     _ => Outcome::ReplicaError,
                 };
-                if head.keeps() && drained(&mut link.wire, framing, self.host.limits.event) {
-                    self.host.replicas.give_back(link);
+                if head.keeps() && drained(&mut link.wire, framing, self.context.limits.event) {
+                    self.context.pool.give_back(link);
                 }
                 return AttemptResult { outcome, cached_tokens: None, load_report: load };
             }
@@ -108,7 +126,7 @@
         }
         let (end, reusable) = self.pass_on(&mut link.wire, framing, load).await;
         if reusable && head.keeps() && link.wire.buf.is_empty() {
-            self.host.replicas.give_back(link);
+            self.context.pool.give_back(link);
         }
         end
     }
@@ -117,7 +135,7 @@
     /// a front that hears of its client's end calls this off first, the node list may have told that the node takes no
     /// work, and an idle connection may have been closed by its node.
     async fn reach(&self) -> Result<ReplicaConnection, Outcome> {
-        let nodes = &self.host.replicas;
+        let nodes = &self.context.pool;
         loop {
             let mut link = nodes.connect(self.node).await?;
             tokio::task::yield_now().await;
@@ -132,7 +150,7 @@
 
     fn message(&self) -> Option<(Bytes, Bytes)> {
         let p = self.prompt.as_ref()?;
-        let left = self.deadline.saturating_sub(self.host.clock.now()) / 1_000_000;
+        let left = self.deadline.saturating_sub(self.context.clock.now()) / 1_000_000;
         let body = p.body.bytes.clone();
         let mut head = Vec::with_capacity(256 + p.target.len());
         for part in [&p.method[..], b" ", &p.target, b" HTTP/1.1\r\nHost: backend.local\r\nReq-Id: ", &p.id] {
@@ -153,14 +171,14 @@
     /// Passes the events of a stream on as they come; also says whether the connection is at the end of
     /// the answer.
     async fn pass_on(&mut self, wire: &mut Wire, framing: Framing, load: Vec<f64>) -> (AttemptResult, bool) {
-        let host = self.host.clone();
-        let (mut body, mut events) = (Body::of_answer(framing, host.limits.event), Events::default());
+        let (context, dispatcher) = (self.context.clone(), self.dispatcher.clone());
+        let (mut body, mut events) = (Body::of_answer(framing, context.limits.event), Events::default());
         let (mut held, mut held_told) = (BytesMut::new(), Vec::new());
         let mut end =
             AttemptResult { outcome: Outcome::ConnectionReset, cached_tokens: None, load_report: load };
         // A messages stream says itself that it is complete; the others are so at the last chunk.
-        let mut complete = host.replicas.dialect == Dialect::Chat;
-        let silence = |quiet_since: Instant| (quiet_since + host.limits.silence).into();
+        let mut complete = context.pool.dialect == Dialect::Chat;
+        let silence = |quiet_since: Instant| (quiet_since + context.limits.silence).into();
         let mut quiet_since = Instant::now();
         loop {
             let part = match body.next(&mut wire.buf) {
@@ -171,7 +189,7 @@
             let whole = match part {
                 Some(Part::Bytes(data)) => {
                     let whole = events.push(&data);
-                    if events.held() > host.limits.event {
+                    if events.held() > context.limits.event {
                         return (end, false);
                     }
                     whole
@@ -200,20 +218,20 @@
                 if !self.bound() {
                     held.extend_from_slice(&bytes);
                     held_told.append(&mut told);
-                    if !failed && !held_told.iter().any(Event::begins) && held.len() <= host.limits.event {
+                    if !failed && !held_told.iter().any(Event::begins) && held.len() <= context.limits.event {
                         continue; // A sign of life, or what nobody knows, binds nothing.
                     }
                     (bytes, told) = (held.split().freeze(), std::mem::take(&mut held_told));
                     let (id, attempt) = (self.id, self.attempt);
                     // Another attempt was first, or the client has gone: nothing of this one is wanted.
-                    if failed || !host.with(|core, now| core.first_event(now, id, attempt)) {
+                    if failed || !dispatcher.with(|core, now| core.first_event(now, id, attempt)) {
                         return (AttemptResult { outcome: Outcome::ReplicaError, ..end }, false);
                     }
                     tracing::debug!(target: "node", request = id.0, attempt, "stream begun");
                     self.deadline = NO_DEADLINE;
                     // No further attempt will need the prompt: its part of the budget is free again.
                     self.prompt = None;
-                    host.release_upstream_request(id);
+                    dispatcher.release_upstream_request(id);
                 }
                 if self.pieces.send(ResponseEvent::Data(bytes, told)).await.is_err() || failed {
                     return (end, false);
@@ -233,16 +251,16 @@
     /// What events say; keeps what concerns the attempt's end.
     fn tell(&self, bytes: &[u8], end: &mut AttemptResult) -> Vec<Event> {
         let mut told = Vec::new();
-        self.host.replicas.dialect.read(bytes, self.text, &mut told);
+        self.context.pool.dialect.read(bytes, self.text, &mut told);
         for event in &told {
             match event {
                 Event::Usage { kept: Some(kept), .. } => {
                     end.cached_tokens = Some((*kept).min(u32::MAX.into()) as u32)
                 }
                 Event::Load(report) => {
-                    end.load_report = dialect::read_load(report, &self.host.deployment.report_field_names)
+                    end.load_report = dialect::read_load(report, &self.context.report_fields)
                 }
-                Event::Unknown => self.host.unknown_events.set(self.host.unknown_events.get() + 1),
+                Event::Unknown => self.context.unknown_events.set(self.context.unknown_events.get() + 1),
                 _ => {}
             }
         }
@@ -254,18 +272,18 @@
 const NO_DEADLINE: Nanos = Nanos::MAX;
 
 /// An attempt out on a connection.
-struct InFlight(Rc<Host>, ReplicaId);
+struct InFlight(Rc<ReplicaPool>, ReplicaId);
 
 impl InFlight {
-    fn on(host: &Rc<Host>, id: ReplicaId) -> InFlight {
-        *host.replicas.in_flight.borrow_mut().entry(id).or_default() += 1;
-        InFlight(host.clone(), id)
+    fn on(pool: &Rc<ReplicaPool>, id: ReplicaId) -> InFlight {
+        *pool.in_flight.borrow_mut().entry(id).or_default() += 1;
+        InFlight(pool.clone(), id)
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        let mut out = self.0.replicas.in_flight.borrow_mut();
+        let mut out = self.0.in_flight.borrow_mut();
         if let Some(n) = out.get_mut(&self.1) {
             *n -= 1;
             if *n == 0 {
--- a/router/src/replica/mod.rs
+++ b/router/src/replica/mod.rs
@@ -2,9 +2,11 @@
 
 mod answer;
 mod attempt;
+mod context;
 mod pool;
 mod probe;
 
 pub use attempt::Attempt;
+pub use context::{close_idle_connections, ReplicaContext};
 pub use pool::ReplicaPool;
 pub use probe::probe;
--- a/router/src/replica/probe.rs
+++ b/router/src/replica/probe.rs
@@ -7,22 +7,23 @@
 use tokio::time::timeout;
 
 use super::answer::read_head;
+use super::context::ReplicaContext;
 use crate::core::AttemptResult;
 use crate::dialect;
-use crate::host::Host;
+use crate::dispatcher::Dispatcher;
 use crate::http::{Body, Part, Start};
 
 /// Probes a node and tells the core. The module sends no probes today; its interface has them.
-pub async fn probe(host: Rc<Host>, node: ReplicaId) {
-    let limit = host.limits.probe;
-    let end = timeout(limit, ask_health(&host, node)).await.unwrap_or_else(|_| Outcome::TimedOut.into());
-    host.with(|core, now| core.probe_ended(now, node, end));
+pub async fn probe(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, node: ReplicaId) {
+    let limit = context.limits.probe;
+    let end = timeout(limit, ask_health(&context, node)).await.unwrap_or_else(|_| Outcome::TimedOut.into());
+    dispatcher.with(|core, now| core.probe_ended(now, node, end));
 }
 
-async fn ask_health(host: &Host, node: ReplicaId) -> AttemptResult {
-    let names = &host.deployment.report_field_names;
+async fn ask_health(context: &ReplicaContext, node: ReplicaId) -> AttemptResult {
+    let names = &context.report_fields;
     let target = if names.is_empty() { "/alive" } else { "/metrics/load" };
-    let mut link = match host.replicas.connect(node).await {
+    let mut link = match context.pool.connect(node).await {
         Ok(reached) => reached,
         Err(outcome) => return outcome.into(),
     };
@@ -30,14 +31,14 @@
     if link.wire.write(Bytes::from(head)).await.is_err() {
         return Outcome::ConnectionRefused.into();
     }
-    let Some(head) = read_head(&mut link.wire, &host.limits).await else {
+    let Some(head) = read_head(&mut link.wire, &context.limits).await else {
         return Outcome::ConnectionReset.into();
     };
     let Ok(framing) = head.framing() else { return Outcome::ConnectionReset.into() };
-    let (mut body, mut report) = (Body::of_answer(framing, host.limits.head), Vec::new());
+    let (mut body, mut report) = (Body::of_answer(framing, context.limits.head), Vec::new());
     loop {
         match body.next(&mut link.wire.buf) {
-            Ok(Some(Part::Bytes(data))) if report.len() + data.len() <= host.limits.head => {
+            Ok(Some(Part::Bytes(data))) if report.len() + data.len() <= context.limits.head => {
                 report.extend_from_slice(&data);
             }
             Ok(Some(Part::End)) => break,
@@ -48,7 +49,7 @@
     let outcome = if head.start == Start::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
     let load = dialect::read_load(&String::from_utf8_lossy(&report), names);
     if head.keeps() && link.wire.buf.is_empty() {
-        host.replicas.give_back(link);
+        context.pool.give_back(link);
     }
     AttemptResult { outcome, cached_tokens: None, load_report: load }
 }
--- a/router/src/request_ids.rs
+++ b/router/src/request_ids.rs
@@ -1,7 +1,7 @@
-//! The names that clients give their requests. One that is open belongs to its owner: a second request under
-//! it is turned away before it can reach a model node, where both would be taken for copies of one.
+//! The identifiers of requests. One that is open belongs to its client: a second request with it is rejected before it can
+//! reach a replica, where both would be taken for copies of one. Requests whose clients give no identifier get one here.
 
-use std::cell::RefCell;
+use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
@@ -15,42 +15,48 @@
     finished: VecDeque<Bytes>,
 }
 
-/// The names in use.
+/// The identifiers in use.
 pub struct RequestIds {
     known: Rc<RefCell<KnownIds>>,
     finished_limit: usize,
+    /// Part of every generated identifier, so that those of two routers or starts differ.
+    seed: u64,
+    generated: Cell<u64>,
 }
 
 impl RequestIds {
-    /// None yet. So many are remembered when their requests are over: copies may still be on their way.
-    pub fn new(most_late: usize) -> RequestIds {
-        RequestIds { known: Rc::default(), finished_limit: most_late }
+    /// None in use yet. `finished_limit` identifiers are remembered after their requests are over, as copies may still be on
+    /// their way; `seed` is another at every start and router.
+    pub fn new(seed: u64, finished_limit: usize) -> RequestIds {
+        RequestIds { known: Rc::default(), finished_limit, seed, generated: Cell::new(0) }
     }
 
-    /// Takes a name; `None` if it is in use.
-    pub fn reserve(&self, name: &[u8]) -> Option<RequestIdGuard> {
+    /// An identifier for a request whose client gives none.
+    pub fn generate(&self) -> String {
+        self.generated.set(self.generated.get() + 1);
+        format!("msg_{:016x}{:08x}", self.seed, self.generated.get())
+    }
+
+    /// Takes an identifier until the guard is dropped; `None` if it is in use.
+    pub fn reserve(&self, id: &[u8]) -> Option<RequestIdGuard> {
         // Copied: a slice would keep the whole head that it came in.
-        let name = Bytes::copy_from_slice(name);
-        let new = self.known.borrow_mut().ids.insert(name.clone());
-        new.then(|| RequestIdGuard {
-            id: name,
-            known: self.known.clone(),
-            finished_limit: self.finished_limit,
-        })
+        let id = Bytes::copy_from_slice(id);
+        let new = self.known.borrow_mut().ids.insert(id.clone());
+        new.then(|| RequestIdGuard { id, known: self.known.clone(), finished_limit: self.finished_limit })
     }
 
-    /// How many are held.
+    /// How many are known.
     pub fn len(&self) -> usize {
         self.known.borrow().ids.len()
     }
 
-    /// Whether none is held.
+    /// Whether none is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// A name in use, until it is dropped.
+/// An identifier in use, until it is dropped.
 pub struct RequestIdGuard {
     id: Bytes,
     known: Rc<RefCell<KnownIds>>,
@@ -58,7 +64,7 @@
 }
 
 impl RequestIdGuard {
-    /// The name.
+    /// The identifier.
     pub fn bytes(&self) -> Bytes {
         self.id.clone()
     }
@@ -66,11 +72,11 @@
 
 impl Drop for RequestIdGuard {
     fn drop(&mut self) {
-        let mut held = self.known.borrow_mut();
-        held.finished.push_back(std::mem::take(&mut self.id));
-        while held.finished.len() > self.finished_limit {
-            if let Some(oldest) = held.finished.pop_front() {
-                held.ids.remove(&oldest);
+        let mut known = self.known.borrow_mut();
+        known.finished.push_back(std::mem::take(&mut self.id));
+        while known.finished.len() > self.finished_limit {
+            if let Some(oldest) = known.finished.pop_front() {
+                known.ids.remove(&oldest);
             }
         }
     }
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -16,9 +16,9 @@
 use tallypin_settings_schema::Problems;
 
 use crate::checks::{signals, Board};
+use crate::components::Components;
 use crate::config::Config;
 use crate::fleet::{InvalidArtifact, RestoredReplica, RouterControl, ShuttingDown};
-use crate::host::Host;
 use crate::installation::Installation;
 use crate::operator_override::Restoration;
 
@@ -27,7 +27,7 @@
 /// This process as the fleet controls it.
 pub struct ProcessControl {
     /// Its requests and connections.
-    pub host: Rc<Host>,
+    pub components: Rc<Components>,
     /// What balancers are told.
     pub board: Rc<Board>,
     /// Its settings file: a released one is read in its place.
@@ -39,7 +39,7 @@
         if !self.board.want(wish, order) {
             return Err(ShuttingDown);
         }
-        signals::follow(&self.host, self.board.phase());
+        signals::follow(&self.components.lifecycle, self.board.phase());
         Ok(())
     }
 }
@@ -55,7 +55,7 @@
 
     fn is_drained(&self) -> bool {
         // Streams that were taken before are finished: the end itself waits for them as well.
-        self.board.phase() == Phase::Drained && self.host.with(|core, _| core.open_requests()) == 0
+        self.board.phase() == Phase::Drained && self.components.with(|core, _| core.open_requests()) == 0
     }
 
     fn shut_down(&self) {
@@ -67,14 +67,14 @@
         match (self.board.phase(), self.board.assessment().state) {
             (Phase::Closing, _) => AdvertisedStatus::Ending,
             // It has just started, or has lost all: whoever came would be turned away.
-            (Phase::Serving, _) if self.host.replicas.ready_count() == 0 => AdvertisedStatus::Starting,
+            (Phase::Serving, _) if self.components.replicas.ready_count() == 0 => AdvertisedStatus::Starting,
             (Phase::Serving, State::Up | State::Degraded) => AdvertisedStatus::Serving,
             _ => AdvertisedStatus::Draining,
         }
     }
 
     fn answer_counts(&self) -> AnswerCounts {
-        let (t, late) = self.host.with(|core, _| (core.counts().clone(), core.late_streams()));
+        let (t, late) = self.components.with(|core, _| (core.counts().clone(), core.late_streams()));
         AnswerCounts {
             answered: t.completed + t.interrupted + t.rejected + t.failed,
             failed: t.failed + t.interrupted,
@@ -84,27 +84,32 @@
     }
 
     fn replica_views(&self) -> Option<BTreeMap<String, ReplicaView>> {
-        let host = &self.host;
-        if !host.endpoint_list_is_fresh() {
+        let components = &self.components;
+        if !components.endpoint_list.state.is_fresh() {
             return None;
         }
         let word = |words: &[String], at: u32| words.get(at as usize).cloned().unwrap_or_default();
-        let (rows, view) =
-            host.with(|core, now| (core.listed_replicas().cloned().collect::<Vec<_>>(), core.view(now)));
+        let (rows, view) = components
+            .with(|core, now| (core.listed_replicas().cloned().collect::<Vec<_>>(), core.view(now)));
         let seen: FxHashMap<_, bool> =
             view.into_iter().map(|s| (s.replica, s.is_warming_up || s.ejected_for > 0)).collect();
         let nodes = rows.into_iter().map(|row| {
             let out = row.state != EndpointState::Ready || seen.get(&row.replica) == Some(&true);
-            let (zone, kind) =
-                (word(&host.deployment.zones, row.zone.0), word(&host.deployment.kinds, row.kind));
-            (host.replicas.name(row.replica).to_string(), ReplicaView { zone, kind, out_of_service: out })
+            let (zone, kind) = (
+                word(&components.deployment.zones, row.zone.0),
+                word(&components.deployment.kinds, row.kind),
+            );
+            (
+                components.replicas.name(row.replica).to_string(),
+                ReplicaView { zone, kind, out_of_service: out },
+            )
         });
         Some(nodes.collect())
     }
 
     fn set_replica_overrides(&self, drained: &[String], restored: &[RestoredReplica]) {
         let drained: Vec<_> = drained.iter().map(|id| name_hash::replica_id(id)).collect();
-        self.host.with(|core, now| {
+        self.components.with(|core, now| {
             let restored = restored.iter().map(|replica| {
                 // A clock that is ahead of ours makes no replica warm up for longer than one that starts now.
                 let at = replica.at.saturating_mul(NANOS_PER_MS).min(now);
@@ -115,7 +120,7 @@
     }
 
     fn has_in_flight(&self, replica: &str) -> bool {
-        self.host.replicas.in_flight(name_hash::replica_id(replica)) > 0
+        self.components.replicas.in_flight(name_hash::replica_id(replica)) > 0
     }
 
     fn validate_artifact(&self, artifact: &str, bytes: &[u8]) -> Result<(), InvalidArtifact> {
@@ -127,7 +132,7 @@
                     true => Ok(text.to_string()),
                     false => std::fs::read_to_string(path),
                 };
-                let read = Installation::read_by(&self.settings, &self.host.deployment, &read);
+                let read = Installation::read_by(&self.settings, &self.components.deployment, &read);
                 let first = |problems: Problems| problems.short().next();
                 read.map(drop).map_err(|problems| {
                     InvalidArtifact::Settings(first(problems).unwrap_or_else(|| "not understood".into()))
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
+use crate::components::Components;
 use crate::core::RequestCounts;
-use crate::host::Host;
 use crate::log::Log;
 
 /// The counts of final answers in one line.
@@ -35,22 +35,22 @@
 }
 
 /// The state in one line.
-pub fn format_state(host: &Rc<Host>) -> String {
+pub fn format_state(components: &Rc<Components>) -> String {
     let (open, noted, view) =
-        host.with(|core, now| (core.open_requests(), core.scheduled_timers(), core.view(now)));
-    let (links, idle) = host.replicas.connection_counts();
+        components.with(|core, now| (core.open_requests(), core.scheduled_timers(), core.view(now)));
+    let (links, idle) = components.replicas.connection_counts();
     let mut line = format!(
         "open {open}, clients {}, links {links} ({idle} idle), names {}, noted {noted}, room for bodies {} KiB",
-        host.clients.open(),
-        host.request_ids.len(),
-        host.body_budget_left() >> 10,
+        components.clients.open(),
+        components.request_ids.len(),
+        components.body_budget.available() >> 10,
     );
     for node in view {
-        let at = host.replicas.address(node.replica).map_or("unknown".into(), |at| at.to_string());
+        let at = components.replicas.address(node.replica).map_or("unknown".into(), |at| at.to_string());
         let ms = |nanos: u64| nanos / 1_000_000;
         let _ = write!(line, "; {at}: {} out", node.in_flight);
-        if host.replicas.in_flight(node.replica) != node.in_flight {
-            let _ = write!(line, " ({} written)", host.replicas.in_flight(node.replica));
+        if components.replicas.in_flight(node.replica) != node.in_flight {
+            let _ = write!(line, " ({} written)", components.replicas.in_flight(node.replica));
         }
         let _ = write!(line, ", {} waiting, {} ms", node.awaiting_first_token, ms(node.first_token_wait));
         if let Some(age) = node.wait_sample_age {
@@ -66,12 +66,12 @@
 }
 
 /// Says it from time to time, and how many lines of the log were dropped. Ends never.
-pub async fn log_periodically(host: Rc<Host>, log: Option<Rc<Log>>) {
-    let mut every = tokio::time::interval(host.limits.status);
+pub async fn log_periodically(components: Rc<Components>, log: Option<Rc<Log>>) {
+    let mut every = tokio::time::interval(components.limits.status);
     loop {
         every.tick().await;
-        tracing::info!(target: "status", "{}", format_state(&host));
-        tracing::info!(target: "status", "{}", host.with(|core, _| format_counts(core.counts())));
+        tracing::info!(target: "status", "{}", format_state(&components));
+        tracing::info!(target: "status", "{}", components.with(|core, _| format_counts(core.counts())));
         let dropped = log.as_ref().map_or(0, |log| log.newly_dropped());
         if dropped > 0 {
             tracing::warn!(target: "status", dropped, "lines of the log were dropped");
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -16,10 +16,10 @@
 use tallypin_health::{grpc, orca};
 use tallypin_router::checks::control::{obey, Command, Control};
 use tallypin_router::checks::{self, Board, Listening};
+use tallypin_router::components::Components;
 use tallypin_router::dialect::Dialect::Chat;
 use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
 use tallypin_router::front::{self, Front};
-use tallypin_router::host::Host;
 use tallypin_router::installation::{ControlSettings, Installation};
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::SettingsReloader;
@@ -34,7 +34,7 @@
 
 /// A router with checks, and where it is asked what.
 struct Checked {
-    host: Rc<Host>,
+    host: Rc<Components>,
     board: Rc<Board>,
     front: SocketAddr,
     messages: SocketAddr,
@@ -79,23 +79,23 @@
 ) -> Checked {
     let installation = installation(&config, &quick(at, more));
     installation.reserve(&mut config.limits).unwrap();
-    let host = Host::new(config, Chat, peers).unwrap();
+    let host = Components::new(config, Chat, peers).unwrap();
     host.start();
     host.outward.guard(installation.gate.clone());
     endpoint_list::apply(
-        &host,
+        &host.endpoint_list,
         &EndpointListMessage { version: 1, full: true, endpoints: rows },
         ListUpdate::Cached,
     );
     let board = Board::new(&installation, host.outward.clone());
-    let listening = checks::start(&host, &board).await.unwrap();
+    let listening = checks::start(&host.check_context(), &board).await.unwrap();
     let (listener, second) =
         (TcpListener::bind(at[0]).await.unwrap(), TcpListener::bind(ANYWHERE[0]).await.unwrap());
     let (front, messages) = (listener.local_addr().unwrap(), second.local_addr().unwrap());
     let api = Box::new(installation.messages.clone().unwrap());
     let fronts = vec![
-        spawn_local(front::serve(host.clone(), listener, Front::Platform)).abort_handle(),
-        spawn_local(front::serve(host.clone(), second, Front::Messages(api))).abort_handle(),
+        spawn_local(front::serve(host.front_context(), listener, Front::Platform)).abort_handle(),
+        spawn_local(front::serve(host.front_context(), second, Front::Messages(api))).abort_handle(),
     ];
     Checked { host, board, front, messages, listening: Some(listening), installation, fronts }
 }
@@ -177,7 +177,7 @@
         });
         until(|| !told.borrow().is_empty()).await;
         assert_eq!(router.says().await, "up ready 100%");
-        obey(Command::Drain { end: false }, &router.host, &router.board);
+        obey(Command::Drain { end: false }, &router.host.check_context(), &router.board);
         // Whoever asks now is told now, on connections of before and after.
         assert_eq!(router.says().await, "up drain");
         assert_eq!(probe::grpc(at, "").await.unwrap().words, "NOT_SERVING");
@@ -191,7 +191,7 @@
         let (code, head, _, whole) = client.ask("").await;
         assert!(code == 200 && whole && field(&head, "connection") == Some("close"), "{head}");
         // Taken back half way.
-        assert_eq!(obey(Command::Ready, &router.host, &router.board)["done"], true);
+        assert_eq!(obey(Command::Ready, &router.host.check_context(), &router.board)["done"], true);
         assert_eq!(router.says().await, "up ready 100%");
         assert_eq!(status(&mut checker, "/healthz").await.0, 200);
         until(|| *told.borrow() == [1, 2, 1]).await;
@@ -199,7 +199,10 @@
         let (code, head, ..) = client.ask("").await;
         assert!(code == 200 && field(&head, "connection").is_none());
         // And begun again, to the end this time: idle connections close, new ones are served until then.
-        assert_eq!(obey(Command::Drain { end: false }, &router.host, &router.board)["done"], true);
+        assert_eq!(
+            obey(Command::Drain { end: false }, &router.host.check_context(), &router.board)["done"],
+            true
+        );
         router.says().await;
         probe::grpc(at, "").await.unwrap();
         status(&mut checker, "/healthz").await;
@@ -207,7 +210,11 @@
         assert_eq!(client.stream.read(&mut [0; 8]).await.unwrap(), 0, "an idle connection closes");
         assert_eq!(Client::to(router.front).await.ask("").await.0, 200);
         let over = router.end();
-        assert_eq!(obey(Command::Ready, &router.host, &router.board)["done"], false, "the signal stays");
+        assert_eq!(
+            obey(Command::Ready, &router.host.check_context(), &router.board)["done"],
+            false,
+            "the signal stays"
+        );
         over.await.unwrap();
         until(|| !router.fronts.iter().any(|f| !f.is_finished())).await;
         assert!(TcpStream::connect(router.front).await.is_err());
@@ -246,7 +253,7 @@
         let cold = EndpointRecord { started_ms: now, ..row("s-9", node.addr, "active") };
         let list = |servers| {
             endpoint_list::apply(
-                &router.host,
+                &router.host.endpoint_list,
                 &EndpointListMessage { version: 1, full: true, endpoints: servers },
                 ListUpdate::Full,
             )
@@ -442,7 +449,7 @@
         at[2] = spare.addr();
         let more = [("drain 404", "drain 418"), ("checks {", "checks {\n connections 5\n envoy on")];
         let new = installation(&config(), &quick(&at, &more));
-        adopting.apply(&router.host, &new);
+        adopting.apply(&router.host.outward, &new);
         let mut moved = loop {
             match TcpStream::connect(spare.addr()).await {
                 Ok(stream) => break Client { stream, buf: Vec::new() },
@@ -458,7 +465,7 @@
         // A place that is taken is not moved to.
         let taken = TcpListener::bind("127.0.0.1:0").await.unwrap();
         at[2] = taken.local_addr().unwrap();
-        adopting.apply(&router.host, &installation(&config(), &quick(&at, &[])));
+        adopting.apply(&router.host.outward, &installation(&config(), &quick(&at, &[])));
         assert_eq!(status(&mut kept, "/healthz").await.0, 404);
         assert_eq!(status(&mut Client::to(spare.addr()).await, "/healthz").await.0, 404);
     });
@@ -495,7 +502,7 @@
             );
             assert_eq!(field(&head, "x-envoy-degraded"), None);
         }
-        obey(Command::Maint, &router.host, &router.board);
+        obey(Command::Maint, &router.host.check_context(), &router.board);
         let (_, head, ..) = Client::to(router.front).await.ask("").await;
         assert_eq!(field(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
         let report = router.board.report();
@@ -612,7 +619,7 @@
         let settings = ControlSettings { socket: socket.clone(), mode: 0o600 };
         let control = Control::bind(&settings).await.unwrap();
         assert_eq!(std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777, 0o600);
-        let serving = spawn_local(control.serve(router.host.clone(), router.board.clone(), None));
+        let serving = spawn_local(control.serve(router.host.check_context(), router.board.clone(), None));
         let again = Control::bind(&settings).await.err().expect("it is taken").to_string();
         assert!(again.contains("another router answers there"), "{again}");
         let ask = async |order: &str| -> serde_json::Value {
@@ -779,9 +786,13 @@
             let places = routers[number].places();
             if random.u8(..4) == 0 {
                 // Ordered, and taken back half way.
-                obey(Command::Drain { end: true }, &routers[number].host, &routers[number].board);
+                obey(
+                    Command::Drain { end: true },
+                    &routers[number].host.check_context(),
+                    &routers[number].board,
+                );
                 tokio::time::sleep(Duration::from_millis(random.u64(0..10))).await;
-                obey(Command::Ready, &routers[number].host, &routers[number].board);
+                obey(Command::Ready, &routers[number].host.check_context(), &routers[number].board);
                 balancer.until(number, |h| h.up && h.ready).await;
             }
             routers[number].end().await.unwrap();
--- a/router/tests/closing.rs
+++ b/router/tests/closing.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use tallypin_router::dialect::Dialect::Chat;
-use tallypin_router::shutdown::Stage;
+use tallypin_router::lifecycle::Stage;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
--- a/router/tests/cold_budget.rs
+++ b/router/tests/cold_budget.rs
@@ -74,7 +74,7 @@
     /// Does what a core orders; nodes that have just started idle, the others are busy.
     fn carry_out(&mut self, now: Nanos, c: usize) {
         for order in self.cores[c].take_instructions() {
-            if let Instruction::StartAttempt(id, attempt, node, _) = order {
+            if let Instruction::StartAttempt { request: id, attempt, replica: node, .. } = order {
                 let n =
                     (0..NODES).find(|n| name_hash::replica_id(&format!("s-{n}")) == node).expect("listed");
                 let first = if n < STARTED { SECOND / 5 } else { SECOND };
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 use tallypin::api::ListUpdate;
+use tallypin_router::components::Components;
 use tallypin_router::config::Config;
 use tallypin_router::core::RequestCounts;
 use tallypin_router::dialect::Dialect;
 use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
 use tallypin_router::front::{self, Front};
-use tallypin_router::host::Host;
 use tallypin_router::installation::Installation;
 use tallypin_router::limits::Limits;
 use tallypin_router::peers::Peers;
@@ -394,7 +394,7 @@
 }
 
 pub struct Router {
-    pub host: Rc<Host>,
+    pub host: Rc<Components>,
     pub addr: SocketAddr,
     pub messages: SocketAddr,
     _ports: [ReservedPort; 2],
@@ -409,18 +409,18 @@
 
     pub async fn by(config: Config, dialect: Dialect, nodes: &[&Node], peers: Option<Peers>) -> Router {
         let front = installation(&config, &settings("")).messages.expect("it has the messages API");
-        let host = Host::new(config, dialect, peers).unwrap();
+        let host = Components::new(config, dialect, peers).unwrap();
         host.start();
         let ports = [ReservedPort::new(), ReservedPort::new()];
         let (listener, second) = (ports[0].listen().await, ports[1].listen().await);
         let (addr, messages) = (ports[0].addr(), ports[1].addr());
-        spawn_local(front::serve(host.clone(), listener, Front::Platform));
-        spawn_local(front::serve(host.clone(), second, Front::Messages(Box::new(front))));
+        spawn_local(front::serve(host.front_context(), listener, Front::Platform));
+        spawn_local(front::serve(host.front_context(), second, Front::Messages(Box::new(front))));
         let router = Router { host, addr, messages, _ports: ports };
         let servers = nodes.iter().enumerate();
         let servers = servers.map(|(i, n)| row(&format!("s-{i}"), n.addr, "active")).collect();
         endpoint_list::apply(
-            &router.host,
+            &router.host.endpoint_list,
             &EndpointListMessage { version: 1, full: true, endpoints: servers },
             ListUpdate::Cached,
         );
@@ -429,7 +429,7 @@
 
     pub fn list(&self, rows: impl IntoIterator<Item = EndpointRecord>) {
         let page = EndpointListMessage { version: 1, full: true, endpoints: rows.into_iter().collect() };
-        endpoint_list::apply(&self.host, &page, ListUpdate::Full);
+        endpoint_list::apply(&self.host.endpoint_list, &page, ListUpdate::Full);
     }
 
     pub fn tallies(&self) -> RequestCounts {
--- a/router/tests/core.rs
+++ b/router/tests/core.rs
@@ -39,7 +39,8 @@
 }
 
 fn answers(orders: &[Instruction]) -> Vec<FinalAnswer> {
-    let answer = |o: &Instruction| if let Instruction::Finish(_, a, _) = o { Some(*a) } else { None };
+    let answer =
+        |o: &Instruction| if let Instruction::Finish { answer: a, .. } = o { Some(*a) } else { None };
     orders.iter().filter_map(answer).collect()
 }
 
@@ -47,12 +48,15 @@
 fn a_late_first_event_is_dropped_and_the_answer_stands() {
     let mut core = core(1);
     let id = core.accept(START, ask(100 * MS));
-    assert!(matches!(core.take_instructions()[..], [Instruction::StartAttempt(_, 0, ..)]));
+    assert!(matches!(core.take_instructions()[..], [Instruction::StartAttempt { attempt: 0, .. }]));
     core.run_timers(START + 100 * MS);
     let orders = core.take_instructions();
-    assert!(matches!(orders[0], Instruction::AbortAttempt(_, 0, _)), "{orders:?}");
+    assert!(matches!(orders[0], Instruction::AbortAttempt { attempt: 0, .. }), "{orders:?}");
     assert!(
-        matches!(answers(&orders)[..], [FinalAnswer::Rejected(1.., RejectReason::NoCapacity)]),
+        matches!(
+            answers(&orders)[..],
+            [FinalAnswer::Rejected { retry_after: 1.., reason: RejectReason::NoCapacity }]
+        ),
         "{orders:?}"
     );
     assert!(!core.first_event(START + 101 * MS, id, 0));
@@ -92,7 +96,7 @@
     core.client_disconnected(START + MS, id);
     core.attempt_ended(START + 2 * MS, id, 0, Outcome::ReplicaError.into());
     let orders = core.take_instructions();
-    assert!(matches!(orders[..], [Instruction::AbortAttempt(_, 0, _)]), "{orders:?}");
+    assert!(matches!(orders[..], [Instruction::AbortAttempt { attempt: 0, .. }]), "{orders:?}");
     assert_eq!((core.open_requests(), core.counts().client_disconnects), (0, 1));
 }
 
@@ -103,14 +107,14 @@
     for attempt in 0..4 {
         let orders = core.take_instructions();
         assert!(
-            matches!(orders[..], [Instruction::StartAttempt(_, n, ..)] if n == attempt),
+            matches!(orders[..], [Instruction::StartAttempt { attempt: n, .. }] if n == attempt),
             "{attempt}: {orders:?}"
         );
         core.attempt_ended(START + MS, id, attempt, Outcome::Rejected.into());
     }
     assert!(matches!(
         answers(&core.take_instructions())[..],
-        [FinalAnswer::Rejected(1.., RejectReason::NoCapacity)]
+        [FinalAnswer::Rejected { retry_after: 1.., reason: RejectReason::NoCapacity }]
     ));
     assert_eq!(core.counts().outcomes, [0, 0, 4, 0, 0, 0, 0, 0]);
 }
@@ -140,9 +144,16 @@
             core.answer_for_shutdown(START + MS, None);
             let orders = core.take_instructions();
             let [answer] = answers(&orders)[..] else { panic!("{orders:?}") };
-            let refused = matches!(answer, FinalAnswer::Rejected(..));
+            let refused = matches!(answer, FinalAnswer::Rejected { .. });
             assert_eq!(refused, harmless || !written, "{effect:?}, written: {written}: {answer:?}");
-            assert!(orders.contains(&Instruction::AbortAttempt(id, 0, AbortReason::Shutdown)), "{orders:?}");
+            assert!(
+                orders.contains(&Instruction::AbortAttempt {
+                    request: id,
+                    attempt: 0,
+                    reason: AbortReason::Shutdown
+                }),
+                "{orders:?}"
+            );
             assert!(!core.may_write(START + MS, id, 0), "what is answered is not written any more");
             assert_eq!(core.counts().failed_instead_of_rejected, u64::from(!refused));
             assert_eq!(core.open_requests(), 0);
@@ -183,7 +194,7 @@
         core.take_instructions();
         core.attempt_ended(START + later, id, 0, Outcome::ConnectionReset.into());
         let orders = core.take_instructions();
-        assert!(matches!(orders[..], [Instruction::StartAttempt(_, 1, ..)]), "{orders:?}");
+        assert!(matches!(orders[..], [Instruction::StartAttempt { attempt: 1, .. }]), "{orders:?}");
         assert_eq!(core.may_write(written_at, id, 1), may, "{} ms", (written_at - START) / MS);
     }
     // Without an attempt that may have run there is no window.
@@ -349,7 +360,7 @@
         core.run_timers(now);
         for order in core.take_instructions() {
             match &order {
-                Instruction::StartAttempt(id, attempt, node, _) => {
+                Instruction::StartAttempt { request: id, attempt, replica: node, .. } => {
                     assert!(!drained.contains(node), "rule 3: {order:?}");
                     assert!(*attempt < set.max_attempts && !answered.contains_key(id), "rule 1: {order:?}");
                     out.push((*id, *attempt, false));
@@ -359,8 +370,10 @@
                         ran.insert((*id, *attempt));
                     }
                 }
-                Instruction::AbortAttempt(id, attempt, _) => out.retain(|(i, a, _)| (i, a) != (id, attempt)),
-                Instruction::Finish(id, with, _) => {
+                Instruction::AbortAttempt { request: id, attempt, .. } => {
+                    out.retain(|(i, a, _)| (i, a) != (id, attempt))
+                }
+                Instruction::Finish { request: id, answer: with, .. } => {
                     assert_eq!(answered.insert(*id, *with), None, "one final answer")
                 }
                 Instruction::Probe(_) => assert!(set.can_probe, "no probe where none is allowed"),
@@ -388,7 +401,8 @@
         core.attempt_ended(now, id, attempt, Outcome::ConnectionReset.into());
     }
     let late =
-        core.take_instructions().into_iter().filter(|o| matches!(o, Instruction::Finish(..))).count() as u64;
+        core.take_instructions().into_iter().filter(|o| matches!(o, Instruction::Finish { .. })).count()
+            as u64;
     assert_eq!(answered.len() as u64 + late, taken, "each request has its answer");
     assert_eq!(core.open_requests(), 0, "and nothing is kept of it");
     all
--- a/router/tests/dialects.rs
+++ b/router/tests/dialects.rs
@@ -76,7 +76,14 @@
     until(|| plan.borrow().len() < 2).await;
     drop(client);
     until(|| router.open() == 0).await;
-    (format!("{:?}, unknown events {}", router.tallies(), router.host.unknown_events.get()), seen)
+    (
+        format!(
+            "{:?}, unknown events {}",
+            router.tallies(),
+            router.host.replica_context.unknown_events.get()
+        ),
+        seen,
+    )
 }
 
 #[test]
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -27,10 +27,18 @@
         let rows: Vec<EndpointRecord> =
             (0..MANY).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
         let began = Instant::now();
-        endpoint_list::apply(&router.host, &pages(ListUpdate::Full, rows.clone()), ListUpdate::Full);
-        endpoint_list::apply(&router.host, &pages(ListUpdate::Full, rows), ListUpdate::Full);
+        endpoint_list::apply(
+            &router.host.endpoint_list,
+            &pages(ListUpdate::Full, rows.clone()),
+            ListUpdate::Full,
+        );
+        endpoint_list::apply(&router.host.endpoint_list, &pages(ListUpdate::Full, rows), ListUpdate::Full);
         let changed = vec![row("s-7", node.addr, "left")];
-        endpoint_list::apply(&router.host, &pages(ListUpdate::Delta, changed), ListUpdate::Delta);
+        endpoint_list::apply(
+            &router.host.endpoint_list,
+            &pages(ListUpdate::Delta, changed),
+            ListUpdate::Delta,
+        );
         let took = began.elapsed();
         assert!(took < Duration::from_secs(3), "two whole lists of {MANY} rows took {took:?}");
         assert_eq!(router.host.replicas.ready_count(), MANY - 1);
@@ -47,7 +55,7 @@
                 let node = Node::new(Chat).await;
                 let router = Router::new(Chat, &[&node], |_| {}).await;
                 let rows = states.iter().map(|state| row("s-0", node.addr, state)).collect();
-                endpoint_list::apply(&router.host, &pages(kind, rows), kind);
+                endpoint_list::apply(&router.host.endpoint_list, &pages(kind, rows), kind);
                 let by_module = router.host.with(|core, _| {
                     core.listed_replicas().filter(|r| r.state == EndpointState::Ready).count()
                 });
--- a/router/tests/program.rs
+++ b/router/tests/program.rs
@@ -262,9 +262,9 @@
     let lines = BufReader::new(served.child.stderr.take().unwrap()).lines().map(Result::unwrap);
     let mut lines =
         lines.map(|l| serde_json::from_str::<serde_json::Value>(&l).unwrap_or_else(|e| panic!("{l}: {e}")));
-    let taken = lines.find(|l| l["message"] == "request taken").unwrap();
-    assert_eq!((&taken["class"], &taken["partner"]), (&"chat".into(), &"haendlerbund".into()));
-    assert_eq!(taken["client"], "192.0.2.7:8080", "as the balancer says");
+    let accepted = lines.find(|l| l["message"] == "request accepted").unwrap();
+    assert_eq!((&accepted["class"], &accepted["tenant"]), (&"chat".into(), &"haendlerbund".into()));
+    assert_eq!(accepted["client"], "192.0.2.7:8080", "as the balancer says");
     let dropped = lines.find(|l| l["message"] == "lines of the log were dropped").unwrap();
     assert!(dropped["dropped"].as_u64().unwrap() > 0, "{dropped}");
 }
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -187,7 +187,7 @@
     let mut old_watch = watched(&former).await;
     old_watch.write_all(page(41, true, "s-1", node, "active").as_bytes()).unwrap();
     until(|| router.host.replicas.ready_count() == 1).await;
-    reload::apply(&router.host, &running, &moved);
+    reload::apply(&router.host.endpoint_list.state, &running, &moved);
     let new_watch = watched(&new).await;
     (router, old_watch, new_watch)
 }
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -12,11 +12,11 @@
 use tallypin::api::{Effect, EndpointListMode, PeerId, RequestId};
 use tallypin_router::config::PeerAddresses;
 use tallypin_router::dialect::Dialect::{self, Chat, Messages};
+use tallypin_router::lifecycle::Stage;
 use tallypin_router::limits::Limits;
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::{self, StartupConfiguration};
 use tallypin_router::replica;
-use tallypin_router::shutdown::Stage;
 use tokio::io::AsyncReadExt;
 use tokio::net::UdpSocket;
 
@@ -442,7 +442,8 @@
             let node = Node::new(Chat).await;
             let router = Router::by(config, Chat, &[&node], None).await;
             tokio::task::spawn_local(replica::probe(
-                router.host.clone(),
+                router.host.replica_context.clone(),
+                router.host.dispatcher.clone(),
                 tallypin::name_hash::replica_id("s-0"),
             ));
             recording.case(&format!("probe {title}"), node.next_request().await.0);
@@ -474,7 +475,7 @@
             let (_call, head) = next_call(&old).await;
             recording.case(&format!("{title}, after a loss"), head);
             moved.node_list = ports[1].addr();
-            reload::apply(&router.host, &running, &moved);
+            reload::apply(&router.host.endpoint_list.state, &running, &moved);
             let (_call, head) = next_call(&new).await;
             recording.case(&format!("{title}, at a new place"), head);
         }
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -11,6 +11,7 @@
 use tallypin::served_report;
 use tallypin_router::config::PeerAddresses;
 use tallypin_router::dialect::Dialect::Chat;
+use tallypin_router::lifecycle::Stage;
 use tallypin_router::limits::Limits;
 use tallypin_router::peers::{DroppedMessages, Peers};
 use tallypin_router::reload::{self, StartupConfiguration};
@@ -347,8 +348,13 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let router = Router::new(Chat, &[], |l| l.node_rest = Duration::ZERO).await;
         router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
-        let probe =
-            || spawn_local(replica::probe(router.host.clone(), tallypin::name_hash::replica_id("s-1")));
+        let probe = || {
+            spawn_local(replica::probe(
+                router.host.replica_context.clone(),
+                router.host.dispatcher.clone(),
+                tallypin::name_hash::replica_id("s-1"),
+            ))
+        };
         let first = probe();
         let mut node = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
         for next in [Some(probe), None] {
@@ -441,7 +447,7 @@
         assert_eq!(idle.answer().await.0, 200);
         let host = router.host.clone();
         let end = spawn_local(async move { shutdown::drain(&host).await });
-        until(|| router.host.lifecycle.stage() != shutdown::Stage::Serving).await;
+        until(|| router.host.lifecycle.stage() != Stage::Serving).await;
         idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n").await;
         assert_eq!(idle.answer().await.0, 503, "no more clients are wanted");
         let mut late = Client::to(router.addr).await;
@@ -451,7 +457,7 @@
         assert_eq!(late.answer().await.0, 200, "but who comes is served");
         late.send(&platform("", "{}")).await;
         node.message().await.expect("a request");
-        until(|| router.host.lifecycle.stage() == shutdown::Stage::Closing).await;
+        until(|| router.host.lifecycle.stage() == Stage::Closing).await;
         node.send(&answer("second")).await;
         assert_eq!((late.answer().await.0, late.answer().await.0), (200, 0), "to the end, then closed");
         end.await.unwrap();
@@ -621,7 +627,7 @@
         first.send(&(WATCH.to_string() + &page(41, true, "s-1", &a, "active"))).await;
         until(|| router.host.replicas.ready_count() == 1).await;
         moved.node_list = new.local_addr().unwrap();
-        reload::apply(&router.host, &running, &moved);
+        reload::apply(&router.host.endpoint_list.state, &running, &moved);
         // Its versions are its own: the whole list is asked for, and again when that fails.
         for _ in 0..2 {
             let (mut call, head) = next_call(&new).await;
