--- a/router/src/core/answer.rs
+++ b/router/src/core/answer.rs
@@ -1,11 +1,11 @@
-//! Final answers, why they were given, and the counts of both.
+//! Final answers, why they were given, and the counts of what became of requests.
 
 use tallypin::api::{Nanos, Outcome, RejectReason};
 
 /// The final answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The whole stream was passed on.
+    /// The complete stream was passed on.
     Completed,
     /// The stream broke after it had begun.
     Interrupted,
@@ -16,9 +16,9 @@
         /// Why.
         reason: RejectReason,
     },
-    /// Failed; in time, or for want of time.
+    /// Failed, which promises nothing: a replica may have run it.
     Failed {
-        /// The client's deadline had come.
+        /// The client's deadline had passed.
         past_deadline: bool,
     },
 }
@@ -26,15 +26,15 @@
 /// Why a request got its final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerCause {
-    /// Its stream ended, whole or not.
+    /// Its stream ended, complete or not.
     StreamEnded,
-    /// The decision module refused it.
+    /// The decision module rejected it.
     Rejected(RejectReason),
     /// The decision module gave it up: no further attempt may be made, or none would be in time.
     NoAttemptLeft,
     /// The decision module had not decided by the client's deadline.
     Deadline,
-    /// The router is about to end.
+    /// The router is about to be killed.
     Shutdown,
 }
 
@@ -43,54 +43,54 @@
 pub struct RequestSummary {
     /// Why it got its final answer.
     pub cause: AnswerCause,
-    /// How long it was open.
+    /// How long it was open, in nanoseconds.
     pub age: Nanos,
-    /// How many attempts were begun.
+    /// How many attempts were started.
     pub attempts: usize,
-    /// How many of them had no outcome yet.
+    /// How many of them were still in flight.
     pub open_attempts: usize,
     /// Whether a replica may have run it.
     pub may_have_run: bool,
-    /// It was to be refused, and failed instead, because it may have run.
+    /// It was to be rejected, and failed instead, because a replica may have run it.
     pub failed_instead_of_rejected: bool,
 }
 
-/// Counts of what became of requests and attempts.
+/// Counts of what became of requests and attempts, since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests taken, and how many asked for the rest of a stream.
+    /// Requests accepted.
     pub accepted: u64,
     /// Those that asked for the rest of a broken stream.
     pub resumed: u64,
-    /// Final answers: whole streams.
+    /// Final answers: complete streams.
     pub completed: u64,
     /// Final answers: streams that broke after they had begun.
     pub interrupted: u64,
-    /// Those of them that this router cut because it was about to end.
+    /// Those of them that this router interrupted because it was about to be killed.
     pub interrupted_by_shutdown: u64,
     /// Streams that have begun.
     pub streams_started: u64,
-    /// Final answers: refusals.
+    /// Final answers: rejections.
     pub rejected: u64,
-    /// Those of them that were over a partner's share.
+    /// Those of them that were over their tenant's quota.
     pub rejected_over_quota: u64,
-    /// Those of them that were given because the router was about to end.
+    /// Those of them that were given because the router was about to be killed.
     pub rejected_by_shutdown: u64,
     /// Final answers: failures.
     pub failed: u64,
-    /// Those of them whose client's deadline had come.
+    /// Those of them whose client's deadline had passed.
     pub failed_past_deadline: u64,
-    /// Those of them that were given because the router was about to end.
+    /// Those of them that were given because the router was about to be killed.
     pub failed_by_shutdown: u64,
-    /// Those of them that were to be refusals, of requests that may have run.
+    /// Those of them that were to be rejections, of requests that a replica may have run.
     pub failed_instead_of_rejected: u64,
-    /// Clients that left first.
+    /// Clients that left before their final answer.
     pub client_disconnects: u64,
-    /// Outcomes of attempts, in the order of [`TALLIED`].
+    /// Outcomes of attempts, in the order of [`COUNTED_OUTCOMES`].
     pub outcomes: [u64; 8],
 }
 
-/// The outcomes in the order in which [`Tallies::outcomes`] counts them.
+/// The outcomes in the order in which [`RequestCounts::outcomes`] counts them.
 pub const COUNTED_OUTCOMES: [Outcome; 8] = [
     Outcome::Completed,
     Outcome::ReplicaError,
@@ -103,13 +103,13 @@
 ];
 
 impl RequestCounts {
-    /// Attempts that a model node answered, with whatever; a stream counts as soon as it begins.
+    /// Attempts that a replica answered, with whatever; a stream counts as soon as it begins.
     pub fn answered(&self) -> u64 {
         let [_, error, busy, ..] = self.outcomes;
         self.streams_started + error + busy
     }
 
-    /// Attempts that no model node answered: refused, reset, timed out.
+    /// Attempts that no replica answered: connection refused or reset, or timed out.
     pub fn unanswered(&self) -> u64 {
         let [_, _, _, timed_out, refused, reset, ..] = self.outcomes;
         timed_out + refused + reset
@@ -140,8 +140,8 @@
 
     /// Counts an attempt's outcome.
     pub(super) fn count_outcome(&mut self, outcome: Outcome) {
-        if let Some(place) = COUNTED_OUTCOMES.iter().position(|o| *o == outcome) {
-            self.outcomes[place] += 1;
+        if let Some(index) = COUNTED_OUTCOMES.iter().position(|o| *o == outcome) {
+            self.outcomes[index] += 1;
         }
     }
 }
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -1,14 +1,16 @@
-//! The core: it owns the decision module, the open requests, their attempts and all timers, and turns what
-//! happened into what is to be done ([`Order`]). It knows no HTTP, no socket and no event name, and the
-//! time is handed in. It is the one place that gives final answers, so each request gets exactly one.
+//! The core: it owns the decision module, the open requests, their attempts and all timers, and turns what has happened into
+//! what is to be done ([`Instruction`]). It knows no HTTP, no socket and no names of events, and the time is handed in. It is
+//! the one place that gives final answers, so each request gets exactly one.
 
 mod answer;
+mod instruction;
 mod request;
+mod timers;
 
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, VecDeque};
+use std::collections::VecDeque;
 
 pub use answer::{AnswerCause, FinalAnswer, RequestCounts, RequestSummary, COUNTED_OUTCOMES};
+pub use instruction::Instruction;
 pub use request::{AbortReason, AttemptResult, NewRequest};
 use rustc_hash::FxHashMap;
 use tallypin::api::*;
@@ -17,93 +19,48 @@
 
 use crate::operator_override::{OverriddenList, Restoration};
 use request::OpenRequest;
-
-/// What is to be done, in this order.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Instruction {
-    /// Start an attempt at a replica.
-    StartAttempt {
-        /// The request.
-        request: RequestId,
-        /// Which of its attempts, counted from 0.
-        attempt: u32,
-        /// Where.
-        replica: ReplicaId,
-        /// When the client gives up.
-        deadline: Nanos,
-    },
-    /// Abort an attempt; its outcome is settled.
-    AbortAttempt {
-        /// The request.
-        request: RequestId,
-        /// Which of its attempts.
-        attempt: u32,
-        /// Why.
-        reason: AbortReason,
-    },
-    /// Give the final answer. Of a stream that has begun this says how it ended.
-    Finish {
-        /// The request.
-        request: RequestId,
-        /// Its final answer.
-        answer: FinalAnswer,
-        /// What became of it, for the log.
-        summary: RequestSummary,
-    },
-    /// Check the health of a replica.
-    Probe(ReplicaId),
-    /// Poll the endpoint list, or watch it anew.
-    WatchEndpoints,
-    /// Send a load report to the other routers.
-    SendReport(Vec<u8>),
-}
-
-/// Fewer times noted in vain are not worth looking through all of them.
-const STALE_TIMERS_WORTH_A_SWEEP: usize = 256;
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum TimerKind {
-    Decision(u64),
-    AttemptTimeout(RequestId, u32),
-    Deadline(RequestId),
-}
+use timers::{TimerKind, Timers};
 
 /// The core of one router.
 pub struct Core {
+    /// Decides; the core does what it says.
     balancer: Balancer,
     /// What repeating a request of each class does.
     effects: Vec<Effect>,
-    attempt_limit: u32,
+    /// The most attempts of a request.
+    attempt_limit: usize,
+    /// How long after a deadline the decision module may still answer.
     answer_slack: Nanos,
     requests: FxHashMap<RequestId, OpenRequest>,
-    timers: BinaryHeap<Reverse<(Nanos, TimerKind)>>,
-    /// Entries of `due` that may be of no more use.
-    stale_timers: usize,
+    timers: Timers,
     last_id: u64,
     instructions: Vec<Instruction>,
     actions: Vec<Action>,
-    /// The list, and what of it is out by hand.
+    /// The endpoint list, and what operators have laid over it.
     endpoints: OverriddenList,
-    /// Streams that began after more than half of the time that their client waits.
+    /// Streams that began after more than half of the time to their deadline.
     late_streams: u64,
-    /// What the core itself has to tell the module.
+    /// What the decision module has not been told yet.
     events: VecDeque<Event>,
     counts: RequestCounts,
 }
 
 impl Core {
-    /// A core that decides by a module; it answers `slack` after a deadline if the module has not.
-    pub fn new(settings: Settings, seed: u64, slack: Nanos) -> Result<Core, SettingsError> {
-        let try_limit = settings.max_attempts;
+    /// A core by the settings of the decision module. It answers `answer_slack` nanoseconds after a deadline if the module has
+    /// not.
+    ///
+    /// # Errors
+    /// If the settings contradict themselves.
+    pub fn new(settings: Settings, seed: u64, answer_slack: Nanos) -> Result<Core, SettingsError> {
+        let attempt_limit = settings.max_attempts as usize;
         let effects = settings.classes.iter().map(|c| c.effect).collect();
         Ok(Core {
             effects,
             balancer: Balancer::new(settings, seed)?,
-            attempt_limit: try_limit,
-            answer_slack: slack,
+            attempt_limit,
+            answer_slack,
             requests: FxHashMap::default(),
-            timers: BinaryHeap::new(),
-            stale_timers: 0,
+            timers: Timers::default(),
             last_id: 0,
             instructions: Vec::new(),
             actions: Vec::new(),
@@ -119,21 +76,21 @@
         self.effects.get(class.0 as usize).copied().unwrap_or(Effect::NotIdempotent)
     }
 
-    /// Takes a request.
-    pub fn accept(&mut self, now: Nanos, ask: NewRequest) -> RequestId {
+    /// Accepts a request; it gets one final answer, unless its client leaves first.
+    pub fn accept(&mut self, now: Nanos, request: NewRequest) -> RequestId {
         self.last_id += 1;
         let id = RequestId(self.last_id);
-        let open = OpenRequest::new(now, ask.time_left, self.effect_of(ask.class));
-        self.timers.push(Reverse((open.deadline.saturating_add(self.answer_slack), TimerKind::Deadline(id))));
+        let open = OpenRequest::new(now, request.time_left, self.effect_of(request.class));
+        self.timers.schedule(open.deadline.saturating_add(self.answer_slack), TimerKind::Deadline(id));
         self.requests.insert(id, open);
         self.counts.accepted += 1;
-        self.counts.resumed += u64::from(ask.resumes_stream);
-        self.notify(now, Event::Request(ask.into_request(id)));
+        self.counts.resumed += u64::from(request.resumes_stream);
+        self.notify(now, Event::Request(request.into_request(id)));
         id
     }
 
-    /// An attempt is about to write its request. True: it may, and from here on a replica may run it. False: the request
-    /// is over, or it is too late for a repeat.
+    /// An attempt is about to write its request. True: it may, and from here on a replica may run it. False: the request is
+    /// over, or it is too late to send it once more.
     pub fn may_write(&mut self, now: Nanos, id: RequestId, attempt: u32) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return false };
         let may = open.may_write(now, attempt);
@@ -143,8 +100,8 @@
         may
     }
 
-    /// The first event of an attempt has come. True: the request is bound to it, and its events go to the
-    /// client. False: it came too late and is to be dropped.
+    /// The first event of an attempt has come. True: this attempt streams, and its events go to the client. False: it came too
+    /// late, and its events are to be dropped.
     pub fn first_event(&mut self, now: Nanos, id: RequestId, attempt: u32) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return false };
         let Some(begun) = open.in_flight(attempt).map(|a| a.started_at) else { return false };
@@ -187,23 +144,23 @@
         self.process_events(now);
     }
 
-    /// The router is about to end. What has not begun is answered: refused where that is harmless, else failed. Streams
-    /// of requests taken after `owed_after` break off, so that their clients ask another router for the rest; `None`: they
-    /// don't ask, and streams go on to the last.
-    pub fn answer_for_shutdown(&mut self, now: Nanos, owed_after: Option<Nanos>) {
+    /// The router is about to be killed. Requests without a stream are answered: rejected where that does no harm, else failed.
+    /// Streams of requests accepted after `interrupt_after` are interrupted, so that their clients ask another router for
+    /// the rest; `None`: clients do not ask for the rest, and all streams go on.
+    pub fn answer_for_shutdown(&mut self, now: Nanos, interrupt_after: Option<Nanos>) {
         let ends = |open: &OpenRequest| match open.streaming_attempt {
             None => true,
-            Some(_) => owed_after.is_some_and(|after| open.accepted_at > after),
+            Some(_) => interrupt_after.is_some_and(|after| open.accepted_at > after),
         };
-        let ends = self.requests.iter().filter(|(_, open)| !open.answered && ends(open));
-        let mut ends: Vec<RequestId> = ends.map(|(id, _)| *id).collect();
-        ends.sort_unstable();
-        for id in ends {
-            let begun = self.requests.get(&id).is_some_and(|o| o.streaming_attempt.is_some());
-            let answer = if begun {
-                FinalAnswer::Interrupted
-            } else {
-                FinalAnswer::Rejected { retry_after: 0, reason: RejectReason::NoCapacity }
+        let ending = self.requests.iter().filter(|(_, open)| !open.answered && ends(open));
+        let mut ending: Vec<RequestId> = ending.map(|(id, _)| *id).collect();
+        // In the order in which they came: the table has none.
+        ending.sort_unstable();
+        for id in ending {
+            let streams = self.requests.get(&id).is_some_and(|open| open.streaming_attempt.is_some());
+            let answer = match streams {
+                true => FinalAnswer::Interrupted,
+                false => FinalAnswer::Rejected { retry_after: 0, reason: RejectReason::NoCapacity },
             };
             self.finish(now, id, answer, AnswerCause::Shutdown);
             self.notify(now, Event::ClientLeft(id));
@@ -212,7 +169,7 @@
         }
     }
 
-    /// News of the node list.
+    /// The endpoint list, or what has changed of it.
     pub fn endpoints_changed(&mut self, now: Nanos, kind: ListUpdate, rows: Vec<EndpointEntry>) {
         let rows = self.endpoints.apply_update(kind, rows);
         self.notify(now, Event::EndpointList { kind, rows });
@@ -226,79 +183,74 @@
         }
     }
 
-    /// Streams that began after more than half of the time that their client waits.
+    /// Streams that began after more than half of the time to their deadline.
     pub fn late_streams(&self) -> u64 {
         self.late_streams
     }
 
-    /// The rows of the list as they came, whatever is out by hand.
+    /// The entries of the endpoint list as they came, whatever operators have laid over it.
     pub fn listed_replicas(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.endpoints.entries()
     }
 
-    /// Another router has said something.
+    /// A load report of another router has come.
     pub fn report_received(&mut self, now: Nanos, from: PeerId, bytes: Vec<u8>) {
         self.notify(now, Event::PeerMessage { from, bytes });
     }
 
-    /// A probe has ended.
+    /// A health check of a replica has ended.
     pub fn probe_ended(&mut self, now: Nanos, node: ReplicaId, end: AttemptResult) {
         self.notify(now, Event::ProbeEnded { replica: node, outcome: end.outcome, load: end.load_report });
     }
 
-    /// Does what has fallen due.
+    /// Runs the timers that are due.
     pub fn run_timers(&mut self, now: Nanos) {
-        while let Some(&Reverse((at, due))) = self.timers.peek().filter(|Reverse((at, _))| *at <= now) {
-            self.timers.pop();
-            match due {
+        while let Some((at, timer)) = self.timers.pop_due(now) {
+            match timer {
                 TimerKind::Decision(token) => self.notify(at.max(now), Event::Timer(token)),
-                TimerKind::AttemptTimeout(id, attempt) => {
-                    let Some(open) = self.requests.get(&id) else { continue };
-                    if open.streaming_attempt.is_none() && open.in_flight(attempt).is_some() {
-                        self.instructions.push(Instruction::AbortAttempt {
-                            request: id,
-                            attempt,
-                            reason: AbortReason::TimedOut,
-                        });
-                        self.settle(now, id, attempt, Outcome::TimedOut.into());
-                        self.process_events(now);
-                    }
-                }
-                // Guards the promise of one final answer against a module that holds a request too long.
-                TimerKind::Deadline(id) => {
-                    let Some(open) = self.requests.get(&id) else { continue };
-                    if !open.answered && open.streaming_attempt.is_none() {
-                        self.finish(
-                            now,
-                            id,
-                            FinalAnswer::Failed { past_deadline: true },
-                            AnswerCause::Deadline,
-                        );
-                        self.notify(now, Event::ClientLeft(id));
-                        self.abort_attempts(now, id, None, AbortReason::Answered);
-                        self.process_events(now);
-                    }
-                }
+                TimerKind::AttemptTimeout(id, attempt) => self.attempt_timed_out(now, id, attempt),
+                TimerKind::Deadline(id) => self.deadline_passed(now, id),
             }
         }
     }
 
-    /// When [`Core::tick`] is wanted next.
+    fn attempt_timed_out(&mut self, now: Nanos, id: RequestId, attempt: u32) {
+        let Some(open) = self.requests.get(&id) else { return };
+        if open.streaming_attempt.is_some() || open.in_flight(attempt).is_none() {
+            return;
+        }
+        self.abort(now, id, attempt, AbortReason::TimedOut, Outcome::TimedOut);
+        self.process_events(now);
+    }
+
+    /// Guards the promise of one final answer against a decision module that holds a request too long.
+    fn deadline_passed(&mut self, now: Nanos, id: RequestId) {
+        let Some(open) = self.requests.get(&id) else { return };
+        if open.answered || open.streaming_attempt.is_some() {
+            return;
+        }
+        self.finish(now, id, FinalAnswer::Failed { past_deadline: true }, AnswerCause::Deadline);
+        self.notify(now, Event::ClientLeft(id));
+        self.abort_attempts(now, id, None, AbortReason::Answered);
+        self.process_events(now);
+    }
+
+    /// When [`Core::run_timers`] is wanted next.
     pub fn next_timer(&self) -> Option<Nanos> {
-        self.timers.peek().map(|Reverse((at, _))| *at)
+        self.timers.next()
     }
 
-    /// What is to be done since the last call.
+    /// What has to be done since the last call.
     pub fn take_instructions(&mut self) -> Vec<Instruction> {
         std::mem::take(&mut self.instructions)
     }
 
-    /// The counts so far.
+    /// The counts since the start.
     pub fn counts(&self) -> &RequestCounts {
         &self.counts
     }
 
-    /// Requests without a final answer, and attempts not settled.
+    /// How many requests have no final answer, or attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -308,7 +260,7 @@
         self.process_events(now);
     }
 
-    /// Tells the module all news, and what its actions lead to, until there is none left.
+    /// Hands the decision module all events, and those that its actions lead to, until none is left.
     fn process_events(&mut self, now: Nanos) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -342,34 +294,28 @@
             Action::Cancel { request, attempt } => {
                 let Some(open) = self.requests.get(&request) else { return };
                 if open.streaming_attempt != Some(attempt) && open.in_flight(attempt).is_some() {
-                    self.instructions.push(Instruction::AbortAttempt {
-                        request,
-                        attempt,
-                        reason: AbortReason::Canceled,
-                    });
-                    self.settle(now, request, attempt, Outcome::Cancelled.into());
+                    self.abort(now, request, attempt, AbortReason::Canceled, Outcome::Cancelled);
                 }
             }
             Action::Probe(node) => self.instructions.push(Instruction::Probe(node)),
             Action::WatchEndpoints => self.instructions.push(Instruction::WatchEndpoints),
             Action::Gossip(bytes) => self.instructions.push(Instruction::SendReport(bytes)),
-            Action::WakeAt { at, token } => self.timers.push(Reverse((at, TimerKind::Decision(token)))),
+            Action::WakeAt { at, token } => self.timers.schedule(at, TimerKind::Decision(token)),
         }
     }
 
     fn start_attempt(&mut self, now: Nanos, id: RequestId, node: ReplicaId, limit: Nanos) {
-        let try_limit = self.attempt_limit as usize;
         let Some(open) = self.requests.get_mut(&id) else { return };
         let attempt = open.add_attempt(now);
         let over = open.answered || open.streaming_attempt.is_some();
-        if over || now >= open.deadline || open.attempt_count() > try_limit {
+        if over || now >= open.deadline || open.attempt_count() > self.attempt_limit {
             return self.settle(now, id, attempt, Outcome::NotSent.into());
         }
         let until = match limit {
             0 => open.deadline,
             _ => open.deadline.min(now.saturating_add(limit)),
         };
-        self.timers.push(Reverse((until, TimerKind::AttemptTimeout(id, attempt))));
+        self.timers.schedule(until, TimerKind::AttemptTimeout(id, attempt));
         self.instructions.push(Instruction::StartAttempt {
             request: id,
             attempt,
@@ -378,8 +324,8 @@
         });
     }
 
-    /// The one place where a request gets its final answer. Whoever asks for it: none that may have run is refused where
-    /// a further try could do harm.
+    /// The one place where a request gets its final answer. Whoever wants it rejected: one that may have run fails instead where a
+    /// retry could do harm.
     fn finish(&mut self, now: Nanos, id: RequestId, wanted: FinalAnswer, cause: AnswerCause) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.answered) else { return };
         let answer = open.allowed_answer(now, wanted);
@@ -390,7 +336,7 @@
         self.forget_if_over(id);
     }
 
-    /// Notes an attempt's outcome; the module hears of it from `work_off`.
+    /// Notes an attempt's outcome; the decision module hears of it from [`Core::process_events`].
     fn settle(&mut self, now: Nanos, id: RequestId, attempt: u32, end: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let Some(begun) = open.settle(attempt, end.outcome) else { return };
@@ -407,47 +353,43 @@
         self.forget_if_over(id);
     }
 
-    /// Closes the attempts of a request that are still out.
-    fn abort_attempts(&mut self, now: Nanos, id: RequestId, but: Option<u32>, why: AbortReason) {
-        let Some(open) = self.requests.get(&id) else { return };
-        let out: Vec<u32> = open.all_in_flight().filter(|&n| Some(n) != but).collect();
-        for attempt in out {
-            self.instructions.push(Instruction::AbortAttempt { request: id, attempt, reason: why });
-            self.settle(now, id, attempt, Outcome::Cancelled.into());
-        }
+    /// Has an attempt aborted, and settles its outcome.
+    fn abort(&mut self, now: Nanos, id: RequestId, attempt: u32, reason: AbortReason, outcome: Outcome) {
+        self.instructions.push(Instruction::AbortAttempt { request: id, attempt, reason });
+        self.settle(now, id, attempt, outcome.into());
     }
 
-    fn forget_if_over(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(OpenRequest::is_over) {
-            let over = self.requests.remove(&id);
-            self.stale_timers += 1 + over.map_or(0, |o| o.attempt_count());
-            self.drop_stale_timers();
+    /// Aborts the attempts of a request that are in flight, but for one.
+    fn abort_attempts(&mut self, now: Nanos, id: RequestId, but: Option<u32>, reason: AbortReason) {
+        let Some(open) = self.requests.get(&id) else { return };
+        let in_flight: Vec<u32> = open.all_in_flight().filter(|&n| Some(n) != but).collect();
+        for attempt in in_flight {
+            self.abort(now, id, attempt, reason, Outcome::Cancelled);
         }
     }
 
-    /// Guards against requests that wait for long and are over soon: what was to be looked at when their
-    /// time is up would else stay until then.
-    fn drop_stale_timers(&mut self) {
-        if self.stale_timers < STALE_TIMERS_WORTH_A_SWEEP || self.stale_timers * 2 < self.timers.len() {
+    /// Forgets a request that has its final answer and no attempt in flight.
+    fn forget_if_over(&mut self, id: RequestId) {
+        if !self.requests.get(&id).is_some_and(OpenRequest::is_over) {
             return;
         }
-        self.stale_timers = 0;
-        let open = &self.requests;
-        self.timers.retain(|Reverse((_, due))| match due {
+        let attempts = self.requests.remove(&id).map_or(0, |over| over.attempt_count());
+        let requests = &self.requests;
+        self.timers.note_obsolete(1 + attempts, |timer| match timer {
             TimerKind::Decision(_) => true,
             TimerKind::AttemptTimeout(id, attempt) => {
-                open.get(id).is_some_and(|o| o.in_flight(*attempt).is_some())
+                requests.get(id).is_some_and(|open| open.in_flight(*attempt).is_some())
             }
-            TimerKind::Deadline(id) => open.contains_key(id),
+            TimerKind::Deadline(id) => requests.contains_key(id),
         });
     }
 
-    /// What the module holds of the model nodes that take work.
+    /// What the decision module knows of the replicas that take requests.
     pub fn view(&self, now: Nanos) -> Vec<ReplicaSnapshot> {
         self.balancer.replica_snapshots(now)
     }
 
-    /// How many times to look at something are noted.
+    /// How many timers are scheduled.
     pub fn scheduled_timers(&self) -> usize {
         self.timers.len()
     }
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -9,21 +9,21 @@
 pub struct NewRequest {
     /// Its class.
     pub class: ClassId,
-    /// The partner it comes from.
+    /// The tenant whose quota it counts against.
     pub tenant: TenantId,
-    /// How long its client still waits for a first token.
+    /// How long its client still waits for a first token, in nanoseconds.
     pub time_left: Nanos,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// How many of them are a shared beginning.
+    /// How many of them belong to the prefix.
     pub prefix_tokens: u32,
     /// The session.
     pub session: Option<SessionKey>,
-    /// The shared beginning.
+    /// The prefix that it shares with other sessions.
     pub prefix: Option<PrefixKey>,
     /// The client asks for the rest of a broken stream.
     pub resumes_stream: bool,
-    /// The client marks it as another try.
+    /// The client marks it as a retry.
     pub is_client_retry: bool,
 }
 
@@ -50,9 +50,9 @@
 pub struct AttemptResult {
     /// What came of it.
     pub outcome: Outcome,
-    /// Prompt tokens that the model node still held.
+    /// Prompt tokens that the replica still had in its cache.
     pub cached_tokens: Option<u32>,
-    /// The model node's load report.
+    /// The replica's load report: its figures in the order of the settings.
     pub load_report: Vec<f64>,
 }
 
@@ -65,26 +65,26 @@
 /// Why the core has an attempt closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AbortReason {
-    /// Another attempt of the request has begun its answer.
+    /// Another attempt of the request streams.
     OtherAttemptStreams,
-    /// The client has left.
+    /// The client has left before its final answer.
     ClientDisconnected,
-    /// Its time is over.
+    /// Its first-token timeout, or the deadline, has passed.
     TimedOut,
-    /// The decision module called it off.
+    /// The decision module cancelled it.
     Canceled,
     /// The request has got its final answer without it.
     Answered,
-    /// The router is about to end.
+    /// The router is about to be killed.
     Shutdown,
 }
 
-/// An attempt, from its begin to its outcome.
+/// An attempt, from its start to its outcome.
 pub(super) struct AttemptRecord {
     pub(super) started_at: Nanos,
     /// A byte of the request may have gone out.
     pub(super) written: bool,
-    /// `None` while it is out.
+    /// `None` while it is in flight.
     outcome: Option<Outcome>,
 }
 
@@ -100,7 +100,7 @@
     /// Whether a replica may have run the request, or may yet.
     fn may_have_run(&self) -> bool {
         match self.outcome {
-            // Called off or given up: whether it was written tells.
+            // Cancelled or given up: whether it was written decides.
             None | Some(Outcome::Cancelled | Outcome::TimedOut) => self.written,
             Some(outcome) => !outcome.never_ran(),
         }
@@ -113,7 +113,7 @@
     pub(super) deadline: Nanos,
     effect: Effect,
     attempts: Vec<AttemptRecord>,
-    /// The attempt whose stream the client has.
+    /// The attempt whose stream goes to the client.
     pub(super) streaming_attempt: Option<u32>,
     pub(super) answered: bool,
 }
@@ -142,7 +142,7 @@
         self.attempts.len()
     }
 
-    /// An attempt, if it has no outcome yet.
+    /// An attempt, if it is in flight.
     pub(super) fn in_flight(&self, attempt: u32) -> Option<&AttemptRecord> {
         self.attempts.get(attempt as usize).filter(|a| a.is_in_flight())
     }
@@ -152,12 +152,12 @@
         self.attempts.get_mut(attempt as usize).filter(|a| a.is_in_flight())
     }
 
-    /// The numbers of the attempts without an outcome.
+    /// The numbers of the attempts in flight.
     pub(super) fn all_in_flight(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.attempts.len() as u32).filter(|&n| self.in_flight(n).is_some())
     }
 
-    /// Notes an attempt's outcome; when it was begun, or `None` if it had one.
+    /// Notes an attempt's outcome; gives when it was started, or `None` if it had an outcome already.
     pub(super) fn settle(&mut self, attempt: u32, outcome: Outcome) -> Option<Nanos> {
         let settled = self.in_flight_mut(attempt)?;
         settled.outcome = Some(outcome);
@@ -169,7 +169,7 @@
         self.attempts.iter().any(AttemptRecord::may_have_run)
     }
 
-    /// The answer that may be given in place of this one: a refusal promises that a further try does no harm.
+    /// The answer that may be given in place of this one: a rejection promises that a retry does no harm.
     pub(super) fn allowed_answer(&self, now: Nanos, answer: FinalAnswer) -> FinalAnswer {
         match answer {
             FinalAnswer::Rejected { .. } if !self.effect.may_reject(self.may_have_run()) => {
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Whether the request may be written for an attempt now: it is still out, its client still waits, and if another
-    /// attempt may have run, there is time for a repeat.
+    /// Whether the request may be written for an attempt now: it is in flight, its client still waits, and if another attempt
+    /// may have run, the request may still be sent once more.
     pub(super) fn may_write(&self, now: Nanos, attempt: u32) -> bool {
         let waits = !self.answered && self.streaming_attempt.is_none() && now < self.deadline;
         let mut others =
@@ -190,12 +190,12 @@
             && others.all(|(_, a)| self.effect.may_resend(now, a.started_at))
     }
 
-    /// Whether it has its answer and no attempt is out.
+    /// Whether it has its final answer and no attempt is in flight.
     pub(super) fn is_over(&self) -> bool {
         self.answered && self.all_in_flight().next().is_none()
     }
 
-    /// What the log tells of it.
+    /// What the log says of it.
     pub(super) fn summary(&self, now: Nanos, cause: AnswerCause, withheld: bool) -> RequestSummary {
         RequestSummary {
             cause,
