--- a/consensus/src/drain_lease.rs
+++ b/consensus/src/drain_lease.rs
@@ -5,7 +5,9 @@
 //! between finds its lease expired when it continues, and returns it. The limits hold without any expiry: an entry counts
 //! until its router ends it. What waits for the expiry is the answer to a halt, where the holder can't be reached.
 
-use tallypin_membership::{Incarnation, Nanos, RouterIndex};
+use std::time::Duration;
+
+use tallypin_membership::{elapsed, Incarnation, Nanos, RouterIndex};
 
 use crate::fleet_state::{
     Command, DrainEntry, DrainStage, FleetState, ReleaseLeaseRequest, RouterIncarnation, UnfitReport,
@@ -14,17 +16,17 @@
 /// The timing of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// How long the lease may be used after it was asked for, in ns.
-    pub duration: Nanos,
+    /// How long the lease may be used after it was asked for.
+    pub duration: Duration,
     /// How far the clocks of two routers may drift apart, as the fraction 1/`drift_divisor` of the duration.
-    pub drift_divisor: u64,
-    /// How long after a rejection the lease is asked for again, in ns.
-    pub retry_after: Nanos,
+    pub drift_divisor: u32,
+    /// How long after a rejection the lease is asked for again.
+    pub retry_after: Duration,
 }
 
 impl LeaseTiming {
-    /// After this time, by the clock of any router, no lease that was asked for before can be used any more; in ns.
-    pub fn safe_expiry(&self) -> Nanos {
+    /// After this time, by the clock of any router, no lease that was asked for before can be used any more.
+    pub fn safe_expiry(&self) -> Duration {
         self.duration + 2 * (self.duration / self.drift_divisor.max(1))
     }
 }
@@ -149,7 +151,7 @@
 
     fn request_lease(&self, now: Nanos, drain: &DrainEntry, running_digest: Option<&str>) -> NextStep {
         let RouterIncarnation { router, incarnation } = self.identity();
-        if self.rejected_at.is_some_and(|at| now.saturating_sub(at) < self.timing.retry_after) {
+        if self.rejected_at.is_some_and(|at| elapsed(now, at) < self.timing.retry_after) {
             return NextStep::Wait;
         }
         NextStep::Submit(match (&drain.target_digest, running_digest) {
@@ -166,19 +168,19 @@
     }
 
     fn use_lease(&self, now: Nanos) -> NextStep {
-        match self.requested_at.is_some_and(|at| now.saturating_sub(at) < self.timing.duration) {
+        match self.requested_at.is_some_and(|at| elapsed(now, at) < self.timing.duration) {
             true => NextStep::BeginDrain,
             false => NextStep::Submit(Command::ReturnLease(self.identity())),
         }
     }
 }
 
-/// Whether a halt that was agreed on `since` ns ago may be answered: no router can begin to drain any more.
-pub fn halt_is_effective(timing: &LeaseTiming, since: Nanos, state: &FleetState) -> bool {
+/// Whether a halt may be answered that was agreed on this long ago: no router can begin to drain any more.
+pub fn halt_is_effective(timing: &LeaseTiming, agreed_ago: Duration, state: &FleetState) -> bool {
     // A router that is to return may have held its lease until a moment ago, and not know yet that it lost it.
     let may_drain = |stage| matches!(stage, DrainStage::Leased(_) | DrainStage::Returning(_));
     let none_may_drain = !state.drains.values().any(|drain| may_drain(drain.stage));
-    none_may_drain || since > timing.safe_expiry()
+    none_may_drain || agreed_ago > timing.safe_expiry()
 }
 
 #[cfg(test)]
--- a/consensus/src/drain_lease/tests.rs
+++ b/consensus/src/drain_lease/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 
 const S: Nanos = 1_000_000_000;
-const TIMING: LeaseTiming = LeaseTiming { duration: 5 * S, drift_divisor: 20, retry_after: S };
+const TIMING: LeaseTiming =
+    LeaseTiming { duration: Duration::from_secs(5), drift_divisor: 20, retry_after: Duration::from_secs(1) };
 const ME: RouterIncarnation = RouterIncarnation { router: 3, incarnation: 9 };
 
 fn holder() -> LeaseHolder {
@@ -94,11 +95,11 @@
 
 #[test]
 fn a_halt_is_answered_when_no_lease_is_open_or_none_can_be_used() {
-    assert!(halt_is_effective(&TIMING, 0, &with(DrainStage::OutOfService(9))));
-    assert!(!halt_is_effective(&TIMING, 5 * S, &with(DrainStage::Leased(9))));
+    assert!(halt_is_effective(&TIMING, Duration::ZERO, &with(DrainStage::OutOfService(9))));
+    assert!(!halt_is_effective(&TIMING, Duration::from_secs(5), &with(DrainStage::Leased(9))));
     assert!(
-        !halt_is_effective(&TIMING, 5 * S, &with(DrainStage::Returning(9))),
+        !halt_is_effective(&TIMING, Duration::from_secs(5), &with(DrainStage::Returning(9))),
         "it held the lease a moment ago"
     );
-    assert!(halt_is_effective(&TIMING, 6 * S, &with(DrainStage::Leased(9))));
+    assert!(halt_is_effective(&TIMING, Duration::from_secs(6), &with(DrainStage::Leased(9))));
 }
--- a/consensus/src/release_monitor.rs
+++ b/consensus/src/release_monitor.rs
@@ -7,8 +7,9 @@
 mod comparison;
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-use tallypin_membership::{Incarnation, Nanos, RouterIndex};
+use tallypin_membership::{elapsed, Incarnation, Nanos, RouterIndex};
 
 pub use answer_counts::AnswerCounts;
 use comparison::Comparison;
@@ -16,8 +17,6 @@
 use crate::fleet_state::{Command, DrainLimits, DrainStage, FleetState, WaveFailure};
 use crate::release::{Release, ReleasePhase};
 
-const NANOS_PER_MS: Nanos = 1_000_000;
-
 /// What a member has heard of a router that is not silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouterReport {
@@ -77,7 +76,7 @@
             return open.is_empty().then_some(Command::CompleteWave(release.wave));
         }
         let fail = |cause| Some(Command::FailWave(WaveFailure { wave: release.wave, cause }));
-        let ready_within = release.plan.ready_ms.saturating_mul(NANOS_PER_MS);
+        let ready_within = Duration::from_millis(release.plan.ready_ms);
         if let Some(overdue) = self.overdue(now, &open, ready_within) {
             return fail(format!("{} is not back in time", limits.name(overdue)));
         }
@@ -94,8 +93,8 @@
         if let Some(cause) = comparison.failure(&release.plan) {
             return fail(cause);
         }
-        let observed = now.saturating_sub(baseline.since);
-        let observed_enough = observed >= release.plan.watch_ms.saturating_mul(NANOS_PER_MS)
+        let observed = elapsed(now, baseline.since);
+        let observed_enough = observed >= Duration::from_millis(release.plan.watch_ms)
             // With too few answers to compare it waits, however long.
             && comparison.released.answered >= release.plan.min_answers;
         observed_enough.then_some(Command::CompleteWave(release.wave))
@@ -108,18 +107,18 @@
         }
     }
 
-    /// A router that has been out of service for longer than `ready_within` ns.
+    /// A router that has been out of service for longer than `ready_within`.
     fn overdue(
         &mut self,
         now: Nanos,
         open: &BTreeMap<RouterIndex, DrainStage>,
-        ready_within: Nanos,
+        ready_within: Duration,
     ) -> Option<RouterIndex> {
         let is_out = |stage: &DrainStage| *stage != DrainStage::Requested;
         self.out_since.retain(|router, _| open.get(router).is_some_and(is_out));
         open.iter().filter(|(_, stage)| is_out(stage)).map(|(&router, _)| router).find(|&router| {
             let since = *self.out_since.entry(router).or_insert(now);
-            now.saturating_sub(since) > ready_within
+            elapsed(now, since) > ready_within
         })
     }
 }
--- a/consensus/src/release_monitor/tests.rs
+++ b/consensus/src/release_monitor/tests.rs
@@ -4,7 +4,7 @@
 };
 use crate::release::ReleasePlan;
 
-const S: Nanos = 1000 * NANOS_PER_MS;
+const S: Nanos = 1_000_000_000;
 
 fn limits() -> DrainLimits {
     DrainLimits { names: vec![], zones: vec![0; 4], total: 2, per_zone: 2, council: vec![], replicas: None }
--- a/consensus/tests/fleet/checks.rs
+++ b/consensus/tests/fleet/checks.rs
@@ -2,7 +2,7 @@
 
 use tallypin_consensus::drain_lease::{halt_is_effective, LocalPhase};
 use tallypin_consensus::fleet_state::{Command, FleetState};
-use tallypin_membership::Nanos;
+use tallypin_membership::{elapsed, Nanos};
 
 use crate::router::Router;
 use crate::world::{World, LEASE, S};
@@ -67,7 +67,7 @@
             return;
         }
         let Some(known) = &self.routers[router].known else { return };
-        let effective = halt_is_effective(&LEASE, self.now - began_at, known);
+        let effective = halt_is_effective(&LEASE, elapsed(self.now, began_at), known);
         if self.routers[router].alive && known.halted.is_some() && effective {
             self.halt = Some(Halt { router, began_at, answered: true });
         }
--- a/consensus/tests/fleet/world.rs
+++ b/consensus/tests/fleet/world.rs
@@ -2,6 +2,7 @@
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
+use std::time::Duration;
 
 use fastrand::Rng;
 use tallypin_consensus::drain_lease::{LeaseHolder, LeaseTiming, LocalPhase};
@@ -19,8 +20,13 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 pub const HEARTBEAT: Nanos = 500 * MS;
-pub const LEASE: LeaseTiming = LeaseTiming { duration: 5 * S, drift_divisor: 20, retry_after: HEARTBEAT };
-pub const DETECTOR: HeartbeatTiming = HeartbeatTiming { interval: HEARTBEAT, silence_limit: 3 * S };
+pub const LEASE: LeaseTiming = LeaseTiming {
+    duration: Duration::from_secs(5),
+    drift_divisor: 20,
+    retry_after: Duration::from_nanos(HEARTBEAT),
+};
+pub const DETECTOR: HeartbeatTiming =
+    HeartbeatTiming { interval: Duration::from_nanos(HEARTBEAT), silence_limit: Duration::from_secs(3) };
 pub const COUNCIL: usize = 5;
 
 /// What has happened.
--- a/consensus/tests/recorded/drain_lease.rs
+++ b/consensus/tests/recorded/drain_lease.rs
@@ -1,6 +1,7 @@
 //! What a router does about its drain, and which routers keep a replica from being clear.
 
 use std::fmt::Write;
+use std::time::Duration;
 
 use tallypin_consensus::drain_lease::{
     halt_is_effective, LeaseHolder, LeaseTiming, LocalPhase, NextStep, SubmitOutcome,
@@ -13,7 +14,8 @@
 use crate::record::{compare, json, lines, parse};
 
 const S: u64 = 1_000_000_000;
-const TIMING: LeaseTiming = LeaseTiming { duration: 5 * S, drift_divisor: 20, retry_after: S };
+const TIMING: LeaseTiming =
+    LeaseTiming { duration: Duration::from_secs(5), drift_divisor: 20, retry_after: Duration::from_secs(1) };
 const ROUTER: u16 = 3;
 const INCARNATION: u64 = 9;
 
@@ -106,13 +108,15 @@
                 let steps =
                     holders.iter().map(|holder| describe(holder.next_step(10 * S, &state, phase, running)));
                 writeln!(transcript, "  {}", steps.collect::<Vec<_>>().join(" | ")).expect("text");
-                let since = [0, TIMING.safe_expiry(), TIMING.safe_expiry() + 1];
+                let since =
+                    [Duration::ZERO, TIMING.safe_expiry(), TIMING.safe_expiry() + Duration::from_nanos(1)];
                 let effective = since.map(|since| halt_is_effective(&TIMING, since, &state));
                 writeln!(transcript, "  {effective:?}").expect("text");
             }
         }
     }
-    let expiry = [TIMING.safe_expiry(), LeaseTiming { drift_divisor: 0, ..TIMING }.safe_expiry()];
+    let expiry = [TIMING, LeaseTiming { drift_divisor: 0, ..TIMING }];
+    let expiry = expiry.map(|timing| timing.safe_expiry().as_nanos());
     writeln!(transcript, "a leave is over after {expiry:?}").expect("text");
     compare("leave.txt", &transcript);
 }
--- a/consensus/tests/recorded/membership.rs
+++ b/consensus/tests/recorded/membership.rs
@@ -1,6 +1,7 @@
 //! What one member of the council believes of routers, by their heartbeats.
 
 use std::fmt::Write;
+use std::time::Duration;
 
 use tallypin_membership::{AdvertisedStatus, FailureDetector, HeartbeatTiming, PeerStatus};
 
@@ -24,7 +25,9 @@
     for status in &statuses {
         writeln!(transcript, "{} out {}", json(status), status.is_out_of_service()).expect("text");
     }
-    let mut detector = FailureDetector::new(HeartbeatTiming { interval: S / 2, silence_limit: 2 * S }, 5, 0);
+    let timing =
+        HeartbeatTiming { interval: Duration::from_millis(500), silence_limit: Duration::from_secs(2) };
+    let mut detector = FailureDetector::new(timing, 5, 0);
     // By half seconds: router 0 goes on, 1 stops, 2 ends, 3 restarts and some of its heartbeats are late, 4 sends none. The member that
     // listens is paused itself from 8 s to 14 s.
     for half in (0..=16).chain(28..=36) {
--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -1,15 +1,17 @@
 //! The failure detector of one member of the council.
 
-use super::{AdvertisedStatus, Incarnation, Nanos, PeerStatus, RouterIndex};
+use std::time::Duration;
+
+use super::{elapsed, AdvertisedStatus, Incarnation, Nanos, PeerStatus, RouterIndex};
 
 /// How often heartbeats come, and when their absence is silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatTiming {
-    /// The time between two heartbeats of a router, in ns.
-    pub interval: Nanos,
-    /// How long a router may send none before it is silent, in ns: several intervals, so that a heartbeat that is lost or
-    /// late is no silence.
-    pub silence_limit: Nanos,
+    /// The time between two heartbeats of a router.
+    pub interval: Duration,
+    /// How long a router may send none before it is silent: several intervals, so that a heartbeat that is lost or late is
+    /// no silence.
+    pub silence_limit: Duration,
 }
 
 /// Why a heartbeat was not recorded.
@@ -64,7 +66,7 @@
     /// A member that was paused itself has received nothing meanwhile, which says nothing of the others: they all get a full
     /// silence limit again.
     pub fn note_clock(&mut self, now: Nanos) {
-        if now.saturating_sub(self.last_clock) > self.timing.silence_limit / 2 {
+        if elapsed(now, self.last_clock) > self.timing.silence_limit / 2 {
             self.listening_since = now;
         }
         self.last_clock = self.last_clock.max(now);
@@ -145,7 +147,7 @@
     }
 
     fn is_silence(&self, now: Nanos, since: Nanos) -> bool {
-        now.saturating_sub(since) > self.timing.silence_limit
+        elapsed(now, since) > self.timing.silence_limit
     }
 }
 
--- a/membership/src/failure_detector/tests.rs
+++ b/membership/src/failure_detector/tests.rs
@@ -2,7 +2,8 @@
 use proptest::prelude::*;
 
 const S: Nanos = 1_000_000_000;
-const TIMING: HeartbeatTiming = HeartbeatTiming { interval: S / 2, silence_limit: 2 * S };
+const TIMING: HeartbeatTiming =
+    HeartbeatTiming { interval: Duration::from_millis(500), silence_limit: Duration::from_secs(2) };
 
 fn serves(detector: &mut FailureDetector, now: Nanos, router: RouterIndex) -> Result<(), HeartbeatError> {
     detector.record_heartbeat(now, router, 7, AdvertisedStatus::Serving)
@@ -77,7 +78,7 @@
                 *known = (now, incarnation);
             }
             for (router, (heard_at, _)) in last.iter().enumerate() {
-                let fresh = now - heard_at <= TIMING.silence_limit;
+                let fresh = elapsed(now, *heard_at) <= TIMING.silence_limit;
                 let status = detector.status(now, router as RouterIndex);
                 prop_assert!(!(fresh && status == PeerStatus::Silent), "{status:?}");
             }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -11,12 +11,19 @@
 mod failure_detector;
 mod status;
 
+use std::time::Duration;
+
 pub use failure_detector::{FailureDetector, HeartbeatError, HeartbeatTiming, LivePeer};
 pub use status::{AdvertisedStatus, PeerStatus};
 
-/// A point in time on the monotonic clock of one process, or a duration, in ns.
+/// A point in time on the monotonic clock of one process, in ns.
 pub type Nanos = u64;
 
+/// The time from `since` to `now`, by one clock; zero if `since` is later.
+pub fn elapsed(now: Nanos, since: Nanos) -> Duration {
+    Duration::from_nanos(now.saturating_sub(since))
+}
+
 /// A router's position in the list of routers in the fleet's settings, from 0. All routers have the same list.
 pub type RouterIndex = u16;
 
--- a/router/src/fleet/bootstrap.rs
+++ b/router/src/fleet/bootstrap.rs
@@ -2,7 +2,6 @@
 //! remember anything, all begin anew on the newest state that one of them has stored.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use tallypin_consensus::fleet_state::{Command, FleetState};
 use tallypin_consensus::register::{
@@ -45,7 +44,7 @@
 impl CouncilJoin {
     /// Tries again and again until this member takes part.
     pub async fn run(self) {
-        let interval = Duration::from_nanos(self.settings.heartbeat.interval);
+        let interval = self.settings.heartbeat.interval;
         let own = self.settings.own_member_index().unwrap_or(0);
         let member = CouncilMember { member: own as MemberIndex, incarnation: self.local.incarnation() };
         while self.council.is_joining() {
--- a/router/src/fleet/heartbeat.rs
+++ b/router/src/fleet/heartbeat.rs
@@ -1,7 +1,6 @@
 //! Heartbeats to all members of the council, each with a report of what this router does.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use tallypin_consensus::fleet_state::FleetState;
 use tallypin_consensus::replica_drains::{AppliedState, ReplicaStage};
@@ -42,7 +41,7 @@
     /// Sends them at the heartbeat interval. Never returns.
     pub async fn run(self) {
         let sender = Rc::new(self);
-        let mut ticks = interval(Duration::from_nanos(sender.settings.heartbeat.interval));
+        let mut ticks = interval(sender.settings.heartbeat.interval);
         // After a pause of the process one heartbeat, not all that were missed.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
--- a/router/src/fleet/order_execution.rs
+++ b/router/src/fleet/order_execution.rs
@@ -147,8 +147,8 @@
     /// Waits until no drain can begin any more under a lease of before.
     async fn wait_for_halt(&self, ordered_at: Instant, mut state: FleetState) -> Result<(), OrderFailure> {
         let lease = &self.settings.lease;
-        let longest = self.settings.order_timeout + Duration::from_nanos(lease.safe_expiry());
-        while !halt_is_effective(lease, ordered_at.elapsed().as_nanos() as u64, &state) {
+        let longest = self.settings.order_timeout + lease.safe_expiry();
+        while !halt_is_effective(lease, ordered_at.elapsed(), &state) {
             if ordered_at.elapsed() > longest {
                 return Err(OrderFailure::HaltNotEffective);
             }
--- a/router/src/fleet/release_controller.rs
+++ b/router/src/fleet/release_controller.rs
@@ -5,7 +5,6 @@
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::time::Duration;
 
 use tallypin_consensus::fleet_state::{Command, FleetState};
 use tallypin_consensus::release_monitor::ReleaseMonitor;
@@ -64,7 +63,7 @@
     /// Looks at each heartbeat interval. Never returns.
     pub async fn run(mut self) {
         loop {
-            sleep(Duration::from_nanos(self.settings.heartbeat.interval)).await;
+            sleep(self.settings.heartbeat.interval).await;
             let due = self.due_commands();
             self.turns.retain(|subject, _| due.iter().any(|d| d.subject == *subject));
             for DueCommand { subject, command } in due {
@@ -84,7 +83,7 @@
 
     /// Whether it is this member's turn; if so, the next one is after all the others'.
     fn is_own_turn(&mut self, subject: Subject) -> bool {
-        let turn = TURN_HEARTBEATS * self.settings.heartbeat.interval;
+        let turn = TURN_HEARTBEATS * self.settings.heartbeat.interval.as_nanos() as Nanos;
         let own = self.settings.own_member_index().unwrap_or(0) as u64;
         let now = self.local.now();
         let next = self.turns.entry(subject).or_insert(now + own * turn);
--- a/router/src/fleet/server.rs
+++ b/router/src/fleet/server.rs
@@ -144,7 +144,7 @@
     /// Answers calls, one after the other, until one is rejected or the connection ends.
     async fn serve(&self, mut stream: TcpStream) -> Result<(), ConnectionError> {
         stream.set_nodelay(true).map_err(MessageError::from)?;
-        let longest_pause = Duration::from_nanos(self.settings.heartbeat.silence_limit);
+        let longest_pause = self.settings.heartbeat.silence_limit;
         loop {
             let read = timeout(longest_pause, wire::read(&mut stream)).await;
             let bytes = read.map_err(|_| ConnectionError::Idle)??;
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -12,7 +12,7 @@
 use tallypin_consensus::fleet_state::DrainLimits;
 use tallypin_consensus::register::MAX_MEMBERS;
 use tallypin_consensus::replica_drains::{Limit, ReplicaLimits};
-use tallypin_membership::{HeartbeatTiming, Nanos, RouterIndex};
+use tallypin_membership::{HeartbeatTiming, RouterIndex};
 use tallypin_settings_schema::{nearest, Checked, Entry, Problem, Value};
 
 use super::release_files::ReleaseFile;
@@ -28,7 +28,7 @@
 /// Heartbeats that must fit in the silence limit: one that is lost is no silence.
 const HEARTBEATS_PER_SILENCE: u32 = 3;
 /// Clocks of two routers may drift apart by one part in so many of a lease: far above what any clock does.
-const CLOCK_DRIFT_DIVISOR: u64 = 20;
+const CLOCK_DRIFT_DIVISOR: u32 = 20;
 
 /// A router of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -91,7 +91,7 @@
             release_files,
             heartbeat,
             lease: LeaseTiming {
-                duration: nanos(section.duration("lease")),
+                duration: section.duration("lease"),
                 drift_divisor: CLOCK_DRIFT_DIVISOR,
                 retry_after: heartbeat.interval,
             },
@@ -130,10 +130,6 @@
     routers.iter().position(|router| router.name == name).map(|index| index as RouterIndex)
 }
 
-fn nanos(time: Duration) -> Nanos {
-    time.as_nanos() as u64
-}
-
 fn router(entry: &Entry) -> FleetRouter {
     let address = match entry.values.get(1) {
         Some(Value::Address(address)) => *address,
@@ -267,7 +263,7 @@
         if silence < interval * HEARTBEATS_PER_SILENCE {
             self.problem("`silent` is less than three times `beat`: a lost beat would be a silence");
         }
-        HeartbeatTiming { interval: nanos(interval), silence_limit: nanos(silence) }
+        HeartbeatTiming { interval, silence_limit: silence }
     }
 }
 
--- a/router/src/fleet/state_follower.rs
+++ b/router/src/fleet/state_follower.rs
@@ -3,7 +3,6 @@
 //! What is due is decided by `tallypin_consensus::drain_lease`; here it is carried out.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use tallypin_consensus::drain_lease::{LeaseHolder, LocalPhase, NextStep, SubmitOutcome};
 use tallypin_consensus::fleet_state::{Command, FleetState, UnfitReport};
@@ -68,7 +67,7 @@
 
     /// Reads the state when a newer one is heard of, and takes the steps that are due. Never returns.
     pub async fn run(mut self) {
-        let interval = Duration::from_nanos(self.settings.heartbeat.interval);
+        let interval = self.settings.heartbeat.interval;
         loop {
             // Time matters as well: a lease may have expired, a rejected one may be asked for again.
             self.state.changed_or_after(interval).await;
--- a/router/src/fleet/submission.rs
+++ b/router/src/fleet/submission.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use tallypin_consensus::fleet_state::{Command, FleetState, Rejection};
 use tallypin_consensus::register::{chosen_value, AcceptorReply, AcceptorRequest, MemberReport};
@@ -117,7 +117,7 @@
 
     /// Waits until a member is seen not to answer, and has been called at least once more by then.
     async fn until_unreachable(&self, member: usize) {
-        let interval = Duration::from_nanos(self.settings.heartbeat.interval);
+        let interval = self.settings.heartbeat.interval;
         sleep(interval + self.settings.reply_timeout).await;
         while self.council.is_reachable(member) {
             sleep(interval).await;
