--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -9,13 +9,13 @@
 mod sized;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use sized::Fleet;
+use sized::SizedFleet;
 
 fn pick(c: &mut Criterion) {
     let mut group = c.benchmark_group("module");
     group.sample_size(20);
     for nodes in [100u64, 1_000, 3_200] {
-        let mut fleet = Fleet::new(nodes);
+        let mut fleet = SizedFleet::new(nodes);
         group.bench_function(BenchmarkId::new("request", nodes), |b| b.iter(|| fleet.request()));
         group.bench_function(BenchmarkId::new("change", nodes), |b| b.iter(|| fleet.change()));
         group.bench_function(BenchmarkId::new("change and request", nodes), |b| {
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface of the decision module: what a gateway hands in ([`Settings`], [`Event`]) and what
+//! The interface of the decision module: what a router hands in ([`Settings`], [`Event`]) and what
 //! it gets back ([`Action`]). Plain data; every time and every span is in nanoseconds ([`Nanos`]).
 
 use std::fmt;
@@ -6,7 +6,7 @@
 pub use crate::effect::{DeduplicationScope, Effect};
 pub use crate::served_report::TenantsDigest;
 
-/// A point in time or a span, in nanoseconds. Points are of the gateway's own monotonic clock.
+/// A point in time or a span, in nanoseconds. Points are of the router's own monotonic clock.
 pub type Nanos = u64;
 
 /// One second.
@@ -25,12 +25,12 @@
 }
 
 id!(
-    /// A replica. The same number must mean the same replica at every gateway: rendezvous hashing
+    /// A replica. The same number must mean the same replica at every router: rendezvous hashing
     /// relies on it.
     ReplicaId(u64)
 );
 id!(
-    /// A request, as the gateway numbers it. Never used twice within one life of a gateway.
+    /// A request, as the router numbers it. Never used twice within one life of a router.
     RequestId(u64)
 );
 id!(
@@ -42,19 +42,19 @@
     ClassId(u32)
 );
 id!(
-    /// A zone: its place in the list of zones all gateways share.
+    /// A zone: its place in the list of zones all routers share.
     ZoneId(u32)
 );
 id!(
-    /// A peer gateway: its place among the gateways.
+    /// A peer router: its place among the routers.
     PeerId(u32)
 );
 id!(
-    /// A session, hashed from its name in the same way at every gateway.
+    /// A session, hashed from its name in the same way at every router.
     SessionKey(u64)
 );
 id!(
-    /// A beginning shared by the prompts of several sessions, hashed in the same way at every gateway.
+    /// A beginning shared by the prompts of several sessions, hashed in the same way at every router.
     PrefixKey(u64)
 );
 
@@ -86,7 +86,7 @@
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its share, over all gateways together. Above zero.
+    /// Requests per second within its share, over all routers together. Above zero.
     pub quota_per_s: f64,
 }
 
@@ -110,19 +110,19 @@
     Pushed,
     /// Changes arrive after a [`Action::WatchEndpoints`] only.
     Polled {
-        /// A gateway that has neither a subscription nor asked for this long is held to know the list.
+        /// A router that has neither a subscription nor asked for this long is held to know the list.
         max_poll_interval: Nanos,
     },
 }
 
-/// What a gateway is told once, at its start.
+/// What a router is told once, at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This gateway's place among the gateways.
+    /// This router's place among the routers.
     pub own_index: PeerId,
-    /// How many gateways there are.
+    /// How many routers there are.
     pub router_count: u32,
-    /// This gateway's zone.
+    /// This router's zone.
     pub zone: ZoneId,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
@@ -161,7 +161,7 @@
 }
 
 impl Settings {
-    /// Whether a gateway can decide by these.
+    /// Whether a router can decide by these.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -204,7 +204,7 @@
     NoClasses,
     /// A number is missing, zero where it must not be, negative or not finite. Names the setting.
     BadNumber(&'static str),
-    /// This gateway's number is not below the number of gateways.
+    /// This router's number is not below the number of routers.
     InvalidRouterIndex,
 }
 
@@ -213,7 +213,7 @@
         match self {
             SettingsError::NoClasses => write!(f, "no class of requests"),
             SettingsError::BadNumber(name) => write!(f, "{name}: not a usable number"),
-            SettingsError::InvalidRouterIndex => write!(f, "me: not among the gateways"),
+            SettingsError::InvalidRouterIndex => write!(f, "me: not among the routers"),
         }
     }
 }
@@ -334,7 +334,7 @@
     pub load: Vec<f64>,
 }
 
-/// What a gateway has seen.
+/// What a router has seen.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the list.
@@ -388,7 +388,7 @@
     NoCapacity,
 }
 
-/// What a gateway is to do, in this order.
+/// What a router is to do, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
--- a/src/replica_snapshot.rs
+++ b/src/replica_snapshot.rs
@@ -1,4 +1,4 @@
-//! What the module holds of its replicas, to be set beside the traffic that a gateway sees. Nothing is
+//! What the module holds of its replicas, to be set beside the traffic that a router sees. Nothing is
 //! decided by it.
 
 use crate::api::{EndpointState, Nanos, ReplicaId};
--- a/src/state/replica_statistics/tests.rs
+++ b/src/state/replica_statistics/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// After so many samples a second each, of 1 where there was nothing: what the gateway believes.
+/// After so many samples a second each, of 1 where there was nothing: what the router believes.
 fn believed(samples: u64, per_s: u64) -> (f64, f64) {
     let mut fleet = ReplicaStatistics::with_load_level(0.0);
     fleet.record_wait(SECOND, 0, 1e-9, 1.0);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_flow_is_known_from_the_start_the_first_ticks_are_averaged_and_less_counts_at_once() {
+fn the_rate_is_known_from_the_start_and_the_first_periods_are_averaged_and_less_counts_at_once() {
     let mut fleet = ReplicaStatistics::with_load_level(0.0);
     let send = |fleet: &mut ReplicaStatistics, n: u64, from: Nanos| {
         (1..=n).for_each(|k| fleet.record_first_token(from + k * 5 * SECOND / n));
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -17,10 +17,10 @@
         .collect()
 }
 
-/// Delivers what either gateway told the other since the last call.
+/// Delivers what either router told the other since the last call.
 fn exchange(pair: &mut [World]) {
     for me in 0..2 {
-        let told = std::mem::take(&mut pair[me].tells);
+        let told = std::mem::take(&mut pair[me].gossip);
         for bytes in told {
             let other = &mut pair[1 - me];
             other.handle(Event::PeerMessage { from: PeerId(me as u32), bytes });
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_paper_s_story_of_two_gateways() {
+fn the_paper_s_example_of_two_routers() {
     // A client sends 17 requests at once, 9 to A and 8 to B, at a quota of one a second: both grant
     // their burst, the reports tell each of the other's hits, and both refuse until the debt is gone.
     let mut ab = pair(1.0);
@@ -63,15 +63,15 @@
 }
 
 #[test]
-fn a_refusal_says_when_there_will_be_a_token() {
+fn a_rejection_says_when_there_will_be_a_token() {
     let mut set = settings(1, 0);
     set.tenants = vec![Tenant { quota_per_s: 2.0 }];
     let mut w = World::with_replicas(set, 3, 4);
     let mut n = 0;
     let wait = loop {
         n += 1;
-        let out = w.demand(request(n));
-        if let Some(wait) = World::refused(&out) {
+        let out = w.submit(request(n));
+        if let Some(wait) = World::retry_after_of(&out) {
             break wait;
         }
     };
@@ -79,39 +79,39 @@
     assert!(wait > 0 && wait <= 500 * MS, "the deficit below one token over the rate: {wait} at {n}");
     w.run_to(w.now + wait);
     n += 1;
-    assert!(World::sent_to(&w.demand(request(n))).is_some());
+    assert!(World::sent_to(&w.submit(request(n))).is_some());
 }
 
 #[test]
-fn an_admitted_request_that_ends_unserved_gives_its_token_back() {
+fn an_admitted_request_that_ends_unserved_returns_its_token() {
     let mut set = settings(1, 0);
     set.tenants = vec![Tenant { quota_per_s: 1.0 }];
     set.max_attempts = 1;
     let mut w = World::with_replicas(set, 3, 4);
     // Far more than any burst, all at one moment: each gives back what it took.
     for n in 1..100 {
-        if World::sent_to(&w.demand(request(n))).is_some() {
-            w.end(RequestId(n), 0, Outcome::Rejected);
+        if World::sent_to(&w.submit(request(n))).is_some() {
+            w.end_attempt(RequestId(n), 0, Outcome::Rejected);
         }
     }
-    assert!(World::sent_to(&w.demand(request(1000))).is_some());
+    assert!(World::sent_to(&w.submit(request(1000))).is_some());
 }
 
 #[test]
-fn a_stream_that_comes_back_is_not_charged_twice() {
+fn a_resumed_stream_is_not_charged_twice() {
     let mut set = settings(1, 0);
     set.tenants = vec![Tenant { quota_per_s: 1.0 }];
     let mut w = World::with_replicas(set, 3, 4);
     let mut n = 1;
-    while World::sent_to(&w.demand(request(n))).is_some() {
+    while World::sent_to(&w.submit(request(n))).is_some() {
         n += 1;
     }
     let back = Request { resumes_stream: true, ..request(n + 1) };
-    assert!(World::sent_to(&w.demand(back)).is_some());
+    assert!(World::sent_to(&w.submit(back)).is_some());
 }
 
 #[test]
-fn without_tenants_or_peers_everything_is_admitted_and_nothing_told() {
+fn without_tenants_or_peers_everything_is_admitted_and_nothing_reported() {
     let mut set = settings(3, 0);
     set.tenants.clear();
     let mut w = World::with_replicas(set, 3, 4);
@@ -119,12 +119,12 @@
         assert!(w.serve(request(n)));
     }
     w.run_to(w.now + 10 * SECOND);
-    assert!(w.tells.is_empty());
+    assert!(w.gossip.is_empty());
 }
 
 #[test]
-fn a_restarted_gateway_starts_with_its_share() {
-    // 40 gateways, 40 requests a second: each may grant about its own part of the fleet's burst.
+fn a_restarted_router_starts_with_its_share() {
+    // 40 routers, 40 requests a second: each may grant about its own part of the fleet's burst.
     let mut granted = 0;
     for me in 0..40 {
         let mut set = settings(40, me);
@@ -194,7 +194,7 @@
     let mut set = settings(2, 0);
     set.tenants = vec![Tenant { quota_per_s: 1000.0 }; 2];
     set.digest = mine;
-    let mut gateway = World::with_replicas(set, 1, 4);
+    let mut router = World::with_replicas(set, 1, 4);
     for (what, other) in others {
         let bytes = served_report::encode(other, 1000, &[(900_000, 0), (900_000, 1)]).remove(0);
         assert_eq!(
@@ -202,14 +202,14 @@
             Err(served_report::ReportError::ForeignDigest),
             "{what}"
         );
-        gateway.handle(Event::PeerMessage { from: PeerId(1), bytes });
+        router.handle(Event::PeerMessage { from: PeerId(1), bytes });
     }
     // The form of the version before, whose first byte was 1.
-    gateway.handle(Event::PeerMessage { from: PeerId(1), bytes: vec![1, 100, 0, 0xa0, 0xf7, 0x36] });
-    assert!(gateway.serve(request(1)), "nobody's hits were counted");
+    router.handle(Event::PeerMessage { from: PeerId(1), bytes: vec![1, 100, 0, 0xa0, 0xf7, 0x36] });
+    assert!(router.serve(request(1)), "nobody's hits were counted");
     let bytes = served_report::encode(mine, 1000, &[(900_000, 0)]).remove(0);
-    gateway.handle(Event::PeerMessage { from: PeerId(1), bytes });
-    assert!(!gateway.serve(request(2)), "those of a router with the same tenants are");
+    router.handle(Event::PeerMessage { from: PeerId(1), bytes });
+    assert!(!router.serve(request(2)), "those of a router with the same tenants are");
 }
 
 #[test]
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn unusable_settings_are_refused_with_a_typed_error() {
+fn unusable_settings_are_rejected_with_a_typed_error() {
     let bad = |change: &dyn Fn(&mut Settings)| {
         let mut set = settings(2, 0);
         change(&mut set);
@@ -263,7 +263,7 @@
 
 #[test]
 fn a_lost_report_stays_uncounted() {
-    // Two gateways hear the same peer at the same rate; one misses every third report. What it missed is
+    // Two routers hear the same peer at the same rate; one misses every third report. What it missed is
     // forecast and then handed back, so it grants no less than the other.
     let granted = |lossy: bool| {
         let mut set = settings(2, 0);
@@ -291,18 +291,18 @@
 }
 
 #[test]
-fn those_refused_together_are_not_told_to_come_back_together() {
+fn requests_rejected_together_get_different_retry_times() {
     let mut w =
         World::with_replicas(Settings { tenants: vec![Tenant { quota_per_s: 2.0 }], ..settings(1, 0) }, 3, 4);
     let advice: Vec<Nanos> = (0..200)
-        .flat_map(|n| w.demand(request(n)))
+        .flat_map(|n| w.submit(request(n)))
         .filter_map(|a| match a {
             Action::Reject { retry_after, reason: RejectReason::QuotaExceeded, .. } => Some(retry_after),
             _ => None,
         })
         .collect();
     let (least, most) = (advice.iter().min().expect("refused"), advice.iter().max().expect("refused"));
-    assert!(advice.len() > 150 && *least > 0 && *most <= w.set.max_retry_after);
+    assert!(advice.len() > 150 && *least > 0 && *most <= w.settings.max_retry_after);
     let mut apart = advice.clone();
     apart.sort_unstable();
     apart.dedup();
--- a/tests/holders.rs
+++ b/tests/affinity.rs
@@ -12,17 +12,17 @@
 fn turn(w: &mut World, n: u64) -> ReplicaId {
     w.run_to(w.now + 50 * MS);
     let r = Request { session: SESSION, prefix: Some(PrefixKey(1)), ..request(n) };
-    let to = World::sent_to(&w.demand(r)).expect("sent");
+    let to = World::sent_to(&w.submit(r)).expect("sent");
     w.run_to(w.now + 20 * MS);
-    w.first(RequestId(n), 0);
-    w.end(RequestId(n), 0, Outcome::Completed);
+    w.first_token(RequestId(n), 0);
+    w.end_attempt(RequestId(n), 0, Outcome::Completed);
     to
 }
 
 /// As the list tells of a replica.
 fn told(w: &mut World, id: ReplicaId, state: EndpointState, last_start: Nanos) {
     let rows = vec![EndpointEntry { state, started_at: last_start, ..row(id.0) }];
-    w.list(ListUpdate::Delta, rows);
+    w.update_list(ListUpdate::Delta, rows);
 }
 
 /// A session whose home was away for a while, and who it went to meanwhile.
@@ -43,10 +43,10 @@
     assert_eq!(stayed, 30, "its prompt is kept there, and no longer at its home");
 }
 
-/// Guards against hundreds of gateways that each have a home of their own for a session: what each has seen, some
+/// Guards against hundreds of routers that each have a home of their own for a session: what each has seen, some
 /// twenty requests and first tokens of two kinds of machines, says little of a beginning's share or a kind's speed.
 #[test]
-fn gateways_that_have_seen_little_agree_on_a_session_s_home() {
+fn routers_that_have_seen_little_agree_on_a_session_s_preferred_replica() {
     let kinds = |n| EndpointEntry { kind: (n % 2) as u32, ..row(n) };
     let mut rng = fastrand::Rng::with_seed(3);
     let mut homes: Vec<Vec<ReplicaId>> = vec![vec![]; 40];
@@ -55,16 +55,16 @@
         set.cross_zone_cost = 0.0;
         set.classes[0].late_value_share = 1.0;
         let mut w = World::new(set, u64::from(me));
-        w.list(ListUpdate::Cached, (0..60).map(kinds).collect());
+        w.update_list(ListUpdate::Cached, (0..60).map(kinds).collect());
         for n in 0..20 {
             w.run_to(w.now + 500 * MS);
             // Few beginnings have most of the traffic.
             let prefix = Some(PrefixKey(40u64.pow(2) / rng.u64(40..1600)));
-            w.demand(Request { prefix, session: Some(SessionKey(rng.u64(..))), ..request(n) });
+            w.submit(Request { prefix, session: Some(SessionKey(rng.u64(..))), ..request(n) });
             w.run_to(w.now + rng.u64(10..200) * MS);
-            w.first(RequestId(n), 0);
+            w.first_token(RequestId(n), 0);
             w.run_to(w.now + rng.u64(100..4_000) * MS);
-            w.end(RequestId(n), 0, Outcome::Completed);
+            w.end_attempt(RequestId(n), 0, Outcome::Completed);
         }
         for (session, homes) in homes.iter_mut().enumerate() {
             let (n, session) = (100 + session as u64, session as u64);
@@ -72,12 +72,12 @@
             // It takes 1 s to read.
             let asked = Request { prompt_tokens: 10_000, prefix_tokens: 8_000, prefix, ..request(n) };
             homes.push(
-                World::sent_to(&w.demand(Request { session: Some(SessionKey(session)), ..asked }))
+                World::sent_to(&w.submit(Request { session: Some(SessionKey(session)), ..asked }))
                     .expect("sent"),
             );
             w.run_to(w.now + 1_000 * MS);
-            w.first(RequestId(n), 0);
-            w.end(RequestId(n), 0, Outcome::Completed);
+            w.first_token(RequestId(n), 0);
+            w.end_attempt(RequestId(n), 0, Outcome::Completed);
         }
     }
     let most = |homes: &Vec<ReplicaId>| homes.iter().map(|h| homes.iter().filter(|o| *o == h).count()).max();
@@ -85,31 +85,31 @@
     assert!(agreed > 30 * 40 * 9 / 10, "{agreed} of 1200 turns go where most of the session's would go");
 }
 
-/// Guards against kinds that run over beside others that idle: of hundreds of gateways each meets a given node once in a
+/// Guards against kinds that run over beside others that idle: of hundreds of routers each meets a given node once in a
 /// minute or two, but a kind of them often enough.
 #[test]
-fn a_kind_that_queues_is_passed_over_at_nodes_not_met_yet() {
+fn a_kind_that_queues_is_passed_over_at_replicas_not_sampled_yet() {
     let kinds = |n| EndpointEntry { kind: (n % 2) as u32, ..row(n) };
     let mut set = settings(300, 0);
     set.cross_zone_cost = 0.0;
     let mut w = World::new(set, 3);
-    w.list(ListUpdate::Cached, (0..100).map(kinds).collect());
+    w.update_list(ListUpdate::Cached, (0..100).map(kinds).collect());
     let mut idle = 0;
     for n in 0..40 {
         w.run_to(w.now + 500 * MS);
         let session = Some(SessionKey(n * 31 + 7));
         let r = Request { session, prefix: Some(PrefixKey(n % 5)), prompt_tokens: 1_000, ..request(n) };
-        let to = World::sent_to(&w.demand(r)).expect("sent");
+        let to = World::sent_to(&w.submit(r)).expect("sent");
         w.run_to(w.now + if to.0 % 2 == 0 { 800 } else { 20 } * MS);
-        w.first(RequestId(n), 0);
-        w.end(RequestId(n), 0, Outcome::Completed);
+        w.first_token(RequestId(n), 0);
+        w.end_attempt(RequestId(n), 0, Outcome::Completed);
         idle += usize::from(n >= 20 && to.0 % 2 == 1);
     }
     assert!(idle >= 18, "{idle} of 20 sessions, each with a home of its own, go to the kind that idles");
 }
 
 #[test]
-fn a_holder_that_started_again_holds_nothing() {
+fn a_replica_that_started_again_has_nothing_cached() {
     let (mut w, home, other) = moved();
     let now = w.now;
     told(&mut w, other, EndpointState::Ready, now);
@@ -128,11 +128,11 @@
             told(&mut w, ReplicaId(4), EndpointState::Ready, start);
         }
         w.run_to(now + (n + 1) * 10 * MS);
-        let to = World::sent_to(&w.demand(request(n)));
+        let to = World::sent_to(&w.submit(request(n)));
         count += usize::from(n >= 400 && to == Some(ReplicaId(4)));
         if n >= 20 {
-            w.first(RequestId(n - 20), 0);
-            w.end(RequestId(n - 20), 0, Outcome::Completed);
+            w.first_token(RequestId(n - 20), 0);
+            w.end_attempt(RequestId(n - 20), 0, Outcome::Completed);
         }
     }
     count
@@ -147,11 +147,11 @@
 
 /// The module's view of a replica.
 fn seen(w: &World, id: ReplicaId) -> tallypin::replica_snapshot::ReplicaSnapshot {
-    w.gateway.replica_snapshots(w.now).into_iter().find(|s| s.replica == id).expect("listed as ready")
+    w.balancer.replica_snapshots(w.now).into_iter().find(|s| s.replica == id).expect("listed as ready")
 }
 
 #[test]
-fn what_becomes_of_an_earlier_life_s_attempts_is_not_held_against_the_next() {
+fn attempts_of_an_earlier_incarnation_are_not_held_against_the_next() {
     for outcome in [
         Outcome::ConnectionReset,
         Outcome::TimedOut,
@@ -161,18 +161,18 @@
     ] {
         let mut w = World::with_replicas(settings(1, 0), 5, 1);
         let id = ReplicaId(0);
-        (0..8).for_each(|n| drop(w.demand(request(n))));
-        (0..4).for_each(|n| drop(w.first(RequestId(n), 0)));
+        (0..8).for_each(|n| drop(w.submit(request(n))));
+        (0..4).for_each(|n| drop(w.first_token(RequestId(n), 0)));
         assert!(seen(&w, id).wait_sample_age.is_some() && seen(&w, id).in_flight == 8);
         // The list tells of the restart before the attempts end.
         let now = w.now;
         told(&mut w, id, EndpointState::Ready, now);
         w.run_to(w.now + 100 * MS);
         if outcome == Outcome::Completed {
-            w.first(RequestId(4), 0);
+            w.first_token(RequestId(4), 0);
         }
         for n in 0..5 {
-            w.end(RequestId(n), 0, outcome);
+            w.end_attempt(RequestId(n), 0, outcome);
         }
         let after = seen(&w, id);
         assert_eq!((after.ejected_for, after.wait_sample_age), (0, None), "after {outcome:?}");
@@ -186,7 +186,7 @@
 
 /// How many replicas of a fleet so large serve 300 sessions of one beginning, one turn each, nothing else going on, and the
 /// most streams that one of them has at once. Streams take 400 ms, so that 40 are under way.
-fn serving_one_beginning(replicas: u64) -> (usize, usize) {
+fn serving_one_prefix(replicas: u64) -> (usize, usize) {
     let mut w = World::with_replicas(settings(1, 0), 9, replicas);
     let mut serving = std::collections::BTreeMap::new();
     let (mut under_way, mut most) = (std::collections::VecDeque::new(), 0);
@@ -195,12 +195,12 @@
         w.run_to(w.now + 5 * MS);
         let session = Some(SessionKey(n * 31 + 7));
         let r = Request { session, prefix: Some(PrefixKey(1)), ..request(n) };
-        let to = World::sent_to(&w.demand(r)).expect("sent");
+        let to = World::sent_to(&w.submit(r)).expect("sent");
         w.run_to(w.now + 5 * MS);
-        w.first(RequestId(n), 0);
+        w.first_token(RequestId(n), 0);
         under_way.push_back(to);
         if under_way.len() > 40 {
-            w.end(RequestId(n - 40), 0, Outcome::Completed);
+            w.end_attempt(RequestId(n - 40), 0, Outcome::Completed);
             under_way.pop_front();
         }
         if n >= 100 {
@@ -212,8 +212,8 @@
 }
 
 #[test]
-fn a_beginning_too_hot_for_its_homes_is_spread_over_more_of_a_large_fleet() {
-    let ((small, _), (large, most)) = (serving_one_beginning(10), serving_one_beginning(1_000));
+fn a_prefix_too_hot_for_its_preferred_replicas_is_spread_over_more_of_them() {
+    let ((small, _), (large, most)) = (serving_one_prefix(10), serving_one_prefix(1_000));
     println!("{small} of 10, {large} of 1000 for 300 sessions, at most {most} streams at once");
     assert!(small <= 10 && large > 80 && most <= 3, "{small} of 10, {large} of 1000, {most} at once");
 }
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -35,7 +35,7 @@
     world.now = BEGIN;
     // All have started some minutes ago: a clock that is set back by an hour tells an earlier start than that.
     let started = |n| EndpointEntry { started_at: BEGIN - 300 * SECOND, ..row(n) };
-    world.list(ListUpdate::Full, (0..REPLICAS).map(started).collect());
+    world.update_list(ListUpdate::Full, (0..REPLICAS).map(started).collect());
     let (begun, mut sent) = (world.now, vec![0; 20]);
     for n in 0..REQUESTS {
         world.run_to(begun + n * GAP);
@@ -43,20 +43,20 @@
             let restarted = EndpointEntry { started_at: start_told(world.now), ..started(RESTARTED) };
             let all = (0..REPLICAS).filter(|r| *r != RESTARTED).map(started).chain([restarted.clone()]);
             match told {
-                Told::Change => world.list(ListUpdate::Delta, vec![restarted]),
-                Told::Whole => world.list(ListUpdate::Full, all.collect()),
+                Told::Change => world.update_list(ListUpdate::Delta, vec![restarted]),
+                Told::Whole => world.update_list(ListUpdate::Full, all.collect()),
             };
         }
-        let replica = World::sent_to(&world.demand(request(n))).expect("there is room for all");
+        let replica = World::sent_to(&world.submit(request(n))).expect("there is room for all");
         if n >= RESTART_AT && replica == ReplicaId(RESTARTED) {
             sent[((n - RESTART_AT) * GAP / SECOND) as usize] += 1;
         }
-        world.first(RequestId(n), 0);
+        world.first_token(RequestId(n), 0);
         if n >= OUT {
-            world.end(RequestId(n - OUT), 0, Outcome::Completed);
+            world.end_attempt(RequestId(n - OUT), 0, Outcome::Completed);
         }
     }
-    (world.log, sent)
+    (world.actions, sent)
 }
 
 /// Guards against a start that lies ahead, which made a replica cold for the whole step, and one that seems long gone,
@@ -79,35 +79,39 @@
 }
 
 /// A replica's warmth once the list tells, after an outage of so long, that it started at `start(now)`.
-fn warmth_after_outage(outage: Nanos, start: impl Fn(Nanos) -> Nanos) -> f64 {
+fn capacity_share_after_outage(outage: Nanos, start: impl Fn(Nanos) -> Nanos) -> f64 {
     let mut world = World::new(settings(1, 0), 3);
     world.now = BEGIN;
-    world.list(ListUpdate::Full, vec![row(0)]);
+    world.update_list(ListUpdate::Full, vec![row(0)]);
     world.run_to(world.now + 30 * SECOND);
-    world.list(ListUpdate::Failed, Vec::new());
+    world.update_list(ListUpdate::Failed, Vec::new());
     world.run_to(world.now + outage);
-    world.list(ListUpdate::Full, vec![EndpointEntry { started_at: start(world.now), ..row(0) }]);
-    world.gateway.replica_snapshots(world.now)[0].capacity_share
+    world.update_list(ListUpdate::Full, vec![EndpointEntry { started_at: start(world.now), ..row(0) }]);
+    world.balancer.replica_snapshots(world.now)[0].capacity_share
 }
 
 /// After an outage a start may be as old as the outage, with the silence before it, and no older.
 #[test]
-fn a_start_told_after_an_outage_is_no_older_than_the_list_that_was_held() {
-    assert_eq!(warmth_after_outage(0, |now| now - HOUR), 0.2 + 0.8 * 0.4, "4 s of 10");
-    assert_eq!(warmth_after_outage(3 * SECOND, |now| now - HOUR), 0.2 + 0.8 * 0.7, "7 s of 10");
-    assert_eq!(warmth_after_outage(9 * SECOND, |now| now - 8 * SECOND), 0.2 + 0.8 * 0.8, "as it is told");
-    assert_eq!(warmth_after_outage(9 * SECOND, |now| now + HOUR), 0.2, "not before it started");
+fn a_start_learnt_after_an_outage_is_no_older_than_the_last_list() {
+    assert_eq!(capacity_share_after_outage(0, |now| now - HOUR), 0.2 + 0.8 * 0.4, "4 s of 10");
+    assert_eq!(capacity_share_after_outage(3 * SECOND, |now| now - HOUR), 0.2 + 0.8 * 0.7, "7 s of 10");
+    assert_eq!(
+        capacity_share_after_outage(9 * SECOND, |now| now - 8 * SECOND),
+        0.2 + 0.8 * 0.8,
+        "as it is told"
+    );
+    assert_eq!(capacity_share_after_outage(9 * SECOND, |now| now + HOUR), 0.2, "not before it started");
 }
 
 proptest! {
     /// Whatever a row says of its start, a replica is cold no longer than the settings tell.
     #[test]
-    fn no_start_keeps_a_replica_cold_for_longer_than_its_time(start in any::<u64>()) {
+    fn no_start_keeps_a_replica_warming_up_for_longer_than_its_time(start in any::<u64>()) {
         let mut world = World::new(settings(1, 0), 3);
-        world.list(ListUpdate::Full, vec![row(0)]);
-        world.list(ListUpdate::Delta, vec![EndpointEntry { started_at: start, ..row(0) }]);
-        world.run_to(world.now + world.set.warm_up_time);
-        let seen = world.gateway.replica_snapshots(world.now).into_iter().next().expect("it is ready");
+        world.update_list(ListUpdate::Full, vec![row(0)]);
+        world.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at: start, ..row(0) }]);
+        world.run_to(world.now + world.settings.warm_up_time);
+        let seen = world.balancer.replica_snapshots(world.now).into_iter().next().expect("it is ready");
         prop_assert_eq!(seen.capacity_share, 1.0);
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway under test: settings, events in, actions out, and the rules checked on every action.
+//! A router under test: settings, events in, actions out, and the rules checked on every action.
 #![allow(dead_code, missing_docs)]
 
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 
 pub const MS: Nanos = 1_000_000;
 
-pub fn settings(gateways: u32, me: u32) -> Settings {
+pub fn settings(routers: u32, me: u32) -> Settings {
     let class = Class {
         latency_objective: 1_000 * MS,
         latency_objective_per_1000_tokens: 30 * MS,
@@ -19,7 +19,7 @@
     };
     Settings {
         own_index: PeerId(me),
-        router_count: gateways,
+        router_count: routers,
         zone: ZoneId(0),
         tenants: vec![Tenant { quota_per_s: 1000.0 }],
         digest: TenantsDigest::default(),
@@ -69,100 +69,100 @@
 
 /// One attempt as the world outside the module knows it.
 #[derive(Debug, Clone)]
-pub struct Sent {
-    pub row: EndpointEntry,
-    pub at: Nanos,
-    pub limit: Nanos,
+pub struct SentAttempt {
+    pub entry: EndpointEntry,
+    pub sent_at: Nanos,
+    pub timeout: Nanos,
     pub outcome: Option<Outcome>,
-    pub started: bool,
+    pub has_first_token: bool,
 }
 
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct TrackedRequest {
     pub request: Request,
     pub deadline: Nanos,
     pub answers: u32,
-    pub over: bool,
-    pub sent: Vec<Sent>,
+    pub is_over: bool,
+    pub attempts: Vec<SentAttempt>,
 }
 
-/// A gateway and the world it has seen; every action is checked against the four rules.
+/// A router and the world it has seen; every action is checked against the four rules.
 pub struct World {
-    pub set: Settings,
-    pub gateway: Balancer,
+    pub settings: Settings,
+    pub balancer: Balancer,
     pub now: Nanos,
-    pub rows: BTreeMap<ReplicaId, EndpointEntry>,
-    pub requests: BTreeMap<RequestId, Known>,
+    pub entries: BTreeMap<ReplicaId, EndpointEntry>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub timers: Vec<(Nanos, u64)>,
-    pub tells: Vec<Vec<u8>>,
-    pub watches: u32,
-    pub log: Vec<Action>,
+    pub gossip: Vec<Vec<u8>>,
+    pub list_polls: u32,
+    pub actions: Vec<Action>,
 }
 
 impl World {
     pub fn new(set: Settings, seed: u64) -> Self {
         World {
-            gateway: Balancer::new(set.clone(), seed).expect("usable settings"),
-            set,
+            balancer: Balancer::new(set.clone(), seed).expect("usable settings"),
+            settings: set,
             now: SECOND * 1000,
-            rows: BTreeMap::new(),
+            entries: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: vec![],
-            tells: vec![],
-            watches: 0,
-            log: vec![],
+            gossip: vec![],
+            list_polls: 0,
+            actions: vec![],
         }
     }
 
     pub fn with_replicas(set: Settings, seed: u64, n: u64) -> Self {
         let mut w = World::new(set, seed);
-        w.list(ListUpdate::Cached, (0..n).map(row).collect());
+        w.update_list(ListUpdate::Cached, (0..n).map(row).collect());
         w
     }
 
-    pub fn list(&mut self, kind: ListUpdate, rows: Vec<EndpointEntry>) -> Vec<Action> {
+    pub fn update_list(&mut self, kind: ListUpdate, rows: Vec<EndpointEntry>) -> Vec<Action> {
         if kind == ListUpdate::Full || kind == ListUpdate::Cached {
-            self.rows.clear();
+            self.entries.clear();
         }
         for r in &rows {
-            self.rows.insert(r.replica, r.clone());
+            self.entries.insert(r.replica, r.clone());
         }
         self.handle(Event::EndpointList { kind, rows })
     }
 
-    pub fn demand(&mut self, request: Request) -> Vec<Action> {
-        let known = Known {
+    pub fn submit(&mut self, request: Request) -> Vec<Action> {
+        let known = TrackedRequest {
             deadline: self.now + request.time_left,
             request: request.clone(),
             answers: 0,
-            over: false,
-            sent: vec![],
+            is_over: false,
+            attempts: vec![],
         };
         assert!(self.requests.insert(request.id, known).is_none(), "ids are new");
         self.handle(Event::Request(request))
     }
 
-    pub fn first(&mut self, id: RequestId, attempt: u32) -> Vec<Action> {
-        let s = &mut self.requests.get_mut(&id).unwrap().sent[attempt as usize];
-        s.started = true;
-        let after = self.now - s.at;
+    pub fn first_token(&mut self, id: RequestId, attempt: u32) -> Vec<Action> {
+        let s = &mut self.requests.get_mut(&id).unwrap().attempts[attempt as usize];
+        s.has_first_token = true;
+        let after = self.now - s.sent_at;
         self.handle(Event::FirstToken { request: id, attempt, elapsed: after })
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
+    pub fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let now = self.now;
         let k = self.requests.get_mut(&id).unwrap();
-        let s = &mut k.sent[attempt as usize];
+        let s = &mut k.attempts[attempt as usize];
         s.outcome = Some(outcome);
-        let after = now - s.at;
-        if outcome == Outcome::Completed && !k.over {
+        let after = now - s.sent_at;
+        if outcome == Outcome::Completed && !k.is_over {
             k.answers += 1;
-            k.over = true;
+            k.is_over = true;
         }
-        if s.started {
-            k.over = true; // A break in a started stream ends the request, too.
+        if s.has_first_token {
+            k.is_over = true; // A break in a started stream ends the request, too.
         }
-        let over = k.over;
+        let over = k.is_over;
         let kept_tokens = (outcome == Outcome::Completed).then_some(0);
         let load = vec![];
         self.handle(Event::AttemptEnded(AttemptEnded {
@@ -196,11 +196,11 @@
 
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
-        self.gateway.handle(self.now, event, &mut out);
+        self.balancer.handle(self.now, event, &mut out);
         for a in &out {
             self.check(a);
         }
-        self.log.extend(out.iter().cloned());
+        self.actions.extend(out.iter().cloned());
         out
     }
 
@@ -208,17 +208,21 @@
         let now = self.now;
         match action {
             Action::Send { request, replica, timeout: limit } => {
-                let rows = &self.rows;
+                let rows = &self.entries;
                 let k = self.requests.get_mut(request).expect("a request that was given");
-                assert!(!k.over, "rule 1: nothing after the end");
+                assert!(!k.is_over, "rule 1: nothing after the end");
                 assert!(now <= k.deadline, "rule 1: not after the deadline");
-                assert!(k.sent.len() < self.set.max_attempts as usize, "within the limit of tries");
+                assert!(k.attempts.len() < self.settings.max_attempts as usize, "within the limit of tries");
                 assert!(*limit > 0 && now + limit <= k.deadline + MS, "ends by the deadline");
                 let to = rows.get(replica).expect("a replica that was listed");
                 assert_eq!(to.state, EndpointState::Ready, "rule 3: only to ready replicas");
-                let class = &self.set.classes[(k.request.class.0 as usize).min(self.set.classes.len() - 1)];
-                for s in &k.sent {
-                    assert!(s.outcome.is_some() || self.set.concurrent_attempts, "rule 2: one at a time");
+                let class =
+                    &self.settings.classes[(k.request.class.0 as usize).min(self.settings.classes.len() - 1)];
+                for s in &k.attempts {
+                    assert!(
+                        s.outcome.is_some() || self.settings.concurrent_attempts,
+                        "rule 2: one at a time"
+                    );
                     if s.outcome.is_some_and(Outcome::never_ran) {
                         continue;
                     }
@@ -226,8 +230,8 @@
                         Effect::Idempotent => {}
                         Effect::NotIdempotent => panic!("rule 2: an effect could happen twice"),
                         Effect::IdempotentByKey { scope: group, window } => {
-                            assert!(now < s.at + window, "rule 2: within the window");
-                            let from = &s.row;
+                            assert!(now < s.sent_at + window, "rule 2: within the window");
+                            let from = &s.entry;
                             match group {
                                 DeduplicationScope::AllReplicas => {}
                                 DeduplicationScope::Zone => {
@@ -241,13 +245,20 @@
                     }
                 }
                 let (row, limit) = (to.clone(), *limit);
-                k.sent.push(Sent { row, at: now, limit, outcome: None, started: false });
+                k.attempts.push(SentAttempt {
+                    entry: row,
+                    sent_at: now,
+                    timeout: limit,
+                    outcome: None,
+                    has_first_token: false,
+                });
             }
             Action::Reject { request, retry_after, .. } => {
-                assert!(*retry_after <= self.set.max_retry_after);
+                assert!(*retry_after <= self.settings.max_retry_after);
                 let k = self.requests.get_mut(request).expect("a request that was given");
-                let ran = k.sent.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
-                let class = &self.set.classes[(k.request.class.0 as usize).min(self.set.classes.len() - 1)];
+                let ran = k.attempts.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
+                let class =
+                    &self.settings.classes[(k.request.class.0 as usize).min(self.settings.classes.len() - 1)];
                 let allowed = match class.effect {
                     Effect::Idempotent => true,
                     Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, .. } => true,
@@ -258,27 +269,27 @@
             }
             Action::Fail(request) => Self::answer(self.requests.get_mut(request).expect("given")),
             Action::Cancel { request, attempt } => {
-                assert!(self.set.can_cancel, "only where it is allowed");
+                assert!(self.settings.can_cancel, "only where it is allowed");
                 let k = &self.requests[request];
-                assert!((*attempt as usize) < k.sent.len(), "of an attempt that was made");
+                assert!((*attempt as usize) < k.attempts.len(), "of an attempt that was made");
             }
             Action::Gossip(bytes) => {
-                assert!(bytes.len() <= 256 && self.set.has_peers);
-                self.tells.push(bytes.clone());
+                assert!(bytes.len() <= 256 && self.settings.has_peers);
+                self.gossip.push(bytes.clone());
             }
             Action::WakeAt { at, token } => {
                 assert!(*at >= now);
                 self.timers.push((*at, *token));
             }
-            Action::WatchEndpoints => self.watches += 1,
-            Action::Probe(_) => assert!(self.set.can_probe),
+            Action::WatchEndpoints => self.list_polls += 1,
+            Action::Probe(_) => assert!(self.settings.can_probe),
         }
     }
 
-    fn answer(k: &mut Known) {
-        assert!(!k.over && k.answers == 0, "rule 1: one final answer");
+    fn answer(k: &mut TrackedRequest) {
+        assert!(!k.is_over && k.answers == 0, "rule 1: one final answer");
         k.answers += 1;
-        k.over = true;
+        k.is_over = true;
     }
 
     /// The replica of the only attempt in `actions`.
@@ -289,7 +300,7 @@
         })
     }
 
-    pub fn refused(actions: &[Action]) -> Option<Nanos> {
+    pub fn retry_after_of(actions: &[Action]) -> Option<Nanos> {
         actions.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
@@ -299,11 +310,11 @@
     /// A request served at once: its whole life, or `false` if it was refused.
     pub fn serve(&mut self, r: Request) -> bool {
         let id = r.id;
-        if World::sent_to(&self.demand(r)).is_none() {
+        if World::sent_to(&self.submit(r)).is_none() {
             return false;
         }
-        self.first(id, 0);
-        self.end(id, 0, Outcome::Completed);
+        self.first_token(id, 0);
+        self.end_attempt(id, 0, Outcome::Completed);
         true
     }
 }
--- a/tests/common/played.rs
+++ b/tests/common/played.rs
@@ -1,4 +1,4 @@
-//! Seeded deployments played event by event against the decision module: gateways, model servers, clients, lists and
+//! Seeded deployments played event by event against the decision module: routers, model servers, clients, lists and
 //! faults. Whole numbers only, and a generator of its own, so that a play is the same on every machine.
 
 use std::cmp::Reverse;
@@ -38,17 +38,17 @@
 }
 
 /// What is played.
-pub struct Deployment {
+pub struct Scenario {
     pub name: &'static str,
     pub seed: u64,
-    /// The settings of every gateway, but for its own number.
+    /// The settings of every router, but for its own number.
     pub settings: Settings,
-    /// The numbers of the gateways that are played; others send what the played ones sent.
+    /// The numbers of the routers that are played; others send what the played ones sent.
     pub played: Vec<u32>,
     pub replicas: u64,
     pub zones: u32,
     pub kinds: u32,
-    /// Requests in ten seconds, over all gateways, in calm times.
+    /// Requests in ten seconds, over all routers, in calm times.
     pub per_10_s: u64,
     /// A first token in an idle server, without the reading of the prompt.
     pub first: Nanos,
@@ -83,7 +83,7 @@
     over: bool,
 }
 
-struct Gateway {
+struct Router {
     me: u32,
     module: Balancer,
     clients: BTreeMap<u64, Client>,
@@ -120,35 +120,35 @@
 const CANCELLED: u8 = 6;
 const SKIPPED: u8 = 7;
 
-pub struct Play {
-    d: Deployment,
+pub struct Scene {
+    d: Scenario,
     draw: Draw,
     now: Nanos,
     due: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
     dues: u64,
-    gateways: Vec<Gateway>,
+    routers: Vec<Router>,
     servers: Vec<Server>,
     requests: u64,
     events: u64,
     trace: Trace,
 }
 
-impl Play {
+impl Scene {
     /// Plays a deployment to its end; the text of what was done.
-    pub fn whole(d: Deployment) -> String {
+    pub fn whole(d: Scenario) -> String {
         let mut draw = Draw(d.seed);
-        let gateways = d.played.iter().map(|&me| {
+        let routers = d.played.iter().map(|&me| {
             let settings = Settings { own_index: PeerId(me), ..d.settings.clone() };
             let module = Balancer::new(settings, d.seed + u64::from(me)).expect("usable settings");
-            Gateway { me, module, clients: BTreeMap::new() }
+            Router { me, module, clients: BTreeMap::new() }
         });
-        let gateways = gateways.collect();
+        let routers = routers.collect();
         let servers = (0..d.replicas).map(|n| server(&mut draw, n, d.zones, d.kinds)).collect();
         let due = BinaryHeap::new();
         let trace = Trace::new(d.name);
         let mut play =
-            Play { d, draw, now: BEGIN, due, dues: 0, gateways, servers, requests: 0, events: 0, trace };
-        for g in 0..play.gateways.len() {
+            Scene { d, draw, now: BEGIN, due, dues: 0, routers, servers, requests: 0, events: 0, trace };
+        for g in 0..play.routers.len() {
             play.later(g as u64 * 40 * MS, Due::List(g, if g % 2 == 0 { 1 } else { 2 }));
         }
         play.later(100 * MS, Due::Arrival);
@@ -191,15 +191,15 @@
 
     fn hand(&mut self, g: usize, event: Event) {
         let mut out = Vec::new();
-        self.gateways[g].module.handle(self.now, event, &mut out);
+        self.routers[g].module.handle(self.now, event, &mut out);
         self.events += 1;
         for action in out {
-            self.trace.action(self.now - BEGIN, self.gateways[g].me, &action);
+            self.trace.action(self.now - BEGIN, self.routers[g].me, &action);
             self.act(g, action);
         }
         self.trace.event(self.events);
         if self.events % LOOK_EVERY == 0 {
-            let seen = self.gateways[g].module.replica_snapshots(self.now);
+            let seen = self.routers[g].module.replica_snapshots(self.now);
             self.trace.view(&seen);
         }
     }
@@ -220,14 +220,14 @@
     }
 
     fn over(&mut self, g: usize, id: u64) {
-        self.gateways[g].clients.get_mut(&id).expect("asked").over = true;
+        self.routers[g].clients.get_mut(&id).expect("asked").over = true;
     }
 
-    /// A message reaches the other gateways, a few of them torn or lost; where many aren't played, it comes from those too.
+    /// A message reaches the other routers, a few of them torn or lost; where many aren't played, it comes from those too.
     fn told(&mut self, g: usize, bytes: &[u8]) {
         let all = u64::from(self.d.settings.router_count);
-        for to in 0..self.gateways.len() {
-            let me = self.gateways[g].me;
+        for to in 0..self.routers.len() {
+            let me = self.routers[g].me;
             if to != g && !self.draw.chance(30) {
                 let mut bytes = bytes.to_vec();
                 if self.draw.chance(20) {
@@ -237,7 +237,7 @@
                 let after = (1 + self.draw.below(20)) * MS;
                 self.later(after, Due::Message(to, me, bytes));
             }
-            if all > self.gateways.len() as u64 {
+            if all > self.routers.len() as u64 {
                 let from = self.draw.below(all + 1) as u32;
                 let after = (1 + self.draw.below(900)) * MS;
                 self.later(after, Due::Message(to, from, bytes.to_vec()));
@@ -249,7 +249,7 @@
         let rate = self.d.per_10_s * if self.phase() == 1 { 3 } else { 1 };
         let gap = 2 * self.draw.below(10 * SECOND / rate);
         self.later(gap, Due::Arrival);
-        let g = self.draw.below(self.gateways.len() as u64) as usize;
+        let g = self.draw.below(self.routers.len() as u64) as usize;
         let request = self.request();
         self.ask(g, request);
     }
@@ -277,7 +277,7 @@
 
     fn ask(&mut self, g: usize, request: Request) {
         let (id, left) = (request.id.0, request.time_left);
-        self.gateways[g]
+        self.routers[g]
             .clients
             .insert(id, Client { request: request.clone(), attempts: vec![], over: false });
         let leaves = if self.draw.chance(30) { left / 5 } else { left };
@@ -287,7 +287,7 @@
 
     /// The client leaves unless it has been served: what is out for it is called off.
     fn deadline(&mut self, g: usize, id: u64) {
-        let client = self.gateways[g].clients.get_mut(&id).expect("asked");
+        let client = self.routers[g].clients.get_mut(&id).expect("asked");
         if client.over || client.attempts.iter().any(|a| a.started) {
             return;
         }
@@ -303,7 +303,7 @@
     fn sent(&mut self, g: usize, id: u64, replica: ReplicaId, limit: Nanos) {
         let server = self.servers.iter().position(|s| s.row.replica == replica).expect("listed");
         let (now, phase, times) = (self.now, self.phase(), if self.phase() == 3 { 15 } else { 1 });
-        let client = self.gateways[g].clients.get_mut(&id).expect("asked");
+        let client = self.routers[g].clients.get_mut(&id).expect("asked");
         let attempt = client.attempts.len() as u32;
         client.attempts.push(Attempt { server, at: now, started: false, ended: false });
         let prompt = u64::from(client.request.prompt_tokens);
@@ -343,7 +343,7 @@
     }
 
     fn first(&mut self, g: usize, id: u64, attempt: u32) {
-        let client = self.gateways[g].clients.get_mut(&id).expect("asked");
+        let client = self.routers[g].clients.get_mut(&id).expect("asked");
         let a = &mut client.attempts[attempt as usize];
         if a.ended || client.over {
             return;
@@ -362,7 +362,7 @@
 
     fn end(&mut self, g: usize, id: u64, attempt: u32, outcome: u8) {
         let now = self.now;
-        let client = self.gateways[g].clients.get_mut(&id).expect("asked");
+        let client = self.routers[g].clients.get_mut(&id).expect("asked");
         let a = &mut client.attempts[attempt as usize];
         if std::mem::replace(&mut a.ended, true) {
             return;
@@ -391,10 +391,10 @@
             load,
         };
         self.hand(g, Event::AttemptEnded(ended));
-        // A client whose stream broke comes back for the rest, to any gateway.
+        // A client whose stream broke comes back for the rest, to any router.
         if broken && self.draw.chance(600) {
             self.requests += 1;
-            let g = self.draw.below(self.gateways.len() as u64) as usize;
+            let g = self.draw.below(self.routers.len() as u64) as usize;
             self.ask(g, Request { id: RequestId(self.requests), resumes_stream: true, ..request });
         }
     }
@@ -422,7 +422,7 @@
         }
     }
 
-    /// Something changes, and all gateways that can know it do.
+    /// Something changes, and all routers that can know it do.
     fn trouble(&mut self) {
         let next = self.d.trouble_ms / 2 + self.draw.below(self.d.trouble_ms);
         self.later(next * MS, Due::Trouble);
@@ -444,8 +444,8 @@
             7 => return server.alive = false,
             8 => return server.frozen_until = now + 4 * SECOND,
             9 => return self.odd(replica),
-            10 => return (0..self.gateways.len()).for_each(|g| self.list(g, 3)),
-            11 => return (0..self.gateways.len()).for_each(|g| self.list(g, 1)),
+            10 => return (0..self.routers.len()).for_each(|g| self.list(g, 3)),
+            11 => return (0..self.routers.len()).for_each(|g| self.list(g, 1)),
             12 => {
                 let n = self.servers.len() as u64;
                 let mut new = self::server(&mut self.draw, n, self.d.zones, self.d.kinds);
@@ -462,7 +462,7 @@
     }
 
     fn news(&mut self, at: usize) {
-        for g in 0..self.gateways.len() {
+        for g in 0..self.routers.len() {
             let rows = vec![self.servers[at].row.clone()];
             self.hand(g, Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
@@ -497,7 +497,7 @@
     let row = EndpointEntry {
         replica: ReplicaId(n * 31 + 7),
         state: EndpointState::Ready,
-        // Some have just started with the gateways, some minutes ago, the rest are not told of.
+        // Some have just started with the routers, some minutes ago, the rest are not told of.
         started_at: [0, 0, BEGIN - 2 * SECOND, BEGIN - 300 * SECOND][draw.below(4) as usize],
         zone: ZoneId(draw.below(u64::from(zones)) as u32),
         cell: (n / 4) as u32,
--- a/tests/common/sized.rs
+++ b/tests/common/sized.rs
@@ -9,18 +9,24 @@
 const TICK: u64 = 1;
 
 /// A router that knows so many nodes and has had an answer from some.
-pub struct Fleet {
-    module: Balancer,
-    nodes: u64,
+pub struct SizedFleet {
+    balancer: Balancer,
+    replicas: u64,
     now: Nanos,
     pub next: u64,
     actions: Vec<Action>,
 }
 
-impl Fleet {
-    pub fn new(nodes: u64) -> Fleet {
+impl SizedFleet {
+    pub fn new(nodes: u64) -> SizedFleet {
         let module = Balancer::new(settings(2, 0), 7).expect("the settings are good");
-        let mut fleet = Fleet { module, nodes, now: 1_000_000 * MS, next: 0, actions: Vec::new() };
+        let mut fleet = SizedFleet {
+            balancer: module,
+            replicas: nodes,
+            now: 1_000_000 * MS,
+            next: 0,
+            actions: Vec::new(),
+        };
         let rows = (0..nodes).map(row).collect();
         fleet.tell(Event::EndpointList { kind: ListUpdate::Full, rows });
         for _ in 0..200 {
@@ -32,7 +38,7 @@
     /// The whole list comes once more.
     pub fn whole_list(&mut self) {
         self.now += MS;
-        let rows = (0..self.nodes).map(row).collect();
+        let rows = (0..self.replicas).map(row).collect();
         self.tell(Event::EndpointList { kind: ListUpdate::Full, rows });
     }
 
@@ -44,7 +50,7 @@
 
     fn tell(&mut self, event: Event) {
         self.actions.clear();
-        self.module.handle(self.now, event, &mut self.actions);
+        self.balancer.handle(self.now, event, &mut self.actions);
     }
 
     /// A request from its arrival to the end of its stream.
--- a/tests/common/trace_text.rs
+++ b/tests/common/trace_text.rs
@@ -31,7 +31,7 @@
         Trace { text: format!("deployment {name}\n"), lines: 0, digests, counts, hash: 0xcbf2_9ce4_8422_2325 }
     }
 
-    /// One action of a gateway at a time since the beginning, ns.
+    /// One action of a router at a time since the beginning, ns.
     pub fn action(&mut self, at: Nanos, me: u32, action: &Action) {
         let (kind, rest) = match action {
             Action::Send { request, replica, timeout: limit } => {
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that the attempts of one gateway take, by the number of replicas, at the same traffic.
+//! Connections that the attempts of one router take, by the number of replicas, at the same traffic.
 
 mod common;
 
@@ -46,7 +46,7 @@
     while let Some(&(sent, id, replica)) = out.front().filter(|(sent, ..)| sent + ANSWER <= until) {
         out.pop_front();
         world.run_to(sent + ANSWER);
-        world.end(id, 0, Outcome::Completed);
+        world.end_attempt(id, 0, Outcome::Completed);
         connections.give_back(world.now, replica);
     }
 }
@@ -65,11 +65,11 @@
         let session = SessionKey(n % SESSIONS + n / (3 * SESSIONS) * SESSIONS);
         let beginning = (session.0 * session.0 % 30) + 1;
         let asked = Request { session: Some(session), prefix: Some(PrefixKey(beginning)), ..request(n) };
-        let replica = World::sent_to(&world.demand(asked)).expect("there is room for all");
+        let replica = World::sent_to(&world.submit(asked)).expect("there is room for all");
         connections.take(at, replica);
         out.push_back((at, RequestId(n), replica));
         world.now += FIRST;
-        world.first(RequestId(n), 0);
+        world.first_token(RequestId(n), 0);
     }
     connections.made
 }
--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 
 use common::{settings, MS};
-use played::{Deployment, Play};
+use played::{Scenario, Scene};
 use tallypin::api::*;
 
 const NAMES: [&str; 10] = [
@@ -52,7 +52,7 @@
     ]
 }
 
-fn usual(name: &'static str) -> Deployment {
+fn usual(name: &'static str) -> Scenario {
     let tenants = [10.0, 5.0, 0.5, 20.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
     let report =
         vec![LoadField::Queue, LoadField::Other, LoadField::Utilization, LoadField::PrefillBacklogThousands];
@@ -64,7 +64,7 @@
         report_fields: report,
         ..settings(1, 0)
     };
-    Deployment {
+    Scenario {
         name,
         seed: 49,
         settings,
@@ -81,35 +81,35 @@
     }
 }
 
-fn deployment(name: &'static str) -> Deployment {
+fn deployment(name: &'static str) -> Scenario {
     let usual = usual(name);
     let set = usual.settings.clone();
     match name {
-        "alone" => Deployment { zones: 2, trouble_ms: 2500, freezes: 10, ..usual },
+        "alone" => Scenario { zones: 2, trouble_ms: 2500, freezes: 10, ..usual },
         "three_gateways" => {
             let settings = Settings { router_count: 3, cross_zone_cost: 0.05, ..set };
-            Deployment { settings, played: vec![0, 1, 2], zones: 3, per_10_s: 200, seed: 50, ..usual }
+            Scenario { settings, played: vec![0, 1, 2], zones: 3, per_10_s: 200, seed: 50, ..usual }
         }
         "asked_list" => {
             let list = EndpointListMode::Polled { max_poll_interval: 6 * SECOND };
             let settings = Settings { router_count: 2, list_mode: list, report_fields: vec![], ..set };
-            Deployment { settings, played: vec![0, 1], zones: 2, first: 250 * MS, seed: 51, ..usual }
+            Scenario { settings, played: vec![0, 1], zones: 2, first: 250 * MS, seed: 51, ..usual }
         }
         "no_cancel" => {
             let settings = Settings { can_cancel: false, concurrent_attempts: false, max_attempts: 2, ..set };
-            Deployment { settings, kinds: 4, first: 120 * MS, seed: 52, ..usual }
+            Scenario { settings, kinds: 4, first: 120 * MS, seed: 52, ..usual }
         }
         "no_peers_no_tenants" => {
             let settings =
                 Settings { router_count: 2, has_peers: false, tenants: vec![], max_attempts: 1, ..set };
-            Deployment { settings, played: vec![1], faults: 60, seed: 53, ..usual }
+            Scenario { settings, played: vec![1], faults: 60, seed: 53, ..usual }
         }
         "many_gateways" => {
             let tenants = [60.0, 500.0, 5.0, 900.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
             let settings =
                 Settings { router_count: 300, tenants, initial_capacity_share: 0.05, zone: ZoneId(1), ..set };
             let played = vec![0, 150, 299];
-            Deployment { settings, played, replicas: 60, zones: 2, first: 80 * MS, seed: 54, ..usual }
+            Scenario { settings, played, replicas: 60, zones: 2, first: 80 * MS, seed: 54, ..usual }
         }
         "large_fleet" => {
             let tenants = [30.0, 60.0, 5.0, 90.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
@@ -121,8 +121,8 @@
                 idle_timeout: SECOND,
                 ..set
             };
-            let d = Deployment { settings, played: vec![0, 3], replicas: 400, zones: 2, seed: 55, ..usual };
-            Deployment { per_10_s: 600, trouble_ms: 120, kinds: 3, ..d }
+            let d = Scenario { settings, played: vec![0, 3], replicas: 400, zones: 2, seed: 55, ..usual };
+            Scenario { per_10_s: 600, trouble_ms: 120, kinds: 3, ..d }
         }
         "cold_fleet" => {
             let (cold, fall, fall_multiple) = (25 * SECOND, SECOND, 1.5);
@@ -134,13 +134,13 @@
                 max_retry_after: 0,
                 ..set
             };
-            Deployment { settings, replicas: 24, trouble_ms: 250, per_10_s: 200, seed: 56, ..usual }
+            Scenario { settings, replicas: 24, trouble_ms: 250, per_10_s: 200, seed: 56, ..usual }
         }
         // Hardly a home for a beginning, and more faults than further attempts are saved for.
         "small_fleet" => {
             let settings = Settings { cross_zone_cost: 0.2, max_attempts: 5, ..set };
-            let d = Deployment { settings, replicas: 3, zones: 2, kinds: 1, per_10_s: 60, seed: 57, ..usual };
-            Deployment { faults: 60, trouble_ms: 6000, ..d }
+            let d = Scenario { settings, replicas: 3, zones: 2, kinds: 1, per_10_s: 60, seed: 57, ..usual };
+            Scenario { faults: 60, trouble_ms: 6000, ..d }
         }
         // So few that nearly all of what is saved for replicas that have just started is lost unused.
         "few_requests" => {
@@ -150,8 +150,8 @@
                 warm_up_time: 30 * SECOND,
                 ..set
             };
-            let d = Deployment { settings, replicas: 4, per_10_s: 3, seed: 58, ..usual };
-            Deployment { trouble_ms: 4000, events: 8000, ..d }
+            let d = Scenario { settings, replicas: 4, per_10_s: 3, seed: 58, ..usual };
+            Scenario { trouble_ms: 4000, events: 8000, ..d }
         }
         other => panic!("no deployment is named {other}"),
     }
@@ -163,7 +163,7 @@
 }
 
 fn same_as_recorded(name: &'static str) {
-    let played = Play::whole(deployment(name));
+    let played = Scene::whole(deployment(name));
     if std::env::var_os("RECORD").is_some() {
         std::fs::write(folder().join(format!("{name}.txt")), &played).expect("written");
     }
@@ -188,7 +188,7 @@
 
 #[test]
 fn two_plays_of_one_deployment_are_the_same() {
-    let play = || Play::whole(Deployment { events: 1000, ..deployment("three_gateways") });
+    let play = || Scene::whole(Scenario { events: 1000, ..deployment("three_gateways") });
     assert!(play() == play());
 }
 
--- a/tests/floors.rs
+++ b/tests/rejection_fairness.rs
@@ -13,7 +13,7 @@
 /// Prompt tokens that a replica reads in a second, one prompt after the other.
 const READS: u64 = 8_000;
 
-/// Replicas that read prompts in turn, before one gateway.
+/// Replicas that read prompts in turn, before one router.
 struct Engine {
     world: World,
     /// When each has read all that it was sent.
@@ -30,7 +30,7 @@
                 Action::Send { request, replica, .. } => {
                     let known = &self.world.requests[&request];
                     let (attempt, tokens) =
-                        (known.sent.len() as u32 - 1, u64::from(known.request.prompt_tokens));
+                        (known.attempts.len() as u32 - 1, u64::from(known.request.prompt_tokens));
                     let at = &mut self.read_by[replica.0 as usize];
                     *at = self.world.now.max(*at) + tokens * SECOND / READS;
                     self.due.push((*at, request, attempt, false));
@@ -38,7 +38,7 @@
                 // What is called off while it waits is read all the same: a jam is paid for.
                 Action::Cancel { request, attempt } => {
                     self.due.retain(|d| (d.1, d.2) != (request, attempt));
-                    let actions = self.world.end(request, attempt, Outcome::Cancelled);
+                    let actions = self.world.end_attempt(request, attempt, Outcome::Cancelled);
                     self.does(actions);
                 }
                 _ => {}
@@ -61,14 +61,14 @@
             }
             let (_, id, attempt, begun) = self.due.remove(0);
             let known = &self.world.requests[&id];
-            if known.over && !begun || known.sent[attempt as usize].outcome.is_some() {
+            if known.is_over && !begun || known.attempts[attempt as usize].outcome.is_some() {
                 continue;
             }
             if begun {
-                self.world.end(id, attempt, Outcome::Completed);
+                self.world.end_attempt(id, attempt, Outcome::Completed);
             } else {
                 self.begun.insert(id, at - (known.deadline - known.request.time_left));
-                self.world.first(id, attempt);
+                self.world.first_token(id, attempt);
                 self.due.push((at + SECOND / 2, id, attempt, true));
             }
         }
@@ -129,7 +129,7 @@
             ..request(n)
         };
         wanted.insert(RequestId(n), asked.clone());
-        let actions = engine.world.demand(asked);
+        let actions = engine.world.submit(asked);
         engine.does(actions);
     }
     engine.run_to(now + 10 * SECOND);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn what_is_turned_away_goes_by_shares_and_time_not_by_class_length_or_session() {
+fn rejections_go_by_quota_and_time_not_by_class_length_or_session() {
     for seed in 1..=3 {
         // Twice what the fleet can read, within the shares.
         let day = day(seed, 32.0);
@@ -169,7 +169,7 @@
 
 /// Guards against admission that sorts out by length: of each class, the longest tenth and the fifth below it.
 #[test]
-fn long_requests_of_each_class_get_their_part_on_quiet_days_and_in_an_overload() {
+fn long_requests_of_each_class_get_their_part_in_calm_and_under_overload() {
     for (per_second, least) in [(10.0, 2.0 / 3.0), (32.0, 0.5)] {
         for seed in 1..=3 {
             let day = day(seed, per_second);
@@ -192,7 +192,7 @@
 /// Guards against refusals that go by a session's key or home: some would be refused throughout while there is room. A
 /// partner asks for half as much again as its share, and every replica answers at once.
 #[test]
-fn no_more_sessions_are_refused_throughout_than_chance_has_it() {
+fn no_more_sessions_are_always_rejected_than_chance_has_it() {
     const SESSIONS: u64 = 400;
     for seed in 1..=3 {
         let mut set = settings(1, 0);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -45,7 +45,7 @@
     // Attempts past their time end as the world ends them.
     let late: Vec<(RequestId, u32)> = open(w).into_iter().filter(|&(id, a)| due(w, id, a)).collect();
     for (id, a) in late {
-        w.end(id, a, Outcome::TimedOut);
+        w.end_attempt(id, a, Outcome::TimedOut);
     }
     match rng.u8(..10) {
         0..=3 => {
@@ -58,17 +58,17 @@
             if rng.u8(..5) == 0 {
                 (r.prefix, r.session) = (None, None);
             }
-            w.demand(r);
+            w.submit(r);
         }
         4..=5 => {
             if let Some((id, a)) = any(w, rng) {
-                w.first(id, a);
+                w.first_token(id, a);
             }
         }
         6..=7 => {
             if let Some((id, a)) = any(w, rng) {
                 let outcome = OUTCOMES[rng.usize(..OUTCOMES.len())];
-                w.end(id, a, outcome);
+                w.end_attempt(id, a, outcome);
             }
         }
         8 => {
@@ -76,14 +76,14 @@
             r.state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone][rng.usize(..3)];
             r.started_at = if rng.bool() { w.now - rng.u64(..12) * SECOND } else { 0 };
             let kind = if rng.u8(..8) == 0 { ListUpdate::Full } else { ListUpdate::Delta };
-            w.list(kind, vec![r]);
+            w.update_list(kind, vec![r]);
         }
         _ => match rng.u8(..3) {
             0 => {
                 // The client leaves; also for requests long over, and for ones never seen.
                 let id = RequestId(rng.u64(..*next + 2));
                 if let Some(k) = w.requests.get_mut(&id) {
-                    k.over = true;
+                    k.is_over = true;
                     k.answers = k.answers.max(1);
                 }
                 w.handle(Event::ClientLeft(id));
@@ -105,7 +105,7 @@
 fn open(w: &World) -> Vec<(RequestId, u32)> {
     let mut all = vec![];
     for (id, k) in &w.requests {
-        for (a, s) in k.sent.iter().enumerate() {
+        for (a, s) in k.attempts.iter().enumerate() {
             if s.outcome.is_none() {
                 all.push((*id, a as u32));
             }
@@ -115,13 +115,15 @@
 }
 
 fn due(w: &World, id: RequestId, a: u32) -> bool {
-    let s = &w.requests[&id].sent[a as usize];
-    !s.started && w.now >= s.at + s.limit
+    let s = &w.requests[&id].attempts[a as usize];
+    !s.has_first_token && w.now >= s.sent_at + s.timeout
 }
 
 fn any(w: &World, rng: &mut Rng) -> Option<(RequestId, u32)> {
-    let all: Vec<_> =
-        open(w).into_iter().filter(|&(id, a)| !w.requests[&id].sent[a as usize].started).collect();
+    let all: Vec<_> = open(w)
+        .into_iter()
+        .filter(|&(id, a)| !w.requests[&id].attempts[a as usize].has_first_token)
+        .collect();
     if all.is_empty() {
         return None;
     }
@@ -140,17 +142,18 @@
         // Everything out ends; then every request must have had its one answer.
         for _ in 0..10 {
             for (id, a) in open(&w) {
-                let outcome = if w.requests[&id].sent[a as usize].started {
+                let outcome = if w.requests[&id].attempts[a as usize].has_first_token {
                     Outcome::Completed
                 } else {
                     Outcome::TimedOut
                 };
-                w.end(id, a, outcome);
+                w.end_attempt(id, a, outcome);
             }
         }
         for (id, k) in &w.requests {
-            let broken = k.sent.iter().any(|s| s.started && s.outcome != Some(Outcome::Completed));
-            assert!(k.answers == 1 || (broken && k.over), "case {case}: {id:?} has {} answers", k.answers);
+            let broken =
+                k.attempts.iter().any(|s| s.has_first_token && s.outcome != Some(Outcome::Completed));
+            assert!(k.answers == 1 || (broken && k.is_over), "case {case}: {id:?} has {} answers", k.answers);
         }
     }
 }
@@ -164,22 +167,22 @@
         for _ in 0..600 {
             step(&mut w, &mut rng, &mut next);
         }
-        w.log
+        w.actions
     };
     assert!(run() == run());
 }
 
 #[test]
-fn an_effect_that_may_have_run_is_neither_repeated_nor_refused() {
+fn an_effect_that_may_have_run_is_neither_repeated_nor_rejected() {
     let mut set = settings(1, 0);
     set.classes[0].effect = Effect::NotIdempotent;
     let mut w = World::with_replicas(set, 1, 4);
-    w.demand(request(1));
-    let out = w.end(RequestId(1), 0, Outcome::TimedOut);
+    w.submit(request(1));
+    let out = w.end_attempt(RequestId(1), 0, Outcome::TimedOut);
     assert_eq!(out, vec![Action::Fail(RequestId(1))]);
     // Proved never to have run: another attempt.
-    w.demand(request(2));
-    assert!(World::sent_to(&w.end(RequestId(2), 0, Outcome::Rejected)).is_some());
+    w.submit(request(2));
+    assert!(World::sent_to(&w.end_attempt(RequestId(2), 0, Outcome::Rejected)).is_some());
 }
 
 /// Guards against a repeat that is decided on within the window and arrives after it.
@@ -190,49 +193,49 @@
         set.classes[0].effect =
             Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, window: SECOND };
         let mut w = World::with_replicas(set, 1, 4);
-        w.demand(Request { time_left: 4 * SECOND, ..request(1) });
+        w.submit(Request { time_left: 4 * SECOND, ..request(1) });
         w.run_to(w.now + end);
-        let out = w.end(RequestId(1), 0, Outcome::ConnectionReset);
+        let out = w.end_attempt(RequestId(1), 0, Outcome::ConnectionReset);
         assert_eq!(World::sent_to(&out).is_some(), repeats, "{} ms after the send: {out:?}", end / MS);
     }
 }
 
 #[test]
-fn draining_and_gone_replicas_get_nothing_from_the_moment_of_being_told() {
+fn draining_and_gone_replicas_get_nothing_from_the_list_update_on() {
     let mut w = World::with_replicas(settings(1, 0), 1, 3);
     let draining = |n| EndpointEntry { state: EndpointState::Draining, ..row(n) };
-    w.list(ListUpdate::Delta, vec![draining(0)]);
-    w.list(ListUpdate::Full, vec![row(1), draining(0)]); // 2 is absent: gone
+    w.update_list(ListUpdate::Delta, vec![draining(0)]);
+    w.update_list(ListUpdate::Full, vec![row(1), draining(0)]); // 2 is absent: gone
     for n in 0..50 {
-        assert_eq!(World::sent_to(&w.demand(request(n))), Some(ReplicaId(1)));
+        assert_eq!(World::sent_to(&w.submit(request(n))), Some(ReplicaId(1)));
     }
-    w.list(ListUpdate::Full, vec![]);
-    assert!(World::refused(&w.demand(request(99))).is_some(), "an empty list is answered");
+    w.update_list(ListUpdate::Full, vec![]);
+    assert!(World::retry_after_of(&w.submit(request(99))).is_some(), "an empty list is answered");
 }
 
 #[test]
-fn cold_replicas_get_no_more_than_their_share_from_all_gateways_together() {
-    // 20 gateways, very uneven: the first has ten times the traffic of the others.
+fn warming_replicas_get_no_more_than_their_share_from_all_routers_together() {
+    // 20 routers, very uneven: the first has ten times the traffic of the others.
     let n = 20;
     let (replicas, cold_share) = (10, 0.2);
-    let mut gateways: Vec<World> =
+    let mut routers: Vec<World> =
         (0..n).map(|g| World::with_replicas(settings(n, g), u64::from(g), replicas)).collect();
     let mut id = 0;
-    let mut sends_in = |gateways: &mut Vec<World>, from: Nanos, ms: u64| {
+    let mut sends_in = |routers: &mut Vec<World>, from: Nanos, ms: u64| {
         let (mut cold, mut all) = (0.0, 0.0);
         for t in 0..ms / 10 {
-            for (g, w) in gateways.iter_mut().enumerate() {
+            for (g, w) in routers.iter_mut().enumerate() {
                 w.run_to(from + t * 10 * MS);
                 let many = if g == 0 { 10 } else { u64::from(t % 10 == g as u64 % 10) * 10 };
                 for _ in 0..many {
                     id += 1;
                     // Nothing draws these to any one replica, so the cold one is as good as any.
                     let r = Request { prefix: None, session: None, prefix_tokens: 0, ..request(id) };
-                    if let Some(to) = World::sent_to(&w.demand(r)) {
+                    if let Some(to) = World::sent_to(&w.submit(r)) {
                         all += 1.0;
                         cold += f64::from(u8::from(to == ReplicaId(4)));
-                        w.first(RequestId(id), 0);
-                        w.end(RequestId(id), 0, Outcome::Completed);
+                        w.first_token(RequestId(id), 0);
+                        w.end_attempt(RequestId(id), 0, Outcome::Completed);
                     }
                 }
             }
@@ -240,13 +243,13 @@
         (cold, all)
     };
     let start = SECOND * 1000;
-    sends_in(&mut gateways, start, 6000);
+    sends_in(&mut routers, start, 6000);
     let told = start + 6 * SECOND;
-    for w in &mut gateways {
+    for w in &mut routers {
         w.run_to(told);
-        w.list(ListUpdate::Delta, vec![EndpointEntry { started_at: told - SECOND, ..row(4) }]);
+        w.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at: told - SECOND, ..row(4) }]);
     }
-    let (cold, all) = sends_in(&mut gateways, told, 2000);
+    let (cold, all) = sends_in(&mut routers, told, 2000);
     // The rule's multiple of the mean flow per replica, times the mean warm share of these 2 s, with slack for chance: the
     // mean flow is a part of what the replica can do when warm.
     let share = cold_share + (1.0 - cold_share) * 0.2;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use common::{row, settings, MS};
-use sized::Fleet;
+use sized::SizedFleet;
 use tallypin::api::*;
 use tallypin::Balancer;
 
@@ -18,7 +18,7 @@
 const ROUNDS: usize = 30;
 
 /// What some work costs at the least, done so often in a round.
-fn cost(fleet: &mut Fleet, times: u32, mut work: impl FnMut(&mut Fleet)) -> Duration {
+fn cost(fleet: &mut SizedFleet, times: u32, mut work: impl FnMut(&mut SizedFleet)) -> Duration {
     let mut round = || {
         let began = Instant::now();
         (0..times).for_each(|_| work(fleet));
@@ -29,19 +29,19 @@
 
 /// Work, how often it is done in a round, and by how much it may be dearer with 32 times as many replicas: far less than the
 /// square of that for what looks at all of them.
-type Work = (&'static str, u32, f64, fn(&mut Fleet));
+type Work = (&'static str, u32, f64, fn(&mut SizedFleet));
 
 const WORK: [Work; 4] = [
-    ("a request", 50, 5.0, Fleet::request),
-    ("a changed row", 50, 5.0, Fleet::change),
-    ("a whole list", 1, 150.0, Fleet::whole_list),
-    ("a tick", 10, 150.0, Fleet::tick),
+    ("a request", 50, 5.0, SizedFleet::request),
+    ("a changed row", 50, 5.0, SizedFleet::change),
+    ("a whole list", 1, 150.0, SizedFleet::whole_list),
+    ("a tick", 10, 150.0, SizedFleet::tick),
 ];
 
 /// Guards against work on all replicas for each request or changed row, and against a list that costs its square.
 #[test]
 fn work_grows_with_what_changes_and_not_with_the_fleet() {
-    let (mut usual, mut large) = (Fleet::new(USUAL), Fleet::new(LARGE));
+    let (mut usual, mut large) = (SizedFleet::new(USUAL), SizedFleet::new(LARGE));
     for (name, times, most, work) in WORK {
         let (one, other) = (cost(&mut usual, times, work), cost(&mut large, times, work));
         let ratio = other.as_secs_f64() / one.as_secs_f64();
--- a/tests/fleet.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Many gateways before one fleet, each with a small part of the traffic: what all of them do together.
+//! Many routers before one fleet, each with a small part of the traffic: what all of them do together.
 
 mod common;
 
@@ -8,17 +8,17 @@
 const GATEWAYS: u32 = 100;
 const REPLICAS: u64 = 20;
 
-/// Gateways that each take a request a second, and what became of the requests.
+/// Routers that each take a request a second, and what became of the requests.
 struct Fleet {
-    gateways: Vec<World>,
+    routers: Vec<World>,
     next: u64,
     /// Beginnings that the requests share.
     beginnings: u64,
     /// Tokens of their prompts, in turn.
     prompts: Vec<u32>,
-    /// First tokens and ends to come: when, at which gateway, of which request, whether it has begun.
+    /// First tokens and ends to come: when, at which router, of which request, whether it has begun.
     due: Vec<(Nanos, usize, RequestId, bool)>,
-    /// Sends per replica since last asked, and each of them with the tokens of its prompt and its gateway.
+    /// Sends per replica since last asked, and each of them with the tokens of its prompt and its router.
     sends: Vec<u64>,
     work: Vec<(u64, u32, usize)>,
 }
@@ -28,11 +28,11 @@
         Fleet::of(GATEWAYS)
     }
 
-    fn of(gateways: u32) -> Fleet {
-        let set = |g| Settings { cross_zone_cost: 0.0, ..settings(gateways, g) };
-        let gateways = (0..gateways).map(|g| World::with_replicas(set(g), u64::from(g), REPLICAS)).collect();
+    fn of(routers: u32) -> Fleet {
+        let set = |g| Settings { cross_zone_cost: 0.0, ..settings(routers, g) };
+        let routers = (0..routers).map(|g| World::with_replicas(set(g), u64::from(g), REPLICAS)).collect();
         Fleet {
-            gateways,
+            routers,
             next: 0,
             beginnings: 5,
             prompts: vec![3000],
@@ -47,7 +47,7 @@
         self.play_with(ms, first, |n| n as usize);
     }
 
-    /// The same, but gateways get requests by weight.
+    /// The same, but routers get requests by weight.
     fn play_by(&mut self, ms: u64, rng: &mut fastrand::Rng, weights: &[f64], first: impl Fn(u64) -> Nanos) {
         let all: f64 = weights.iter().sum();
         self.play_with(ms, first, |_| {
@@ -63,55 +63,55 @@
     }
 
     fn play_with(&mut self, ms: u64, first: impl Fn(u64) -> Nanos, mut who: impl FnMut(u64) -> usize) {
-        let from = self.gateways[0].now;
+        let from = self.routers[0].now;
         for t in (0..ms).step_by(10) {
             let now = from + t * MS;
             self.due.sort_unstable();
             let ripe: Vec<_> = self.due.drain(..self.due.partition_point(|d| d.0 <= now)).collect();
             for (_, g, id, begun) in ripe {
-                let w = &mut self.gateways[g];
+                let w = &mut self.routers[g];
                 w.run_to(now);
                 match begun {
-                    true => drop(w.end(id, 0, Outcome::Completed)),
+                    true => drop(w.end_attempt(id, 0, Outcome::Completed)),
                     false => {
-                        w.first(id, 0);
+                        w.first_token(id, 0);
                         self.due.push((now + SECOND / 2, g, id, true));
                     }
                 }
             }
-            let g = who(self.next) % self.gateways.len();
+            let g = who(self.next) % self.routers.len();
             if let Some((g, to)) = self.ask_at(now, g) {
                 self.due.push((now + first(to.0), g, RequestId(self.next), false));
             }
         }
-        self.gateways.iter_mut().for_each(|w| drop(w.run_to(from + ms * MS)));
+        self.routers.iter_mut().for_each(|w| drop(w.run_to(from + ms * MS)));
     }
 
-    /// The next gateway has a request: which it is, and where the request went.
+    /// The next router has a request: which it is, and where the request went.
     fn ask(&mut self, now: Nanos) -> Option<(usize, ReplicaId)> {
-        self.ask_at(now, (self.next % self.gateways.len() as u64) as usize)
+        self.ask_at(now, (self.next % self.routers.len() as u64) as usize)
     }
 
-    /// A gateway has a request: the same.
+    /// A router has a request: the same.
     fn ask_at(&mut self, now: Nanos, g: usize) -> Option<(usize, ReplicaId)> {
         self.next += 1;
-        let w = &mut self.gateways[g];
+        let w = &mut self.routers[g];
         w.run_to(now);
         let prefix = Some(PrefixKey(self.next % self.beginnings + 1));
         let prompt_tokens = self.prompts[(self.next * 7919 / 13) as usize % self.prompts.len()];
         let asked = Request { prompt_tokens, prefix_tokens: 2000, prefix, ..request(self.next) };
-        let to = World::sent_to(&w.demand(asked))?;
+        let to = World::sent_to(&w.submit(asked))?;
         self.sends[to.0 as usize] += 1;
         self.work.push((to.0, prompt_tokens, g));
         Some((g, to))
     }
 
-    /// The first half of the replicas has started anew a second ago, as all gateways are told.
+    /// The first half of the replicas has started anew a second ago, as all routers are told.
     fn half_starts_anew(&mut self) {
-        let last_start = self.gateways[0].now - SECOND;
+        let last_start = self.routers[0].now - SECOND;
         let rows: Vec<_> =
             (0..REPLICAS / 2).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect();
-        self.gateways.iter_mut().for_each(|w| drop(w.list(ListUpdate::Delta, rows.clone())));
+        self.routers.iter_mut().for_each(|w| drop(w.update_list(ListUpdate::Delta, rows.clone())));
         self.sends.fill(0);
     }
 
@@ -121,10 +121,10 @@
     }
 }
 
-/// All queue, then half of the replicas have started anew, which idle, and the others run over. Each gateway has a
+/// All queue, then half of the replicas have started anew, which idle, and the others run over. Each router has a
 /// request a second and a hundredth of what a cold replica may get.
 #[test]
-fn gateways_with_little_traffic_use_what_cold_replicas_may_get() {
+fn routers_with_little_traffic_use_what_warming_replicas_may_get() {
     let mut fleet = Fleet::new();
     fleet.play(12_000, |_| SECOND / 20);
     fleet.play(4_000, |_| SECOND);
@@ -142,7 +142,7 @@
 
 /// Where all queue, those that have warmed up are as good as the others, not better.
 #[test]
-fn replicas_that_have_warmed_up_are_not_run_over() {
+fn replicas_that_have_warmed_up_are_not_overloaded() {
     let mut fleet = Fleet::new();
     fleet.play(12_000, |_| SECOND);
     fleet.half_starts_anew();
@@ -158,10 +158,10 @@
     );
 }
 
-/// One beginning draws all the traffic, so that every gateway has the same homes: those that are cold among them get no
+/// One beginning draws all the traffic, so that every router has the same homes: those that are cold among them get no
 /// more than their budget all the same (rule 4).
 #[test]
-fn a_beginning_that_all_gateways_want_pushes_no_cold_home_over() {
+fn a_prefix_that_all_routers_want_overloads_no_warming_preferred_replica() {
     let mut fleet = Fleet { beginnings: 1, ..Fleet::new() };
     fleet.play(12_000, |_| SECOND / 20);
     fleet.play(4_000, |_| SECOND);
@@ -178,20 +178,20 @@
 }
 
 /// Rule 4 under the sum of 300: replicas that have started are left alone for a while, as the others have room; then
-/// these are gone, and every gateway turns to the new ones at once. What each has kept for them must not add up.
+/// these are gone, and every router turns to the new ones at once. What each has kept for them must not add up.
 #[test]
-fn what_many_gateways_have_saved_for_a_cold_replica_is_not_used_all_at_once() {
+fn the_credit_of_many_routers_for_a_warming_replica_is_not_used_all_at_once() {
     let slow = |r| if r < REPLICAS / 2 { SECOND } else { SECOND / 20 };
-    for gateways in [1, 30, 300] {
-        let mut fleet = Fleet { prompts: vec![400, 400, 400, 8000], ..Fleet::of(gateways) };
+    for routers in [1, 30, 300] {
+        let mut fleet = Fleet { prompts: vec![400, 400, 400, 8000], ..Fleet::of(routers) };
         fleet.play(12_000, slow);
         fleet.half_starts_anew();
         fleet.play(3_000, slow);
         let gone = |n| EndpointEntry { state: EndpointState::Gone, ..row(n) };
         let left: Vec<_> = (REPLICAS / 2..REPLICAS).map(gone).collect();
-        fleet.gateways.iter_mut().for_each(|w| drop(w.list(ListUpdate::Delta, left.clone())));
+        fleet.routers.iter_mut().for_each(|w| drop(w.update_list(ListUpdate::Delta, left.clone())));
         fleet.sends.fill(0);
-        let now = fleet.gateways[0].now;
+        let now = fleet.routers[0].now;
         for _ in 0..1200 {
             fleet.ask(now);
         }
@@ -201,7 +201,7 @@
         let busiest = *fleet.to_started().iter().max().expect("there are some");
         assert!(
             busiest > 0 && (busiest as f64) < most,
-            "{gateways}: {busiest} of {most:.0}, {:?}",
+            "{routers}: {busiest} of {most:.0}, {:?}",
             fleet.sends
         );
     }
@@ -210,7 +210,7 @@
 /// So many start anew: what all may send them is a third of the traffic, so that there is work for all of it.
 const STARTED: u64 = 5;
 
-/// What goes wrong among the gateways while the replicas that have started warm up.
+/// What goes wrong among the routers while the replicas that have started warm up.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Trouble {
     None,
@@ -238,31 +238,31 @@
     Trouble::Unequal,
 ];
 
-/// The budget of a cold replica, over all gateways, few or hundreds, whose traffic is very uneven: what the rule allows
+/// The budget of a cold replica, over all routers, few or hundreds, whose traffic is very uneven: what the rule allows
 /// in any window of its time is never passed, and where there is work much of what all may send is sent.
 #[test]
-fn uneven_gateways_use_the_budget_of_cold_replicas_and_never_pass_it() {
+fn uneven_routers_use_the_budget_of_warming_replicas_and_never_exceed_it() {
     let (mut lowest, mut most) = (f64::MAX, 0.0f64);
-    for (gateways, seeds) in [(1, 1), (2, 2), (5, 2), (20, 2), (30, 2), (100, 2), (300, 3)] {
+    for (routers, seeds) in [(1, 1), (2, 2), (5, 2), (20, 2), (30, 2), (100, 2), (300, 3)] {
         for trouble in TROUBLES {
             for seed in 1..=seeds {
-                let (used, worst) = budget_used(gateways, trouble, seed);
+                let (used, worst) = budget_used(routers, trouble, seed);
                 assert!(
                     worst < 1.0,
-                    "{gateways}, {trouble:?}, seed {seed}: {worst:.2} times what the rule allows"
+                    "{routers}, {trouble:?}, seed {seed}: {worst:.2} times what the rule allows"
                 );
-                // Survivors that get the traffic of the dead learn of it a report period later, gateways that begin anew
-                // with their first requests: until then they send less, never more. Few gateways of uneven traffic
+                // Survivors that get the traffic of the dead learn of it a report period later, routers that begin anew
+                // with their first requests: until then they send less, never more. Few routers of uneven traffic
                 // have one that gets most of it, and sends less than its part of all.
-                let least = match (trouble, gateways) {
+                let least = match (trouble, routers) {
                     (Trouble::Dead, 300) => 0.45,
                     (Trouble::Restarts, 300) => 0.5,
                     (_, 300) => 0.6,
                     (Trouble::Dead, _) => 0.3,
                     _ => 0.4,
                 };
-                assert!(used > least, "{gateways}, {trouble:?}, seed {seed}: {used:.2} of the budget used");
-                println!("{gateways}, {trouble:?}, seed {seed}: {used:.2} of the budget, {worst:.2} of what the rule allows");
+                assert!(used > least, "{routers}, {trouble:?}, seed {seed}: {used:.2} of the budget used");
+                println!("{routers}, {trouble:?}, seed {seed}: {used:.2} of the budget, {worst:.2} of what the rule allows");
                 (lowest, most) = (lowest.min(used), most.max(worst));
             }
         }
@@ -270,14 +270,14 @@
     println!("{lowest:.2} of the budget at the least, {most:.2} of what the rule allows at the most");
 }
 
-/// The share used of what all gateways may send to the replicas that have started, and the most that any of these got
+/// The share used of what all routers may send to the replicas that have started, and the most that any of these got
 /// within the time of the rule against what it allows, in requests of mean work.
-fn budget_used(gateways: u32, trouble: Trouble, seed: u64) -> (f64, f64) {
+fn budget_used(routers: u32, trouble: Trouble, seed: u64) -> (f64, f64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut fleet = Fleet::of(gateways);
+    let mut fleet = Fleet::of(routers);
     if trouble == Trouble::Uncounted {
-        fleet.gateways.extend((0..gateways.div_ceil(4)).map(|n| {
-            let set = settings(gateways, n);
+        fleet.routers.extend((0..routers.div_ceil(4)).map(|n| {
+            let set = settings(routers, n);
             World::with_replicas(set, u64::from(1000 + n), REPLICAS)
         }));
     }
@@ -285,7 +285,7 @@
         fleet.prompts = vec![400, 400, 400, 8000];
     }
     let mean_prompt = fleet.prompts.iter().sum::<u32>() as f64 / fleet.prompts.len() as f64;
-    let n = fleet.gateways.len();
+    let n = fleet.routers.len();
     // An exponential spread: some get several times the mean, many next to nothing.
     let mut weights: Vec<f64> = (0..n).map(|_| -(1.0 - rng.f64()).ln()).collect();
     let slow = |r| if r < STARTED { SECOND / 5 } else { SECOND };
@@ -294,7 +294,7 @@
     if trouble == Trouble::Dead && n > 1 {
         weights.iter_mut().enumerate().for_each(|(g, w)| *w *= f64::from(u8::from(g % 10 < 3)));
     }
-    let told = fleet.gateways[0].now;
+    let told = fleet.routers[0].now;
     let mut last_start = told - SECOND;
     let rows = |last_start| -> Vec<EndpointEntry> {
         (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect()
@@ -302,7 +302,7 @@
     let late: Vec<Nanos> = (0..n).map(|_| rng.u64(..2 * SECOND)).collect();
     let late = |g: usize| if trouble == Trouble::LateLists { late[g] } else { 0 };
     let (mut knows, mut next) = (vec![false; n], 0);
-    // When each replica got how much of a mean request's work, and whether from a gateway that had been told.
+    // When each replica got how much of a mean request's work, and whether from a router that had been told.
     let mut at: Vec<Vec<(Nanos, f64, bool)>> = vec![vec![]; REPLICAS as usize];
     let mut warmth = Vec::new();
     for step in 0..600 {
@@ -312,17 +312,17 @@
         }
         for (g, knows) in knows.iter_mut().enumerate().filter(|(g, knows)| !**knows && now >= told + late(*g))
         {
-            fleet.gateways[g].run_to(now);
-            fleet.gateways[g].list(ListUpdate::Delta, rows(last_start));
+            fleet.routers[g].run_to(now);
+            fleet.routers[g].update_list(ListUpdate::Delta, rows(last_start));
             *knows = true;
         }
-        if trouble == Trouble::Restarts && step % (1200 / u64::from(gateways)) == 0 {
-            let set = fleet.gateways[next].set.clone();
+        if trouble == Trouble::Restarts && step % (1200 / u64::from(routers)) == 0 {
+            let set = fleet.routers[next].settings.clone();
             let mut anew = World::new(set, seed * 1000 + next as u64);
             anew.now = now;
-            anew.list(ListUpdate::Cached, fleet.gateways[next].rows.values().cloned().collect());
+            anew.update_list(ListUpdate::Cached, fleet.routers[next].entries.values().cloned().collect());
             fleet.due.retain(|d| d.1 != next);
-            fleet.gateways[next] = anew;
+            fleet.routers[next] = anew;
             next = (next + 1) % n;
         }
         fleet.work.clear();
@@ -343,9 +343,9 @@
             let window = || sends.iter().filter(|(s, ..)| *s <= t && s + 2 * SECOND > t);
             let within: f64 = window().map(|(_, work, _)| work).sum();
             let told_of: f64 = window().filter(|(.., told)| *told).map(|(_, work, _)| work).sum();
-            // The rule is broken where over two thirds came from gateways that had been told. Of two, one that has not been
+            // The rule is broken where over two thirds came from routers that had been told. Of two, one that has not been
             // sends what it likes; of more, what all send is held to the rule here.
-            if gateways == 2 && told_of <= within * 2.0 / 3.0 {
+            if routers == 2 && told_of <= within * 2.0 / 3.0 {
                 continue;
             }
             let k = (t.saturating_sub(SECOND).max(told) - told) / (10 * MS);
@@ -376,15 +376,15 @@
 
 /// Guards against a budget that grows with what is asked of a fleet beyond what it can do: the rule goes by the latter.
 #[test]
-fn requests_in_a_jam_raise_no_cold_replica_s_budget() {
-    for gateways in [1, 2, 5, 20, 30, 100, 300] {
-        let mut fleet = Fleet::of(gateways);
-        let start = fleet.gateways[0].now;
+fn requests_under_overload_raise_no_warming_replica_s_budget() {
+    for routers in [1, 2, 5, 20, 30, 100, 300] {
+        let mut fleet = Fleet::of(routers);
+        let start = fleet.routers[0].now;
         let jam = std::cell::RefCell::new(Jam { now: start, free_at: vec![start; REPLICAS as usize] });
         let play = |fleet: &mut Fleet, steps: u64, warmth: &dyn Fn(Nanos, u64) -> f64| {
             let mut sends = Vec::new();
             for _ in 0..steps {
-                let now = fleet.gateways[0].now;
+                let now = fleet.routers[0].now;
                 jam.borrow_mut().now = now;
                 fleet.work.clear();
                 fleet.play(10, |r| jam.borrow_mut().begins(r, warmth(now, r)));
@@ -393,10 +393,10 @@
             sends
         };
         play(&mut fleet, 4_000, &|_, _| 1.0);
-        let told = fleet.gateways[0].now;
+        let told = fleet.routers[0].now;
         let last_start = told - SECOND;
         let rows: Vec<_> = (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect();
-        fleet.gateways.iter_mut().for_each(|w| drop(w.list(ListUpdate::Delta, rows.clone())));
+        fleet.routers.iter_mut().for_each(|w| drop(w.update_list(ListUpdate::Delta, rows.clone())));
         let warm = |at: Nanos| 0.2 + 0.8 * ((at - last_start) as f64 / (10 * SECOND) as f64).min(1.0);
         let sends = play(&mut fleet, 600, &|now, r| if r < STARTED { warm(now) } else { 1.0 });
         let (mut worst, mut most) = (0.0f64, 0);
@@ -409,7 +409,7 @@
                 (worst, most) = (worst.max(ratio), most.max(within));
             }
         }
-        println!("{gateways}: {most} within the time of the rule, {worst:.2} of what it allows");
-        assert!(most > 0 && worst < 1.0, "{gateways}: {worst:.2} times what the rule allows");
+        println!("{routers}: {most} within the time of the rule, {worst:.2} of what it allows");
+        assert!(most > 0 && worst < 1.0, "{routers}: {worst:.2} times what the rule allows");
     }
 }
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_module_keeps_its_bounds() {
+fn the_files_keep_their_bounds() {
     let src = PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/src"));
     let files = files(&src);
     assert!(files.len() > 15, "{files:?}");
