--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -217,3 +217,55 @@
     println!("{small} of 10, {large} of 1000 for 300 sessions, at most {most} streams at once");
     assert!(small <= 10 && large > 80 && most <= 3, "{small} of 10, {large} of 1000, {most} at once");
 }
+
+#[test]
+fn routers_agree_on_the_preferred_replica_of_a_session() {
+    // No word passes between them; each has seen different traffic.
+    let mut agree = 0;
+    let mut a = World::with_replicas(settings(2, 0), 1, 12);
+    let mut b = World::with_replicas(settings(2, 1), 2, 12);
+    for n in 0..300 {
+        a.serve(request(n));
+        b.serve(request(n * 3 + 1000));
+    }
+    for n in 5000..5200 {
+        let (x, y) = (World::sent_to(&a.submit(request(n))), World::sent_to(&b.submit(request(n))));
+        agree += u32::from(x == y);
+        for w in [&mut a, &mut b] {
+            w.first_token(RequestId(n), 0);
+            w.end_attempt(RequestId(n), 0, Outcome::Completed);
+        }
+    }
+    assert!(agree > 160, "{agree} of 200 sessions at the same replica");
+}
+
+#[test]
+fn a_preferred_replica_that_turns_slow_does_not_hold_its_sessions() {
+    // Met in rolling deploys with slow replicas: what a home had kept outweighed any wait for it.
+    let mut w = World::with_replicas(settings(1, 0), 5, 6);
+    let session = Some(SessionKey(11));
+    let mut turn = |n: u64, slow: Option<ReplicaId>| {
+        // Others' requests keep the waits of all replicas known.
+        let of_others = (1..8).map(|k| plain(1000 * k + n));
+        let r = Request { session, prompt_tokens: 900, prefix_tokens: 200, ..request(n) };
+        let mut to = None;
+        for r in of_others.chain([Request { prefix: Some(PrefixKey(1)), ..r }]) {
+            w.run_to(w.now + 5 * MS);
+            let id = r.id;
+            to = World::sent_to(&w.submit(r));
+            w.run_to(w.now + if to == slow { 500 } else { 20 } * MS);
+            w.first_token(id, 0);
+            w.end_attempt(id, 0, Outcome::Completed);
+        }
+        to.expect("sent")
+    };
+    let first: Vec<ReplicaId> = (0..60).map(|n| turn(n, None)).collect();
+    let home = first[59];
+    assert!(first[20..].iter().all(|to| *to == home), "a session stays where its prompt is kept");
+    let later = (60..160).map(|n| turn(n, Some(home))).filter(|to| *to == home).count();
+    assert!(later < 30, "{later} of 100 still go to the slow home");
+}
+
+fn plain(id: u64) -> Request {
+    Request { prefix: None, session: None, prefix_tokens: 0, ..request(id) }
+}
