--- a/router/src/fleet/bootstrap.rs
+++ b/router/src/fleet/bootstrap.rs
@@ -29,7 +29,7 @@
     pub proposer: Rc<CommandProposer>,
     /// Has the new incarnation agreed on.
     pub submitter: Rc<CommandSubmitter>,
-    /// Is told of a first state.
+    /// Takes a first state.
     pub state: Rc<KnownState>,
 }
 
--- a/router/src/fleet/control.rs
+++ b/router/src/fleet/control.rs
@@ -56,7 +56,7 @@
     /// Shuts the process down.
     fn shut_down(&self);
 
-    /// What it tells the council of itself.
+    /// The status that it advertises to the council.
     fn advertised_status(&self) -> AdvertisedStatus;
 
     /// Its final answers since its start.
--- a/router/src/fleet/file_faults.rs
+++ b/router/src/fleet/file_faults.rs
@@ -65,7 +65,7 @@
 }
 
 /// Plays each fault at each call of a part, each time in a folder as `prepare` leaves it; `check` looks at what is there
-/// then, told whether the part came to its end.
+/// then, and gets whether the part came to its end.
 fn at_each_call(part: &str, prepare: impl Fn(&Path), check: impl Fn(&Path, bool, &str)) {
     let tools = tempfile::tempdir().unwrap();
     let library = Library::Files.compile(tools.path()).expect("a C compiler");
@@ -108,7 +108,7 @@
     });
 }
 
-/// Guards against a place without a file, and against a trial that cannot be gone back from.
+/// Guards against a place without a file, and against a trial that cannot be rolled back.
 #[test]
 fn a_released_file_survives_a_kill_at_each_call_and_a_full_disk() {
     let (old, new) = (release_files::digest(b"old"), release_files::digest(b"new"));
--- a/router/src/fleet/heartbeat.rs
+++ b/router/src/fleet/heartbeat.rs
@@ -17,7 +17,7 @@
 use super::tasks::TaskGroup;
 use super::wire::{HeartbeatReport, Request, Response};
 
-/// Sends this router's heartbeats.
+/// Sends this router's heartbeats and reports.
 pub struct HeartbeatSender {
     /// The fleet's settings.
     pub settings: Rc<FleetSettings>,
@@ -31,7 +31,7 @@
     pub council: Rc<Council>,
     /// Receives its own heartbeat, if it is a member.
     pub peers: Rc<PeerTable>,
-    /// Is told the versions that members reply.
+    /// Takes the versions that members reply.
     pub state: Rc<KnownState>,
     /// Owns the calls.
     pub tasks: Rc<TaskGroup>,
--- a/router/src/fleet/known_state.rs
+++ b/router/src/fleet/known_state.rs
@@ -15,7 +15,7 @@
 pub struct KnownState {
     control: Rc<dyn RouterControl>,
     state: RefCell<Option<FleetState>>,
-    /// The newest version that any member has told of: a hint to read.
+    /// The newest version that any member has reported: a hint to read.
     latest_version_seen: Cell<u64>,
     changed: Notify,
     first_known: Notify,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Whether a member has told of a newer version than the known one.
+    /// Whether a member has reported a newer version than the known one.
     pub fn is_behind(&self) -> bool {
         Some(self.latest_version_seen.get()) > self.version()
     }
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -8,7 +8,7 @@
 //! | --- | --- |
 //! | `agent` | puts the parts together and owns their tasks |
 //! | `wire`, `connection`, `server` | the messages; calls to council members; replies to calls |
-//! | `heartbeat`, `peer_table` | tells the council of this router; what was heard of the others |
+//! | `heartbeat`, `peer_table` | reports to the council; what the others have reported |
 //! | `council`, `proposer`, `submission`, `bootstrap` | the acceptors; rounds; commands of this router; joining |
 //! | `known_state`, `state_follower` | what is agreed on; this router's own drains and returns |
 //! | `release_controller`, `artifacts`, `release_files`, `release_plan` | releases: waves, files on disk, plans |
@@ -16,6 +16,8 @@
 //! | `persistence`, `stored_state`, `key_reload`, `disk` | files that are written and read meanwhile |
 //! | `control`, `settings`, `local_router`, `incarnation`, `tasks` | the router that this is a part of; basics |
 
+#![deny(clippy::too_many_lines, clippy::cognitive_complexity, clippy::missing_errors_doc)]
+
 mod agent;
 mod artifacts;
 mod bootstrap;
--- a/router/src/fleet/order_execution.rs
+++ b/router/src/fleet/order_execution.rs
@@ -22,7 +22,7 @@
 /// How often the state is read until a halt is effective: an operator waits for it.
 const HALT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why an order is not done, as the operator is told.
+/// Why an order is not done. The texts are what operators see.
 #[derive(Debug, thiserror::Error)]
 enum OrderFailure {
     #[error("the fleet has no router `{0}`, and no such model node is out by order")]
--- a/router/src/fleet/peer_table.rs
+++ b/router/src/fleet/peer_table.rs
@@ -12,7 +12,7 @@
 
 use super::wire::{Call, HeartbeatReport, NotClearReplica, Request};
 
-/// Routers that still use a drained replica, of which the names are told; the rest is a count.
+/// Routers that still use a drained replica, of which the indices are reported; the rest is a count.
 const MAX_NAMED_ROUTERS: usize = 8;
 
 /// A call that is of no router of the fleet, or not newer than one before.
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// The latest incarnation of a router that its calls have told of; 0: none was heard.
+    /// The latest incarnation of a router that its calls have named; 0: none was heard.
     pub fn latest_incarnation(&self, of: RouterIndex) -> Incarnation {
         let last_calls = self.last_calls.borrow();
         let last = last_calls.get(usize::from(of)).copied().unwrap_or_default();
@@ -125,7 +125,7 @@
         let uses: Vec<ReplicaUse> = (0..)
             .zip(reports.iter())
             .map(|(router, report): (RouterIndex, _)| {
-                // What an earlier incarnation told says nothing of this one.
+                // The report of an earlier incarnation says nothing of this one.
                 let alive = detector.live_peer(now, router).map(|peer| peer.incarnation);
                 let report = report.as_ref().filter(|r| Some(r.incarnation) == alive);
                 ReplicaUse {
@@ -166,7 +166,7 @@
         Some(reports.collect())
     }
 
-    /// How many routers have told that they run a digest.
+    /// How many routers have reported that they run a digest.
     pub fn running_digests(&self) -> BTreeMap<String, usize> {
         let mut running = BTreeMap::new();
         for report in self.reports.borrow().iter().flatten() {
@@ -177,3 +177,6 @@
         running
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/router/src/fleet/release_files.rs
+++ b/router/src/fleet/release_files.rs
@@ -47,7 +47,7 @@
 /// What a start did about a trial, for the operator.
 #[derive(Debug)]
 pub enum TrialEvent {
-    /// The start can't be counted: a trial that fails would not be gone back from.
+    /// The start can't be counted: a trial that fails would not be rolled back.
     NotCounted(io::Error),
     /// There were too many starts: the file of before is installed again.
     RolledBack {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Replaces a file with one of these bytes, or leaves it as it was, as far as the disk tells the truth.
+/// Replaces a file with one of these bytes, or leaves it as it was, as far as the disk can be trusted.
 ///
 /// # Errors
 ///
--- a/router/src/fleet/server.rs
+++ b/router/src/fleet/server.rs
@@ -42,7 +42,7 @@
     /// A call was of no router of the fleet, or not new.
     #[error("{0}")]
     StaleCall(#[from] StaleCall),
-    /// The peer said nothing for so long that it is gone, or has another connection by now.
+    /// The peer was silent for so long that it has ended, or has another connection by now.
     #[error("idle")]
     Idle,
 }
@@ -72,7 +72,7 @@
         self.count.get()
     }
 
-    /// Counts one. The log has the first and then each doubling: a stranger can't fill the disk.
+    /// Counts one. The log has the first and then each doubling: nobody outside the fleet can fill the disk with it.
     fn record(&self, peer: SocketAddr, reason: &ConnectionError) {
         let count = self.count.get() + 1;
         self.count.set(count);
@@ -92,7 +92,7 @@
     pub local: Rc<LocalRouter>,
     /// Answers for the acceptor.
     pub council: Rc<Council>,
-    /// Is told of heartbeats, and which calls are new.
+    /// Takes heartbeats, and knows which calls are new.
     pub peers: Rc<PeerTable>,
     /// Takes commands.
     pub proposer: Rc<CommandProposer>,
--- a/router/src/fleet/submission.rs
+++ b/router/src/fleet/submission.rs
@@ -155,7 +155,7 @@
         timeout(self.settings.order_timeout, self.read()).await.ok().flatten()
     }
 
-    /// What the last read told of a drained replica.
+    /// What the last read has shown of a drained replica.
     pub fn not_clear(&self, replica: &str) -> Option<NotClearReplica> {
         self.not_clear.borrow().get(replica).cloned()
     }
--- a/router/src/fleet/tasks.rs
+++ b/router/src/fleet/tasks.rs
@@ -25,3 +25,6 @@
         self.running.borrow_mut().abort_all();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/router/src/fleet/wire/framing.rs
+++ b/router/src/fleet/wire/framing.rs
@@ -16,7 +16,7 @@
     if !(HASH_BYTES..=HASH_BYTES + MAX_BODY_BYTES).contains(&length) {
         return Err(MessageError::InvalidLength);
     }
-    // Grows with what comes: a stranger's length alone costs no memory.
+    // Grows with what is received: a length alone costs no memory.
     let mut bytes = Vec::new();
     from.take(length as u64).read_to_end(&mut bytes).await?;
     match bytes.len() == length {
--- a/router/src/fleet/wire/messages.rs
+++ b/router/src/fleet/wire/messages.rs
@@ -52,7 +52,7 @@
     /// The replica's id.
     #[serde(rename = "node")]
     pub replica: String,
-    /// How many routers still use it, or have not told.
+    /// How many routers still use it, or have not reported.
     #[serde(rename = "routers")]
     pub router_count: usize,
     /// The first of them.
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -1,5 +1,5 @@
-//! What the fleet has this process do: it drains by the stages that balancers are told of, serves again, shuts down to
-//! start with another file, and sends nothing new to replicas that operators have drained.
+//! What the fleet has this process do: it drains in the stages that health checks show to balancers, serves again, shuts
+//! down to start with another file, and sends nothing new to replicas that operators have drained.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 pub struct ProcessControl {
     /// Its requests and connections.
     pub components: Rc<Components>,
-    /// What balancers are told.
+    /// The state that balancers see.
     pub board: Rc<Board>,
     /// Its settings file: a released one is read in its place.
     pub settings: PathBuf,
