--- a/src/api.rs
+++ b/src/api.rs
@@ -1,10 +1,12 @@
 //! The interface of the decision module: what a router hands in ([`Settings`], [`Event`]) and what
 //! it gets back ([`Action`]). Plain data; every time and every span is in nanoseconds ([`Nanos`]).
 
-use std::fmt;
+mod settings;
 
 pub use crate::effect::{DeduplicationScope, Effect};
 pub use crate::served_report::TenantsDigest;
+pub(crate) use settings::usable;
+pub use settings::{Class, EndpointListMode, LoadField, Settings, SettingsError, Tenant};
 
 /// A point in time or a span, in nanoseconds. Points are of the router's own monotonic clock.
 pub type Nanos = u64;
@@ -12,8 +14,8 @@
 /// One second.
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// The longest wait for the next call for the node list: half of the 6 s after which what it has to tell counts as told. The
-/// other half is for a call that was out when the list came back, and for the answer.
+/// The longest backoff before the next poll of the endpoint list: half of the 6 s after which a router counts as notified of
+/// what the list has. The other half is for a call that was in flight when the list came back, and for the answer.
 pub const MAX_LIST_POLL_DELAY: Nanos = 3 * SECOND;
 
 macro_rules! id {
@@ -30,7 +32,7 @@
     ReplicaId(u64)
 );
 id!(
-    /// A request, as the router numbers it. Never used twice within one life of a router.
+    /// A request, as the router numbers it. Never used twice within one incarnation of a router.
     RequestId(u64)
 );
 id!(
@@ -54,185 +56,23 @@
     SessionKey(u64)
 );
 id!(
-    /// A beginning shared by the prompts of several sessions, hashed in the same way at every router.
+    /// A prefix shared by the prompts of several sessions, hashed in the same way at every router.
     PrefixKey(u64)
 );
 
-/// A class of requests.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Class {
-    /// The first token is worth the full worth within this time.
-    pub latency_objective: Nanos,
-    /// Added to the aim for every 1,000 tokens of the prompt.
-    pub latency_objective_per_1000_tokens: Nanos,
-    /// The wanted gap between tokens; 0 if none is stated.
-    pub token_interval_objective: Nanos,
-    /// What repeating does.
-    pub effect: Effect,
-    /// Worth of one request, in any unit common to all classes.
-    pub priority_weight: f64,
-    /// The part of it that an answer after the aim earns, 0 to 1.
-    pub late_value_share: f64,
-}
-
-impl Class {
-    /// The aim for a prompt of so many tokens, ns.
-    pub fn latency_objective_for(&self, prompt_tokens: u32) -> f64 {
-        self.latency_objective as f64
-            + self.latency_objective_per_1000_tokens as f64 * f64::from(prompt_tokens) / 1000.0
-    }
-}
-
-/// A tenant.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Tenant {
-    /// Requests per second within its share, over all routers together. Above zero.
-    pub quota_per_s: f64,
-}
-
-/// A value in a replica's load report.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoadField {
-    /// Requests queued.
-    Queue,
-    /// Busy share of the replica, 0 to 1.
-    Utilization,
-    /// Thousands of prompt tokens waiting to be read.
-    PrefillBacklogThousands,
-    /// Anything else: skipped.
-    Other,
-}
-
-/// How the list of replicas comes.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointListMode {
-    /// Changes arrive unprompted.
-    Pushed,
-    /// Changes arrive after a [`Action::WatchEndpoints`] only.
-    Polled {
-        /// A router that has neither a subscription nor asked for this long is held to know the list.
-        max_poll_interval: Nanos,
-    },
-}
-
-/// What a router is told once, at its start.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Settings {
-    /// This router's place among the routers.
-    pub own_index: PeerId,
-    /// How many routers there are.
-    pub router_count: u32,
-    /// This router's zone.
-    pub zone: ZoneId,
-    /// The tenants; may be empty.
-    pub tenants: Vec<Tenant>,
-    /// What their numbers mean: peers' reports are heard only where it is the same.
-    pub digest: TenantsDigest,
-    /// The classes; at least one.
-    pub classes: Vec<Class>,
-    /// The most attempts for a request. At least one.
-    pub max_attempts: u32,
-    /// Two attempts of one request may be out together.
-    pub concurrent_attempts: bool,
-    /// Attempts can be called off.
-    pub can_cancel: bool,
-    /// Messages to peers are possible.
-    pub has_peers: bool,
-    /// Probes are possible.
-    pub can_probe: bool,
-    /// The longest wait that clients follow.
-    pub max_retry_after: Nanos,
-    /// How the list comes.
-    pub list_mode: EndpointListMode,
-    /// The values of a load report, in order.
-    pub report_fields: Vec<LoadField>,
-    /// A replica starts at this share of its capacity or more, 0 to 1.
-    pub initial_capacity_share: f64,
-    /// It is warm after this time.
-    pub warm_up_time: Nanos,
-    /// A cold replica that is sent too much for this time falls over.
-    pub overload_window: Nanos,
-    /// Too much: more than so many times what it can do then.
-    pub overload_multiple: f64,
-    /// What crossing zones costs, as a share of a request's worth.
-    pub cross_zone_cost: f64,
-    /// A connection to a replica that carries nothing is closed after this.
-    pub idle_timeout: Nanos,
-}
-
-impl Settings {
-    /// Whether a router can decide by these.
-    pub fn check(&self) -> Result<(), SettingsError> {
-        if self.classes.is_empty() {
-            return Err(SettingsError::NoClasses);
-        }
-        if self.tenants.iter().any(|t| !usable(t.quota_per_s) || t.quota_per_s == 0.0) {
-            return Err(SettingsError::BadNumber("quota_per_s"));
-        }
-        if !usable(self.overload_multiple) {
-            return Err(SettingsError::BadNumber("fall_multiple"));
-        }
-        if self.classes.iter().any(|c| c.latency_objective == 0) {
-            return Err(SettingsError::BadNumber("aim"));
-        }
-        if self.max_attempts == 0 {
-            return Err(SettingsError::BadNumber("try_limit"));
-        }
-        for (x, name) in
-            [(self.initial_capacity_share, "cold_share"), (self.cross_zone_cost, "cross_zone_price")]
-        {
-            if !usable(x) {
-                return Err(SettingsError::BadNumber(name));
-            }
-        }
-        if self.router_count == 0 || self.own_index.0 >= self.router_count {
-            return Err(SettingsError::InvalidRouterIndex);
-        }
-        Ok(())
-    }
-}
-
-/// Whether a number can be one of the settings.
-pub(crate) fn usable(x: f64) -> bool {
-    x.is_finite() && x >= 0.0
-}
-
-/// What is wrong with [`Settings`].
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SettingsError {
-    /// There is no class.
-    NoClasses,
-    /// A number is missing, zero where it must not be, negative or not finite. Names the setting.
-    BadNumber(&'static str),
-    /// This router's number is not below the number of routers.
-    InvalidRouterIndex,
-}
-
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SettingsError::NoClasses => write!(f, "no class of requests"),
-            SettingsError::BadNumber(name) => write!(f, "{name}: not a usable number"),
-            SettingsError::InvalidRouterIndex => write!(f, "me: not among the routers"),
-        }
-    }
-}
-
-impl std::error::Error for SettingsError {}
-
-/// What the list says of a replica.
+/// What the endpoint list says of a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes work.
+    /// Takes requests.
     Ready,
-    /// Finishes its work; nothing new.
+    /// Finishes its requests; nothing new.
     Draining,
     /// Is gone; nothing new.
     #[default]
     Gone,
 }
 
-/// A row of the list.
+/// A replica in the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointEntry {
     /// Which replica.
@@ -249,16 +89,16 @@
     pub kind: u32,
 }
 
-/// What a list event holds.
+/// What an event of the endpoint list holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Changed rows only.
+    /// Changed entries only.
     Delta,
     /// The whole list.
     Full,
     /// The whole list as last held before a restart, perhaps old.
     Cached,
-    /// A call for the list failed, or the subscription ended. No rows.
+    /// A poll failed, or the watch ended. No entries.
     Failed,
 }
 
@@ -275,15 +115,15 @@
     pub time_left: Nanos,
     /// Tokens in the prompt.
     pub prompt_tokens: u32,
-    /// How many of them are the shared beginning.
+    /// How many of them are the shared prefix.
     pub prefix_tokens: u32,
     /// The session.
     pub session: Option<SessionKey>,
-    /// The shared beginning.
+    /// The shared prefix.
     pub prefix: Option<PrefixKey>,
     /// The client comes back for the rest of a broken or moved stream.
     pub resumes_stream: bool,
-    /// The client marks this as another try of what it asked before, where clients do.
+    /// The client marks this as a retry of what it asked before, where clients do.
     pub is_client_retry: bool,
 }
 
@@ -294,7 +134,7 @@
     Completed,
     /// The replica gave an error; it may have run.
     ReplicaError,
-    /// Sent back unseen.
+    /// Rejected before anything ran.
     Rejected,
     /// No reply in time; may have run.
     TimedOut,
@@ -302,7 +142,7 @@
     ConnectionRefused,
     /// The connection broke; it may have run.
     ConnectionReset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Not sent.
     NotSent,
@@ -328,7 +168,7 @@
     pub elapsed: Nanos,
     /// The request is over, by this or before it: no answer is owed.
     pub request_over: bool,
-    /// Prompt tokens the replica still had, if told.
+    /// Prompt tokens found in the replica's prefix cache, if it reports them.
     pub cached_tokens: Option<u32>,
     /// The replica's load report, in the order of [`Settings::report_fields`]; empty if none came.
     pub load: Vec<f64>,
@@ -337,11 +177,11 @@
 /// What a router has seen.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the list.
+    /// The endpoint list, or a change of it.
     EndpointList {
-        /// What kind of news.
+        /// What it holds.
         kind: ListUpdate,
-        /// The rows.
+        /// The entries.
         rows: Vec<EndpointEntry>,
     },
     /// A request.
@@ -361,7 +201,7 @@
     ClientLeft(RequestId),
     /// A timer set by [`Action::WakeAt`].
     Timer(u64),
-    /// A probe has ended.
+    /// A health check has ended.
     ProbeEnded {
         /// The replica.
         replica: ReplicaId,
@@ -370,7 +210,7 @@
         /// The load report, as in [`Event::AttemptEnded`].
         load: Vec<f64>,
     },
-    /// A message from a peer.
+    /// Gossip from a peer.
     PeerMessage {
         /// Its sender.
         from: PeerId,
@@ -379,10 +219,10 @@
     },
 }
 
-/// What a request is refused for.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its tenant has used up its share.
+    /// Its tenant has used up its quota.
     QuotaExceeded,
     /// No replica would begin in time, or none did.
     NoCapacity,
@@ -400,7 +240,7 @@
         /// Its time-out.
         timeout: Nanos,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: rejected; trying again is harmless.
     Reject {
         /// The request.
         request: RequestId,
@@ -418,9 +258,9 @@
         /// The attempt.
         attempt: u32,
     },
-    /// Probe a replica.
+    /// Check the health of a replica.
     Probe(ReplicaId),
-    /// Subscribe to the list.
+    /// Watch the endpoint list, or poll it.
     WatchEndpoints,
     /// Send a message of at most 256 bytes to all peers.
     Gossip(Vec<u8>),
