--- a/router/src/fleet/peer_table/tests.rs
+++ b/router/src/fleet/peer_table/tests.rs
@@ -1,8 +1,11 @@
+use std::time::Duration;
+
 use super::*;
 use crate::fleet::wire::VERSION;
 
 const S: Nanos = 1_000_000_000;
-const TIMING: HeartbeatTiming = HeartbeatTiming { interval: S / 2, silence_limit: 3 * S };
+const TIMING: HeartbeatTiming =
+    HeartbeatTiming { interval: Duration::from_millis(500), silence_limit: Duration::from_secs(3) };
 
 fn table() -> PeerTable {
     PeerTable::new(TIMING, 2)
