--- a/router/src/checks/agent.rs
+++ b/router/src/checks/agent.rs
@@ -36,7 +36,7 @@
     let known = says.is_none();
     let says = says.unwrap_or_else(|| {
         let now = call.board.assessment();
-        let room = call.context.limits.clients * usize::from(now.weight) / 100;
+        let room = call.context.limits.max_clients * usize::from(now.weight) / 100;
         Says::of(&now, maxconn.then(|| u32::try_from(room.max(1)).unwrap_or(u32::MAX)))
     });
     let line = Bytes::from(format!("{says}\n"));
@@ -50,7 +50,7 @@
     // What the balancer may have sent is read before the close, which would else reset the line away. Whoever
     // stays on after its answer holds no place that is wanted.
     tokio::select! {
-        _ = timeout_at(by, linger(call.wire, call.context.limits.linger)) => {}
+        _ = timeout_at(by, linger(call.wire, call.context.limits.close_linger)) => {}
         () = idle.close_requested() => {}
     }
 }
@@ -58,14 +58,14 @@
 /// The line that the balancer may send first.
 async fn first_line(call: &mut Call) -> Asked {
     loop {
-        match asked(&call.wire.buf) {
+        match asked(&call.wire.unread) {
             Asked::Open => {}
             line => return line,
         }
-        if !matches!(call.wire.more().await, Ok(true)) {
+        if !matches!(call.wire.read_more().await, Ok(true)) {
             // It has closed its sending side, as some do: what it sent is all there is.
-            call.wire.buf.extend_from_slice(b"\n");
-            return asked(&call.wire.buf);
+            call.wire.unread.extend_from_slice(b"\n");
+            return asked(&call.wire.unread);
         }
     }
 }
--- a/router/src/checks/http.rs
+++ b/router/src/checks/http.rs
@@ -7,7 +7,7 @@
 
 use super::listen::Call;
 use crate::front::{linger, Rejection};
-use crate::http::{reason, Bad, Body, Framing, Head, Part, Start};
+use crate::http::{reason_phrase, BodyFraming, BodyPart, BodyReader, HttpError, MessageHead, StartLine};
 
 /// The largest body of a check that is read over; checks have none.
 const BODY: u64 = 4 << 10;
@@ -17,12 +17,12 @@
     loop {
         let budget = call.budget();
         let mut idle = call.rest();
-        if call.wire.buf.is_empty() {
-            call.wire.rest();
+        if call.wire.unread.is_empty() {
+            call.wire.release_buffer();
             let rest = call.board.of_checks(|c| c.idle).unwrap_or(budget);
             let more = tokio::select! {
                 biased;
-                more = timeout(rest, call.wire.more()) => more,
+                more = timeout(rest, call.wire.read_more()) => more,
                 () = idle.close_requested() => return,
             };
             if !matches!(more, Ok(Ok(true))) {
@@ -48,53 +48,53 @@
                 (refusal(Rejection::from(bad).status()), false, false)
             }
             Read::Asked(head) => {
-                let bodiless = matches!(&head.start, Start::Request(m, _) if &m[..] == b"HEAD");
-                (decide(&call, &head), bodiless, head.keeps())
+                let bodiless = matches!(&head.start_line, StartLine::Request(m, _) if &m[..] == b"HEAD");
+                (decide(&call, &head), bodiless, head.keeps_alive())
             }
         };
         if !matches!(timeout(budget, say(&mut call, answer, bodiless, keeps)).await, Ok(Ok(()))) {
             return;
         }
         if !keeps {
-            let _ = timeout(budget, linger(call.wire, call.context.limits.linger)).await;
+            let _ = timeout(budget, linger(call.wire, call.context.limits.close_linger)).await;
             return;
         }
     }
 }
 
 enum Read {
-    Asked(Head),
-    Bad(Bad),
+    Asked(MessageHead),
+    Bad(HttpError),
     Gone,
 }
 
 async fn read(call: &mut Call) -> Read {
     let limits = call.context.limits.clone();
     let head = loop {
-        match Head::request(&mut call.wire.buf, &limits) {
+        match MessageHead::parse_request(&mut call.wire.unread, &limits) {
             Ok(Some(head)) => break head,
-            Ok(None) if matches!(call.wire.more().await, Ok(true)) => {}
+            Ok(None) if matches!(call.wire.read_more().await, Ok(true)) => {}
             Ok(None) => return Read::Gone,
             Err(bad) => return Read::Bad(bad),
         }
     };
     let framing = match head.framing() {
-        Ok(Framing::Unstated) => return Read::Asked(head),
-        Ok(Framing::Length(n)) if n > BODY => return Read::Bad(Bad::LargeBody),
+        Ok(BodyFraming::Undeclared) => return Read::Asked(head),
+        Ok(BodyFraming::Length(n)) if n > BODY => return Read::Bad(HttpError::BodyTooLarge),
         Ok(framing) => framing,
         Err(bad) => return Read::Bad(bad),
     };
-    let (mut body, mut all) = (Body::new(framing, BODY), 0);
+    let (mut body, mut all) = (BodyReader::new(framing, BODY), 0);
     loop {
-        match body.next(&mut call.wire.buf) {
-            Ok(Some(Part::Bytes(data))) => {
+        match body.next_part(&mut call.wire.unread) {
+            Ok(Some(BodyPart::Data(data))) => {
                 all += data.len() as u64;
                 if all > BODY {
-                    return Read::Bad(Bad::LargeBody);
+                    return Read::Bad(HttpError::BodyTooLarge);
                 }
             }
-            Ok(Some(Part::End)) => return Read::Asked(head),
-            Ok(None) if matches!(call.wire.more().await, Ok(true)) => {}
+            Ok(Some(BodyPart::End)) => return Read::Asked(head),
+            Ok(None) if matches!(call.wire.read_more().await, Ok(true)) => {}
             Ok(None) => return Read::Gone,
             Err(bad) => return Read::Bad(bad),
         }
@@ -103,15 +103,15 @@
 
 fn refusal(status: u16) -> Answer {
     let fields = "Content-Type: text/plain; charset=utf-8\r\n".to_string();
-    Answer { status, fields, body: format!("{}\n", reason(status).to_lowercase()) }
+    Answer { status, fields, body: format!("{}\n", reason_phrase(status).to_lowercase()) }
 }
 
-fn decide(call: &Call, head: &Head) -> Answer {
-    let Start::Request(method, target) = &head.start else { return refusal(400) };
+fn decide(call: &Call, head: &MessageHead) -> Answer {
+    let StartLine::Request(method, target) = &head.start_line else { return refusal(400) };
     let (Ok(method), Ok(target)) = (std::str::from_utf8(method), std::str::from_utf8(target)) else {
         return refusal(400);
     };
-    let accept = head.text("accept").ok().flatten();
+    let accept = head.text_value("accept").ok().flatten();
     let (now, parts) = (call.board.assessment(), call.board.parts());
     let answer =
         call.board.of_checks(|c| c.policy.answer(Asked { method, target, accept }, &now, &parts)).flatten();
@@ -123,7 +123,7 @@
     if !target.starts_with("/livez") && answer.status != 405 {
         call.board.asked(call.ip, Kind::Http);
     }
-    if let Some(sent) = head.text("x-haproxy-server-state").ok().flatten().and_then(sent_state) {
+    if let Some(sent) = head.text_value("x-haproxy-server-state").ok().flatten().and_then(sent_state) {
         tracing::debug!(target: "checks", client = %call.ip, held = sent.state, name = sent.name,
             balancer = sent.node, "a balancer says how it holds this router");
     }
@@ -133,7 +133,7 @@
 async fn say(call: &mut Call, answer: Answer, bodiless: bool, keeps: bool) -> std::io::Result<()> {
     let Answer { status, fields, body } = answer;
     let last = if keeps { "" } else { "Connection: close\r\n" };
-    let (why, length) = (reason(status), body.len());
+    let (why, length) = (reason_phrase(status), body.len());
     let head = format!("HTTP/1.1 {status} {why}\r\n{fields}{last}Content-Length: {length}\r\n\r\n");
     let body = if bodiless { String::new() } else { body };
     call.wire.write(Bytes::from(head).chain(Bytes::from(body))).await
--- a/router/src/checks/listen.rs
+++ b/router/src/checks/listen.rs
@@ -12,7 +12,7 @@
 use super::{Board, CheckContext};
 use crate::bind::bind_with_retry;
 use crate::clients::{Client, IdleGuard};
-use crate::http::Wire;
+use crate::http::BufferedConnection;
 use crate::installation::CheckSettings;
 use crate::outward::Door;
 
@@ -23,7 +23,7 @@
     /// What is told.
     pub board: Rc<Board>,
     /// The connection.
-    pub wire: Wire,
+    pub wire: BufferedConnection,
     /// Who asks.
     pub ip: IpAddr,
     /// Its place among the check connections.
@@ -118,7 +118,7 @@
         board.spoilt();
         return;
     }
-    let (context, board, mut wire) = (context.clone(), board.clone(), Wire::new(stream));
+    let (context, board, mut wire) = (context.clone(), board.clone(), BufferedConnection::new(stream));
     tokio::task::spawn_local(async move {
         let origin = tokio::select! {
             biased;
--- a/router/src/components.rs
+++ b/router/src/components.rs
@@ -73,8 +73,8 @@
         let Config { seed, deployment, limits, node_list, .. } = config;
         let (deployment, limits, clock) = (Rc::new(deployment), Rc::new(limits), Clock::new());
         let (lifecycle, peers) = (Rc::new(Lifecycle::new()), peers.map(Rc::new));
-        let list_state = Rc::new(EndpointListState::new(node_list, limits.list_silence));
-        let request_ids = Rc::new(RequestIds::new(seed, limits.late_names));
+        let list_state = Rc::new(EndpointListState::new(node_list, limits.watch_silence_timeout));
+        let request_ids = Rc::new(RequestIds::new(seed, limits.max_remembered_requests));
         let replicas = Rc::new(ReplicaPool::new(dialect, &limits));
         let report_fields = deployment.report_field_names.clone();
         let replica_context =
@@ -97,8 +97,8 @@
             random: RefCell::new(fastrand::Rng::with_seed(seed)),
         });
         Ok(Rc::new(Components {
-            clients: Clients::new(limits.clients, limits.silent_client),
-            body_budget: BodyBudget::new(limits.bodies),
+            clients: Clients::new(limits.max_clients, limits.client_eviction_idle_time),
+            body_budget: BodyBudget::new(limits.body_budget),
             outward: Rc::default(),
             tasks: RefCell::default(),
             deployment,
--- a/router/src/dispatcher.rs
+++ b/router/src/dispatcher.rs
@@ -16,7 +16,7 @@
 use crate::body_budget::BufferedBody;
 use crate::clock::Clock;
 use crate::core::{AbortReason, AnswerCause, Core, FinalAnswer, Instruction, NewRequest, RequestSummary};
-use crate::dialect::Event;
+use crate::dialect::StreamEvent;
 use crate::limits::Limits;
 use crate::request_ids::{RequestIdGuard, RequestIds};
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ResponseEvent {
     /// Whole events as they came, and what they say.
-    Data(Bytes, Vec<Event>),
+    Data(Bytes, Vec<StreamEvent>),
     /// The final answer; nothing follows.
     End(FinalAnswer),
 }
@@ -145,7 +145,7 @@
         request_ids: Rc<RequestIds>,
         executor: Box<dyn Executor>,
     ) -> Result<Rc<Dispatcher>, SettingsError> {
-        let core = Core::new(deployment.decisions.clone(), seed, limits.slack.as_nanos() as Nanos)?;
+        let core = Core::new(deployment.decisions.clone(), seed, limits.deadline_slack.as_nanos() as Nanos)?;
         let classes = deployment.classes.iter().map(|c| c.name.clone()).collect();
         Ok(Rc::new(Dispatcher {
             core: RefCell::new(core),
@@ -155,8 +155,8 @@
             waiting: RefCell::default(),
             attempts: RefCell::default(),
             names: LogNames { classes, tenants: deployment.tenant_names.clone() },
-            open_limit: limits.open,
-            event_limit: limits.pieces,
+            open_limit: limits.max_open_requests,
+            event_limit: limits.response_queue_length,
             next_timer: Cell::new(None),
             timer_changed: Notify::new(),
         }))
--- a/router/src/endpoint_list.rs
+++ b/router/src/endpoint_list.rs
@@ -20,7 +20,7 @@
 use crate::clock::Clock;
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list_state::EndpointListState;
-use crate::http::{Body, Framing, Head, Part, Start, Wire};
+use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, MessageHead, StartLine};
 use crate::limits::Limits;
 use crate::object_reader::{NotAnObject, ObjectReader};
 use crate::replica::ReplicaPool;
@@ -231,11 +231,15 @@
 pub async fn follow(context: Rc<EndpointListContext>) {
     let limits = &context.limits;
     let pushed = context.deployment.decisions.list_mode == EndpointListMode::Pushed;
-    let asked = WatchTimeouts { answer: limits.list_answer, silence: limits.list_silence, reconnect: None };
+    let asked = WatchTimeouts {
+        answer: limits.list_response_timeout,
+        silence: limits.watch_silence_timeout,
+        reconnect: None,
+    };
     // The agent is the router's own: no others ask it, and it is asked as often as ever.
-    let steady = Backoff { first: limits.agent_again, max: limits.agent_again };
-    let agent = WatchTimeouts { answer: limits.agent_answer, reconnect: Some(steady), ..asked };
-    let backoff = Backoff { first: limits.list_again, max: limits.list_again_most };
+    let steady = Backoff { first: limits.agent_backoff, max: limits.agent_backoff };
+    let agent = WatchTimeouts { answer: limits.agent_response_timeout, reconnect: Some(steady), ..asked };
+    let backoff = Backoff { first: limits.min_list_backoff, max: limits.max_list_backoff };
     let moving = WatchTimeouts { reconnect: Some(backoff), ..asked };
     let (terms, moving) = if pushed { (agent, agent) } else { (asked, moving) };
     let mut named = context.state.address();
@@ -287,22 +291,22 @@
 async fn watch(context: Rc<EndpointListContext>, place: Rc<ListSource>) -> String {
     let context = &context;
     let limits = &context.limits;
-    let stream = match timeout(limits.list_silence, TcpStream::connect(place.address)).await {
+    let stream = match timeout(limits.watch_silence_timeout, TcpStream::connect(place.address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return e.to_string(),
         Err(_) => return "not connected in time".into(),
     };
-    let mut wire = Wire::new(stream);
+    let mut wire = BufferedConnection::new(stream);
     let since = place.version.get().map_or(String::new(), |v| format!("&since={v}"));
     let request = format!("GET /discovery/hosts?follow=1{since} HTTP/1.1\r\nHost: discovery\r\n\r\n");
     if let Err(e) = wire.write(Bytes::from(request)).await {
         return e.to_string();
     }
     let head = loop {
-        match Head::answer(&mut wire.buf, limits) {
+        match MessageHead::parse_response(&mut wire.unread, limits) {
             Ok(Some(head)) => break head,
             // The clock breaks it off, or the module asks again, when this takes too long.
-            Ok(None) => match wire.more().await {
+            Ok(None) => match wire.read_more().await {
                 Ok(true) => {}
                 Ok(false) => return "ended before its answer".into(),
                 Err(e) => return e.to_string(),
@@ -310,16 +314,17 @@
             Err(_) => return "malformed answer".into(),
         }
     };
-    let framing = match (&head.start, head.framing()) {
-        (Start::Status(200), Ok(framing)) if framing != Framing::Length(0) => framing,
+    let framing = match (&head.start_line, head.framing()) {
+        (StartLine::Status(200), Ok(framing)) if framing != BodyFraming::Length(0) => framing,
         (start, _) => return format!("answered {start:?}"),
     };
     place.clock.heard(context.clock.now());
     place.established.notify_one();
-    let (mut body, mut held) = (Body::new(framing, limits.list_line as u64), ObjectReader::default());
+    let (mut body, mut held) =
+        (BodyReader::new(framing, limits.max_list_line_size as u64), ObjectReader::default());
     loop {
-        match body.next(&mut wire.buf) {
-            Ok(Some(Part::Bytes(data))) => {
+        match body.next_part(&mut wire.unread) {
+            Ok(Some(BodyPart::Data(data))) => {
                 context.state.heard();
                 place.clock.heard(context.clock.now());
                 held.push(&data);
@@ -351,13 +356,13 @@
                     apply(context, &page, if page.full { ListUpdate::Full } else { ListUpdate::Delta });
                     place.answered.notify_one();
                 }
-                if held.held() > limits.list_line {
-                    return format!("an object of more than {} bytes", limits.list_line);
+                if held.held() > limits.max_list_line_size {
+                    return format!("an object of more than {} bytes", limits.max_list_line_size);
                 }
             }
-            Ok(Some(Part::End)) => return "ended".into(),
+            Ok(Some(BodyPart::End)) => return "ended".into(),
             Err(_) => return "malformed chunk".into(),
-            Ok(None) => match wire.more().await {
+            Ok(None) => match wire.read_more().await {
                 Ok(true) => {}
                 Ok(false) => return "connection closed".into(),
                 Err(e) => return e.to_string(),
--- a/router/src/front/accept.rs
+++ b/router/src/front/accept.rs
@@ -19,7 +19,7 @@
         () = accept(&context, &listener, &front) => {}
     }
     // Whoever the machine has accepted already is not to be reset when the listener goes, as far as there is room.
-    let most = context.limits.clients + context.limits.clients_refused;
+    let most = context.limits.max_clients + context.limits.max_rejected_clients;
     while context.clients.open() < most {
         match accepted_already(&listener).await {
             Some(stream) => begin(&context, stream, &front),
@@ -30,7 +30,7 @@
 
 /// Takes connections. Ends never.
 async fn accept(context: &Rc<FrontContext>, listener: &TcpListener, front: &Rc<Front>) {
-    let most = context.limits.clients + context.limits.clients_refused;
+    let most = context.limits.max_clients + context.limits.max_rejected_clients;
     loop {
         // Beyond this, connections wait where the machine holds them, and cost no descriptor.
         while context.clients.open() >= most {
@@ -44,7 +44,7 @@
             // Out of descriptors, or the client was gone already: neither ends the service, nor holds up its end.
             Err(e) => {
                 tracing::debug!(target: "front", why = %e, "a connection could not be taken");
-                tokio::time::sleep(context.limits.accept_again).await;
+                tokio::time::sleep(context.limits.accept_backoff).await;
             }
         }
     }
--- a/router/src/front/connection.rs
+++ b/router/src/front/connection.rs
@@ -13,7 +13,7 @@
 use super::{Front, Incoming, Rejection};
 use crate::body_budget::BufferedBody;
 use crate::clients::{Client, IdleGuard};
-use crate::http::{Bad, Body, Framing, Head, Part, Start, Wire};
+use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, HttpError, MessageHead, StartLine};
 use crate::keep_alive::{AfterAnswer, IdleLimit, KeepAlive};
 use crate::lifecycle::Stage;
 use crate::outward::Origin;
@@ -50,14 +50,14 @@
     // Held until the connection has closed: one whose room is wanted counts as leaving until then, and nobody else is
     // closed for the room that it gives.
     let mut idle = Some(idle);
-    let mut wire = Wire::new(stream);
+    let mut wire = BufferedConnection::new(stream);
     let cause = serve_requests(&context, &client, &mut idle, &mut wire, &front).await;
     tracing::debug!(target: "front", ?cause, stage = ?context.lifecycle.stage(), "connection closes");
     match cause {
         CloseCause::NoOrigin | CloseCause::ReadFailed(_) | CloseCause::WriteFailed(_) => {}
-        CloseCause::RoomWanted => linger(wire, context.limits.last_look).await,
+        CloseCause::RoomWanted => linger(wire, context.limits.final_read_time).await,
         CloseCause::Ended | CloseCause::Idle | CloseCause::Shutdown | CloseCause::Answered(_) => {
-            linger(wire, context.limits.linger).await
+            linger(wire, context.limits.close_linger).await
         }
     }
 }
@@ -67,7 +67,7 @@
     context: &Rc<FrontContext>,
     client: &Client,
     idle: &mut Option<IdleGuard>,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     front: &Front,
 ) -> CloseCause {
     let crowded = client.over_limit;
@@ -84,7 +84,7 @@
             return cause;
         }
         *idle = None;
-        let since = context.clock.at(wire.first_read());
+        let since = context.clock.at(wire.first_read_at());
         let begun = keep_alive.request_started(Instant::now(), &context.limits);
         if let Some(pause) = begun.pause {
             tokio::time::sleep(pause).await;
@@ -104,7 +104,7 @@
             Ok(r) if refused && !front.asks_health(&r) => {
                 (false, front.reject(context, wire, Rejection::Full).await)
             }
-            Ok(request) => (request.head.keeps(), front.answer(context, wire, request).await),
+            Ok(request) => (request.head.keeps_alive(), front.answer(context, wire, request).await),
             Err(rejection) => (false, front.reject(context, wire, rejection).await),
         };
         let then = match then {
@@ -130,21 +130,21 @@
 async fn wait_for_request(
     context: &FrontContext,
     idle: &mut Option<IdleGuard>,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     rest: IdleLimit,
 ) -> Result<(), CloseCause> {
-    if !wire.buf.is_empty() {
+    if !wire.unread.is_empty() {
         // One request in a turn, however many a client sends ahead: the others' events would else wait.
         tokio::task::yield_now().await;
         return Ok(());
     }
-    wire.rest();
+    wire.release_buffer();
     let read = tokio::select! {
         biased;
-        read = wire.more() => read,
+        read = wire.read_more() => read,
         () = parted(context, rest.until) => return Err(CloseCause::Shutdown),
         // A request may have arrived since the event loop last looked at the sockets.
-        () = room_wanted(idle) => match wire.arrived().await {
+        () = room_wanted(idle) => match wire.read_arrived().await {
             Some(read) => read,
             None => return Err(CloseCause::RoomWanted),
         },
@@ -160,35 +160,40 @@
 /// seen.
 pub(super) async fn parted(context: &FrontContext, until: Stage) {
     context.lifecycle.wait_for(until).await;
-    tokio::time::sleep(context.limits.last_look).await;
+    tokio::time::sleep(context.limits.final_read_time).await;
 }
 
 /// Reads a request; an error of the connection, or why it is no request that could be taken.
 async fn read_request(
     context: &FrontContext,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     since: Nanos,
 ) -> io::Result<Result<Incoming, Rejection>> {
     let (head, framing) = match read_head(context, wire).await? {
         Ok(read) => read,
         Err(bad) => return Ok(Err(bad.into())),
     };
-    let Start::Request(method, target) = head.start.clone() else { return Ok(Err(Bad::Malformed.into())) };
-    if head.expects() && wire.buf.is_empty() {
+    let StartLine::Request(method, target) = head.start_line.clone() else {
+        return Ok(Err(HttpError::Malformed.into()));
+    };
+    if head.expects_continue() && wire.unread.is_empty() {
         wire.write(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
     }
     let body = match framing {
-        Framing::Chunked => read_chunked(context, wire).await?,
-        Framing::Length(length) => read_sized(context, wire, length as usize).await?,
-        Framing::Unstated => read_sized(context, wire, 0).await?,
+        BodyFraming::Chunked => read_chunked(context, wire).await?,
+        BodyFraming::Length(length) => read_sized(context, wire, length as usize).await?,
+        BodyFraming::Undeclared => read_sized(context, wire, 0).await?,
     };
     Ok(body.map(|body| Incoming { method, target, head, body, since, client: None }))
 }
 
 /// Reads a head, and how its body ends.
-async fn read_head(context: &FrontContext, wire: &mut Wire) -> io::Result<Result<(Head, Framing), Bad>> {
+async fn read_head(
+    context: &FrontContext,
+    wire: &mut BufferedConnection,
+) -> io::Result<Result<(MessageHead, BodyFraming), HttpError>> {
     let head = loop {
-        match Head::request(&mut wire.buf, &context.limits) {
+        match MessageHead::parse_request(&mut wire.unread, &context.limits) {
             Ok(Some(head)) => break head,
             Ok(None) => more(wire).await?,
             Err(bad) => return Ok(Err(bad)),
@@ -198,11 +203,13 @@
         Ok(framing) => framing,
         Err(bad) => return Ok(Err(bad)),
     };
-    if head.current && !matches!(head.one("host"), Ok(Some(_))) {
-        return Ok(Err(Bad::Malformed));
+    if head.is_http_11 && !matches!(head.single_value("host"), Ok(Some(_))) {
+        return Ok(Err(HttpError::Malformed));
     }
     match framing {
-        Framing::Length(length) if length > context.limits.body as u64 => Ok(Err(Bad::LargeBody)),
+        BodyFraming::Length(length) if length > context.limits.max_body_size as u64 => {
+            Ok(Err(HttpError::BodyTooLarge))
+        }
         framing => Ok(Ok((head, framing))),
     }
 }
@@ -211,21 +218,21 @@
 /// holds, and what was only announced would leave no room for those that send.
 async fn read_chunked(
     context: &FrontContext,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
 ) -> io::Result<Result<BufferedBody, Rejection>> {
-    let most = context.limits.body;
+    let most = context.limits.max_body_size;
     let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
-    let (mut body, mut all) = (Body::new(Framing::Chunked, most as u64), Vec::new());
+    let (mut body, mut all) = (BodyReader::new(BodyFraming::Chunked, most as u64), Vec::new());
     loop {
-        match body.next(&mut wire.buf) {
-            Ok(Some(Part::Bytes(data))) if all.len() + data.len() > most => {
-                return Ok(Err(Bad::LargeBody.into()));
+        match body.next_part(&mut wire.unread) {
+            Ok(Some(BodyPart::Data(data))) if all.len() + data.len() > most => {
+                return Ok(Err(HttpError::BodyTooLarge.into()));
             }
-            Ok(Some(Part::Bytes(data))) if reserved.grow(all.len() + data.len()) => {
+            Ok(Some(BodyPart::Data(data))) if reserved.grow(all.len() + data.len()) => {
                 all.extend_from_slice(&data);
             }
-            Ok(Some(Part::Bytes(_))) => return Ok(Err(Rejection::Full)),
-            Ok(Some(Part::End)) => return Ok(Ok(BufferedBody { bytes: Bytes::from(all), reserved })),
+            Ok(Some(BodyPart::Data(_))) => return Ok(Err(Rejection::Full)),
+            Ok(Some(BodyPart::End)) => return Ok(Ok(BufferedBody { bytes: Bytes::from(all), reserved })),
             Ok(None) => more(wire).await?,
             Err(bad) => return Ok(Err(bad.into())),
         }
@@ -235,22 +242,22 @@
 /// Reads a body of a stated length, counted as it comes.
 async fn read_sized(
     context: &FrontContext,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     length: usize,
 ) -> io::Result<Result<BufferedBody, Rejection>> {
     let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
-    while reserved.grow(wire.buf.len().min(length)) && wire.buf.len() < length {
+    while reserved.grow(wire.unread.len().min(length)) && wire.unread.len() < length {
         more(wire).await?;
     }
-    if wire.buf.len() < length || !reserved.grow(length) {
+    if wire.unread.len() < length || !reserved.grow(length) {
         return Ok(Err(Rejection::Full));
     }
-    Ok(Ok(BufferedBody { bytes: wire.buf.split_to(length).freeze(), reserved }))
+    Ok(Ok(BufferedBody { bytes: wire.unread.split_to(length).freeze(), reserved }))
 }
 
 /// Reads more; that the client ends within a request is an error.
-async fn more(wire: &mut Wire) -> io::Result<()> {
-    match wire.more().await? {
+async fn more(wire: &mut BufferedConnection) -> io::Result<()> {
+    match wire.read_more().await? {
         true => Ok(()),
         false => Err(io::ErrorKind::UnexpectedEof.into()),
     }
@@ -259,13 +266,13 @@
 /// Closes a connection so that what was written last still arrives, a part of a stream that broke included: what the
 /// client goes on sending is read for a while and dropped, as an outright close would reset the connection under the
 /// answer.
-pub async fn linger(mut wire: Wire, limit: Duration) {
+pub async fn linger(mut wire: BufferedConnection, limit: Duration) {
     use tokio::io::AsyncWriteExt;
     let _ = wire.stream.shutdown().await;
     let rest = async {
         for _ in 0..64 {
-            wire.buf.clear();
-            if !matches!(wire.more().await, Ok(true)) {
+            wire.unread.clear();
+            if !matches!(wire.read_more().await, Ok(true)) {
                 break;
             }
         }
--- a/router/src/front/health.rs
+++ b/router/src/front/health.rs
@@ -8,7 +8,7 @@
 use tallypin_health::state::State;
 
 use super::{write, write_whole, FrontContext};
-use crate::http::{reason, Wire};
+use crate::http::{reason_phrase, BufferedConnection};
 use crate::lifecycle::Stage;
 
 /// The state of a router.
@@ -37,7 +37,7 @@
         if context.replicas.ready_count() == 0 {
             return FrontHealth::Down;
         }
-        let (most, used) = (context.limits.clients, context.clients.open());
+        let (most, used) = (context.limits.max_clients, context.clients.open());
         let free = 100 * most.saturating_sub(used) / most.max(1);
         FrontHealth::Up(free.clamp(1, 100) as u8)
     }
@@ -57,13 +57,13 @@
 ///
 /// # Errors
 /// If the answer cannot be written.
-pub async fn answer(context: &FrontContext, wire: &mut Wire, bodiless: bool) -> io::Result<()> {
+pub async fn answer(context: &FrontContext, wire: &mut BufferedConnection, bodiless: bool) -> io::Result<()> {
     let state = FrontHealth::of(context);
     let status = if matches!(state, FrontHealth::Up(_)) { 200 } else { 503 };
     let text = format!("{state}\n");
     let fields = "Content-Type: text/plain\r\n";
     if bodiless {
-        let (why, length) = (reason(status), text.len());
+        let (why, length) = (reason_phrase(status), text.len());
         let head = format!("HTTP/1.1 {status} {why}\r\n{fields}Content-Length: {length}\r\n\r\n");
         return write(context, wire, Bytes::from(head)).await;
     }
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -18,9 +18,9 @@
 };
 use crate::body_budget::BufferedBody;
 use crate::core::{FinalAnswer, NewRequest};
-use crate::dialect::{Answer, Asked, Dialect, Event, MessagesWriter};
+use crate::dialect::{CollectedAnswer, ConversationRequest, Dialect, MessagesWriter, StreamEvent};
 use crate::dispatcher::{ResponseEvent, UpstreamRequest};
-use crate::http::{Bad, Wire};
+use crate::http::{BufferedConnection, HttpError};
 
 /// The path of requests.
 const PATH: &[u8] = b"/v1/messages";
@@ -54,7 +54,7 @@
 /// A request of this front that was understood.
 struct Understood {
     ask: NewRequest,
-    asked: Asked,
+    asked: ConversationRequest,
     /// The body as model nodes are to get it; `None`: as it came.
     body: Option<Vec<u8>>,
     idempotency_key: Option<Bytes>,
@@ -69,8 +69,8 @@
     Rejection(Rejection),
 }
 
-impl From<Bad> for Unfit {
-    fn from(bad: Bad) -> Self {
+impl From<HttpError> for Unfit {
+    fn from(bad: HttpError) -> Self {
         Unfit::Rejection(bad.into())
     }
 }
@@ -83,18 +83,18 @@
         if &request.method[..] != b"POST" {
             return Err(Unfit::Rejection(Rejection::Method));
         }
-        if !request.head.current {
-            return Err(Bad::Malformed.into());
+        if !request.head.is_http_11 {
+            return Err(HttpError::Malformed.into());
         }
-        let asked = Asked::messages(&request.body.bytes).map_err(Unfit::Invalid)?;
+        let asked = ConversationRequest::parse_messages(&request.body.bytes).map_err(Unfit::Invalid)?;
         let class = *self.models.get(&asked.model).ok_or_else(|| Unfit::NoModel(asked.model.clone()))?;
-        let partner = match request.head.text(&self.partner_header)? {
+        let partner = match request.head.text_value(&self.partner_header)? {
             Some(value) => self.partners.get(value).copied(),
             None => self.otherwise,
         };
         let unknown = || Unfit::Invalid(format!("{}: not a known partner", self.partner_header));
         let partner = partner.ok_or_else(unknown)?;
-        let wait = match request.head.text(&self.deadline_header)? {
+        let wait = match request.head.text_value(&self.deadline_header)? {
             None => context.deployment.classes[class.0 as usize].deadline,
             Some(ms) => {
                 let ms = ms.parse().ok().filter(|ms| (1..=ABSURD_MS).contains(ms));
@@ -111,12 +111,12 @@
             class,
             tenant: partner,
             time_left: request.left(now, wait),
-            prompt_tokens: tokens(asked.length()),
+            prompt_tokens: tokens(asked.prompt_size()),
             prefix_tokens: tokens(asked.system.len()),
             session: Some(name_hash::session_key(&session)),
             prefix: (!asked.system.is_empty()).then(|| name_hash::prefix_key(&beginning)),
             is_client_retry: false,
-            resumes_stream: request.head.one("x-resume-of")?.is_some() && asked.continues(),
+            resumes_stream: request.head.single_value("x-resume-of")?.is_some() && asked.continues_answer(),
         };
         let body = match context.replicas.dialect {
             Dialect::Messages if asked.stream => None,
@@ -131,7 +131,7 @@
     pub async fn answer(
         &self,
         context: &Rc<FrontContext>,
-        wire: &mut Wire,
+        wire: &mut BufferedConnection,
         request: Incoming,
     ) -> io::Result<AfterAnswer> {
         let Understood { ask, asked, body, idempotency_key } =
@@ -169,7 +169,7 @@
         let (mut unsaid, named) = (true, format!("Request-Id: {id}\r\n"));
         let mut head = || opening(context, &mut unsaid, BEGUN, &named);
         let mut writer = MessagesWriter::new(&id, &asked.model, prompt_tokens);
-        let (mut whole, mut failed) = (Answer::default(), false);
+        let (mut whole, mut failed) = (CollectedAnswer::default(), false);
         loop {
             let piece = match next(context, wire, &mut ticket).await {
                 Next::Piece(piece) => piece,
@@ -177,15 +177,15 @@
             };
             match piece {
                 ResponseEvent::Data(bytes, told) if asked.stream => {
-                    failed |= told.contains(&Event::Failed);
+                    failed |= told.contains(&StreamEvent::Failed);
                     let bytes = if same { bytes } else { writer.write(&told) };
                     if !bytes.is_empty() {
                         write_chunk(context, wire, head(), bytes).await?;
                     }
                 }
                 ResponseEvent::Data(_, told) => {
-                    told.into_iter().for_each(|event| whole.take(event));
-                    if whole.text.len() > context.limits.whole_answer {
+                    told.into_iter().for_each(|event| whole.add(event));
+                    if whole.text.len() > context.limits.max_collected_answer_size {
                         return error(context, wire, 500, "", "the answer is too long to be given whole")
                             .await;
                     }
@@ -200,7 +200,7 @@
                 }
                 ResponseEvent::End(FinalAnswer::Completed) => {
                     let fields = format!("Content-Type: application/json\r\nRequest-Id: {id}\r\n");
-                    let message = whole.message(&id, &asked.model, prompt_tokens);
+                    let message = whole.to_message(&id, &asked.model, prompt_tokens);
                     write_whole(context, wire, 200, &fields, message.to_string().into()).await?;
                     return Ok(AfterAnswer::KeepOpen);
                 }
@@ -254,7 +254,7 @@
 
 async fn error(
     context: &FrontContext,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     status: u16,
     fields: &str,
     why: &str,
@@ -273,7 +273,11 @@
     Ok(AfterAnswer::KeepOpenAfterRejection)
 }
 
-async fn refuse(context: &FrontContext, wire: &mut Wire, why: Unfit) -> io::Result<AfterAnswer> {
+async fn refuse(
+    context: &FrontContext,
+    wire: &mut BufferedConnection,
+    why: Unfit,
+) -> io::Result<AfterAnswer> {
     match why {
         Unfit::Invalid(why) => error(context, wire, 400, "", &why).await,
         Unfit::NoModel(model) => error(context, wire, 404, "", &format!("model: {model}")).await,
@@ -282,11 +286,15 @@
 }
 
 /// Answers what is no request that could be taken.
-pub async fn reject(context: &FrontContext, wire: &mut Wire, why: Rejection) -> io::Result<AfterAnswer> {
+pub async fn reject(
+    context: &FrontContext,
+    wire: &mut BufferedConnection,
+    why: Rejection,
+) -> io::Result<AfterAnswer> {
     let (status, fields) = match why {
         Rejection::Full => (529, come_back(context, 0)),
         Rejection::Method => (405, "Allow: POST\r\n".into()),
         why => (why.status(), String::new()),
     };
-    error(context, wire, status, &fields, crate::http::reason(status)).await
+    error(context, wire, status, &fields, crate::http::reason_phrase(status)).await
 }
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -23,7 +23,7 @@
 use crate::body_budget::BufferedBody;
 use crate::core::FinalAnswer;
 use crate::dispatcher::{RequestHandle, ResponseEvent};
-use crate::http::{reason, Bad, Head, Wire};
+use crate::http::{reason_phrase, BufferedConnection, HttpError, MessageHead};
 use crate::keep_alive::AfterAnswer;
 use crate::lifecycle::Stage;
 use crate::outward::Door;
@@ -43,7 +43,7 @@
     /// Path and query.
     pub target: Bytes,
     /// The head.
-    pub head: Head,
+    pub head: MessageHead,
     /// The body.
     pub body: BufferedBody,
     /// When its first byte was seen.
@@ -59,8 +59,8 @@
     }
 
     /// The client's idempotency key, if it sent one.
-    pub fn idempotency_key(&self) -> Result<Option<Bytes>, Bad> {
-        Ok(self.head.one("idempotency-key")?.cloned())
+    pub fn idempotency_key(&self) -> Result<Option<Bytes>, HttpError> {
+        Ok(self.head.single_value("idempotency-key")?.cloned())
     }
 
     /// What is left at `now` of a wait that began when the client sent.
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
     /// It is no request that could be taken.
-    Bad(Bad),
+    Bad(HttpError),
     /// There is no such thing here.
     NotFound,
     /// Not with this method.
@@ -90,10 +90,10 @@
     /// The status that says so.
     pub fn status(self) -> u16 {
         match self {
-            Rejection::Bad(Bad::Malformed) => 400,
-            Rejection::Bad(Bad::LargeBody) => 413,
-            Rejection::Bad(Bad::LargeHead) => 431,
-            Rejection::Bad(Bad::Coding) => 501,
+            Rejection::Bad(HttpError::Malformed) => 400,
+            Rejection::Bad(HttpError::BodyTooLarge) => 413,
+            Rejection::Bad(HttpError::HeadTooLarge) => 431,
+            Rejection::Bad(HttpError::UnsupportedCoding) => 501,
             Rejection::NotFound => 404,
             Rejection::Method => 405,
             Rejection::Full => 503,
@@ -103,8 +103,8 @@
     }
 }
 
-impl From<Bad> for Rejection {
-    fn from(bad: Bad) -> Self {
+impl From<HttpError> for Rejection {
+    fn from(bad: HttpError) -> Self {
         Rejection::Bad(bad)
     }
 }
@@ -118,15 +118,15 @@
 }
 
 /// Waits for the next piece of an answer, and notices when the client leaves.
-pub async fn next(context: &FrontContext, wire: &mut Wire, ticket: &mut RequestHandle) -> Next {
+pub async fn next(context: &FrontContext, wire: &mut BufferedConnection, ticket: &mut RequestHandle) -> Next {
     loop {
         // A client that sends on before it has its answer is read only so far; its end is seen all the same.
-        let room = wire.buf.len() < context.limits.head;
+        let room = wire.unread.len() < context.limits.max_head_size;
         let sends_on = async {
             match room {
-                true => matches!(wire.more().await, Ok(true)),
+                true => matches!(wire.read_more().await, Ok(true)),
                 false => {
-                    wire.ended(context.limits.end_look).await;
+                    wire.wait_until_closed(context.limits.client_departure_check_interval).await;
                     false
                 }
             }
@@ -145,14 +145,16 @@
 }
 
 /// Writes part of an answer; a client that takes nothing for too long counts as gone.
-pub async fn write(context: &FrontContext, wire: &mut Wire, parts: impl Buf) -> io::Result<()> {
-    timeout(context.limits.write, wire.write(parts)).await.map_err(|_| io::ErrorKind::TimedOut)?
+pub async fn write(context: &FrontContext, wire: &mut BufferedConnection, parts: impl Buf) -> io::Result<()> {
+    timeout(context.limits.client_write_timeout, wire.write(parts))
+        .await
+        .map_err(|_| io::ErrorKind::TimedOut)?
 }
 
 /// Writes one chunk in the same way.
 pub async fn write_chunk(
     context: &FrontContext,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     head: Bytes,
     data: Bytes,
 ) -> io::Result<()> {
@@ -163,13 +165,13 @@
 /// Writes a whole short answer.
 pub async fn write_whole(
     context: &FrontContext,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     status: u16,
     fields: &str,
     body: Bytes,
 ) -> io::Result<()> {
     let carried = carried(context);
-    let (why, length) = (reason(status), body.len());
+    let (why, length) = (reason_phrase(status), body.len());
     let head = format!("HTTP/1.1 {status} {why}\r\n{fields}{carried}Content-Length: {length}\r\n\r\n");
     write(context, wire, Bytes::from(head).chain(body)).await
 }
@@ -200,7 +202,7 @@
 
 /// How long to stay away, as a field of a refusal: the module's advice, in seconds.
 pub fn retry_after(context: &FrontContext, advice: Nanos) -> f64 {
-    advice.max(context.limits.come_back.as_nanos() as Nanos) as f64 / 1e9
+    advice.max(context.limits.min_retry_after.as_nanos() as Nanos) as f64 / 1e9
 }
 
 impl Front {
@@ -223,7 +225,7 @@
     async fn answer(
         &self,
         context: &Rc<FrontContext>,
-        wire: &mut Wire,
+        wire: &mut BufferedConnection,
         request: Incoming,
     ) -> io::Result<AfterAnswer> {
         if self.asks_health(&request) {
@@ -239,7 +241,7 @@
     async fn reject(
         &self,
         context: &FrontContext,
-        wire: &mut Wire,
+        wire: &mut BufferedConnection,
         why: Rejection,
     ) -> io::Result<AfterAnswer> {
         match self {
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -13,9 +13,9 @@
 };
 use crate::body_budget::BufferedBody;
 use crate::core::{FinalAnswer, NewRequest};
-use crate::dialect::{Asked, ChatWriter, Dialect};
+use crate::dialect::{ChatWriter, ConversationRequest, Dialect};
 use crate::dispatcher::{ResponseEvent, UpstreamRequest};
-use crate::http::{Bad, Wire};
+use crate::http::{BufferedConnection, HttpError};
 
 /// The path of requests.
 const PATH: &[u8] = b"/v1/chat/completions";
@@ -40,35 +40,36 @@
         return Err(Rejection::Method);
     }
     let (head, of) = (&request.head, &context.deployment);
-    let id = head.one("req-id")?.ok_or(Bad::Malformed)?.clone();
-    if id.is_empty() || id.len() > LONGEST_ID || !id.iter().all(u8::is_ascii_graphic) || !head.current {
-        return Err(Bad::Malformed.into());
+    let id = head.single_value("req-id")?.ok_or(HttpError::Malformed)?.clone();
+    if id.is_empty() || id.len() > LONGEST_ID || !id.iter().all(u8::is_ascii_graphic) || !head.is_http_11 {
+        return Err(HttpError::Malformed.into());
     }
-    let kind = head.text("req-kind")?;
-    let class = of.classes.iter().position(|c| Some(c.name.as_str()) == kind).ok_or(Bad::Malformed)?;
-    let owner = head.text("req-owner")?;
+    let kind = head.text_value("req-kind")?;
+    let class = of.classes.iter().position(|c| Some(c.name.as_str()) == kind).ok_or(HttpError::Malformed)?;
+    let owner = head.text_value("req-owner")?;
     let partner = match of.tenant_names.iter().position(|p| Some(p.as_str()) == owner) {
         Some(partner) => partner,
         None if of.tenant_names.is_empty() => 0,
-        None => return Err(Bad::Malformed.into()),
+        None => return Err(HttpError::Malformed.into()),
     };
-    let wait = match head.text("req-deadline-ms")? {
+    let wait = match head.text_value("req-deadline-ms")? {
         None => of.classes[class].deadline,
-        Some(ms) => number(ms).filter(|ms| *ms <= ABSURD_MS).ok_or(Bad::Malformed)? * 1_000_000,
+        Some(ms) => number(ms).filter(|ms| *ms <= ABSURD_MS).ok_or(HttpError::Malformed)? * 1_000_000,
     };
-    let retry = head.text("req-retry")?;
+    let retry = head.text_value("req-retry")?;
     let mut ask = NewRequest {
         class: ClassId(class as u32),
         tenant: TenantId(partner as u32),
         time_left: request.left(now, wait),
-        session: head.one("req-key")?.map(|key| name_hash::session_key(key)),
+        session: head.single_value("req-key")?.map(|key| name_hash::session_key(key)),
         resumes_stream: retry == Some("again"),
         is_client_retry: retry == Some("1"),
         ..NewRequest::default()
     };
-    for pair in head.text("req-extra")?.unwrap_or_default().split(',').filter(|p| !p.trim().is_empty()) {
-        let (name, value) = pair.trim().split_once('=').ok_or(Bad::Malformed)?;
-        let tokens = || number(value).and_then(|n| u32::try_from(n).ok()).ok_or(Bad::Malformed);
+    for pair in head.text_value("req-extra")?.unwrap_or_default().split(',').filter(|p| !p.trim().is_empty())
+    {
+        let (name, value) = pair.trim().split_once('=').ok_or(HttpError::Malformed)?;
+        let tokens = || number(value).and_then(|n| u32::try_from(n).ok()).ok_or(HttpError::Malformed);
         match name {
             "prefix" => ask.prefix = Some(name_hash::prefix_key(value.as_bytes())),
             "prompt_len" => ask.prompt_tokens = tokens()?,
@@ -87,7 +88,7 @@
 /// Answers one request.
 pub async fn answer(
     context: &Rc<FrontContext>,
-    wire: &mut Wire,
+    wire: &mut BufferedConnection,
     request: Incoming,
 ) -> io::Result<AfterAnswer> {
     let (ask, id) = match read(context, &request, context.clock.now()) {
@@ -105,10 +106,10 @@
     let Incoming { method, mut target, mut body, client, .. } = request;
     if !same {
         // An old client, newer model nodes: the one case in which this front is not thin.
-        let Ok(asked) = Asked::chat(&body.bytes) else {
-            return reject(context, wire, Bad::Malformed.into()).await;
+        let Ok(asked) = ConversationRequest::parse_chat(&body.bytes) else {
+            return reject(context, wire, HttpError::Malformed.into()).await;
         };
-        let bytes = asked.messages_body(context.limits.answer_tokens);
+        let bytes = asked.messages_body(context.limits.default_max_tokens);
         let Some(reserved) = context.body_budget.reserve(bytes.len()) else {
             return reject(context, wire, Rejection::Full).await;
         };
@@ -165,14 +166,18 @@
 }
 
 /// Answers what is no request that could be taken.
-pub async fn reject(context: &FrontContext, wire: &mut Wire, why: Rejection) -> io::Result<AfterAnswer> {
+pub async fn reject(
+    context: &FrontContext,
+    wire: &mut BufferedConnection,
+    why: Rejection,
+) -> io::Result<AfterAnswer> {
     let status = why.status();
     let fields = match why {
         Rejection::Full => format!("Retry-After: {:.3}\r\n", retry_after(context, 0)),
         Rejection::Method => "Allow: POST\r\n".into(),
         _ => String::new(),
     };
-    let body = Bytes::from_static(crate::http::reason(status).as_bytes());
+    let body = Bytes::from_static(crate::http::reason_phrase(status).as_bytes());
     write_whole(context, wire, status, &fields, body).await?;
     Ok(AfterAnswer::KeepOpenAfterRejection)
 }
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -393,8 +393,8 @@
         // A listener and four connections.
         let fleet = self.fleet.as_ref().map_or(0, FleetSettings::descriptors);
         let needed = checks + fleet + if self.control.is_some() { 5 } else { 0 };
-        match limits.clients.checked_sub(needed).filter(|left| *left >= 2) {
-            Some(left) => limits.clients = left,
+        match limits.max_clients.checked_sub(needed).filter(|left| *left >= 2) {
+            Some(left) => limits.max_clients = left,
             None => {
                 return Err(format!(
                     "{needed} descriptors for checks, orders and the fleet leave none for clients"
@@ -406,7 +406,7 @@
 }
 
 fn log_settings(s: &Checked) -> LogSettings {
-    let of = |word: &str| log::level(word).unwrap_or(tracing::level_filters::LevelFilter::INFO);
+    let of = |word: &str| log::parse_level(word).unwrap_or(tracing::level_filters::LevelFilter::INFO);
     LogSettings {
         level: of(s.text("level")),
         targets: s.all("target").map(|e| (e.text(0).to_string(), of(e.text(1)))).collect(),
--- a/router/src/keep_alive.rs
+++ b/router/src/keep_alive.rs
@@ -64,8 +64,8 @@
     /// shutdown; a new one may send its request until the listeners close.
     pub fn idle_limit(&self, limits: &Limits) -> IdleLimit {
         match self.has_requested {
-            true => IdleLimit { duration: limits.idle_client, until: Stage::ClosingIdle },
-            false => IdleLimit { duration: limits.first, until: Stage::Closing },
+            true => IdleLimit { duration: limits.client_idle_timeout, until: Stage::ClosingIdle },
+            false => IdleLimit { duration: limits.first_request_timeout, until: Stage::Closing },
         }
     }
 
@@ -73,10 +73,11 @@
     /// once after each rejection is not read for a while: it would take the processor from the others.
     pub fn request_started(&mut self, now: Instant, limits: &Limits) -> RequestStart {
         let from = if std::mem::replace(&mut self.has_requested, true) { now } else { self.opened };
-        let at_once = self.rejected_at.take().is_some_and(|at| now - at <= limits.at_once);
+        let at_once = self.rejected_at.take().is_some_and(|at| now - at <= limits.immediate_retry_window);
         self.immediate_retries = if at_once { self.immediate_retries + 1 } else { 0 };
-        let pause = (self.immediate_retries > limits.patience).then_some(limits.pause);
-        RequestStart { pause, complete_by: from + limits.read }
+        let pause =
+            (self.immediate_retries > limits.max_immediate_retries).then_some(limits.immediate_retry_pause);
+        RequestStart { pause, complete_by: from + limits.request_read_timeout }
     }
 
     /// Whether the connection stays open after an answer. `keeps`: its client wants that. From the stage on at which answers say
--- a/router/src/keep_alive/tests.rs
+++ b/router/src/keep_alive/tests.rs
@@ -34,17 +34,23 @@
 fn a_first_request_is_timed_from_the_opening_and_others_from_their_beginning() {
     let (limits, now) = (limits(), Instant::now());
     let mut connection = KeepAlive::new(now, false);
-    assert_eq!(connection.idle_limit(&limits), IdleLimit { duration: limits.first, until: Stage::Closing });
-    assert_eq!(connection.request_started(now + 900 * MS, &limits).complete_by, now + limits.read);
+    assert_eq!(
+        connection.idle_limit(&limits),
+        IdleLimit { duration: limits.first_request_timeout, until: Stage::Closing }
+    );
+    assert_eq!(
+        connection.request_started(now + 900 * MS, &limits).complete_by,
+        now + limits.request_read_timeout
+    );
     assert!(connection.stays_open_after(now + 1000 * MS, AfterAnswer::KeepOpen, true, Stage::Serving));
     assert_eq!(
         connection.idle_limit(&limits),
-        IdleLimit { duration: limits.idle_client, until: Stage::ClosingIdle }
+        IdleLimit { duration: limits.client_idle_timeout, until: Stage::ClosingIdle }
     );
     let later = now + 5000 * MS;
     assert_eq!(
         connection.request_started(later, &limits),
-        RequestStart { pause: None, complete_by: later + limits.read }
+        RequestStart { pause: None, complete_by: later + limits.request_read_timeout }
     );
 }
 
@@ -54,21 +60,21 @@
     // After how long the next one comes, what the last answer was, and whether it is read after a pause.
     for (wait, then, pauses) in [
         (Duration::ZERO, AfterAnswer::KeepOpenAfterRejection, true),
-        (limits.at_once, AfterAnswer::KeepOpenAfterRejection, true),
-        (limits.at_once + MS, AfterAnswer::KeepOpenAfterRejection, false),
+        (limits.immediate_retry_window, AfterAnswer::KeepOpenAfterRejection, true),
+        (limits.immediate_retry_window + MS, AfterAnswer::KeepOpenAfterRejection, false),
         (Duration::ZERO, AfterAnswer::KeepOpen, false),
     ] {
         let mut now = Instant::now();
         let mut connection = KeepAlive::new(now, false);
-        for n in 0..=limits.patience + 1 {
+        for n in 0..=limits.max_immediate_retries + 1 {
             let pause = connection.request_started(now, &limits).pause;
-            let wanted = (pauses && n > limits.patience).then_some(limits.pause);
+            let wanted = (pauses && n > limits.max_immediate_retries).then_some(limits.immediate_retry_pause);
             assert_eq!(pause, wanted, "{wait:?} {then:?}, number {n}");
             assert!(connection.stays_open_after(now, then, true, Stage::Serving));
             now += wait;
         }
         // One that waits is patient again.
-        now += limits.at_once + MS;
+        now += limits.immediate_retry_window + MS;
         assert_eq!(connection.request_started(now, &limits).pause, None);
     }
 }
--- a/router/src/log.rs
+++ b/router/src/log.rs
@@ -62,7 +62,7 @@
 pub struct Log {
     filter: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
-    told: Cell<usize>,
+    reported: Cell<usize>,
     _writer: WorkerGuard,
 }
 
@@ -81,22 +81,22 @@
         };
         // It fails only if one is there already, as in tests that run several routers.
         let _ = tracing_subscriber::registry().with(lines.with_filter(filter)).try_init();
-        Log { filter: handle, dropped, told: Cell::new(0), _writer: guard }
+        Log { filter: handle, dropped, reported: Cell::new(0), _writer: guard }
     }
 
     /// Takes over other levels.
-    pub fn adopt(&self, settings: &LogSettings) {
+    pub fn change_levels(&self, settings: &LogSettings) {
         let _ = self.filter.reload(settings.filter());
     }
 
     /// Lines dropped since it was asked last.
     pub fn newly_dropped(&self) -> usize {
         let all = self.dropped.dropped_lines();
-        all - self.told.replace(all)
+        all - self.reported.replace(all)
     }
 }
 
 /// A level by its name.
-pub fn level(name: &str) -> Option<LevelFilter> {
+pub fn parse_level(name: &str) -> Option<LevelFilter> {
     LEVELS.contains(&name).then(|| name.parse().ok()).flatten()
 }
--- a/router/src/outward.rs
+++ b/router/src/outward.rs
@@ -10,7 +10,7 @@
 use tallypin_health::state::Assessment;
 use tokio::time::timeout;
 
-use crate::http::Wire;
+use crate::http::BufferedConnection;
 
 /// Who takes connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -101,7 +101,7 @@
     }
 
     /// Finds out whose a connection is, taking the preface off it where one is due; `None`: it is to be closed.
-    pub async fn origin(&self, door: Door, wire: &mut Wire) -> Option<Origin> {
+    pub async fn origin(&self, door: Door, wire: &mut BufferedConnection) -> Option<Origin> {
         let (wanted, within) = {
             let gate = self.gate.borrow();
             (gate.wants(door), gate.within)
@@ -130,20 +130,20 @@
 }
 
 /// Takes a preface off the front; `None` inside: it names nobody.
-async fn read_preface(wire: &mut Wire) -> Result<Option<SocketAddr>, &'static str> {
+async fn read_preface(wire: &mut BufferedConnection) -> Result<Option<SocketAddr>, &'static str> {
     use bytes::Buf;
     loop {
-        match preface::read(&wire.buf) {
-            Preface::More => match wire.more().await {
+        match preface::read(&wire.unread) {
+            Preface::More => match wire.read_more().await {
                 Ok(true) => {}
                 _ => return Err("closed before its PROXY preface"),
             },
             Preface::From(length, client) => {
-                wire.buf.advance(length);
+                wire.unread.advance(length);
                 return Ok(Some(client));
             }
             Preface::Local(length) => {
-                wire.buf.advance(length);
+                wire.unread.advance(length);
                 return Ok(None);
             }
             Preface::Bad(why) => return Err(why),
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -86,7 +86,7 @@
             tracing::info!(target: "reload", field = change.path, "setting applied");
         }
         outward.guard(new.gate.clone());
-        self.log.iter().for_each(|log| log.adopt(&new.log));
+        self.log.iter().for_each(|log| log.change_levels(&new.log));
         self.board.iter().for_each(|board| board.adopt(new));
         self.current = new.checked.clone();
     }
--- a/router/src/replica/answer.rs
+++ b/router/src/replica/answer.rs
@@ -2,44 +2,44 @@
 
 use tokio::time::timeout;
 
-use crate::http::{Body, Framing, Head, Part, Start, Wire};
+use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, MessageHead, StartLine};
 use crate::limits::Limits;
 
 /// Reads the head of an answer of which something has come, or will. What begins has to end: one head that
 /// does not, or one after the other, would else hold the attempt until the client has left.
-pub(super) async fn read_head(wire: &mut Wire, limits: &Limits) -> Option<Head> {
+pub(super) async fn read_head(wire: &mut BufferedConnection, limits: &Limits) -> Option<MessageHead> {
     let whole = async {
         let mut before = 0;
         loop {
-            match Head::answer(&mut wire.buf, limits) {
+            match MessageHead::parse_response(&mut wire.unread, limits) {
                 // What comes before the answer proper says nothing here.
-                Ok(Some(head)) if matches!(head.start, Start::Status(100..=199)) => before += 1,
+                Ok(Some(head)) if matches!(head.start_line, StartLine::Status(100..=199)) => before += 1,
                 Ok(Some(head)) => return Some(head),
                 Ok(None) => {
-                    if !wire.more().await.ok()? {
+                    if !wire.read_more().await.ok()? {
                         return None;
                     }
                 }
                 Err(_) => return None,
             }
-            if before > limits.informational {
+            if before > limits.max_informational_responses {
                 return None;
             }
         }
     };
-    timeout(limits.answer_head, whole).await.ok().flatten()
+    timeout(limits.response_head_timeout, whole).await.ok().flatten()
 }
 
 /// Takes a short body that has arrived with its head; false if it has not.
-pub(super) fn drained(wire: &mut Wire, framing: Framing, most: usize) -> bool {
-    if framing == Framing::Unstated {
+pub(super) fn drained(wire: &mut BufferedConnection, framing: BodyFraming, most: usize) -> bool {
+    if framing == BodyFraming::Undeclared {
         return false;
     }
-    let mut body = Body::of_answer(framing, most);
+    let mut body = BodyReader::for_response(framing, most);
     loop {
-        match body.next(&mut wire.buf) {
-            Ok(Some(Part::Bytes(_))) => {}
-            Ok(Some(Part::End)) => return wire.buf.is_empty(),
+        match body.next_part(&mut wire.unread) {
+            Ok(Some(BodyPart::Data(_))) => {}
+            Ok(Some(BodyPart::End)) => return wire.unread.is_empty(),
             _ => return false,
         }
     }
--- a/router/src/replica/attempt.rs
+++ b/router/src/replica/attempt.rs
@@ -11,9 +11,9 @@
 use super::context::ReplicaContext;
 use super::pool::{ReplicaConnection, ReplicaPool};
 use crate::core::{AttemptResult, FinalAnswer};
-use crate::dialect::{self, Dialect, Event, Events};
+use crate::dialect::{self, Dialect, EventSplitter, StreamEvent};
 use crate::dispatcher::{AttemptStart, Dispatcher, ResponseEvent, UpstreamRequest};
-use crate::http::{Body, Framing, Part, Start, Wire};
+use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, StartLine};
 
 /// One attempt.
 pub struct Attempt {
@@ -95,7 +95,7 @@
             "attempt written");
         let _out = InFlight::on(&self.context.pool, self.node);
         let silent = SilentReplica { nodes: &self.context.pool, node: self.node };
-        let more = link.wire.more().await;
+        let more = link.wire.read_more().await;
         std::mem::forget(silent);
         let head = match more {
             Ok(true) => read_head(&mut link.wire, &self.context.limits).await,
@@ -103,29 +103,30 @@
         };
         let Some(head) = head else { return Outcome::ConnectionReset.into() };
         let names = &self.context.report_fields;
-        let load = head.text("srv-load").ok().flatten().map(|l| dialect::read_load(l, names));
+        let load = head.text_value("srv-load").ok().flatten().map(|l| dialect::parse_load_report(l, names));
         let load = load.unwrap_or_default();
         let framing = match head.framing() {
             Ok(framing) => framing,
             Err(_) => return Outcome::ConnectionReset.into(),
         };
-        match head.start {
-            Start::Status(200) => {}
-            Start::Status(status) => {
-                let declined = matches!(head.text("srv-declined"), Ok(Some("1")));
+        match head.start_line {
+            StartLine::Status(200) => {}
+            StartLine::Status(status) => {
+                let declined = matches!(head.text_value("srv-declined"), Ok(Some("1")));
                 let outcome = match status {
                     503 | 504 if declined => Outcome::Rejected,
                     _ => Outcome::ReplicaError,
                 };
-                if head.keeps() && drained(&mut link.wire, framing, self.context.limits.event) {
+                if head.keeps_alive() && drained(&mut link.wire, framing, self.context.limits.max_event_size)
+                {
                     self.context.pool.give_back(link);
                 }
                 return AttemptResult { outcome, cached_tokens: None, load_report: load };
             }
-            Start::Request(..) => return Outcome::ConnectionReset.into(),
+            StartLine::Request(..) => return Outcome::ConnectionReset.into(),
         }
         let (end, reusable) = self.pass_on(&mut link.wire, framing, load).await;
-        if reusable && head.keeps() && link.wire.buf.is_empty() {
+        if reusable && head.keeps_alive() && link.wire.unread.is_empty() {
             self.context.pool.give_back(link);
         }
         end
@@ -142,7 +143,7 @@
             if !nodes.takes_work(&link.to) {
                 return Err(Outcome::NotSent);
             }
-            if !link.reused || !link.wire.spoilt() {
+            if !link.reused || !link.wire.is_unusable() {
                 return Ok(link);
             }
         }
@@ -170,40 +171,46 @@
 
     /// Passes the events of a stream on as they come; also says whether the connection is at the end of
     /// the answer.
-    async fn pass_on(&mut self, wire: &mut Wire, framing: Framing, load: Vec<f64>) -> (AttemptResult, bool) {
+    async fn pass_on(
+        &mut self,
+        wire: &mut BufferedConnection,
+        framing: BodyFraming,
+        load: Vec<f64>,
+    ) -> (AttemptResult, bool) {
         let (context, dispatcher) = (self.context.clone(), self.dispatcher.clone());
-        let (mut body, mut events) = (Body::of_answer(framing, context.limits.event), Events::default());
+        let (mut body, mut events) =
+            (BodyReader::for_response(framing, context.limits.max_event_size), EventSplitter::default());
         let (mut held, mut held_told) = (BytesMut::new(), Vec::new());
         let mut end =
             AttemptResult { outcome: Outcome::ConnectionReset, cached_tokens: None, load_report: load };
         // A messages stream says itself that it is complete; the others are so at the last chunk.
         let mut complete = context.pool.dialect == Dialect::Chat;
-        let silence = |quiet_since: Instant| (quiet_since + context.limits.silence).into();
+        let silence = |quiet_since: Instant| (quiet_since + context.limits.stream_silence_timeout).into();
         let mut quiet_since = Instant::now();
         loop {
-            let part = match body.next(&mut wire.buf) {
+            let part = match body.next_part(&mut wire.unread) {
                 Ok(part) => part,
                 Err(_) => return (end, false),
             };
-            let over = part == Some(Part::End);
+            let over = part == Some(BodyPart::End);
             let whole = match part {
-                Some(Part::Bytes(data)) => {
+                Some(BodyPart::Data(data)) => {
                     let whole = events.push(&data);
-                    if events.held() > context.limits.event {
+                    if events.held_size() > context.limits.max_event_size {
                         return (end, false);
                     }
                     whole
                 }
-                Some(Part::End) => match events.rest() {
+                Some(BodyPart::End) => match events.take_rest() {
                     rest if rest.is_empty() => None,
                     rest => Some(rest),
                 },
                 None => {
                     // Before the stream is bound, the core keeps the time.
                     let more = if self.bound() {
-                        tokio::time::timeout_at(silence(quiet_since), wire.more()).await
+                        tokio::time::timeout_at(silence(quiet_since), wire.read_more()).await
                     } else {
-                        Ok(wire.more().await)
+                        Ok(wire.read_more().await)
                     };
                     match more {
                         Ok(Ok(true)) => continue,
@@ -213,12 +220,15 @@
             };
             if let Some(mut bytes) = whole {
                 let mut told = self.tell(&bytes, &mut end);
-                complete |= told.contains(&Event::Complete);
-                let failed = told.contains(&Event::Failed);
+                complete |= told.contains(&StreamEvent::Complete);
+                let failed = told.contains(&StreamEvent::Failed);
                 if !self.bound() {
                     held.extend_from_slice(&bytes);
                     held_told.append(&mut told);
-                    if !failed && !held_told.iter().any(Event::begins) && held.len() <= context.limits.event {
+                    if !failed
+                        && !held_told.iter().any(StreamEvent::begins_answer)
+                        && held.len() <= context.limits.max_event_size
+                    {
                         continue; // A sign of life, or what nobody knows, binds nothing.
                     }
                     (bytes, told) = (held.split().freeze(), std::mem::take(&mut held_told));
@@ -240,7 +250,7 @@
             }
             if over {
                 // An empty answer is none.
-                if complete && self.bound() && framing != Framing::Unstated {
+                if complete && self.bound() && framing != BodyFraming::Undeclared {
                     end.outcome = Outcome::Completed;
                 }
                 return (end, true);
@@ -249,18 +259,20 @@
     }
 
     /// What events say; keeps what concerns the attempt's end.
-    fn tell(&self, bytes: &[u8], end: &mut AttemptResult) -> Vec<Event> {
+    fn tell(&self, bytes: &[u8], end: &mut AttemptResult) -> Vec<StreamEvent> {
         let mut told = Vec::new();
-        self.context.pool.dialect.read(bytes, self.text, &mut told);
+        self.context.pool.dialect.read_events(bytes, self.text, &mut told);
         for event in &told {
             match event {
-                Event::Usage { kept: Some(kept), .. } => {
+                StreamEvent::Usage { cached_tokens: Some(kept), .. } => {
                     end.cached_tokens = Some((*kept).min(u32::MAX.into()) as u32)
                 }
-                Event::Load(report) => {
-                    end.load_report = dialect::read_load(report, &self.context.report_fields)
+                StreamEvent::LoadReport(report) => {
+                    end.load_report = dialect::parse_load_report(report, &self.context.report_fields)
+                }
+                StreamEvent::Unknown => {
+                    self.context.unknown_events.set(self.context.unknown_events.get() + 1)
                 }
-                Event::Unknown => self.context.unknown_events.set(self.context.unknown_events.get() + 1),
                 _ => {}
             }
         }
--- a/router/src/replica/context.rs
+++ b/router/src/replica/context.rs
@@ -33,7 +33,7 @@
 
 /// Closes connections that have been idle for too long or that their replicas have closed, again and again. Never ends.
 pub async fn close_idle_connections(context: Rc<ReplicaContext>) {
-    let mut every = tokio::time::interval(context.limits.idle_node / SWEEPS_PER_IDLE_TIME);
+    let mut every = tokio::time::interval(context.limits.replica_idle_timeout / SWEEPS_PER_IDLE_TIME);
     loop {
         every.tick().await;
         context.pool.close_expired();
--- a/router/src/replica/pool.rs
+++ b/router/src/replica/pool.rs
@@ -12,14 +12,14 @@
 use tokio::time::timeout;
 
 use crate::dialect::Dialect;
-use crate::http::Wire;
+use crate::http::BufferedConnection;
 use crate::limits::Limits;
 use crate::shortage::is_resource_shortage;
 
 /// A connection to a model node, counted while it is open.
 #[derive(Debug)]
 pub(super) struct ReplicaConnection {
-    pub wire: Wire,
+    pub wire: BufferedConnection,
     /// Whom it was opened to. The address alone does not say that: a new node may stand where one has gone,
     /// and what was opened to that one is dead.
     pub to: ReplicaAddress,
@@ -78,10 +78,10 @@
     pub fn new(dialect: Dialect, limits: &Limits) -> ReplicaPool {
         ReplicaPool {
             dialect,
-            max_connections: limits.node_connections,
-            idle_limit: limits.idle_node,
-            rest: limits.node_rest,
-            connect_limit: limits.connect,
+            max_connections: limits.max_replica_connections,
+            idle_limit: limits.replica_idle_timeout,
+            rest: limits.replica_reuse_delay,
+            connect_limit: limits.connect_timeout,
             in_flight: RefCell::default(),
             listed: RefCell::default(),
             idle: RefCell::default(),
@@ -160,7 +160,7 @@
     pub fn close_expired(&self) {
         let limit = self.idle_limit;
         self.idle.borrow_mut().retain(|_, links| {
-            links.retain_mut(|i| i.since.elapsed() < limit && !i.link.wire.spoilt());
+            links.retain_mut(|i| i.since.elapsed() < limit && !i.link.wire.is_unusable());
             !links.is_empty()
         });
     }
@@ -173,7 +173,7 @@
         while let Some(at) = links.iter().rposition(|i| i.since.elapsed() >= self.rest) {
             let mut i = links.remove(at);
             // A node that closed it, or is about to, would turn the next request into a reset.
-            if i.since.elapsed() < self.idle_limit && !i.link.wire.spoilt() {
+            if i.since.elapsed() < self.idle_limit && !i.link.wire.is_unusable() {
                 return Some(i.link);
             }
         }
@@ -183,7 +183,7 @@
     /// Keeps a connection for later, unless its node has gone, moved or started again while it was out.
     pub(super) fn give_back(&self, mut link: ReplicaConnection) {
         if self.listed.borrow().get(&link.to.id).is_some_and(|n| n.place == link.to) {
-            link.wire.rest();
+            link.wire.release_buffer();
             link.reused = true;
             let idle = IdleConnection { since: Instant::now(), link };
             self.idle.borrow_mut().entry(idle.link.to.id).or_default().push(idle);
@@ -219,7 +219,7 @@
         self.open.set(self.open.get() + 1);
         let count = OpenCount(Some(self.open.clone()));
         match timeout(self.connect_limit, TcpStream::connect(to.addr)).await {
-            Ok(Ok(stream)) => Ok(count.into_link(Wire::new(stream), to)),
+            Ok(Ok(stream)) => Ok(count.into_link(BufferedConnection::new(stream), to)),
             Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
             _ => Err(Outcome::ConnectionRefused),
         }
@@ -237,7 +237,7 @@
 struct OpenCount(Option<Rc<Cell<usize>>>);
 
 impl OpenCount {
-    fn into_link(mut self, wire: Wire, to: ReplicaAddress) -> ReplicaConnection {
+    fn into_link(mut self, wire: BufferedConnection, to: ReplicaAddress) -> ReplicaConnection {
         ReplicaConnection { wire, to, reused: false, open: self.0.take().unwrap_or_default() }
     }
 }
--- a/router/src/replica/probe.rs
+++ b/router/src/replica/probe.rs
@@ -11,11 +11,11 @@
 use crate::core::AttemptResult;
 use crate::dialect;
 use crate::dispatcher::Dispatcher;
-use crate::http::{Body, Part, Start};
+use crate::http::{BodyPart, BodyReader, StartLine};
 
 /// Probes a node and tells the core. The module sends no probes today; its interface has them.
 pub async fn probe(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, node: ReplicaId) {
-    let limit = context.limits.probe;
+    let limit = context.limits.health_check_timeout;
     let end = timeout(limit, ask_health(&context, node)).await.unwrap_or_else(|_| Outcome::TimedOut.into());
     dispatcher.with(|core, now| core.probe_ended(now, node, end));
 }
@@ -35,20 +35,22 @@
         return Outcome::ConnectionReset.into();
     };
     let Ok(framing) = head.framing() else { return Outcome::ConnectionReset.into() };
-    let (mut body, mut report) = (Body::of_answer(framing, context.limits.head), Vec::new());
+    let (mut body, mut report) =
+        (BodyReader::for_response(framing, context.limits.max_head_size), Vec::new());
     loop {
-        match body.next(&mut link.wire.buf) {
-            Ok(Some(Part::Bytes(data))) if report.len() + data.len() <= context.limits.head => {
+        match body.next_part(&mut link.wire.unread) {
+            Ok(Some(BodyPart::Data(data))) if report.len() + data.len() <= context.limits.max_head_size => {
                 report.extend_from_slice(&data);
             }
-            Ok(Some(Part::End)) => break,
-            Ok(None) if matches!(link.wire.more().await, Ok(true)) => {}
+            Ok(Some(BodyPart::End)) => break,
+            Ok(None) if matches!(link.wire.read_more().await, Ok(true)) => {}
             _ => return Outcome::ConnectionReset.into(),
         }
     }
-    let outcome = if head.start == Start::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
-    let load = dialect::read_load(&String::from_utf8_lossy(&report), names);
-    if head.keeps() && link.wire.buf.is_empty() {
+    let outcome =
+        if head.start_line == StartLine::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
+    let load = dialect::parse_load_report(&String::from_utf8_lossy(&report), names);
+    if head.keeps_alive() && link.wire.unread.is_empty() {
         context.pool.give_back(link);
     }
     AttemptResult { outcome, cached_tokens: None, load_report: load }
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -111,12 +111,12 @@
     tracing::info!(target: "drain", clients = components.clients.open(), open_requests,
         balancers_not_notified = board.untold(), "closing the listeners");
     components.lifecycle.enter(Stage::Closing);
-    sleep(components.limits.last_look * 2).await;
-    if timeout(components.limits.finish, all_clients_closed(components)).await.is_err() {
+    sleep(components.limits.final_read_time * 2).await;
+    if timeout(components.limits.drain_time, all_clients_closed(components)).await.is_err() {
         let clients = components.clients.open();
         tracing::warn!(target: "drain", clients, "shutting down with clients that have not finished");
         answer_open_requests(components, 0);
-        let _ = timeout(components.limits.linger, all_clients_closed(components)).await;
+        let _ = timeout(components.limits.close_linger, all_clients_closed(components)).await;
     }
 }
 
@@ -124,7 +124,7 @@
 /// may still end, if they ask for the rest of those that do not. Guards against a rolling restart that takes the last router
 /// down before the one before it is back.
 fn is_last_router(components: &Components) -> bool {
-    let heard_limit = components.limits.peer_heard;
+    let heard_limit = components.limits.peer_silence_timeout;
     let silent = components.peers.as_ref().is_some_and(|peers| !peers.heard_within(heard_limit));
     let only_one = components.deployment.decisions.router_count == 1;
     components.deployment.resumes_streams && (only_one || silent)
@@ -136,7 +136,7 @@
     let begun_at = components.clock.now();
     components.lifecycle.enter(Stage::Grace);
     let last_router = is_last_router(components);
-    let grace = if last_router { limits.grace_alone } else { limits.grace };
+    let grace = if last_router { limits.lone_router_shutdown_grace } else { limits.shutdown_grace };
     let accepted = || components.with(|core, _| core.counts().accepted);
     let accepted_before = accepted();
     let grace_ms = grace.as_millis() as u64;
@@ -146,12 +146,12 @@
     tracing::info!(target: "drain", accepted_since, "grace time over, closing the listeners");
     components.lifecycle.enter(Stage::Closing);
     // Whatever was under way when the listeners closed has been seen by then.
-    sleep(limits.last_look * 2).await;
+    sleep(limits.final_read_time * 2).await;
     let mut finished = std::pin::pin!(all_clients_closed(components));
-    let until = components.clock.instant(after(begun_at, limits.last_word));
+    let until = components.clock.instant(after(begun_at, limits.forwarding_end_after_stop));
     if timeout_at(until.into(), &mut finished).await.is_err() {
-        answer_open_requests(components, after(begun_at, limits.owed_after));
-        let _ = timeout(limits.finish, finished).await;
+        answer_open_requests(components, after(begun_at, limits.late_arrival_after_stop));
+        let _ = timeout(limits.drain_time, finished).await;
     }
 }
 
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -66,7 +66,7 @@
 
 /// Logs state, counts, and how many lines of the log were dropped, again and again. Never ends.
 pub async fn log_periodically(components: Rc<Components>, log: Option<Rc<Log>>) {
-    let mut every = tokio::time::interval(components.limits.status);
+    let mut every = tokio::time::interval(components.limits.status_interval);
     loop {
         every.tick().await;
         tracing::info!(target: "status", "{}", format_state(&components));
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -231,7 +231,7 @@
             let node = Node::new(Chat).await;
             node.plan(&[Fault::Mute]);
             let mut config = config();
-            config.limits.finish = 30 * MS;
+            config.limits.drain_time = 30 * MS;
             config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = effect);
             let router = start_by(config, vec![row("s-0", node.addr, "active")], &ANYWHERE, &[], None).await;
             router.until(|s| s == State::Up).await;
@@ -316,7 +316,7 @@
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute; 40]);
         let mut config = config();
-        config.limits.clients = 44;
+        config.limits.max_clients = 44;
         let rows = vec![row("s-0", node.addr, "active")];
         let router = start_by(config, rows, &ANYWHERE, &[("budget 500ms", "budget 5s")], None).await;
         let mut clients = Vec::new();
--- a/router/tests/closing.rs
+++ b/router/tests/closing.rs
@@ -39,7 +39,7 @@
     let (mut served, mut closed) = (0, 0);
     for (at, front) in (0..60).flat_map(|at| [(at, 0), (at, 1)]) {
         let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| l.last_look = Duration::from_millis(2)).await;
+        let router = Router::new(Chat, &[&node], |l| l.final_read_time = Duration::from_millis(2)).await;
         let statuses = play(at, &node, &router, fronts(&router)[front]).await;
         let requests = node.so_far().1;
         assert_eq!(statuses, vec![200; requests], "front {front}, {at}: {requests} sent on");
@@ -99,9 +99,9 @@
         for (parting, front) in [(true, 0), (true, 1), (false, 0), (false, 1)] {
             let node = Node::new(Chat).await;
             let router = Router::new(Chat, &[&node], |l| {
-                l.last_look = Duration::from_millis(1);
+                l.final_read_time = Duration::from_millis(1);
                 if !parting {
-                    l.idle_client = Duration::from_millis(5);
+                    l.client_idle_timeout = Duration::from_millis(5);
                 }
             })
             .await;
@@ -131,7 +131,7 @@
 fn half_a_line_from_a_node_in_the_moment_of_its_close_is_nobody_s() {
     run(async {
         let (router, listener): (Router, TcpListener) =
-            by_hand(|l| l.answer_head = Duration::from_secs(3600)).await;
+            by_hand(|l| l.response_head_timeout = Duration::from_secs(3600)).await;
         let mut client = Client::to(router.addr).await;
         client.send(&platform("", "{}")).await;
         let mut node = asked(&listener).await;
--- a/router/tests/dialects.rs
+++ b/router/tests/dialects.rs
@@ -24,7 +24,8 @@
     // Either node may be picked first: both go by one plan.
     let plan = Script::default();
     let nodes = [Node::sharing(dialect, &plan).await, Node::sharing(dialect, &plan).await];
-    let router = Router::new(dialect, &[], |l| l.silence = std::time::Duration::from_millis(60)).await;
+    let router =
+        Router::new(dialect, &[], |l| l.stream_silence_timeout = std::time::Duration::from_millis(60)).await;
     let dead = ReservedPort::new();
     let mut seen = Vec::new();
     let late = "x-deadline-ms: 80\r\n";
@@ -146,7 +147,7 @@
 #[test]
 fn errors_have_the_shape_of_the_api() {
     run(async {
-        let router = Router::new(Dialect::Chat, &[], |l| l.body = 4096).await;
+        let router = Router::new(Dialect::Chat, &[], |l| l.max_body_size = 4096).await;
         let long = MESSAGE.replace("travellers", &"x".repeat(5000));
         let mut said = Vec::new();
         for (what, text) in [
--- a/router/tests/ending.rs
+++ b/router/tests/ending.rs
@@ -25,7 +25,10 @@
     run(async {
         for (front, status) in [(0, 503), (1, 529)] {
             let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node], |l| (l.grace, l.last_word) = (5 * MS, 60 * MS)).await;
+            let router = Router::new(Chat, &[&node], |l| {
+                (l.shutdown_grace, l.forwarding_end_after_stop) = (5 * MS, 60 * MS)
+            })
+            .await;
             let (addr, request) = fronts(&router)[front];
             let request = request();
             let (head, rest) = request.split_at(request.len() / 2);
@@ -49,8 +52,8 @@
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |l| {
-            (l.clients, l.clients_refused) = (20, 4);
-            (l.grace, l.linger) = (50 * MS, 20 * MS);
+            (l.max_clients, l.max_rejected_clients) = (20, 4);
+            (l.shutdown_grace, l.close_linger) = (50 * MS, 20 * MS);
         })
         .await;
         let (addr, over) = (router.addr, Arc::new(AtomicBool::new(false)));
@@ -91,8 +94,12 @@
             let mut config = config();
             config.deployment.resumes_streams = resume;
             let l = &mut config.limits;
-            (l.grace, l.grace_alone, l.owed_after, l.last_word) =
-                (100 * MS, 100 * MS, Duration::ZERO, 150 * MS);
+            (
+                l.shutdown_grace,
+                l.lone_router_shutdown_grace,
+                l.late_arrival_after_stop,
+                l.forwarding_end_after_stop,
+            ) = (100 * MS, 100 * MS, Duration::ZERO, 150 * MS);
             let router = Router::by(config, Chat, &[], None).await;
             router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
             let mut client = Client::to(router.addr).await;
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -67,7 +67,7 @@
             let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
             let soon = CONFIG.replace("\"GoalTimeNs\": 1200000000", "\"GoalTimeNs\": 200000000");
             let mut config = Config::parse(&soon).unwrap();
-            config.limits.idle_node = Duration::from_millis(1);
+            config.limits.replica_idle_timeout = Duration::from_millis(1);
             let router = Router::by(config, Chat, &[&first, &second], None).await;
             // Copies are sent where first tokens are known to come at once.
             assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
@@ -153,7 +153,7 @@
         clients.clear();
         until(|| router.tallies().client_disconnects == 50 && router.open() == 0).await;
         let before = sent();
-        tokio::time::sleep(router.host.limits.connect * 4).await;
+        tokio::time::sleep(router.host.limits.connect_timeout * 4).await;
         assert_eq!((before, sent()), (0, 0), "tried again for a client that has left");
     });
 }
--- a/router/tests/list_budget.rs
+++ b/router/tests/list_budget.rs
@@ -45,7 +45,11 @@
     let mut settings = common::config().deployment.decisions;
     (settings.own_index, settings.router_count) = (PeerId(n), of);
     settings.list_mode = EndpointListMode::Polled { max_poll_interval: 10 * SECOND };
-    let terms = WatchTimeouts { answer: limits.list_answer, silence: limits.list_silence, reconnect: None };
+    let terms = WatchTimeouts {
+        answer: limits.list_response_timeout,
+        silence: limits.watch_silence_timeout,
+        reconnect: None,
+    };
     let mut core = Core::new(settings, 1000 + u64::from(n), 0).expect("settings to go by");
     core.endpoints_changed(0, ListUpdate::Cached, vec![EndpointEntry::default()]);
     Asker { core, clock: WatchClock::new(terms), told: None }
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -5,9 +5,9 @@
 
 use bytes::BytesMut;
 use tallypin_router::config::Config;
-use tallypin_router::dialect::{read_load, Asked, Dialect, Event, Events};
+use tallypin_router::dialect::{parse_load_report, ConversationRequest, Dialect, EventSplitter, StreamEvent};
 use tallypin_router::endpoint_list::EndpointListMessage;
-use tallypin_router::http::{Bad, Body, Framing, Head, Part};
+use tallypin_router::http::{BodyFraming, BodyPart, BodyReader, HttpError, MessageHead};
 use tallypin_router::installation::Installation;
 use tallypin_router::limits::Limits;
 use tallypin_router::object_reader::{NotAnObject, ObjectReader};
@@ -15,16 +15,16 @@
 #[test]
 fn heads() {
     let mut limits = common::config().limits;
-    (limits.head, limits.fields) = (200, 4);
+    (limits.max_head_size, limits.max_fields) = (200, 4);
     let long = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(200));
     for (text, wanted) in [
         ("POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "Length(3) keeps"),
-        ("GET / HTTP/1.0\r\n\r\n", "Unstated"),
-        ("GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n", "Unstated keeps"),
-        ("GET / HTTP/1.1\r\nConnection: foo, close\r\n\r\n", "Unstated"),
+        ("GET / HTTP/1.0\r\n\r\n", "Undeclared"),
+        ("GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n", "Undeclared keeps"),
+        ("GET / HTTP/1.1\r\nConnection: foo, close\r\n\r\n", "Undeclared"),
         ("GET / HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n", "Chunked keeps"),
         ("GET / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", "Malformed"),
-        ("GET / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", "Coding"),
+        ("GET / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", "UnsupportedCoding"),
         ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", "Malformed"),
         ("GET / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n", "Malformed"),
         ("GET / HTTP/1.1\r\nContent-Length: 3, 3\r\n\r\n", "Malformed"),
@@ -34,17 +34,17 @@
         ("GET / HTTP/1.1\r\nContent-Length : 3\r\n\r\n", "Malformed"),
         ("GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", "Malformed"),
         ("GET / HTTP/2.0\r\n\r\n", "Malformed"),
-        ("GET / HTTP/1.1\r\nA: 1\r\nA: 2\r\nA: 3\r\nA: 4\r\nA: 5\r\n\r\n", "LargeHead"),
+        ("GET / HTTP/1.1\r\nA: 1\r\nA: 2\r\nA: 3\r\nA: 4\r\nA: 5\r\n\r\n", "HeadTooLarge"),
         ("GET / HTTP/1.1\r\nHost: h\r\n", "more"),
         ("", "more"),
-        (&long, "LargeHead"),
-        (&format!("{long}\r\n\r\n"), "LargeHead"),
+        (&long, "HeadTooLarge"),
+        (&format!("{long}\r\n\r\n"), "HeadTooLarge"),
     ] {
         let mut buf = BytesMut::from(text);
-        let got = match Head::request(&mut buf, &limits) {
+        let got = match MessageHead::parse_request(&mut buf, &limits) {
             Ok(None) => "more".to_string(),
             Ok(Some(head)) => match head.framing() {
-                Ok(framing) => format!("{framing:?}{}", if head.keeps() { " keeps" } else { "" }),
+                Ok(framing) => format!("{framing:?}{}", if head.keeps_alive() { " keeps" } else { "" }),
                 Err(bad) => format!("{bad:?}"),
             },
             Err(bad) => format!("{bad:?}"),
@@ -55,7 +55,7 @@
     let whole = b"HTTP/1.1 200 OK\r\nA: b\r\n\r\nrest";
     for cut in 0..whole.len() {
         let mut buf = BytesMut::from(&whole[..cut]);
-        let head = Head::answer(&mut buf, &limits).unwrap();
+        let head = MessageHead::parse_response(&mut buf, &limits).unwrap();
         assert_eq!((head.is_some(), buf.len()), (cut >= 25, if cut >= 25 { cut - 25 } else { cut }));
     }
 }
@@ -65,13 +65,13 @@
     let whole = "4\r\nabcd\r\nA ; ext=1\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\nnext";
     for step in 1..whole.len() {
         let (mut body, mut buf, mut got, mut over) =
-            (Body::new(Framing::Chunked, 10), BytesMut::new(), Vec::new(), false);
+            (BodyReader::new(BodyFraming::Chunked, 10), BytesMut::new(), Vec::new(), false);
         for piece in whole.as_bytes().chunks(step) {
             buf.extend_from_slice(piece);
-            while let (false, Some(part)) = (over, body.next(&mut buf).unwrap()) {
+            while let (false, Some(part)) = (over, body.next_part(&mut buf).unwrap()) {
                 match part {
-                    Part::Bytes(b) => got.extend_from_slice(&b),
-                    Part::End => over = true,
+                    BodyPart::Data(b) => got.extend_from_slice(&b),
+                    BodyPart::End => over = true,
                 }
             }
         }
@@ -79,14 +79,14 @@
     }
     let long = "1".repeat(1100);
     for bad in ["\r\n", "x\r\n", "-1\r\n", "+1\r\n", "1\nab", "fffffffffffffffff\r\n", "1\r\nab", &long] {
-        let (mut body, mut buf) = (Body::new(Framing::Chunked, 1 << 20), BytesMut::from(bad));
+        let (mut body, mut buf) = (BodyReader::new(BodyFraming::Chunked, 1 << 20), BytesMut::from(bad));
         let end = loop {
-            match body.next(&mut buf) {
-                Ok(Some(Part::Bytes(_))) => {}
+            match body.next_part(&mut buf) {
+                Ok(Some(BodyPart::Data(_))) => {}
                 other => break other,
             }
         };
-        assert_eq!(end, Err(Bad::Malformed), "{bad:?}");
+        assert_eq!(end, Err(HttpError::Malformed), "{bad:?}");
     }
 }
 
@@ -94,20 +94,20 @@
 fn events_are_cut_where_they_end() {
     let text = "data: a\n\n: c\r\n\r\nevent: x\ndata: b\n\nda";
     for step in 1..text.len() {
-        let (mut events, mut got) = (Events::default(), String::new());
+        let (mut events, mut got) = (EventSplitter::default(), String::new());
         for piece in text.as_bytes().chunks(step) {
             if let Some(whole) = events.push(piece) {
                 assert!(whole.ends_with(b"\n\n") || whole.ends_with(b"\r\n\r\n"), "{step}: {whole:?}");
                 got.push_str(std::str::from_utf8(&whole).unwrap());
             }
         }
-        assert_eq!((&got[..], &events.rest()[..]), (&text[..text.len() - 2], &b"da"[..]), "{step}");
+        assert_eq!((&got[..], &events.take_rest()[..]), (&text[..text.len() - 2], &b"da"[..]), "{step}");
     }
 }
 
-fn read(dialect: Dialect, text: &str) -> Vec<Event> {
+fn read(dialect: Dialect, text: &str) -> Vec<StreamEvent> {
     let mut told = Vec::new();
-    dialect.read(text.as_bytes(), true, &mut told);
+    dialect.read_events(text.as_bytes(), true, &mut told);
     told
 }
 
@@ -121,23 +121,23 @@
 fn odd_events_are_unknown_and_no_more() {
     use Dialect::{Chat, Messages};
     for (dialect, text, wanted) in [
-        (Chat, "data: {\"choices\":[]}\n\n", Event::Quiet),
-        (Chat, "data: {oops\n\n", Event::Unknown),
-        (Chat, "data: 7\n\n", Event::Unknown),
-        (Chat, "data: {\"novel\":1}\n\n", Event::Unknown),
-        (Chat, "event: novel\ndata: {\"choices\":[]}\n\n", Event::Unknown),
-        (Chat, "data: {\"error\":{\"message\":\"x\"}}\n\n", Event::Failed),
-        (Chat, ": keep alive\n\n", Event::Quiet),
-        (Messages, "event: ping\ndata: {}\n\n", Event::Quiet),
-        (Messages, "data: {\"type\":\"ping\"}\n\n", Event::Quiet),
-        (Messages, "event: error\ndata: {\"type\":\"error\",\"error\":{}}\n\n", Event::Failed),
-        (Messages, "event: novel\ndata: {}\n\n", Event::Unknown),
-        (Messages, "event: message_stop\ndata: oops\n\n", Event::Unknown),
-        (Messages, "event: \u{fffd}\ndata: {\"type\":3}\n\n", Event::Unknown),
+        (Chat, "data: {\"choices\":[]}\n\n", StreamEvent::KeepAlive),
+        (Chat, "data: {oops\n\n", StreamEvent::Unknown),
+        (Chat, "data: 7\n\n", StreamEvent::Unknown),
+        (Chat, "data: {\"novel\":1}\n\n", StreamEvent::Unknown),
+        (Chat, "event: novel\ndata: {\"choices\":[]}\n\n", StreamEvent::Unknown),
+        (Chat, "data: {\"error\":{\"message\":\"x\"}}\n\n", StreamEvent::Failed),
+        (Chat, ": keep alive\n\n", StreamEvent::KeepAlive),
+        (Messages, "event: ping\ndata: {}\n\n", StreamEvent::KeepAlive),
+        (Messages, "data: {\"type\":\"ping\"}\n\n", StreamEvent::KeepAlive),
+        (Messages, "event: error\ndata: {\"type\":\"error\",\"error\":{}}\n\n", StreamEvent::Failed),
+        (Messages, "event: novel\ndata: {}\n\n", StreamEvent::Unknown),
+        (Messages, "event: message_stop\ndata: oops\n\n", StreamEvent::Unknown),
+        (Messages, "event: \u{fffd}\ndata: {\"type\":3}\n\n", StreamEvent::Unknown),
         (
             Messages,
             "event: content_block_delta\ndata: {\"delta\":{\"type\":\"novel_delta\"}}\n\n",
-            Event::Unknown,
+            StreamEvent::Unknown,
         ),
     ] {
         assert_eq!(read(dialect, text), [wanted], "{text}");
@@ -147,7 +147,7 @@
 #[test]
 fn load_reports() {
     let names: Vec<String> = ["fail_rate", "lat_ms", "q"].map(Into::into).into();
-    let show = |text| format!("{:?}", read_load(text, &names));
+    let show = |text| format!("{:?}", parse_load_report(text, &names));
     assert_eq!(show("TEXT eps=0.5, latency_ms=14.5,queue=3, novel=1"), "[0.5, 14.5, 3.0]");
     assert_eq!(show("TEXT q=2"), "[NaN, NaN, 2.0]");
     assert_eq!(show("JSON {}"), "[]");
@@ -160,10 +160,10 @@
 fn request_bodies() {
     let good = r#"{"model":"m","max_tokens":9,"system":[{"type":"text","text":"Be kind."}],"stop_sequences":["X"],
         "temperature":0.5,"messages":[{"role":"user","content":"Hi"},{"role":"assistant","content":"Well"}]}"#;
-    let asked = Asked::messages(good.as_bytes()).unwrap();
-    assert!(asked.continues() && !asked.stream);
+    let asked = ConversationRequest::parse_messages(good.as_bytes()).unwrap();
+    assert!(asked.continues_answer() && !asked.stream);
     insta::assert_snapshot!(String::from_utf8(asked.chat_body()).unwrap());
-    let chat = Asked::chat(&asked.chat_body()).unwrap();
+    let chat = ConversationRequest::parse_chat(&asked.chat_body()).unwrap();
     insta::assert_snapshot!(String::from_utf8(chat.messages_body(5)).unwrap());
     let errors: Vec<String> = [
         "",
@@ -174,7 +174,7 @@
         r#"{"model":"m","max_tokens":9,"messages":[{"role":"user","content":[{"type":"image"}]}]}"#,
         r#"{"model":"m","max_tokens":-9,"messages":[{"role":"user","content":"x"}]}"#,
     ]
-    .map(|text| Asked::messages(text.as_bytes()).unwrap_err())
+    .map(|text| ConversationRequest::parse_messages(text.as_bytes()).unwrap_err())
     .into();
     insta::assert_snapshot!(errors.join("\n"));
 }
@@ -208,23 +208,24 @@
                 _ => bytes.extend_from_within(at..),
             }
         }
-        for read in [Head::request, Head::answer] {
+        for read in [MessageHead::parse_request, MessageHead::parse_response] {
             let mut buf = BytesMut::from(&bytes[..]);
-            match read(&mut buf, &limits).map(|head| head.map(|h| (h.framing(), h.keeps()))) {
+            match read(&mut buf, &limits).map(|head| head.map(|h| (h.framing(), h.keeps_alive()))) {
                 Ok(Some((Ok(framing), _))) => {
                     taken += 1;
-                    let mut body = Body::new(framing, 1 << 20);
-                    while let Ok(Some(Part::Bytes(_))) = body.next(&mut buf) {}
+                    let mut body = BodyReader::new(framing, 1 << 20);
+                    while let Ok(Some(BodyPart::Data(_))) = body.next_part(&mut buf) {}
                 }
                 _ => turned += 1,
             }
         }
-        let (mut body, mut buf) = (Body::of_answer(Framing::Chunked, 1 << 20), BytesMut::from(&bytes[..]));
-        while let Ok(Some(Part::Bytes(_))) = body.next(&mut buf) {}
+        let (mut body, mut buf) =
+            (BodyReader::for_response(BodyFraming::Chunked, 1 << 20), BytesMut::from(&bytes[..]));
+        while let Ok(Some(BodyPart::Data(_))) = body.next_part(&mut buf) {}
         for dialect in [Dialect::Chat, Dialect::Messages] {
-            dialect.read(&bytes, rng.bool(), &mut Vec::new());
+            dialect.read_events(&bytes, rng.bool(), &mut Vec::new());
         }
-        let asked = [Asked::chat(&bytes), Asked::messages(&bytes)];
+        let asked = [ConversationRequest::parse_chat(&bytes), ConversationRequest::parse_messages(&bytes)];
         asked.iter().flatten().for_each(|a| drop((a.chat_body(), a.messages_body(1), a.streaming_body())));
         if let Ok(page) = serde_json::from_slice::<EndpointListMessage>(&bytes) {
             let of = common::config().deployment;
@@ -232,7 +233,7 @@
                 assert_eq!(row.to_entry(&of).replica, tallypin::name_hash::replica_id(&row.id));
             }
         }
-        read_load(&String::from_utf8_lossy(&bytes), &["q".into()]);
+        parse_load_report(&String::from_utf8_lossy(&bytes), &["q".into()]);
         let _ = tallypin::served_report::decode(tallypin::served_report::TenantsDigest::default(), &bytes);
     }
     assert!(taken > 1000 && turned > 1000, "{taken} {turned}");
@@ -243,10 +244,13 @@
     let of = common::config().deployment;
     for (memory, sockets) in [(192, 1024), (2048, 4096), (16, 64)] {
         let l = Limits::new(memory, sockets, &of);
-        let descriptors = l.clients + l.clients_refused + l.node_connections;
+        let descriptors = l.max_clients + l.max_rejected_clients + l.max_replica_connections;
         // Standard streams, the runtime's own, listeners, the list, peers, an agent check.
-        assert!(descriptors + 16 <= sockets && l.clients >= 10, "{descriptors} of {sockets}");
-        assert!(l.bodies <= memory << 18 && l.idle_node.as_nanos() < u128::from(of.replica_idle_timeout));
+        assert!(descriptors + 16 <= sockets && l.max_clients >= 10, "{descriptors} of {sockets}");
+        assert!(
+            l.body_budget <= memory << 18
+                && l.replica_idle_timeout.as_nanos() < u128::from(of.replica_idle_timeout)
+        );
     }
 }
 
@@ -331,7 +335,7 @@
     assert!(first.reserve(&mut limits).is_err(), "64 descriptors hold no 32 checks beside clients");
     let mut limits = Limits::new(192, 256, &of);
     first.reserve(&mut limits).unwrap();
-    assert!(limits.clients >= 80, "{}", limits.clients);
+    assert!(limits.max_clients >= 80, "{}", limits.max_clients);
 }
 
 /// All objects that come of these pieces, one after the other.
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -22,7 +22,7 @@
 fn a_pooled_connection_that_closes_as_it_is_taken_is_replaced() {
     run(async {
         for front in [0, 1] {
-            let (router, listener) = by_hand(|l| l.node_rest = Duration::ZERO).await;
+            let (router, listener) = by_hand(|l| l.replica_reuse_delay = Duration::ZERO).await;
             let (addr, request) = fronts(&router)[front];
             let mut client = Client::to(addr).await;
             client.send(&request()).await;
@@ -61,7 +61,7 @@
         for front in [0, 1] {
             for news in ["drains", "moves", "restarts", "is gone"] {
                 let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
-                let router = Router::new(Chat, &[&first], |l| l.node_rest = Duration::ZERO).await;
+                let router = Router::new(Chat, &[&first], |l| l.replica_reuse_delay = Duration::ZERO).await;
                 let (addr, request) = fronts(&router)[front];
                 let mut client = Client::to(addr).await;
                 client.send(&request()).await;
@@ -98,7 +98,7 @@
     run(async {
         for front in [0, 1] {
             let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node], |l| l.clients = 1).await;
+            let router = Router::new(Chat, &[&node], |l| l.max_clients = 1).await;
             let (addr, request) = fronts(&router)[front];
             let mut resting = Client::to(addr).await;
             resting.send(&request()).await;
@@ -121,7 +121,8 @@
     run(async {
         for front in [0, 1] {
             let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node], |l| (l.clients, l.last_look) = (1, 200 * MS)).await;
+            let router =
+                Router::new(Chat, &[&node], |l| (l.max_clients, l.final_read_time) = (1, 200 * MS)).await;
             let (addr, request) = fronts(&router)[front];
             let mut resting = Client::to(addr).await;
             resting.send(&request()).await;
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -132,7 +132,7 @@
                 recording.case(&format!("{nodes}, {title} answer"), raw_answer(&mut client).await);
             }
         }
-        let (router, _node) = router(Chat, &[], |l| l.whole_answer = 4).await;
+        let (router, _node) = router(Chat, &[], |l| l.max_collected_answer_size = 4).await;
         let raw = exchange(router.messages, &messages("", &whole_message())).await;
         recording.case("too long to be given whole", raw);
         recording.check();
@@ -174,11 +174,11 @@
         }
     };
     recording.masked("share used up", Mask::RetryAfterDigits, used_up);
-    let (full, _node) = router(Chat, &[], |l| l.open = 0).await;
+    let (full, _node) = router(Chat, &[], |l| l.max_open_requests = 0).await;
     recording.case("too many open requests", exchange(at(&full), &ask("")).await);
-    let (small, _node) = router(Chat, &[], |l| l.bodies = 1).await;
+    let (small, _node) = router(Chat, &[], |l| l.body_budget = 1).await;
     recording.case("no room for the body", exchange(at(&small), &ask("")).await);
-    let (crowd, _node) = router(Chat, &[Fault::Mute; 2], |l| l.clients = 1).await;
+    let (crowd, _node) = router(Chat, &[Fault::Mute; 2], |l| l.max_clients = 1).await;
     let mut first = Client::to(at(&crowd)).await;
     first
         .send(&match front {
@@ -227,7 +227,8 @@
 
 /// What no front takes, whatever it is.
 async fn bad_input(recording: &mut Recording, front: usize, good: &str) {
-    let (router, _node) = router(Chat, &[], |l| (l.body, l.head, l.fields) = (1024, 2048, 16)).await;
+    let (router, _node) =
+        router(Chat, &[], |l| (l.max_body_size, l.max_head_size, l.max_fields) = (1024, 2048, 16)).await;
     let at = if front == 0 { router.addr } else { router.messages };
     let (head, _) = good.split_once("\r\n\r\n").unwrap();
     let unframed = head[..head.rfind("\r\n").unwrap()].to_string();
@@ -259,7 +260,7 @@
     ] {
         recording.case(title, exchange(at, &text).await);
     }
-    let (slow, _node) = self::router(Chat, &[], |l| l.read = 30 * MS).await;
+    let (slow, _node) = self::router(Chat, &[], |l| l.request_read_timeout = 30 * MS).await;
     let at = if front == 0 { slow.addr } else { slow.messages };
     recording.case("half a request", exchange(at, &good[..good.len() - 1]).await);
     let (body, length) = (good.split_once("\r\n\r\n").unwrap().1, good.len() - head.len() - 4);
@@ -378,7 +379,7 @@
             [("grace", Stage::Grace), ("parting", Stage::AnnouncingClose), ("refusing", Stage::Rejecting)]
         {
             for front in [0, 1] {
-                let (router, _node) = router(Chat, &[], |l| l.last_look = 300 * MS).await;
+                let (router, _node) = router(Chat, &[], |l| l.final_read_time = 300 * MS).await;
                 let (at, request) = match front {
                     0 => (router.addr, plain("a", "", "{}")),
                     _ => (router.messages, messages("", MESSAGE)),
@@ -464,7 +465,7 @@
             let (old, new) = (ports[0].listen().await, ports[1].listen().await);
             let mut config = config();
             (config.deployment.decisions.list_mode, config.node_list) = (mode, ports[0].addr());
-            config.limits.list_again = 10 * MS;
+            config.limits.min_list_backoff = 10 * MS;
             let (running, mut moved) = (StartupConfiguration::of(&config), config.clone());
             let router = Router::by(config, Chat, &[], None).await;
             let (mut call, head) = next_call(&old).await;
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -19,7 +19,7 @@
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Slow]);
-        let router = Router::new(Chat, &[&node], |l| l.late_names = 1).await;
+        let router = Router::new(Chat, &[&node], |l| l.max_remembered_requests = 1).await;
         let (mut owner, mut other) = (Client::to(router.addr).await, Client::to(router.addr).await);
         let request = platform("", "{}");
         owner.send(&request).await;
@@ -42,8 +42,10 @@
 fn who_says_nothing_goes_first_and_who_has_begun_stays() {
     run(async {
         let node = Node::new(Chat).await;
-        let router =
-            Router::new(Chat, &[&node], |l| (l.clients, l.silent_client) = (3, Duration::ZERO)).await;
+        let router = Router::new(Chat, &[&node], |l| {
+            (l.max_clients, l.client_eviction_idle_time) = (3, Duration::ZERO)
+        })
+        .await;
         let mut usual = Client::to(router.addr).await;
         assert_eq!(usual.ask("").await.0, 200);
         let mut half = Client::to(router.addr).await;
@@ -70,7 +72,10 @@
 #[test]
 fn a_first_request_has_to_come_and_to_be_whole_soon() {
     run(async {
-        let router = Router::new(Chat, &[], |l| (l.first, l.read) = (60 * MS, 90 * MS)).await;
+        let router = Router::new(Chat, &[], |l| {
+            (l.first_request_timeout, l.request_read_timeout) = (60 * MS, 90 * MS)
+        })
+        .await;
         let (mut silent, mut half) = (Client::to(router.addr).await, Client::to(router.addr).await);
         tokio::time::sleep(30 * MS).await; // its time runs from the connection, not from the first byte
         half.send("POST /v1/chat").await;
@@ -85,7 +90,7 @@
 fn a_body_counts_as_it_comes() {
     run(async {
         let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| l.bodies = 1000).await;
+        let router = Router::new(Chat, &[&node], |l| l.body_budget = 1000).await;
         let mut announced = Vec::new();
         for fields in ["Transfer-Encoding: chunked\r\n", "Content-Length: 900\r\n"].repeat(4) {
             let mut client = Client::to(router.addr).await;
@@ -106,7 +111,9 @@
 #[test]
 fn who_asks_again_at_once_again_and_again_is_not_read_for_a_while() {
     run(async {
-        let router = Router::new(Chat, &[], |l| (l.patience, l.pause) = (2, 50 * MS)).await;
+        let router =
+            Router::new(Chat, &[], |l| (l.max_immediate_retries, l.immediate_retry_pause) = (2, 50 * MS))
+                .await;
         let mut hasty = Client::to(router.addr).await;
         let begun = Instant::now();
         hasty.send(&(0..6).map(|_| platform("", "{}")).collect::<String>()).await;
@@ -129,7 +136,7 @@
 fn a_spoilt_stream_fails_and_its_connection_is_not_used_again() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let router = Router::new(Chat, &[], |l| l.answer_head = 80 * MS).await;
+        let router = Router::new(Chat, &[], |l| l.response_head_timeout = 80 * MS).await;
         let first = HEAD.to_string() + &chunk(CHAT[0]);
         let good = HEAD.to_string() + &CHAT.iter().map(|e| chunk(e)).collect::<String>() + "0\r\n\r\n";
         let again = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -191,7 +198,7 @@
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Silence]);
-        let router = Router::new(Chat, &[&node], |l| l.silence = 200 * MS).await;
+        let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 200 * MS).await;
         let mut client = Client::to(router.addr).await;
         client.send(&platform("", "{}")).await;
         node.next_request().await;
@@ -207,7 +214,7 @@
 #[test]
 fn a_second_answer_that_comes_late_is_nobody_s() {
     run(async {
-        let (router, listener) = by_hand(|l| l.node_rest = Duration::MAX).await;
+        let (router, listener) = by_hand(|l| l.replica_reuse_delay = Duration::MAX).await;
         let (mut one, mut other) = (Client::to(router.addr).await, Client::to(router.addr).await);
         one.send(&platform("", "{}")).await;
         let mut first = asked(&listener).await;
@@ -238,7 +245,7 @@
         first.send(&answer("first")).await;
         assert!(one.answer().await.2.contains("first"));
         first.send(&answer("late")).await;
-        tokio::time::sleep(router.host.limits.node_rest * 2).await;
+        tokio::time::sleep(router.host.limits.replica_reuse_delay * 2).await;
         one.send(&platform("", "{}")).await;
         second.message().await.expect("on the one that is not spoilt");
         second.send(&answer("third")).await;
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -26,7 +26,7 @@
 fn events_pass_unchanged_and_the_prompt_does_too() {
     run(async {
         let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| l.node_rest = Duration::ZERO).await;
+        let router = Router::new(Chat, &[&node], |l| l.replica_reuse_delay = Duration::ZERO).await;
         let mut client = Client::to(router.addr).await;
         client.send(&platform("Req-Deadline-Ms: 3000\r\n", "{\"stream\": true}")).await;
         let (status, _, body, whole) = client.answer().await;
@@ -84,7 +84,7 @@
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Break, Fault::Silence]);
-        let router = Router::new(Chat, &[&node], |l| l.silence = 50 * MS).await;
+        let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
         for count in 1..=2 {
             let (status, _, body, whole) = Client::to(router.addr).await.ask("").await;
             assert_eq!((status, &body[..], whole), (200, CHAT[0], false));
@@ -181,7 +181,7 @@
     run(async {
         let node = Node::new(Chat).await;
         node.hasty.set(true);
-        let router = Router::new(Chat, &[&node], |l| l.idle_node = 80 * MS).await;
+        let router = Router::new(Chat, &[&node], |l| l.replica_idle_timeout = 80 * MS).await;
         let mut client = Client::to(router.addr).await;
         for _ in 0..3 {
             assert_eq!(client.ask("").await.0, 200);
@@ -302,7 +302,7 @@
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Flood]);
-        let router = Router::new(Chat, &[&node], |l| l.write = 60 * MS).await;
+        let router = Router::new(Chat, &[&node], |l| l.client_write_timeout = 60 * MS).await;
         let mut client = Client::to(router.addr).await;
         client.send(&platform("", "{}")).await;
         while node.next().await != Seen::GivenUp {}
@@ -330,7 +330,7 @@
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute]);
-        let router = Router::new(Chat, &[&node], |l| l.node_connections = 1).await;
+        let router = Router::new(Chat, &[&node], |l| l.max_replica_connections = 1).await;
         let mut first = Client::to(router.addr).await;
         first.send(&platform("", "{}")).await;
         node.next_request().await;
@@ -346,7 +346,7 @@
 fn a_probe_asks_for_the_load_and_gives_its_connection_back() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let router = Router::new(Chat, &[], |l| l.node_rest = Duration::ZERO).await;
+        let router = Router::new(Chat, &[], |l| l.replica_reuse_delay = Duration::ZERO).await;
         router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
         let probe = || {
             spawn_local(replica::probe(
@@ -374,7 +374,8 @@
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |l: &mut Limits| {
-            (l.head, l.fields, l.body, l.read) = (1024, 16, 4096, 100 * MS);
+            (l.max_head_size, l.max_fields, l.max_body_size, l.request_read_timeout) =
+                (1024, 16, 4096, 100 * MS);
         })
         .await;
         let good = platform("", "{}");
@@ -418,7 +419,7 @@
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute; 3]);
-        let router = Router::new(Chat, &[&node], |l| (l.clients, l.bodies) = (2, 100)).await;
+        let router = Router::new(Chat, &[&node], |l| (l.max_clients, l.body_budget) = (2, 100)).await;
         let mut idle = Client::to(router.addr).await;
         assert_eq!(idle.ask(&format!("Req-Deadline-Ms: {}\r\n", 30)).await.0, 503);
         let mut large = Client::to(router.addr).await;
@@ -441,7 +442,8 @@
 #[test]
 fn the_planned_end_serves_who_still_comes_and_finishes_what_it_has() {
     run(async {
-        let (router, listener) = by_hand(|l| (l.grace, l.node_rest) = (500 * MS, Duration::ZERO)).await;
+        let (router, listener) =
+            by_hand(|l| (l.shutdown_grace, l.replica_reuse_delay) = (500 * MS, Duration::ZERO)).await;
         let mut idle = Client::to(router.addr).await;
         idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n").await;
         assert_eq!(idle.answer().await.0, 200);
@@ -485,7 +487,8 @@
             .unwrap();
             let mut config = config();
             let limits = &mut config.limits;
-            (limits.grace, limits.grace_alone, limits.peer_heard) = (20 * MS, 200 * MS, 100 * MS);
+            (limits.shutdown_grace, limits.lone_router_shutdown_grace, limits.peer_silence_timeout) =
+                (20 * MS, 200 * MS, 100 * MS);
             let router = Router::by(config, Chat, &[&node], Some(peers)).await;
             let mut client = Client::to(router.addr).await;
             assert_eq!(client.ask("").await.0, 200);
@@ -514,7 +517,8 @@
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Flood, Fault::Mute, Fault::Flood]);
         let router = Router::new(Chat, &[&node], |l| {
-            (l.grace, l.owed_after, l.last_word) = (600 * MS, 2 * MS, 900 * MS);
+            (l.shutdown_grace, l.late_arrival_after_stop, l.forwarding_end_after_stop) =
+                (600 * MS, 2 * MS, 900 * MS);
         })
         .await;
         let mut early = Client::to(router.addr).await;
@@ -528,7 +532,7 @@
         }
         let (host, told) = (router.host.clone(), Instant::now());
         let end = spawn_local(async move { shutdown::drain(&host).await });
-        tokio::time::sleep(router.host.limits.owed_after * 5).await;
+        tokio::time::sleep(router.host.limits.late_arrival_after_stop * 5).await;
         let (mut waiting, mut begun) = (Client::to(router.addr).await, Client::to(router.addr).await);
         for late in [&mut waiting, &mut begun] {
             late.send(&platform("", "{}")).await;
@@ -551,7 +555,7 @@
         let node = Node::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
-        (config.limits.list_silence, config.node_list) = (100 * MS, list.local_addr().unwrap());
+        (config.limits.watch_silence_timeout, config.node_list) = (100 * MS, list.local_addr().unwrap());
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, head) = next_call(&list).await;
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
@@ -579,7 +583,7 @@
         let mut config = config();
         config.deployment.decisions.list_mode = EndpointListMode::Pushed;
         config.node_list = agent.local_addr().unwrap();
-        (config.limits.list_silence, config.limits.agent_answer) = (100 * MS, 50 * MS);
+        (config.limits.watch_silence_timeout, config.limits.agent_response_timeout) = (100 * MS, 50 * MS);
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, head) = next_call(&agent).await;
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
@@ -619,7 +623,7 @@
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
         );
         let mut config = config();
-        (config.limits.list_again, config.node_list) = (10 * MS, old.local_addr().unwrap());
+        (config.limits.min_list_backoff, config.node_list) = (10 * MS, old.local_addr().unwrap());
         let mut moved = config.clone();
         let running = StartupConfiguration::of(&config);
         let router = Router::by(config, Chat, &[], None).await;
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -25,7 +25,7 @@
 fn each_end_of_an_attempt_reaches_the_module_once() {
     run(async {
         let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| l.silence = 50 * MS).await;
+        let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
         // done, error, busy, timed out, refused, reset, cancelled, skipped
         let faults = [
             (Fault::None, 200, [1, 0, 0, 0, 0, 0, 0, 0]),
@@ -94,7 +94,7 @@
 async fn excluded_after_breaks(restarted: bool) -> bool {
     let node = Node::new(Chat).await;
     node.plan(&[Fault::Silence; 3]);
-    let router = Router::new(Chat, &[&node], |l| l.silence = 300 * MS).await;
+    let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 300 * MS).await;
     let mut clients = Vec::new();
     for _ in 0..3 {
         let mut client = Client::to(router.addr).await;
