--- /dev/null
+++ b/router/src/http/head.rs
@@ -0,0 +1,198 @@
+//! Heads of requests and responses: start line, header fields, and how the body that follows is framed.
+
+use bytes::{Bytes, BytesMut};
+
+use super::HttpError;
+use crate::limits::Limits;
+
+/// The first line of a message.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum StartLine {
+    /// Of a request: method and target.
+    Request(Bytes, Bytes),
+    /// Of a response: the status.
+    Status(u16),
+}
+
+/// The head of a message. Its parts are slices of the buffer it was read from, not copies.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct MessageHead {
+    /// The first line.
+    pub start_line: StartLine,
+    /// Names and values of the header fields, in the order of the message.
+    pub fields: Vec<(Bytes, Bytes)>,
+    /// Whether the version is HTTP/1.1; it is HTTP/1.0 otherwise.
+    pub is_http_11: bool,
+}
+
+/// How the end of a body is found.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum BodyFraming {
+    /// After this many bytes.
+    Length(u64),
+    /// After the last chunk.
+    Chunked,
+    /// The head does not say: a request has no body, that of a response ends with the connection.
+    Undeclared,
+}
+
+/// Where a part of a head stands in the buffer, so that it can be cut out without a copy.
+#[derive(Clone, Copy)]
+struct Span {
+    start: usize,
+    length: usize,
+}
+
+impl Span {
+    /// The span of `part`, which is a slice of `buffer`.
+    fn within(buffer: &[u8], part: &[u8]) -> Span {
+        Span { start: part.as_ptr() as usize - buffer.as_ptr() as usize, length: part.len() }
+    }
+
+    fn cut(self, head: &Bytes) -> Bytes {
+        head.slice(self.start..self.start + self.length)
+    }
+}
+
+impl MessageHead {
+    /// Takes a complete request head off the front of `buffer`; `None` if more has to be read first.
+    ///
+    /// # Errors
+    /// [`HttpError::Malformed`], or [`HttpError::HeadTooLarge`] by `limits`, be the head complete or not.
+    pub fn parse_request(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<MessageHead>, HttpError> {
+        let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
+        let mut parsed = httparse::Request::new(&mut slots);
+        let status = parsed.parse(buffer).map_err(from_parser)?;
+        let Some(length) = complete_length(status, buffer, limits)? else { return Ok(None) };
+        let span = |part: Option<&str>| Span::within(buffer, part.unwrap_or_default().as_bytes());
+        let (method, target) = (span(parsed.method), span(parsed.path));
+        let (fields, is_http_11) = (field_spans(buffer, parsed.headers), parsed.version == Some(1));
+        let head = buffer.split_to(length).freeze();
+        let start_line = StartLine::Request(method.cut(&head), target.cut(&head));
+        Ok(Some(MessageHead { start_line, fields: cut_fields(&head, &fields), is_http_11 }))
+    }
+
+    /// Takes a complete response head off the front of `buffer`; `None` if more has to be read first.
+    ///
+    /// # Errors
+    /// [`HttpError::Malformed`], or [`HttpError::HeadTooLarge`] by `limits`, be the head complete or not.
+    pub fn parse_response(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<MessageHead>, HttpError> {
+        let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
+        let mut parsed = httparse::Response::new(&mut slots);
+        let status = parsed.parse(buffer).map_err(from_parser)?;
+        let Some(length) = complete_length(status, buffer, limits)? else { return Ok(None) };
+        let start_line = StartLine::Status(parsed.code.unwrap_or_default());
+        let (fields, is_http_11) = (field_spans(buffer, parsed.headers), parsed.version == Some(1));
+        let head = buffer.split_to(length).freeze();
+        Ok(Some(MessageHead { start_line, fields: cut_fields(&head, &fields), is_http_11 }))
+    }
+
+    /// The values of all fields of a name, whatever its case.
+    fn values<'head, 'name>(
+        &'head self,
+        name: &'name str,
+    ) -> impl Iterator<Item = &'head Bytes> + use<'head, 'name> {
+        let has_name = move |field: &&(Bytes, Bytes)| field.0.eq_ignore_ascii_case(name.as_bytes());
+        self.fields.iter().filter(has_name).map(|(_, value)| value)
+    }
+
+    /// The value of a field that may stand only once; `None` if it is absent.
+    ///
+    /// # Errors
+    /// [`HttpError::Malformed`] if it stands more than once.
+    pub fn single_value(&self, name: &str) -> Result<Option<&Bytes>, HttpError> {
+        let mut values = self.values(name);
+        match (values.next(), values.next()) {
+            (value, None) => Ok(value),
+            _ => Err(HttpError::Malformed),
+        }
+    }
+
+    /// Like [`MessageHead::single_value`], as text.
+    ///
+    /// # Errors
+    /// [`HttpError::Malformed`] if the field stands more than once or is not UTF-8.
+    pub fn text_value(&self, name: &str) -> Result<Option<&str>, HttpError> {
+        let value = self.single_value(name)?;
+        value.map(|bytes| std::str::from_utf8(bytes).map_err(|_| HttpError::Malformed)).transpose()
+    }
+
+    /// Whether one of the fields of a name has `token` in its comma-separated list, whatever its case.
+    fn contains_token(&self, name: &str, token: &str) -> bool {
+        let is_token = |item: &[u8]| item.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
+        self.values(name).any(|value| value.split(|byte| *byte == b',').any(is_token))
+    }
+
+    /// Whether the connection may carry another message after this one.
+    pub fn keeps_alive(&self) -> bool {
+        match self.is_http_11 {
+            true => !self.contains_token("connection", "close"),
+            false => self.contains_token("connection", "keep-alive"),
+        }
+    }
+
+    /// Whether the client waits for status 100 before it sends the body.
+    pub fn expects_continue(&self) -> bool {
+        self.contains_token("expect", "100-continue")
+    }
+
+    /// How the end of the body is found.
+    ///
+    /// # Errors
+    /// [`HttpError::Malformed`] if the head states two framings, or one that is not clear: another reader might
+    /// choose the other one. [`HttpError::UnsupportedCoding`] for a coding other than `chunked`.
+    pub fn framing(&self) -> Result<BodyFraming, HttpError> {
+        let length = self.single_value("content-length")?;
+        let coding = self.single_value("transfer-encoding")?;
+        match (length, coding) {
+            (Some(_), Some(_)) => Err(HttpError::Malformed),
+            (None, None) => Ok(BodyFraming::Undeclared),
+            (None, Some(_)) if !self.is_http_11 => Err(HttpError::Malformed),
+            (None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") => Ok(BodyFraming::Chunked),
+            (None, Some(_)) => Err(HttpError::UnsupportedCoding),
+            (Some(length), None) => {
+                parse_content_length(length).map(BodyFraming::Length).ok_or(HttpError::Malformed)
+            }
+        }
+    }
+}
+
+fn from_parser(error: httparse::Error) -> HttpError {
+    match error {
+        httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
+        _ => HttpError::Malformed,
+    }
+}
+
+/// The length in bytes of the head at the front of `buffer`; `None` if it is not complete.
+fn complete_length(
+    status: httparse::Status<usize>,
+    buffer: &[u8],
+    limits: &Limits,
+) -> Result<Option<usize>, HttpError> {
+    let (read, complete) = match status {
+        httparse::Status::Complete(length) => (length, Some(length)),
+        httparse::Status::Partial => (buffer.len(), None),
+    };
+    if read > limits.max_head_size {
+        return Err(HttpError::HeadTooLarge);
+    }
+    Ok(complete)
+}
+
+fn field_spans(buffer: &[u8], fields: &[httparse::Header<'_>]) -> Vec<(Span, Span)> {
+    let spans = |field: &httparse::Header<'_>| {
+        (Span::within(buffer, field.name.as_bytes()), Span::within(buffer, field.value))
+    };
+    fields.iter().map(spans).collect()
+}
+
+fn cut_fields(head: &Bytes, fields: &[(Span, Span)]) -> Vec<(Bytes, Bytes)> {
+    fields.iter().map(|(name, value)| (name.cut(head), value.cut(head))).collect()
+}
+
+/// The number of a Content-Length field. Digits only: `str::parse` alone would take a sign.
+fn parse_content_length(value: &[u8]) -> Option<u64> {
+    let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
+    std::str::from_utf8(value).ok().filter(|_| is_number)?.parse().ok()
+}
