--- a/router/src/fleet/agent.rs
+++ b/router/src/fleet/agent.rs
@@ -25,6 +25,7 @@
 use super::peer_table::PeerTable;
 use super::proposer::CommandProposer;
 use super::release_controller::ReleaseController;
+use super::release_files::FileError;
 use super::server::{FleetServer, RejectedMessages};
 use super::settings::FleetSettings;
 use super::state_follower::StateFollower;
@@ -63,7 +64,7 @@
     },
     /// A file that a release may change can't be read.
     #[error("fleet: release: {0}")]
-    ReleaseFile(#[source] io::Error),
+    ReleaseFile(#[source] FileError),
 }
 
 /// A router's part in its fleet. Its tasks are aborted when it is dropped.
--- a/router/src/fleet/artifacts.rs
+++ b/router/src/fleet/artifacts.rs
@@ -2,12 +2,11 @@
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::io;
 use std::rc::Rc;
 
 use super::control::{InvalidArtifact, RouterControl};
 use super::disk::{self, DiskError};
-use super::release_files::ReleaseFile;
+use super::release_files::{FileError, ReleaseFile};
 
 /// Why a released file can't be run or installed.
 #[derive(Debug, thiserror::Error)]
@@ -17,7 +16,7 @@
     NotInSettings(String),
     /// Its files can't be read or written.
     #[error("{0}")]
-    Disk(#[from] DiskError<io::Error>),
+    Disk(#[from] DiskError<FileError>),
     /// The router could not start with it.
     #[error("{0}")]
     Invalid(#[from] InvalidArtifact),
@@ -39,9 +38,9 @@
     /// # Errors
     ///
     /// One of them can't be read.
-    pub fn open(files: &[ReleaseFile], control: Rc<dyn RouterControl>) -> io::Result<Artifacts> {
+    pub fn open(files: &[ReleaseFile], control: Rc<dyn RouterControl>) -> Result<Artifacts, FileError> {
         let running = files.iter().map(|file| Ok((file.artifact.clone(), file.installed_digest()?)));
-        let running = running.collect::<io::Result<_>>()?;
+        let running = running.collect::<Result<_, FileError>>()?;
         Ok(Artifacts { control, files: files.to_vec(), running, last_valid: RefCell::default() })
     }
 
@@ -88,7 +87,7 @@
     async fn on_disk<T: Send + 'static>(
         &self,
         artifact: &str,
-        operation: impl FnOnce(ReleaseFile) -> io::Result<T> + Send + 'static,
+        operation: impl FnOnce(ReleaseFile) -> Result<T, FileError> + Send + 'static,
     ) -> Result<T, ArtifactError> {
         let file = self.files.iter().find(|file| file.artifact == artifact).cloned();
         let file = file.ok_or_else(|| ArtifactError::NotInSettings(artifact.into()))?;
--- a/router/src/fleet/release_files.rs
+++ b/router/src/fleet/release_files.rs
@@ -44,11 +44,46 @@
     starts: u32,
 }
 
+/// Why a file can't be read, stored or installed.
+#[derive(Debug, thiserror::Error)]
+pub enum FileError {
+    /// A call on it failed.
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file, or its directory.
+        path: PathBuf,
+        /// What failed.
+        source: io::Error,
+    },
+    /// It is longer than `MAX_FILE_BYTES`.
+    #[error("{}: longer than {MAX_FILE_BYTES} bytes", .0.display())]
+    TooLong(PathBuf),
+    /// A name that is no digest.
+    #[error("not a digest")]
+    NotADigest,
+    /// A file of the store that is not what its name says.
+    #[error("{}: holds something else than its digest says", .0.display())]
+    WrongDigest(PathBuf),
+    /// What is to be written can't be put into JSON.
+    #[error("{0}")]
+    NotEncodable(#[from] serde_json::Error),
+}
+
+impl FileError {
+    /// Its kind as that of an I/O error: `InvalidData` for a file that is not what it should be.
+    pub fn kind(&self) -> io::ErrorKind {
+        match self {
+            FileError::Io { source, .. } => source.kind(),
+            _ => io::ErrorKind::InvalidData,
+        }
+    }
+}
+
 /// What a start did about a trial, for the operator.
 #[derive(Debug)]
 pub enum TrialEvent {
     /// The start can't be counted: a trial that fails would not be rolled back.
-    NotCounted(io::Error),
+    NotCounted(FileError),
     /// There were too many starts: the file of before is installed again.
     RolledBack {
         /// What did not come to serve.
@@ -61,7 +96,7 @@
         /// What did not come to serve, and is still installed.
         installed_digest: String,
         /// What failed.
-        error: io::Error,
+        error: FileError,
     },
 }
 
@@ -90,12 +125,8 @@
     word.len() == DIGEST_DIGITS && word.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-fn with_path(path: &Path, error: io::Error) -> io::Error {
-    io::Error::new(error.kind(), format!("{}: {error}", path.display()))
-}
-
-fn invalid(what: String) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, what)
+fn with_path(path: &Path, source: io::Error) -> FileError {
+    FileError::Io { path: path.into(), source }
 }
 
 /// A file's bytes.
@@ -103,12 +134,12 @@
 /// # Errors
 ///
 /// It can't be read, or is longer than `MAX_FILE_BYTES`.
-pub fn read(path: &Path) -> io::Result<Vec<u8>> {
+pub fn read(path: &Path) -> Result<Vec<u8>, FileError> {
     let mut bytes = Vec::new();
     let file = File::open(path).map_err(|e| with_path(path, e))?;
     file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|e| with_path(path, e))?;
     match bytes.len() as u64 > MAX_FILE_BYTES {
-        true => Err(invalid(format!("{}: longer than {MAX_FILE_BYTES} bytes", path.display()))),
+        true => Err(FileError::TooLong(path.into())),
         false => Ok(bytes),
     }
 }
@@ -118,7 +149,7 @@
 /// # Errors
 ///
 /// A step failed. The file is whole: the old one, or the new one.
-pub fn write(path: &Path, bytes: &[u8]) -> io::Result<()> {
+pub fn write(path: &Path, bytes: &[u8]) -> Result<(), FileError> {
     let new = beside(path, "new");
     let mut file = File::create(&new).map_err(|e| with_path(&new, e))?;
     file.write_all(bytes).and_then(|()| file.sync_all()).map_err(|e| with_path(&new, e))?;
@@ -127,7 +158,7 @@
 }
 
 /// Makes a rename last.
-fn sync_parent(path: &Path) -> io::Result<()> {
+fn sync_parent(path: &Path) -> Result<(), FileError> {
     let dir = path.parent().filter(|d| !d.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(dir).and_then(|d| d.sync_all()).map_err(|e| with_path(dir, e))
 }
@@ -148,7 +179,7 @@
     /// # Errors
     ///
     /// It can't be read.
-    pub fn installed_digest(&self) -> io::Result<String> {
+    pub fn installed_digest(&self) -> Result<String, FileError> {
         read(&self.path).map(|bytes| digest(&bytes))
     }
 
@@ -157,16 +188,16 @@
     /// # Errors
     ///
     /// It can't be read, or is something else.
-    pub fn stored_bytes(&self, digest: &str) -> io::Result<Vec<u8>> {
+    pub fn stored_bytes(&self, digest: &str) -> Result<Vec<u8>, FileError> {
         // It comes from others: it must be a name, and lead nowhere out of the store.
         if !is_digest(digest) {
-            return Err(invalid("not a digest".into()));
+            return Err(FileError::NotADigest);
         }
         let path = self.store_dir.join(digest);
         let bytes = read(&path)?;
         match self::digest(&bytes) == digest {
             true => Ok(bytes),
-            false => Err(invalid(format!("{}: holds something else than its digest says", path.display()))),
+            false => Err(FileError::WrongDigest(path)),
         }
     }
 
@@ -175,7 +206,7 @@
     /// # Errors
     ///
     /// A step failed. The path still has a whole file: that of before, or the new one on trial.
-    pub fn install(&self, digest: &str) -> io::Result<()> {
+    pub fn install(&self, digest: &str) -> Result<(), FileError> {
         self.stored_bytes(digest)?;
         let before = read(&self.path)?;
         let previous_digest = self::digest(&before);
@@ -197,7 +228,7 @@
     /// # Errors
     ///
     /// The trial's file can't be removed.
-    pub fn confirm(&self) -> io::Result<()> {
+    pub fn confirm(&self) -> Result<(), FileError> {
         match fs::remove_file(trial_path(&self.path)) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => Err(with_path(&self.path, e)),
             _ => Ok(()),
@@ -205,7 +236,7 @@
     }
 }
 
-fn replace_with_link(path: &Path, store_dir: &Path, digest: &str) -> io::Result<()> {
+fn replace_with_link(path: &Path, store_dir: &Path, digest: &str) -> Result<(), FileError> {
     let new = beside(path, "new");
     let _ = fs::remove_file(&new);
     // A link to a name in the store that is not absolute would be looked for beside the link.
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -20,7 +20,7 @@
 pub use schema::SECTION;
 
 /// The most routers of a fleet: what the size of messages and the council's work are sized for.
-pub const MAX_ROUTERS: usize = 1000;
+const MAX_ROUTERS: usize = 1000;
 /// Descriptors beside the connections of the routers: the listener, and connections that are rejected.
 const SPARE_DESCRIPTORS: usize = 4;
 /// Connections between a router and a member of the council: for commands, and for other calls.
--- a/router/src/fleet/stored_state.rs
+++ b/router/src/fleet/stored_state.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use tallypin_consensus::fleet_state::FleetState;
 
-use super::release_files;
+use super::release_files::{self, FileError};
 
 /// The form of the file.
 const VERSION: u8 = 1;
@@ -20,7 +20,7 @@
 pub enum StoredStateError {
     /// The file can't be read.
     #[error("{0}")]
-    Unreadable(#[from] io::Error),
+    Unreadable(#[from] FileError),
     /// It ends before its digest does.
     #[error("torn")]
     Torn,
@@ -47,7 +47,7 @@
     state: FleetState,
 }
 
-fn encode(fleet: &str, state: &FleetState) -> io::Result<Vec<u8>> {
+fn encode(fleet: &str, state: &FleetState) -> Result<Vec<u8>, FileError> {
     let body = serde_json::to_vec(&Stored { version: VERSION, fleet: fleet.into(), state: state.clone() })?;
     Ok([release_files::digest(&body).as_bytes(), b"\n", &body].concat())
 }
@@ -73,7 +73,7 @@
 /// # Errors
 ///
 /// It can't be written.
-pub fn write(path: &Path, fleet: &str, state: &FleetState) -> io::Result<()> {
+pub fn write(path: &Path, fleet: &str, state: &FleetState) -> Result<(), FileError> {
     release_files::write(path, &encode(fleet, state)?)
 }
 
--- a/router/tests/recorded_fleet/files.rs
+++ b/router/tests/recorded_fleet/files.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 
-use tallypin_router::fleet::release_files::{self, ReleaseFile};
+use tallypin_router::fleet::release_files::{self, FileError, ReleaseFile};
 
 use crate::data::same;
 
@@ -40,7 +40,7 @@
     let mut step = |name: &str, said: String| {
         writeln!(got, "{name}: {}\n{}", said.replace(dir.to_str().unwrap(), "DIR"), listed(&dir)).unwrap();
     };
-    let show = |result: std::io::Result<()>| {
+    let show = |result: Result<(), FileError>| {
         result.map_or_else(|e| format!("{:?}: {e}", e.kind()), |()| "done".into())
     };
     let begin = || {
