--- a/router/tests/fleet/council_restarts.rs
+++ b/router/tests/fleet/council_restarts.rs
@@ -3,13 +3,13 @@
 use serde_json::Value;
 use tallypin_test_support::park::{List, Node};
 
-use crate::fleet_rig::{row, Fleet, ONE};
+use crate::fleet_rig::{row, FleetProcesses, ONE};
 use crate::release_rig::{installed, phase, prepare_release, released, reseeded, starts, WAVES};
 
 /// A member that is killed and starts anew remembers nothing and takes part again; when all have, they begin halted.
 #[test]
 fn members_that_forget_join_again_and_a_fleet_that_forgets_begins_halted() {
-    let fleet = Fleet::begun("anew", 47, 3, 3, ONE);
+    let fleet = FleetProcesses::begun("anew", 47, 3, 3, ONE);
     assert_eq!(fleet.order(0, "drain r2")["code"], 0);
     fleet.until("r2 is out", || fleet.stage(0, 2) == "out");
     for r in [0, 1] {
--- a/router/tests/fleet/drains.rs
+++ b/router/tests/fleet/drains.rs
@@ -1,12 +1,12 @@
 //! Drains of routers under the limits, halts, and orders that come twice.
 
-use crate::fleet_rig::{Fleet, ONE, THREE};
+use crate::fleet_rig::{FleetProcesses, ONE, THREE};
 use serde_json::Value;
 
 /// Two operators at two routers want two of different zones out: one after the other goes, and never both.
 #[test]
 fn two_operators_order_drains_at_once_and_the_bound_holds() {
-    let fleet = Fleet::begun("two", 41, 5, 3, ONE);
+    let fleet = FleetProcesses::begun("two", 41, 5, 3, ONE);
     std::thread::scope(|s| {
         let first = s.spawn(|| fleet.order(3, "drain r1"));
         let second = s.spawn(|| fleet.order(4, "drain r2"));
@@ -31,7 +31,7 @@
 /// What fails fills the bound like what is planned; when it is back there is room again.
 #[test]
 fn no_planned_drain_begins_while_a_failure_fills_the_bound() {
-    let fleet = Fleet::begun("fail", 42, 4, 3, ONE);
+    let fleet = FleetProcesses::begun("fail", 42, 4, 3, ONE);
     fleet.kill(3);
     fleet.until("its silence is known", || fleet.order(0, "status")["out_here"] == serde_json::json!(["r3"]));
     assert_eq!(fleet.order(1, "drain r2")["code"], 0);
@@ -46,7 +46,7 @@
 /// room for one more than both.
 #[test]
 fn a_failure_at_the_bound_brings_nobody_back_and_lets_nobody_go() {
-    let fleet = Fleet::begun("above", 61, 6, 3, " out-most 2\n out-zone 2");
+    let fleet = FleetProcesses::begun("above", 61, 6, 3, " out-most 2\n out-zone 2");
     assert_eq!(fleet.order(0, "drain r3 r4")["code"], 0);
     fleet.until_within("both are out", 2, || fleet.all_out() == [3, 4]);
     fleet.kill(5);
@@ -69,7 +69,7 @@
 /// A halt that was answered outlives the router that answered it, and a router that was stopped meanwhile.
 #[test]
 fn a_halt_that_was_answered_holds_whoever_is_killed_or_stopped() {
-    let fleet = Fleet::begun("halt", 43, 5, 3, THREE);
+    let fleet = FleetProcesses::begun("halt", 43, 5, 3, THREE);
     // Stopped before it hears of its order: it wakes up to a halt.
     fleet.signal(4, "-STOP");
     assert_eq!(fleet.order(0, "drain r4 r3")["code"], 0);
@@ -90,7 +90,7 @@
 /// The same order under one id runs once, wherever it is sent.
 #[test]
 fn an_order_that_is_sent_twice_runs_once() {
-    let fleet = Fleet::begun("twice", 46, 3, 3, ONE);
+    let fleet = FleetProcesses::begun("twice", 46, 3, 3, ONE);
     assert_eq!(fleet.order(0, "--id tuesday drain r1")["code"], 0);
     fleet.until("it goes out", || fleet.out(1) == Some(true));
     assert_eq!(fleet.order(2, "put-back r1")["code"], 0);
--- a/router/tests/fleet/messages.rs
+++ b/router/tests/fleet/messages.rs
@@ -3,12 +3,12 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-use crate::fleet_rig::{Fleet, ONE};
+use crate::fleet_rig::{FleetProcesses, ONE};
 
 /// Strangers, torn messages and lengths that no message has: counted, and nothing else.
 #[test]
 fn what_is_no_message_of_the_fleet_is_counted_and_not_read() {
-    let fleet = Fleet::begun("forged", 48, 3, 3, ONE);
+    let fleet = FleetProcesses::begun("forged", 48, 3, 3, ONE);
     let before = fleet.order(0, "status")["spoilt"].as_u64().unwrap();
     let whole = [&8_u32.to_be_bytes()[..], b"forgery!"].concat();
     let signed = [&40_u32.to_be_bytes()[..], &[7; 40]].concat();
--- a/router/tests/fleet/network_faults.rs
+++ b/router/tests/fleet/network_faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::fleet_rig::{Fleet, ONE, THREE};
+use crate::fleet_rig::{FleetProcesses, ONE, THREE};
 use serde_json::Value;
 use tallypin_test_support::relay::Link;
 use tallypin_test_support::shim::Library;
@@ -10,7 +10,7 @@
 /// Cut off from the others a minority starts nothing, says so, and serves on; the others go on. Healed, all say the same.
 #[test]
 fn a_minority_starts_nothing_and_the_majority_goes_on() {
-    let fleet = Fleet::begun("cut", 44, 6, 5, THREE);
+    let fleet = FleetProcesses::begun("cut", 44, 6, 5, THREE);
     fleet.between(&[0, 1], &[2, 3, 4, 5], Link::Cut);
     let asked = Instant::now();
     let said = fleet.order(0, "drain r1");
@@ -34,7 +34,7 @@
 /// A member that accepts and says nothing, and one whose answers don't come back: the others agree without them.
 #[test]
 fn silent_members_and_one_way_links_hold_nothing_up() {
-    let fleet = Fleet::begun("mute", 45, 5, 5, THREE);
+    let fleet = FleetProcesses::begun("mute", 45, 5, 5, THREE);
     fleet.between(&[0], &[1, 2, 3, 4], Link::Stalled);
     fleet.between(&[1], &[2, 3, 4], Link::OneWay);
     let asked = Instant::now();
@@ -51,7 +51,7 @@
 fn a_router_whose_clock_was_set_back_is_heard_after_its_restart() {
     let dir = tempfile::tempdir().unwrap();
     let library = Library::Sockets.compile(dir.path()).expect("a C compiler");
-    let fleet = Fleet::begun("clock", 64, 4, 3, ONE);
+    let fleet = FleetProcesses::begun("clock", 64, 4, 3, ONE);
     // One that is no member of the council, and one that is.
     for restarted in [3, 1] {
         fleet.kill(restarted);
--- a/router/tests/fleet/release_rig.rs
+++ b/router/tests/fleet/release_rig.rs
@@ -2,11 +2,11 @@
 
 use tallypin_test_support::park::List;
 
-use crate::fleet_rig::{config, Fleet};
+use crate::fleet_rig::{config, FleetProcesses};
 
 /// Puts a file that is to be released in the store of each router, under its digest, and writes the plan.
 pub fn prepare_release(
-    fleet: &Fleet,
+    fleet: &FleetProcesses,
     what: &str,
     change: impl Fn(usize, &str) -> String,
     more: &str,
@@ -26,22 +26,22 @@
     (format!("release {}", plan.display()), digest)
 }
 
-pub fn phase(fleet: &Fleet, at: usize) -> String {
+pub fn phase(fleet: &FleetProcesses, at: usize) -> String {
     fleet.order(at, "status")["release"]["phase"].as_str().unwrap_or("").into()
 }
 
 /// The configuration that a router would start with.
-pub fn installed(fleet: &Fleet, r: usize) -> String {
+pub fn installed(fleet: &FleetProcesses, r: usize) -> String {
     let bytes = std::fs::read(fleet.routers[r].dir.join("config.json")).unwrap();
     blake3::hash(&bytes).to_hex().to_string()
 }
 
-pub fn starts(fleet: &Fleet) -> Vec<usize> {
+pub fn starts(fleet: &FleetProcesses) -> Vec<usize> {
     fleet.routers.iter().map(|r| r.starts.load(std::sync::atomic::Ordering::SeqCst)).collect()
 }
 
-pub fn released(test: &str, net: u8, list: &List) -> Fleet {
-    let fleet = Fleet::with(test, net, 5, 3, " out-most 2\n out-zone 1", &config(list));
+pub fn released(test: &str, net: u8, list: &List) -> FleetProcesses {
+    let fleet = FleetProcesses::with(test, net, 5, 3, " out-most 2\n out-zone 1", &config(list));
     fleet.supervised.store(true, std::sync::atomic::Ordering::SeqCst);
     fleet
 }
--- a/router/tests/fleet/replica_drains.rs
+++ b/router/tests/fleet/replica_drains.rs
@@ -3,12 +3,12 @@
 use serde_json::Value;
 use tallypin_test_support::park::{Does, List, Node};
 
-use crate::fleet_rig::{answer, config, row, send, Fleet};
+use crate::fleet_rig::{answer, config, row, send, FleetProcesses};
 
 const NODES: &str = " out-most 2\n out-zone 1\n nodes-out-most 1";
 
 /// What the fleet says of a model node: its stage, whether it is clear, and who keeps it from being so.
-fn said_of(fleet: &Fleet, at: usize, node: &str) -> (String, bool, Value) {
+fn said_of(fleet: &FleetProcesses, at: usize, node: &str) -> (String, bool, Value) {
     let said = fleet.order(at, "status");
     let entry = said["nodes"].as_array().and_then(|all| all.iter().find(|n| n["node"] == node)).cloned();
     let entry = entry.unwrap_or_default();
@@ -16,7 +16,7 @@
 }
 
 /// Requests through all routers, each with a whole answer. One that starves for processors may refuse some.
-fn serves(fleet: &Fleet, each: usize) {
+fn serves(fleet: &FleetProcesses, each: usize) {
     for r in 0..fleet.routers.len() {
         let answers: Vec<_> = (0..each).map(|_| answer(send(fleet.routers[r].front))).collect();
         assert!(answers.iter().all(|a| matches!(a, (200 | 503, true))), "through r{r}: {answers:?}");
@@ -32,7 +32,7 @@
         vec![row("n0", first, started), row("n1", &nodes[1], 1), row("n2", &nodes[2], 1)]
     };
     let list = List::start("127.49.9.1", &rows(&nodes[0], 1));
-    let fleet = Fleet::with("nodes", 49, 3, 3, NODES, &config(&list));
+    let fleet = FleetProcesses::with("nodes", 49, 3, 3, NODES, &config(&list));
     fleet.until("all serve", || (0..3).all(|r| answer(send(fleet.routers[r].front)) == (200, true)));
     nodes[0].does(Does::Holds);
     // One after the other, until one is held there.
@@ -85,7 +85,7 @@
     let nodes: Vec<Node> = (0..2).map(|_| Node::start("127.50.9.1")).collect();
     let rows = [row("n0", &nodes[0], 1), row("n1", &nodes[1], 1)];
     let list = List::start("127.50.9.1", &rows);
-    let fleet = Fleet::with("time", 50, 3, 3, NODES, &config(&list));
+    let fleet = FleetProcesses::with("time", 50, 3, 3, NODES, &config(&list));
     fleet.until("the list is heard", || answer(send(fleet.routers[1].front)) == (200, true));
     fleet.until("n0 is known", || fleet.order(1, "take-out n0 for 2s")["code"] == 0);
     fleet.kill(0);
--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use fleet_rig::{answer, config, row, send, Fleet};
+use fleet_rig::{answer, config, row, send, FleetProcesses};
 use tallypin_test_support::park::{List, Node};
 use tallypin_test_support::relay::Link;
 
@@ -19,8 +19,8 @@
 }
 
 /// User and system time of all routers so far, s.
-fn processor(fleet: &Fleet) -> f64 {
-    let one = |r: &fleet_rig::Router| -> Option<f64> {
+fn processor(fleet: &FleetProcesses) -> f64 {
+    let one = |r: &fleet_rig::RouterProcess| -> Option<f64> {
         let id = r.child.lock().unwrap().as_ref()?.id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         let words: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
@@ -56,7 +56,7 @@
     let bounds = format!(" out-most {all}\n out-zone {zone}");
     // A member has connections of all routers.
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
-    let fleet = Fleet::with("full", 60, n, COUNCIL, &bounds, &config);
+    let fleet = FleetProcesses::with("full", 60, n, COUNCIL, &bounds, &config);
     fleet.supervised.store(true, Ordering::SeqCst);
     println!(
         "seed {seed}: {n} routers, {all} may be out, {zone} of a zone; all serve after {:.1} s",
@@ -131,7 +131,7 @@
             fleet.until("one to stop", || fleet.out(stopped) == Some(false));
             faults.fetch_add(1, Ordering::SeqCst);
             fleet.signal(stopped, "-STOP");
-            let part = |fleet: &Fleet| fleet.log(member).matches("joined the council").count();
+            let part = |fleet: &FleetProcesses| fleet.log(member).matches("joined the council").count();
             fleet.until("the killed member takes part again", || part(&fleet) >= fleet.starts(member));
             println!("  a member killed, and part of it again");
             fleet.until("it serves", || fleet.out(member) == Some(false));
@@ -190,8 +190,14 @@
     let node = Node::start("127.60.9.3");
     let list = List::start("127.60.9.3", &[row("n0", &node, 1)]);
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
-    let fleet =
-        Fleet::with("cost", 60, n, COUNCIL, &format!(" out-most {}\n out-zone 1", (n / 10).max(1)), &config);
+    let fleet = FleetProcesses::with(
+        "cost",
+        60,
+        n,
+        COUNCIL,
+        &format!(" out-most {}\n out-zone 1", (n / 10).max(1)),
+        &config,
+    );
     let without = n - 1;
     let path = fleet.routers[without].dir.join("t.conf");
     let text = std::fs::read_to_string(&path).unwrap();
--- a/router/tests/fleet_rig/mod.rs
+++ b/router/tests/fleet_rig/mod.rs
@@ -61,7 +61,7 @@
     (status, matches!(read, Some(Ok(_))) && (status != 200 || said.contains("[DONE]")))
 }
 
-pub struct Router {
+pub struct RouterProcess {
     pub name: String,
     pub agent: SocketAddr,
     pub at: SocketAddr,
@@ -72,8 +72,8 @@
     pub front: SocketAddr,
 }
 
-pub struct Fleet {
-    pub routers: Vec<Router>,
+pub struct FleetProcesses {
+    pub routers: Vec<RouterProcess>,
     /// Whoever has ended is started again, as a supervisor does.
     pub supervised: AtomicBool,
     /// The node list and the model node where a test brings none.
@@ -84,9 +84,16 @@
     _reserved: Vec<Reserved>,
 }
 
-impl Fleet {
+impl FleetProcesses {
     /// So many routers, alternately of two zones, the first of them the council; `bounds` are lines of the settings.
-    pub fn new(test: &str, net: u8, routers: usize, council: usize, bounds: &str, config: &str) -> Fleet {
+    pub fn new(
+        test: &str,
+        net: u8,
+        routers: usize,
+        council: usize,
+        bounds: &str,
+        config: &str,
+    ) -> FleetProcesses {
         // Without model nodes nobody would be ready.
         let node = Node::start(&format!("127.{net}.9.2"));
         let list = List::start(&format!("127.{net}.9.2"), &[row("n0", &node, 1)]);
@@ -94,7 +101,7 @@
         let base = std::env::temp_dir().join(format!("tallypin-fleet-{test}-{}", std::process::id()));
         let ip = |r: usize| format!("127.{net}.{}.{}", r % 250 + 1, r / 250 + 1);
         let mut reserved = Vec::new();
-        let routers: Vec<Router> = (0..routers)
+        let routers: Vec<RouterProcess> = (0..routers)
             .map(|r| {
                 let [agent, at, front] = [(); 3].map(|()| {
                     reserved.push(Reserved::on(&ip(r)).unwrap());
@@ -103,7 +110,7 @@
                 let dir = base.join(format!("r{r}"));
                 std::fs::create_dir_all(&dir).unwrap();
                 let (child, starts) = (Mutex::default(), AtomicUsize::new(0));
-                Router { name: format!("r{r}"), agent, at, dir, child, starts, front }
+                RouterProcess { name: format!("r{r}"), agent, at, dir, child, starts, front }
             })
             .collect();
         // Only members are called. Of a large fleet only members have relays: each takes threads.
@@ -138,7 +145,7 @@
             }
             std::fs::write(router.dir.join("t.conf"), text + "\n}\n").unwrap();
         }
-        let fleet = Fleet {
+        let fleet = FleetProcesses {
             routers,
             relays,
             supervised: AtomicBool::new(false),
@@ -150,13 +157,20 @@
     }
 
     /// The same, agreed on its first document and let go on.
-    pub fn begun(test: &str, net: u8, routers: usize, council: usize, bounds: &str) -> Fleet {
-        Fleet::with(test, net, routers, council, bounds, CONFIG)
+    pub fn begun(test: &str, net: u8, routers: usize, council: usize, bounds: &str) -> FleetProcesses {
+        FleetProcesses::with(test, net, routers, council, bounds, CONFIG)
     }
 
     /// The same with another configuration.
-    pub fn with(test: &str, net: u8, routers: usize, council: usize, bounds: &str, config: &str) -> Fleet {
-        let fleet = Fleet::new(test, net, routers, council, bounds, config);
+    pub fn with(
+        test: &str,
+        net: u8,
+        routers: usize,
+        council: usize,
+        bounds: &str,
+        config: &str,
+    ) -> FleetProcesses {
+        let fleet = FleetProcesses::new(test, net, routers, council, bounds, config);
         fleet.until("all are of the council", || fleet.order(0, "status")["halted"].is_string());
         fleet.until("it goes on", || fleet.order(0, "resume")["done"] == true);
         fleet.until("all take orders", || (0..routers).all(|r| fleet.order(r, "status")["done"] == true));
@@ -300,7 +314,7 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for FleetProcesses {
     fn drop(&mut self) {
         for router in &mut self.routers {
             if let Some(mut child) = router.child.lock().unwrap().take() {
--- a/router/tests/recorded_fleet/command_line.rs
+++ b/router/tests/recorded_fleet/command_line.rs
@@ -3,10 +3,10 @@
 use std::path::Path;
 use std::process::Command;
 
-use crate::fleet_rig::Fleet;
+use crate::fleet_rig::FleetProcesses;
 
 /// Digits of the same number, of any length, and what differs between two plays.
-pub fn masked(fleet: &Fleet, text: &str) -> String {
+pub fn masked(fleet: &FleetProcesses, text: &str) -> String {
     let mut text = text.to_string();
     for router in &fleet.routers {
         text = text.replace(router.dir.to_str().unwrap(), &format!("DIR-{}", router.name));
@@ -40,7 +40,7 @@
 }
 
 /// What `tallypin fleet` at a router prints, and its exit code.
-pub fn order(fleet: &Fleet, r: usize, words: &str) -> (i32, String) {
+pub fn order(fleet: &FleetProcesses, r: usize, words: &str) -> (i32, String) {
     let mut all = vec!["fleet", "--socket"];
     let socket = fleet.routers[r].dir.join("ctl");
     all.push(socket.to_str().unwrap());
--- a/router/tests/recorded_fleet/messages.rs
+++ b/router/tests/recorded_fleet/messages.rs
@@ -9,7 +9,7 @@
 use tallypin_router::fleet::wire::{self, Call, Direction, Keys, Reply};
 
 use crate::data::{hex, read, same, HEAD, KEY};
-use crate::fleet_rig::{self, Fleet};
+use crate::fleet_rig::{self, FleetProcesses};
 
 /// Each line of a file: the head of a sealed message in hex, and its JSON. Sealing has nothing random in it: the same
 /// message gives the same bytes.
@@ -95,7 +95,7 @@
 /// version, which is not answered.
 #[test]
 fn a_running_router_answers_a_sealed_call_as_recorded() {
-    let fleet = Fleet::begun("recorded-calls", 73, 1, 1, fleet_rig::ONE);
+    let fleet = FleetProcesses::begun("recorded-calls", 73, 1, 1, fleet_rig::ONE);
     let keys = Keys::read("test", "the key of this fleet of tests").unwrap();
     let mut got = String::new();
     for (case, body) in [
--- a/router/tests/recorded_fleet/orders.rs
+++ b/router/tests/recorded_fleet/orders.rs
@@ -5,13 +5,13 @@
 
 use crate::command_line::{masked, order};
 use crate::data::same;
-use crate::fleet_rig::{answer, send, Fleet};
+use crate::fleet_rig::{answer, send, FleetProcesses};
 
 /// Halted, what is ordered waits: the answers don't depend on when they are asked for.
 #[test]
 fn orders_to_a_running_fleet_are_answered_as_recorded() {
     let bounds = " out-most 1\n out-zone 1\n nodes-out-most 1";
-    let fleet = Fleet::begun("recorded-orders", 72, 3, 3, bounds);
+    let fleet = FleetProcesses::begun("recorded-orders", 72, 3, 3, bounds);
     fleet.until("the list is heard", || answer(send(fleet.routers[1].front)) == (200, true));
     let plan = |name: &str, text: &str| std::fs::write(fleet.routers[0].dir.join(name), text).unwrap();
     let digest = "ab".repeat(32);
--- a/router/tests/recorded_fleet/stored_folder.rs
+++ b/router/tests/recorded_fleet/stored_folder.rs
@@ -4,13 +4,13 @@
 
 use crate::command_line::{masked, order};
 use crate::data::{read, same};
-use crate::fleet_rig::{self, answer, send, Fleet, CONFIG};
+use crate::fleet_rig::{self, answer, send, FleetProcesses, CONFIG};
 
 /// All of a council start from what is recorded in `folder`, one with a release on trial that has never come to serve: they
 /// begin on it and serve.
 #[test]
 fn routers_start_from_a_recorded_folder_and_serve() {
-    let fleet = Fleet::new("recorded-folder", 71, 3, 3, fleet_rig::ONE, CONFIG);
+    let fleet = FleetProcesses::new("recorded-folder", 71, 3, 3, fleet_rig::ONE, CONFIG);
     let none = serde_json::json!([]);
     fleet.until("all begin", || fleet.order(0, "status")["halted"].is_string());
     (0..3).for_each(|r| fleet.kill(r));
