--- a/router/tests/fleet_rig/mod.rs
+++ b/router/tests/fleet_rig/mod.rs
@@ -18,6 +18,8 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 /// The same of a large fleet.
 const PATIENCE_LARGE: Duration = Duration::from_secs(180);
+/// Up to so many routers a fleet is a small one.
+const SMALL: usize = 20;
 const KEY: &str = "the key of this fleet of tests\n";
 
 const QUICK: &str = "beat 100ms\n silent 1500ms\n lease 1500ms\n answer 400ms\n within 4s";
@@ -25,7 +27,7 @@
 pub const THREE: &str = " out-most 3\n out-zone 2";
 pub const CONFIG: &str = include_str!("../../../examples/config.json");
 
-/// A configuration that watches this list; model nodes are cold for a second, and partners' shares are wide.
+/// A configuration that watches this list; replicas warm up for a second, and tenants' quotas are wide.
 pub fn config(list: &List) -> String {
     let config = CONFIG.replace("127.0.0.1:8500", &list.at.to_string());
     let config = config.replace("\"ColdNs\": 23000000000", "\"ColdNs\": 1000000000");
@@ -72,11 +74,24 @@
     pub front: SocketAddr,
 }
 
+impl RouterProcess {
+    /// One that has not been started, with addresses of its own.
+    fn new(r: usize, ip: &str, dir: PathBuf, reserved: &mut Vec<Reserved>) -> RouterProcess {
+        let [agent, at, front] = [(); 3].map(|()| {
+            reserved.push(Reserved::on(ip).unwrap());
+            reserved[reserved.len() - 1].at
+        });
+        std::fs::create_dir_all(&dir).unwrap();
+        let (child, starts) = (Mutex::default(), AtomicUsize::new(0));
+        RouterProcess { name: format!("r{r}"), agent, at, dir, child, starts, front }
+    }
+}
+
 pub struct FleetProcesses {
     pub routers: Vec<RouterProcess>,
     /// Whoever has ended is started again, as a supervisor does.
     pub supervised: AtomicBool,
-    /// The node list and the model node where a test brings none.
+    /// The endpoint list and the replica where a test brings none.
     pub park: (List, Node),
     /// By who calls and who is called.
     relays: Vec<Vec<Option<Relay>>>,
@@ -84,6 +99,49 @@
     _reserved: Vec<Reserved>,
 }
 
+fn ip(net: u8, r: usize) -> String {
+    format!("127.{net}.{}.{}", r % 250 + 1, r / 250 + 1)
+}
+
+/// Only members are called. Of a large fleet only members have relays: each takes threads.
+fn relays(net: u8, routers: &[RouterProcess], council: usize) -> Vec<Vec<Option<Relay>>> {
+    let relayed =
+        |from: usize, to: usize| from != to && to < council && (from < council || routers.len() <= SMALL);
+    let relay = |from: usize, to: usize| {
+        relayed(from, to).then(|| Relay::start(&ip(net, from), routers[to].at).unwrap())
+    };
+    (0..routers.len()).map(|from| (0..routers.len()).map(|to| relay(from, to)).collect()).collect()
+}
+
+/// The settings of a router.
+fn settings(
+    own: usize,
+    routers: &[RouterProcess],
+    relays: &[Option<Relay>],
+    council: usize,
+    bounds: &str,
+) -> String {
+    let router = &routers[own];
+    let dir = router.dir.display();
+    // A small fleet at a pace of its own, a large one as it ships.
+    let pace = if routers.len() > SMALL { "" } else { QUICK };
+    let mut text = format!(
+        "log {{\n level warn\n target fleet debug\n}}\n\
+         checks {{\n agent {{\n listen {}\n}}\n}}\ncontrol {{\n socket {dir}/ctl\n}}\n\
+         drain {{\n least 1ms\n settle 1ms\n parting 1ms\n unknown-interval 1ms\n intervals 1\n}}\n\
+         fleet {{\n name test\n me r{own}\n key {dir}/key\n {pace}\n{bounds}\n\
+         store {dir}/stored\n release settings {dir}/t.conf {dir}/store\n \
+         release configuration {dir}/config.json {dir}/store\n council",
+        router.agent,
+    );
+    (0..council).for_each(|r| text += &format!(" r{r}"));
+    for (r, other) in routers.iter().enumerate() {
+        let at = relays[r].as_ref().map_or(other.at, |relay| relay.at);
+        text += &format!("\n router r{r} {at} zone-{}", r % 2);
+    }
+    text + "\n}\n"
+}
+
 impl FleetProcesses {
     /// So many routers, alternately of two zones, the first of them the council; `bounds` are lines of the settings.
     pub fn new(
@@ -94,56 +152,22 @@
         bounds: &str,
         config: &str,
     ) -> FleetProcesses {
-        // Without model nodes nobody would be ready.
+        // Without replicas nobody would be ready.
         let node = Node::start(&format!("127.{net}.9.2"));
         let list = List::start(&format!("127.{net}.9.2"), &[row("n0", &node, 1)]);
         let config = if config == CONFIG { &self::config(&list) } else { config };
         let base = std::env::temp_dir().join(format!("tallypin-fleet-{test}-{}", std::process::id()));
-        let ip = |r: usize| format!("127.{net}.{}.{}", r % 250 + 1, r / 250 + 1);
         let mut reserved = Vec::new();
         let routers: Vec<RouterProcess> = (0..routers)
-            .map(|r| {
-                let [agent, at, front] = [(); 3].map(|()| {
-                    reserved.push(Reserved::on(&ip(r)).unwrap());
-                    reserved[reserved.len() - 1].at
-                });
-                let dir = base.join(format!("r{r}"));
-                std::fs::create_dir_all(&dir).unwrap();
-                let (child, starts) = (Mutex::default(), AtomicUsize::new(0));
-                RouterProcess { name: format!("r{r}"), agent, at, dir, child, starts, front }
-            })
+            .map(|r| RouterProcess::new(r, &ip(net, r), base.join(format!("r{r}")), &mut reserved))
             .collect();
-        // Only members are called. Of a large fleet only members have relays: each takes threads.
-        let relayed =
-            |from: usize, to: usize| from != to && to < council && (from < council || routers.len() <= 20);
-        let relay = |from: usize, to: usize| {
-            relayed(from, to).then(|| Relay::start(&ip(from), routers[to].at).unwrap())
-        };
-        let relays: Vec<Vec<_>> =
-            (0..routers.len()).map(|from| (0..routers.len()).map(|to| relay(from, to)).collect()).collect();
-        for (me, router) in routers.iter().enumerate() {
+        let relays = relays(net, &routers, council);
+        for (own, router) in routers.iter().enumerate() {
             std::fs::write(router.dir.join("key"), KEY).unwrap();
             std::fs::write(router.dir.join("config.json"), config).unwrap();
             std::fs::create_dir_all(router.dir.join("store")).unwrap();
-            let dir = router.dir.display();
-            let mut text = format!(
-                "log {{\n level warn\n target fleet debug\n}}\n\
-                 checks {{\n agent {{\n listen {}\n}}\n}}\ncontrol {{\n socket {}\n}}\n\
-                 drain {{\n least 1ms\n settle 1ms\n parting 1ms\n unknown-interval 1ms\n intervals 1\n}}\n\
-                 fleet {{\n name test\n me r{me}\n key {}\n {}\n{bounds}\n\
-                 store {dir}/stored\n release settings {dir}/t.conf {dir}/store\n release configuration {dir}/config.json {dir}/store\n council",
-                router.agent,
-                router.dir.join("ctl").display(),
-                router.dir.join("key").display(),
-                // A small fleet at a pace of its own, a large one as it ships.
-                if routers.len() > 20 { "" } else { QUICK },
-            );
-            (0..council).for_each(|r| text += &format!(" r{r}"));
-            for (r, other) in routers.iter().enumerate() {
-                let at = relays[me][r].as_ref().map_or(other.at, |relay: &Relay| relay.at);
-                text += &format!("\n router r{r} {at} zone-{}", r % 2);
-            }
-            std::fs::write(router.dir.join("t.conf"), text + "\n}\n").unwrap();
+            let text = settings(own, &routers, &relays[own], council, bounds);
+            std::fs::write(router.dir.join("t.conf"), text).unwrap();
         }
         let fleet = FleetProcesses {
             routers,
@@ -156,7 +180,7 @@
         fleet
     }
 
-    /// The same, agreed on its first document and let go on.
+    /// The same, bootstrapped and resumed.
     pub fn begun(test: &str, net: u8, routers: usize, council: usize, bounds: &str) -> FleetProcesses {
         FleetProcesses::with(test, net, routers, council, bounds, CONFIG)
     }
@@ -276,7 +300,7 @@
             }
             let out = self.all_out();
             assert!(out.len() <= most, "{out:?} are out at once: {what}");
-            let patience = if self.routers.len() > 20 { PATIENCE_LARGE } else { PATIENCE };
+            let patience = if self.routers.len() > SMALL { PATIENCE_LARGE } else { PATIENCE };
             assert!(begun.elapsed() < patience, "not in time: {what}; {}", self.order(0, "status"));
         }
     }
