--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -35,7 +35,7 @@
 use crate::replica_drains::ReplicaEntries;
 
 /// How many orders are remembered, so that one that is sent again does not run again.
-pub const MAX_REMEMBERED_ORDERS: usize = 64;
+pub(crate) const MAX_REMEMBERED_ORDERS: usize = 64;
 /// The longest id of an order, and the longest cause of a halt, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
 /// The longest cause of a failed check that is stored, in characters; what is longer is cut.
--- a/consensus/src/fleet_state/limits.rs
+++ b/consensus/src/fleet_state/limits.rs
@@ -26,7 +26,7 @@
 
 impl DrainLimits {
     /// The name of a router, or its index in words where the fleet has none of this index.
-    pub fn name(&self, router: RouterIndex) -> String {
+    pub(crate) fn name(&self, router: RouterIndex) -> String {
         self.names.get(usize::from(router)).cloned().unwrap_or_else(|| format!("router {router}"))
     }
 
--- a/consensus/src/release.rs
+++ b/consensus/src/release.rs
@@ -12,7 +12,7 @@
 /// The largest number of waves.
 pub const MAX_WAVES: usize = 64;
 /// How often a router may return without running what it was to run, before its wave fails.
-pub const MAX_ATTEMPTS: u8 = 3;
+pub(crate) const MAX_ATTEMPTS: u8 = 3;
 
 /// The checks that each wave has to pass.
 ///
@@ -86,17 +86,17 @@
 
 impl Release {
     /// Whether it is still in progress, forwards or back.
-    pub fn is_active(&self) -> bool {
+    pub(crate) fn is_active(&self) -> bool {
         matches!(self.phase, ReleasePhase::Running | ReleasePhase::RollingBack(_))
     }
 
     /// The wave of a router; `None`: it is in none.
-    pub fn wave_of(&self, router: RouterIndex) -> Option<usize> {
+    pub(crate) fn wave_of(&self, router: RouterIndex) -> Option<usize> {
         self.waves.iter().position(|wave| wave.contains(&router))
     }
 
     /// The routers of the present wave and of those before it.
-    pub fn released(&self) -> impl Iterator<Item = RouterIndex> + '_ {
+    pub(crate) fn released(&self) -> impl Iterator<Item = RouterIndex> + '_ {
         self.waves.iter().take(self.wave + 1).flatten().copied()
     }
 }
--- a/consensus/src/replica_drains.rs
+++ b/consensus/src/replica_drains.rs
@@ -11,15 +11,16 @@
 use serde::{Deserialize, Serialize};
 
 pub use clearing::{routers_not_clear, AppliedState, ReplicaUse};
-pub use limits::{check_limits, Limit, ReplicaLimitExceeded, ReplicaLimits, ReplicaView};
+pub(crate) use limits::check_limits;
+pub use limits::{Limit, ReplicaLimitExceeded, ReplicaLimits, ReplicaView};
 
 /// How many replicas may be out by order, or be about to leave or to return, at once. Bounds the fleet state.
 pub const MAX_REPLICA_DRAINS: usize = 128;
 /// The longest id of a replica that an order may name, in bytes.
-pub const MAX_REPLICA_ID_BYTES: usize = 128;
+pub(crate) const MAX_REPLICA_ID_BYTES: usize = 128;
 /// How long a replica that was put back stays in the fleet state, in ms: longer than any slow start, so that a router that
 /// starts meanwhile warms it up as well.
-pub const RESTORED_RETENTION_MS: u64 = 600_000;
+pub(crate) const RESTORED_RETENTION_MS: u64 = 600_000;
 
 /// Unix time in ms, in which routers tell each other points in time. Clocks that differ by seconds make a slow start last
 /// seconds less or more, and end a stated period by as much sooner or later.
--- a/consensus/src/replica_drains/limits.rs
+++ b/consensus/src/replica_drains/limits.rs
@@ -84,7 +84,7 @@
 /// # Errors
 ///
 /// The first of the limits that it would exceed, in all, by zone or by kind; or that the replica is not listed.
-pub fn check_limits(
+pub(crate) fn check_limits(
     replica: &str,
     entries: &ReplicaEntries,
     limits: &ReplicaLimits,
