--- a/health/src/exit.rs
+++ b/health/src/exit_code.rs
@@ -1,10 +1,10 @@
 //! Exit codes of the check program.
 
-use crate::state::State;
+use crate::assessment::HealthState;
 
 /// What an exit code is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Style {
+pub enum ExitCodeStyle {
     /// An external check: 0 for a server that takes requests, 1 for one that does not.
     Plain,
     /// A balancer that reads the weight from the code, as keepalived's `misc_dynamic` does: 0 leaves the weight
@@ -16,13 +16,13 @@
 pub const NO_ANSWER: u8 = 1;
 
 /// The code for a state and weight (1 to 100).
-pub fn code(style: Style, state: State, weight: u8) -> u8 {
+pub fn exit_code(style: ExitCodeStyle, state: HealthState, weight: u8) -> u8 {
     match (style, state) {
-        (Style::Plain, State::Up | State::Degraded) => 0,
-        (Style::Plain, _) => 1,
-        (Style::Weight, State::Up | State::Degraded) => 2 + weight.clamp(1, 100),
+        (ExitCodeStyle::Plain, HealthState::Up | HealthState::Degraded) => 0,
+        (ExitCodeStyle::Plain, _) => 1,
+        (ExitCodeStyle::Weight, HealthState::Up | HealthState::Degraded) => 2 + weight.clamp(1, 100),
         // Weight 0: what is there goes on, and nothing new comes.
-        (Style::Weight, State::Drain) => 2,
-        (Style::Weight, State::Maint | State::Down) => 1,
+        (ExitCodeStyle::Weight, HealthState::Draining) => 2,
+        (ExitCodeStyle::Weight, HealthState::Maintenance | HealthState::Down) => 1,
     }
 }
--- a/health/src/grpc.rs
+++ b/health/src/grpc_health.rs
@@ -6,7 +6,7 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 
-use crate::state::State;
+use crate::assessment::HealthState;
 
 /// The path of `Check`.
 pub const CHECK: &str = "/grpc.health.v1.Health/Check";
@@ -18,7 +18,7 @@
 /// Status codes of gRPC that are used here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Code {
+pub enum GrpcStatusCode {
     /// No error.
     Ok = 0,
     /// The message can't be read.
@@ -75,8 +75,8 @@
     pub statuses: BTreeMap<String, HealthCheckResponse>,
 }
 
-impl From<State> for ServingStatus {
-    fn from(state: State) -> Self {
+impl From<HealthState> for ServingStatus {
+    fn from(state: HealthState) -> Self {
         if state.serves() {
             ServingStatus::Serving
         } else {
@@ -86,21 +86,21 @@
 }
 
 /// The largest message that is read, bytes.
-pub const LARGEST: usize = 4 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 4 << 10;
 
 /// Why a frame can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unread {
+pub enum DecodeError {
     /// It is compressed, and no compression was agreed.
-    Compressed,
+    CompressedFrame,
     /// It is larger than any.
-    Large,
+    FrameTooLarge,
     /// Its message can't be decoded.
-    Message,
+    InvalidMessage,
 }
 
 /// A message in its frame: a flag, its length, itself.
-pub fn frame(message: &impl Message) -> Bytes {
+pub fn encode_frame(message: &impl Message) -> Bytes {
     let mut bytes = BytesMut::with_capacity(5 + message.encoded_len());
     bytes.put_u8(0);
     bytes.put_u32(message.encoded_len() as u32);
@@ -110,43 +110,43 @@
 }
 
 /// Takes a framed message off the front of `buf`; `None` until it is whole.
-pub fn take<M: Message + Default>(buf: &mut BytesMut) -> Result<Option<M>, Unread> {
+pub fn decode_frame<M: Message + Default>(buf: &mut BytesMut) -> Result<Option<M>, DecodeError> {
     let Some((&[flag, a, b, c, d], _)) = buf.split_first_chunk::<5>() else { return Ok(None) };
     if flag != 0 {
-        return Err(Unread::Compressed);
+        return Err(DecodeError::CompressedFrame);
     }
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
-    if length > LARGEST {
-        return Err(Unread::Large);
+    if length > MAX_MESSAGE_BYTES {
+        return Err(DecodeError::FrameTooLarge);
     }
     if buf.len() < 5 + length {
         return Ok(None);
     }
     buf.advance(5);
-    M::decode(buf.split_to(length)).map(Some).map_err(|_| Unread::Message)
+    M::decode(buf.split_to(length)).map(Some).map_err(|_| DecodeError::InvalidMessage)
 }
 
 /// What a service's state is, if there is such a service. `services`: the names besides the empty one.
-pub fn status(service: &str, services: &[String], state: State) -> Option<ServingStatus> {
+pub fn service_status(service: &str, services: &[String], state: HealthState) -> Option<ServingStatus> {
     let known = service.is_empty() || services.iter().any(|s| s == service);
     known.then(|| state.into())
 }
 
 /// What a watch has told. It holds one state, not a queue: a watcher that reads slowly gets the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Watch {
-    told: Option<ServingStatus>,
+pub struct WatchState {
+    notified: Option<ServingStatus>,
 }
 
-impl Watch {
+impl WatchState {
     /// Whether this is not what was told last.
-    pub fn differs(&self, now: ServingStatus) -> bool {
-        self.told != Some(now)
+    pub fn would_notify(&self, now: ServingStatus) -> bool {
+        self.notified != Some(now)
     }
 
     /// What is to be told now, if anything: each change once, in order.
-    pub fn next(&mut self, now: ServingStatus) -> Option<HealthCheckResponse> {
-        if self.told.replace(now) == Some(now) {
+    pub fn notify(&mut self, now: ServingStatus) -> Option<HealthCheckResponse> {
+        if self.notified.replace(now) == Some(now) {
             return None;
         }
         Some(HealthCheckResponse { status: now as i32 })
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -1,19 +1,19 @@
 //! How healthy a router is, how much weight it wants, and how each common balancer is told so. Nothing here
 //! does I/O: the time and what was measured are handed in, and what is to be said or done comes out.
 //!
-//! [`state`] decides; [`agent`], [`http`], [`grpc`] and [`orca`] put it into the words of a protocol;
-//! [`askers`] and [`plan`] decide how a drain goes; [`preface`] reads the PROXY protocol; [`exit`] is for check
+//! [`assessment`] decides; [`agent_check`], [`http_check`], [`grpc_health`] and [`load_report`] put it into the words of a protocol;
+//! [`checkers`] and [`drain_sequence`] decide how a drain goes; [`proxy_protocol`] reads the PROXY protocol; [`exit_code`] is for check
 //! programs. `docs/HEALTH-DESIGN.md` has the options weighed.
 
-pub mod agent;
-pub mod askers;
-pub mod exit;
-pub mod grpc;
-pub mod http;
-pub mod orca;
-pub mod plan;
-pub mod preface;
-pub mod state;
+pub mod agent_check;
+pub mod assessment;
+pub mod checkers;
+pub mod drain_sequence;
+pub mod exit_code;
+pub mod grpc_health;
+pub mod http_check;
+pub mod load_report;
+pub mod proxy_protocol;
 
 /// Time since the start of the program, by a clock that only goes forward.
 pub type Age = std::time::Duration;
--- a/health/src/orca.rs
+++ b/health/src/load_report.rs
@@ -74,7 +74,7 @@
 
 /// How a report is put into a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum ReportFormat {
     /// `endpoint-load-metrics: TEXT cpu_utilization=0.3, ...`
     Text,
     /// `endpoint-load-metrics: JSON {...}`
@@ -83,13 +83,13 @@
     Binary,
 }
 
-impl Form {
+impl ReportFormat {
     /// The form that settings name.
-    pub fn named(name: &str) -> Option<Form> {
+    pub fn from_name(name: &str) -> Option<ReportFormat> {
         match name {
-            "text" => Some(Form::Text),
-            "json" => Some(Form::Json),
-            "binary" => Some(Form::Binary),
+            "text" => Some(ReportFormat::Text),
+            "json" => Some(ReportFormat::Json),
+            "binary" => Some(ReportFormat::Binary),
             _ => None,
         }
     }
@@ -97,10 +97,10 @@
 
 impl OrcaLoadReport {
     /// The report as a field of an answer, with its line end.
-    pub fn field(&self, form: Form) -> String {
-        match form {
-            Form::Text => format!("endpoint-load-metrics: TEXT {}\r\n", self.text()),
-            Form::Json => {
+    pub fn header_field(&self, format: ReportFormat) -> String {
+        match format {
+            ReportFormat::Text => format!("endpoint-load-metrics: TEXT {}\r\n", self.text()),
+            ReportFormat::Json => {
                 let json = json!({
                     "cpu_utilization": self.cpu_utilization,
                     "mem_utilization": self.mem_utilization,
@@ -112,7 +112,7 @@
                 });
                 format!("endpoint-load-metrics: JSON {json}\r\n")
             }
-            Form::Binary => {
+            ReportFormat::Binary => {
                 let bytes = base64::engine::general_purpose::STANDARD.encode(self.encode_to_vec());
                 format!("endpoint-load-metrics-bin: {bytes}\r\n")
             }
--- a/health/tests/recorded.rs
+++ b/health/tests/recorded.rs
@@ -8,34 +8,40 @@
 
 use prost::Message;
 use recorded::{hex, Recording};
-use tallypin_health::agent::Says;
-use tallypin_health::exit::{code, Style};
-use tallypin_health::grpc::{self, HealthCheckResponse, HealthListResponse, ServingStatus};
-use tallypin_health::http::{Asked, Part, Policy, Statuses};
-use tallypin_health::orca::{Form, OrcaLoadReport, OrcaLoadReportRequest, ProtoDuration};
-use tallypin_health::state::{Assessment, Cause, State};
+use tallypin_health::agent_check::AgentReply;
+use tallypin_health::assessment::{Assessment, HealthCause, HealthState};
+use tallypin_health::exit_code::{exit_code, ExitCodeStyle};
+use tallypin_health::grpc_health::{self, HealthCheckResponse, HealthListResponse, ServingStatus};
+use tallypin_health::http_check::{CheckRequest, Component, HttpCheckPolicy, StatusCodes};
+use tallypin_health::load_report::{OrcaLoadReport, OrcaLoadReportRequest, ProtoDuration, ReportFormat};
 
-const STATES: [State; 5] = [State::Up, State::Degraded, State::Drain, State::Maint, State::Down];
+const STATES: [HealthState; 5] = [
+    HealthState::Up,
+    HealthState::Degraded,
+    HealthState::Draining,
+    HealthState::Maintenance,
+    HealthState::Down,
+];
 const WEIGHTS: [u8; 4] = [1, 30, 87, 100];
-const CAUSES: [Cause; 18] = [
-    Cause::Well,
-    Cause::Started,
-    Cause::Ordered,
-    Cause::Draining,
-    Cause::Maintained,
-    Cause::Ending,
-    Cause::Late,
-    Cause::Clients,
-    Cause::Bodies,
-    Cause::Links,
-    Cause::Excluded,
-    Cause::Refusing,
-    Cause::Crowded,
-    Cause::Cold,
-    Cause::ListLate,
-    Cause::NoNodes,
-    Cause::Unanswered,
-    Cause::Alone,
+const CAUSES: [HealthCause; 18] = [
+    HealthCause::Healthy,
+    HealthCause::SlowStart,
+    HealthCause::OperatorWeight,
+    HealthCause::OperatorDrain,
+    HealthCause::OperatorMaintenance,
+    HealthCause::ShuttingDown,
+    HealthCause::EventLoopLate,
+    HealthCause::ClientSlotsExhausted,
+    HealthCause::BodyBudgetExhausted,
+    HealthCause::ReplicaConnectionsExhausted,
+    HealthCause::ReplicasEjected,
+    HealthCause::SheddingLoad,
+    HealthCause::AtCapacity,
+    HealthCause::ReplicasWarmingUp,
+    HealthCause::EndpointListLate,
+    HealthCause::NoReadyReplica,
+    HealthCause::ReplicasUnresponsive,
+    HealthCause::IsolatedFromReplicas,
 ];
 
 fn recording(name: &str) -> Recording {
@@ -46,25 +52,27 @@
 fn assessments() -> Vec<Assessment> {
     let weights = STATES
         .iter()
-        .flat_map(|&state| WEIGHTS.map(|weight| Assessment { state, weight, cause: Cause::Well }));
+        .flat_map(|&state| WEIGHTS.map(|weight| Assessment { state, weight, cause: HealthCause::Healthy }));
     let causes = STATES.iter().flat_map(|&state| CAUSES.map(|cause| Assessment { state, weight: 42, cause }));
     weights.chain(causes).collect()
 }
 
 /// The assessment in the program's own words, which are part of what is recorded.
 fn title(of: &Assessment) -> String {
-    format!("{} {}% {}", of.state, of.weight, of.cause.words())
+    format!("{} {}% {}", of.state, of.weight, of.cause.description())
 }
 
 #[test]
 fn agent_lines_stay_as_they_were() {
     let mut recording = recording("agent.txt");
     for now in assessments() {
-        let lines = [None, Some(40)].map(|maxconn| format!("{}\n", Says::of(&now, maxconn)));
+        let lines =
+            [None, Some(40)].map(|maxconn| format!("{}\n", AgentReply::from_assessment(&now, maxconn)));
         recording.case(&title(&now), &lines.concat());
     }
     for service in ["letters", "", "a b", "x\nup ready 100%\u{e9}", &"long".repeat(40)] {
-        recording.case(&format!("unknown {service:?}"), &format!("{}\n", Says::unknown(service)));
+        recording
+            .case(&format!("unknown {service:?}"), &format!("{}\n", AgentReply::unknown_service(service)));
     }
     recording.finish();
 }
@@ -73,15 +81,15 @@
 fn http_answers_stay_as_they_were() {
     let mut recording = recording("http.txt");
     let parts = [
-        Part { name: "nodes", well: false, note: "0 of 3 warm".into() },
-        Part { name: "list", well: true, note: String::new() },
-        Part { name: "thread", well: true, note: "\"0\" ms \\ late".into() },
+        Component { name: "nodes", healthy: false, note: "0 of 3 warm".into() },
+        Component { name: "list", healthy: true, note: String::new() },
+        Component { name: "thread", healthy: true, note: "\"0\" ms \\ late".into() },
     ];
-    let statuses = Statuses { degraded: 207, drain: 404, maint: 503, down: 500 };
+    let statuses = StatusCodes { degraded: 207, drain: 404, maintenance: 503, down: 500 };
     let paths = vec!["/healthz".to_string(), "/up".to_string()];
     let policies = [
-        ("usual", Policy::default()),
-        ("changed", Policy { statuses, paths, envoy: true, ..Policy::default() }),
+        ("usual", HttpCheckPolicy::default()),
+        ("changed", HttpCheckPolicy { statuses, paths, envoy: true, ..HttpCheckPolicy::default() }),
     ];
     let json = Some("application/health+json");
     let asked = [
@@ -100,9 +108,9 @@
     ];
     for (policy_name, policy) in &policies {
         for state in STATES {
-            let now = Assessment { state, weight: 87, cause: Cause::Crowded };
+            let now = Assessment { state, weight: 87, cause: HealthCause::AtCapacity };
             for (method, target, accept) in asked {
-                let answer = policy.answer(Asked { method, target, accept }, &now, &parts);
+                let answer = policy.answer(CheckRequest { method, target, accept }, &now, &parts);
                 let text = answer.map_or("none\n".into(), |a| {
                     format!("{}\n{}\\r\\n\n{}", a.status, a.fields.replace("\r\n", "\\r\\n\n"), a.body)
                 });
@@ -123,19 +131,22 @@
         ServingStatus::NotServing,
         ServingStatus::ServiceUnknown,
     ] {
-        let framed = grpc::frame(&HealthCheckResponse { status: status as i32 });
+        let framed = grpc_health::encode_frame(&HealthCheckResponse { status: status as i32 });
         recording.case(&format!("check response {}", status as i32), &format!("{}\n", hex(&framed)));
     }
     let services = ["platform".to_string(), "messages".to_string()];
     for state in STATES {
         let statuses = ["", "platform", "messages", "letters"].map(|service| {
-            format!("{service:?} {:?}\n", grpc::status(service, &services, state).map(|s| s as i32))
+            format!(
+                "{service:?} {:?}\n",
+                grpc_health::service_status(service, &services, state).map(|s| s as i32)
+            )
         });
         recording.case(&format!("status of services, {state}"), &statuses.concat());
         let status = ServingStatus::from(state) as i32;
         let all = services.iter().cloned().chain([String::new()]);
         let statuses = all.map(|name| (name, HealthCheckResponse { status })).collect();
-        let framed = grpc::frame(&HealthListResponse { statuses });
+        let framed = grpc_health::encode_frame(&HealthListResponse { statuses });
         recording.case(&format!("list response, {state}"), &format!("{}\n", hex(&framed)));
     }
     recording.finish();
@@ -164,11 +175,17 @@
         ..whole.clone()
     };
     for (name, report) in [("empty", OrcaLoadReport::default()), ("whole", whole), ("odd", odd)] {
-        for (form_name, form) in [("text", Form::Text), ("json", Form::Json), ("binary", Form::Binary)] {
-            assert_eq!(Form::named(form_name), Some(form));
-            recording.case(&format!("{name}, {form_name}"), &report.field(form).replace("\r\n", "\\r\\n\n"));
+        for (form_name, form) in
+            [("text", ReportFormat::Text), ("json", ReportFormat::Json), ("binary", ReportFormat::Binary)]
+        {
+            assert_eq!(ReportFormat::from_name(form_name), Some(form));
+            recording.case(
+                &format!("{name}, {form_name}"),
+                &report.header_field(form).replace("\r\n", "\\r\\n\n"),
+            );
         }
-        recording.case(&format!("{name}, framed"), &format!("{}\n", hex(&grpc::frame(&report))));
+        recording
+            .case(&format!("{name}, framed"), &format!("{}\n", hex(&grpc_health::encode_frame(&report))));
     }
     for (seconds, nanos) in [(0, 0), (1, 500_000_000), (-1, 0), (0, -1), (600, 0)] {
         let request = OrcaLoadReportRequest {
@@ -188,7 +205,8 @@
     let mut recording = recording("exit.txt");
     for state in STATES {
         for weight in [0, 1, 42, 100, 255] {
-            let codes = [Style::Plain, Style::Weight].map(|style| code(style, state, weight));
+            let codes =
+                [ExitCodeStyle::Plain, ExitCodeStyle::Weight].map(|style| exit_code(style, state, weight));
             recording
                 .case(&format!("{state} {weight}"), &format!("plain {}, by weight {}\n", codes[0], codes[1]));
         }
--- a/router/src/checks/agent.rs
+++ b/router/src/checks/agent.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use tallypin_health::agent::{asked, Asked, Says};
-use tallypin_health::askers::Kind;
+use tallypin_health::agent_check::{parse_request, AgentReply, AgentRequest};
+use tallypin_health::checkers::CheckProtocol;
 use tokio::time::{timeout, timeout_at, Instant};
 
 use super::listen::Call;
@@ -21,28 +21,28 @@
     let mut idle = call.rest();
     let service = tokio::select! {
         biased;
-        line = timeout(wait, first_line(&mut call)), if !wait.is_zero() => line.unwrap_or(Asked::Open),
+        line = timeout(wait, first_line(&mut call)), if !wait.is_zero() => line.unwrap_or(AgentRequest::Incomplete),
         // Its place is wanted: what it has not said by now it need not say.
-        () = idle.close_requested() => Asked::Open,
-        () = std::future::ready(()), if wait.is_zero() => Asked::Open,
+        () = idle.close_requested() => AgentRequest::Incomplete,
+        () = std::future::ready(()), if wait.is_zero() => AgentRequest::Incomplete,
     };
     let says = match service {
         // A balancer that sends nothing asks about the router.
-        Asked::Open => None,
-        Asked::Service(name) if name.is_empty() || call.board.services().contains(&name) => None,
-        Asked::Service(name) => Some(Says::unknown(&name)),
-        Asked::Bad => Some(Says::unknown("of that name")),
+        AgentRequest::Incomplete => None,
+        AgentRequest::Service(name) if name.is_empty() || call.board.services().contains(&name) => None,
+        AgentRequest::Service(name) => Some(AgentReply::unknown_service(&name)),
+        AgentRequest::Invalid => Some(AgentReply::unknown_service("of that name")),
     };
     let known = says.is_none();
     let says = says.unwrap_or_else(|| {
         let now = call.board.assessment();
         let room = call.context.limits.max_clients * usize::from(now.weight) / 100;
-        Says::of(&now, maxconn.then(|| u32::try_from(room.max(1)).unwrap_or(u32::MAX)))
+        AgentReply::from_assessment(&now, maxconn.then(|| u32::try_from(room.max(1)).unwrap_or(u32::MAX)))
     });
     let line = Bytes::from(format!("{says}\n"));
     let told = timeout_at(by, call.wire.write(line)).await;
     if known && matches!(told, Ok(Ok(()))) {
-        call.board.asked(call.ip, Kind::Agent);
+        call.board.asked(call.ip, CheckProtocol::Agent);
     } else {
         call.board.spoilt();
     }
@@ -56,16 +56,16 @@
 }
 
 /// The line that the balancer may send first.
-async fn first_line(call: &mut Call) -> Asked {
+async fn first_line(call: &mut Call) -> AgentRequest {
     loop {
-        match asked(&call.wire.unread) {
-            Asked::Open => {}
+        match parse_request(&call.wire.unread) {
+            AgentRequest::Incomplete => {}
             line => return line,
         }
         if !matches!(call.wire.read_more().await, Ok(true)) {
             // It has closed its sending side, as some do: what it sent is all there is.
             call.wire.unread.extend_from_slice(b"\n");
-            return asked(&call.wire.unread);
+            return parse_request(&call.wire.unread);
         }
     }
 }
--- a/router/src/checks/control.rs
+++ b/router/src/checks/control.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use serde_json::{json, Value};
-use tallypin_health::plan::{Phase, Wish};
-use tallypin_health::state::Order;
+use tallypin_health::assessment::OperatorOrder;
+use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::Semaphore;
@@ -164,10 +164,10 @@
             tracing::info!(target: "control", most, "weight bounded by the operator");
             return json!({"done": true, "most": most});
         }
-        Command::Drain { end: false } => (Wish::Drain, Order::Drain),
-        Command::Drain { end: true } => (Wish::DrainAndEnd, Order::Drain),
-        Command::Ready => (Wish::Serve, Order::Ready),
-        Command::Maint => (Wish::Drain, Order::Maint),
+        Command::Drain { end: false } => (DrainGoal::Drain, OperatorOrder::Drain),
+        Command::Drain { end: true } => (DrainGoal::DrainThenExit, OperatorOrder::Drain),
+        Command::Ready => (DrainGoal::Serve, OperatorOrder::Ready),
+        Command::Maint => (DrainGoal::Drain, OperatorOrder::Maintenance),
         Command::Fleet(_) => return json!({"done": false, "why": "not an order to one router"}),
     };
     if !board.want(wish, order) {
@@ -175,25 +175,25 @@
     }
     super::signals::follow(&context.lifecycle, board.phase());
     tracing::info!(target: "control", order = ?order, wish = ?wish, "ordered by the operator");
-    let untold = board.askers().iter().filter(|a| !a.told).count();
-    let waits = if board.phase() == Phase::Telling { untold } else { 0 };
+    let untold = board.askers().iter().filter(|a| !a.notified).count();
+    let waits = if board.phase() == DrainPhase::Notifying { untold } else { 0 };
     json!({"done": true, "state": board.assessment().state.name(), "balancers_to_tell": waits})
 }
 
 fn show(context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
     let now = board.assessment();
     let ms = |d: Duration| d.as_millis() as u64;
-    let asker = |a: &tallypin_health::askers::Shown| {
-        json!({"from": a.who.ip.to_string(), "by": a.who.kind.name(), "asked_ms_ago": ms(a.ago),
-            "interval_ms": a.interval.map(ms), "told": a.told})
+    let asker = |a: &tallypin_health::checkers::CheckerStatus| {
+        json!({"from": a.id.ip.to_string(), "by": a.id.protocol.name(), "asked_ms_ago": ms(a.last_check_ago),
+            "interval_ms": a.interval.map(ms), "told": a.notified})
     };
     let parts: Vec<Value> =
-        board.parts().iter().map(|p| json!({"name": p.name, "well": p.well, "note": p.note})).collect();
+        board.parts().iter().map(|p| json!({"name": p.name, "well": p.healthy, "note": p.note})).collect();
     let (answered, spoilt) = board.checks();
     let tallies = context.dispatcher.with(|core, _| core.counts().clone());
     json!({
-        "done": true, "state": now.state.name(), "weight": now.weight, "cause": now.cause.words(),
-        "most": board.bound(), "phase": format!("{:?}", board.phase()).to_lowercase(),
+        "done": true, "state": now.state.name(), "weight": now.weight, "cause": now.cause.description(),
+        "most": board.bound(), "phase": board.phase().name(),
         "untold": board.untold(),
         "balancers": board.askers().iter().map(asker).collect::<Vec<_>>(), "parts": parts,
         "checks": {"answered": answered, "spoilt": spoilt},
--- a/router/src/checks/grpc.rs
+++ b/router/src/checks/grpc.rs
@@ -8,12 +8,12 @@
 use h2::server::SendResponse;
 use h2::{RecvStream, SendStream};
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode};
-use tallypin_health::askers::Kind;
-use tallypin_health::grpc::{
-    self, Code, HealthCheckRequest, HealthCheckResponse, HealthListRequest, HealthListResponse,
-    ServingStatus, Watch,
+use tallypin_health::checkers::CheckProtocol;
+use tallypin_health::grpc_health::{
+    self, GrpcStatusCode, HealthCheckRequest, HealthCheckResponse, HealthListRequest, HealthListResponse,
+    ServingStatus, WatchState,
 };
-use tallypin_health::orca::{self, OrcaLoadReportRequest};
+use tallypin_health::load_report::{self, OrcaLoadReportRequest};
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
@@ -151,11 +151,11 @@
             }
         };
         let _ = match head.uri.path() {
-            grpc::CHECK => self.check(bytes, respond),
-            grpc::LIST => self.list(bytes, respond),
-            grpc::WATCH => self.watch(bytes, respond).await,
-            orca::STREAM if self.reports().is_some() => self.stream_reports(bytes, respond).await,
-            _ => self.fail(&mut respond, Code::Unimplemented, "no such method"),
+            grpc_health::CHECK => self.check(bytes, respond),
+            grpc_health::LIST => self.list(bytes, respond),
+            grpc_health::WATCH => self.watch(bytes, respond).await,
+            load_report::STREAM if self.reports().is_some() => self.stream_reports(bytes, respond).await,
+            _ => self.fail(&mut respond, GrpcStatusCode::Unimplemented, "no such method"),
         };
     }
 
@@ -164,7 +164,12 @@
     }
 
     /// An answer that is only an error: everything in the head.
-    fn fail(&self, respond: &mut SendResponse<Bytes>, code: Code, why: &'static str) -> Result<(), Left> {
+    fn fail(
+        &self,
+        respond: &mut SendResponse<Bytes>,
+        code: GrpcStatusCode,
+        why: &'static str,
+    ) -> Result<(), Left> {
         self.board.spoilt();
         let mut response = begun();
         response.headers_mut().extend(trailers(code, why));
@@ -173,60 +178,69 @@
     }
 
     fn check(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), Left> {
-        let asked = match grpc::take::<HealthCheckRequest>(&mut bytes) {
+        let asked = match grpc_health::decode_frame::<HealthCheckRequest>(&mut bytes) {
             Ok(asked) => asked.unwrap_or_default(),
-            Err(_) => return self.fail(&mut respond, Code::InvalidArgument, "no HealthCheckRequest"),
+            Err(_) => {
+                return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthCheckRequest")
+            }
         };
         let state = self.board.assessment().state;
-        let Some(now) = grpc::status(&asked.service, self.board.services(), state) else {
-            return self.fail(&mut respond, Code::NotFound, "no such service");
+        let Some(now) = grpc_health::service_status(&asked.service, self.board.services(), state) else {
+            return self.fail(&mut respond, GrpcStatusCode::NotFound, "no such service");
         };
-        self.board.asked(self.ip, Kind::Grpc);
-        let message = grpc::frame(&HealthCheckResponse { status: now as i32 });
+        self.board.asked(self.ip, CheckProtocol::Grpc);
+        let message = grpc_health::encode_frame(&HealthCheckResponse { status: now as i32 });
         finish(respond.send_response(begun(), false)?, message)
     }
 
     fn list(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), Left> {
-        if grpc::take::<HealthListRequest>(&mut bytes).is_err() {
-            return self.fail(&mut respond, Code::InvalidArgument, "no HealthListRequest");
+        if grpc_health::decode_frame::<HealthListRequest>(&mut bytes).is_err() {
+            return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthListRequest");
         }
         let status = ServingStatus::from(self.board.assessment().state) as i32;
         let names = self.board.services().iter().cloned().chain([String::new()]);
         let statuses = names.map(|name| (name, HealthCheckResponse { status })).collect();
-        self.board.asked(self.ip, Kind::Grpc);
-        finish(respond.send_response(begun(), false)?, grpc::frame(&HealthListResponse { statuses }))
+        self.board.asked(self.ip, CheckProtocol::Grpc);
+        finish(
+            respond.send_response(begun(), false)?,
+            grpc_health::encode_frame(&HealthListResponse { statuses }),
+        )
     }
 
     async fn watch(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), Left> {
-        let asked = match grpc::take::<HealthCheckRequest>(&mut bytes) {
+        let asked = match grpc_health::decode_frame::<HealthCheckRequest>(&mut bytes) {
             Ok(asked) => asked.unwrap_or_default(),
-            Err(_) => return self.fail(&mut respond, Code::InvalidArgument, "no HealthCheckRequest"),
+            Err(_) => {
+                return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthCheckRequest")
+            }
         };
         let Some(_standing) = Standing::enter(&self.board) else {
-            return self.fail(&mut respond, Code::ResourceExhausted, "too many watches");
+            return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many watches");
         };
-        let (mut now, mut watch) = (self.board.follow(), Watch::default());
+        let (mut now, mut watch) = (self.board.follow(), WatchState::default());
         let mut stream = respond.send_response(begun(), false)?;
         let _gone = Gone { board: self.board.clone(), ip: self.ip };
         loop {
             let state = now.borrow_and_update().state;
             let services = self.board.services();
             let status = |state| {
-                grpc::status(&asked.service, services, state).unwrap_or(ServingStatus::ServiceUnknown)
+                grpc_health::service_status(&asked.service, services, state)
+                    .unwrap_or(ServingStatus::ServiceUnknown)
             };
-            if watch.differs(status(state)) {
+            if watch.would_notify(status(state)) {
                 // Only when there is room for it: a watcher that reads slowly is told the newest then, and
                 // nothing queues up meanwhile. Every message has the same size, the smallest but one.
-                room(&mut stream, grpc::frame(&HealthCheckResponse { status: 1 }).len()).await?;
+                room(&mut stream, grpc_health::encode_frame(&HealthCheckResponse { status: 1 }).len())
+                    .await?;
                 let newest = status(now.borrow_and_update().state);
-                if let Some(response) = watch.next(newest) {
-                    stream.send_data(grpc::frame(&response), false)?;
-                    self.board.asked(self.ip, Kind::Watch);
+                if let Some(response) = watch.notify(newest) {
+                    stream.send_data(grpc_health::encode_frame(&response), false)?;
+                    self.board.asked(self.ip, CheckProtocol::Watch);
                 }
             }
             tokio::select! {
                 changed = now.changed() => if changed.is_err() {
-                    stream.send_trailers(trailers(Code::Unavailable, "ending"))?;
+                    stream.send_trailers(trailers(GrpcStatusCode::Unavailable, "ending"))?;
                     return Ok(());
                 },
                 _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => return Err(Left),
@@ -239,16 +253,18 @@
         mut bytes: BytesMut,
         mut respond: SendResponse<Bytes>,
     ) -> Result<(), Left> {
-        let asked = match grpc::take::<OrcaLoadReportRequest>(&mut bytes) {
+        let asked = match grpc_health::decode_frame::<OrcaLoadReportRequest>(&mut bytes) {
             Ok(asked) => asked.unwrap_or_default(),
-            Err(_) => return self.fail(&mut respond, Code::InvalidArgument, "no OrcaLoadReportRequest"),
+            Err(_) => {
+                return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no OrcaLoadReportRequest")
+            }
         };
         let Some(_standing) = Standing::enter(&self.board) else {
-            return self.fail(&mut respond, Code::ResourceExhausted, "too many streams");
+            return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many streams");
         };
         let mut stream = respond.send_response(begun(), false)?;
         loop {
-            let message = grpc::frame(&self.board.report());
+            let message = grpc_health::encode_frame(&self.board.report());
             room(&mut stream, message.len()).await?;
             stream.send_data(message, false)?;
             let (least, most) = self.reports().ok_or(Left)?;
@@ -278,7 +294,7 @@
     response
 }
 
-fn trailers(code: Code, why: &'static str) -> HeaderMap {
+fn trailers(code: GrpcStatusCode, why: &'static str) -> HeaderMap {
     let mut map = HeaderMap::new();
     map.insert("grpc-status", HeaderValue::from(code as u16));
     if !why.is_empty() {
@@ -290,7 +306,7 @@
 /// The one message of an answer, and its end. It is small: the window of a new stream holds it.
 fn finish(mut stream: SendStream<Bytes>, message: Bytes) -> Result<(), Left> {
     stream.send_data(message, false)?;
-    stream.send_trailers(trailers(Code::Ok, ""))?;
+    stream.send_trailers(trailers(GrpcStatusCode::Ok, ""))?;
     Ok(())
 }
 
@@ -317,7 +333,7 @@
     let mut all = BytesMut::new();
     while let Some(data) = body.data().await {
         let data = data?;
-        if all.len() + data.len() > grpc::LARGEST + 5 {
+        if all.len() + data.len() > grpc_health::MAX_MESSAGE_BYTES + 5 {
             return Err(Left);
         }
         all.extend_from_slice(&data);
--- a/router/src/checks/http.rs
+++ b/router/src/checks/http.rs
@@ -1,8 +1,8 @@
 //! Checks over HTTP/1: one after the other on a connection, each within its budget.
 
 use bytes::{Buf, Bytes};
-use tallypin_health::askers::Kind;
-use tallypin_health::http::{sent_state, Answer, Asked};
+use tallypin_health::checkers::CheckProtocol;
+use tallypin_health::http_check::{parse_server_state, CheckRequest, CheckResponse};
 use tokio::time::timeout;
 
 use super::listen::Call;
@@ -101,37 +101,40 @@
     }
 }
 
-fn refusal(status: u16) -> Answer {
+fn refusal(status: u16) -> CheckResponse {
     let fields = "Content-Type: text/plain; charset=utf-8\r\n".to_string();
-    Answer { status, fields, body: format!("{}\n", reason_phrase(status).to_lowercase()) }
+    CheckResponse { status, fields, body: format!("{}\n", reason_phrase(status).to_lowercase()) }
 }
 
-fn decide(call: &Call, head: &MessageHead) -> Answer {
+fn decide(call: &Call, head: &MessageHead) -> CheckResponse {
     let StartLine::Request(method, target) = &head.start_line else { return refusal(400) };
     let (Ok(method), Ok(target)) = (std::str::from_utf8(method), std::str::from_utf8(target)) else {
         return refusal(400);
     };
     let accept = head.text_value("accept").ok().flatten();
     let (now, parts) = (call.board.assessment(), call.board.parts());
-    let answer =
-        call.board.of_checks(|c| c.policy.answer(Asked { method, target, accept }, &now, &parts)).flatten();
+    let answer = call
+        .board
+        .of_checks(|c| c.policy.answer(CheckRequest { method, target, accept }, &now, &parts))
+        .flatten();
     let Some(answer) = answer else {
         call.board.spoilt();
         return refusal(404);
     };
     // Whether it lives is asked by whoever would restart it, not by a balancer that has to hear of a drain.
     if !target.starts_with("/livez") && answer.status != 405 {
-        call.board.asked(call.ip, Kind::Http);
+        call.board.asked(call.ip, CheckProtocol::Http);
     }
-    if let Some(sent) = head.text_value("x-haproxy-server-state").ok().flatten().and_then(sent_state) {
+    if let Some(sent) = head.text_value("x-haproxy-server-state").ok().flatten().and_then(parse_server_state)
+    {
         tracing::debug!(target: "checks", client = %call.ip, held = sent.state, name = sent.name,
             balancer = sent.node, "a balancer says how it holds this router");
     }
     answer
 }
 
-async fn say(call: &mut Call, answer: Answer, bodiless: bool, keeps: bool) -> std::io::Result<()> {
-    let Answer { status, fields, body } = answer;
+async fn say(call: &mut Call, answer: CheckResponse, bodiless: bool, keeps: bool) -> std::io::Result<()> {
+    let CheckResponse { status, fields, body } = answer;
     let last = if keeps { "" } else { "Connection: close\r\n" };
     let (why, length) = (reason_phrase(status), body.len());
     let head = format!("HTTP/1.1 {status} {why}\r\n{fields}{last}Content-Length: {length}\r\n\r\n");
--- a/router/src/checks/mod.rs
+++ b/router/src/checks/mod.rs
@@ -15,11 +15,11 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use tallypin_health::askers::{Askers, Kind, Shown, Who};
-use tallypin_health::http::{envoy_fields, Part};
-use tallypin_health::orca::OrcaLoadReport;
-use tallypin_health::plan::{Phase, Plan, Wish};
-use tallypin_health::state::{Assessment, Assessor, Order, Signals};
+use tallypin_health::assessment::{Assessment, HealthAssessor, OperatorOrder, Signals};
+use tallypin_health::checkers::{CheckProtocol, CheckerId, CheckerRegistry, CheckerStatus};
+use tallypin_health::drain_sequence::{DrainGoal, DrainPhase, DrainSequence};
+use tallypin_health::http_check::{envoy_fields, Component};
+use tallypin_health::load_report::OrcaLoadReport;
 use tallypin_health::Age;
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
@@ -38,20 +38,20 @@
     /// Told when they have changed.
     changed: watch::Sender<u64>,
     health: RefCell<HealthSettings>,
-    assessor: RefCell<Assessor>,
-    askers: RefCell<Askers>,
-    plan: RefCell<Plan>,
+    assessor: RefCell<HealthAssessor>,
+    askers: RefCell<CheckerRegistry>,
+    plan: RefCell<DrainSequence>,
     /// As measured last.
     signals: Cell<Signals>,
     most: Cell<u8>,
-    order: Cell<Order>,
+    order: Cell<OperatorOrder>,
     ending: Cell<bool>,
     now: watch::Sender<Assessment>,
-    phase: watch::Sender<Phase>,
+    phase: watch::Sender<DrainPhase>,
     /// True once nothing is told any more.
     over: watch::Sender<bool>,
     report: RefCell<OrcaLoadReport>,
-    parts: RefCell<Vec<Part>>,
+    parts: RefCell<Vec<Component>>,
     outward: Rc<Outward>,
     /// The names that services have, besides the empty one.
     services: Vec<String>,
@@ -68,7 +68,7 @@
     /// A board that says *degraded, started a moment ago* until it is told more.
     pub fn new(installation: &Installation, outward: Rc<Outward>) -> Rc<Board> {
         let health = installation.health.clone();
-        let assessor = Assessor::new(health.figures);
+        let assessor = HealthAssessor::new(health.figures);
         let checks = installation.checks.clone();
         let connections = checks.as_ref().map_or(0, |c| c.connections);
         let mut services = vec!["platform".to_string()];
@@ -76,15 +76,15 @@
         Rc::new(Board {
             start: Instant::now(),
             changed: watch::Sender::new(0),
-            now: watch::Sender::new(assessor.told()),
-            phase: watch::Sender::new(Phase::Serving),
+            now: watch::Sender::new(assessor.current()),
+            phase: watch::Sender::new(DrainPhase::Serving),
             over: watch::Sender::new(false),
             assessor: RefCell::new(assessor),
-            askers: RefCell::new(Askers::new(health.askers)),
-            plan: RefCell::new(Plan::new(health.drain)),
+            askers: RefCell::new(CheckerRegistry::new(health.askers)),
+            plan: RefCell::new(DrainSequence::new(health.drain)),
             signals: Cell::default(),
             most: Cell::new(100),
-            order: Cell::new(Order::Ready),
+            order: Cell::new(OperatorOrder::Ready),
             ending: Cell::new(false),
             report: RefCell::default(),
             parts: RefCell::default(),
@@ -133,16 +133,16 @@
     }
 
     /// The parts of a verbose page.
-    pub fn parts(&self) -> Vec<Part> {
+    pub fn parts(&self) -> Vec<Component> {
         self.parts.borrow().clone()
     }
 
     /// Takes over other settings, as far as they can be while it runs.
     pub fn adopt(&self, installation: &Installation) {
         let health = &installation.health;
-        self.assessor.borrow_mut().adopt(health.figures);
-        self.askers.borrow_mut().adopt(health.askers);
-        self.plan.borrow_mut().adopt(health.drain);
+        self.assessor.borrow_mut().reconfigure(health.figures);
+        self.askers.borrow_mut().reconfigure(health.askers);
+        self.plan.borrow_mut().reconfigure(health.drain);
         let every = self.health().every;
         *self.health.borrow_mut() = HealthSettings { every, ..health.clone() };
         // Which listeners there are is decided at the start; where they are is not.
@@ -168,7 +168,7 @@
     }
 
     /// What was measured, and what is told in consequence.
-    pub fn measured(&self, signals: Signals, report: OrcaLoadReport, parts: Vec<Part>) {
+    pub fn measured(&self, signals: Signals, report: OrcaLoadReport, parts: Vec<Component>) {
         *self.parts.borrow_mut() = parts;
         *self.report.borrow_mut() = report;
         self.signals.set(signals);
@@ -176,8 +176,12 @@
     }
 
     fn assess(&self, signals: Signals) {
-        let signals =
-            Signals { order: self.order.get(), most: self.most.get(), ending: self.ending.get(), ..signals };
+        let signals = Signals {
+            order: self.order.get(),
+            max_weight: self.most.get(),
+            shutting_down: self.ending.get(),
+            ..signals
+        };
         let told = self.assessor.borrow_mut().step(self.age(), &signals);
         self.outward.tell(told);
         // In the report that goes out with it, not in the next one.
@@ -186,25 +190,27 @@
         let before = self.now.send_replace(told);
         if before.state != told.state {
             tracing::info!(target: "checks", state = %told.state, weight = told.weight,
-                why = told.cause.words(), "state told to balancers");
+                why = told.cause.description(), "state told to balancers");
         }
         let fields = self.of_checks(|c| {
             let envoy = if c.policy.envoy { envoy_fields(told.state) } else { "" };
-            let load = c.report.map(|form| self.report.borrow().field(form)).unwrap_or_default();
+            let load = c.report.map(|form| self.report.borrow().header_field(form)).unwrap_or_default();
             format!("{envoy}{load}")
         });
         self.outward.say(&fields.unwrap_or_default());
     }
 
     /// Someone has asked, and is told the state as it is now.
-    pub fn asked(&self, ip: IpAddr, kind: Kind) {
+    pub fn asked(&self, ip: IpAddr, kind: CheckProtocol) {
         self.answered.set(self.answered.get() + 1);
-        self.askers.borrow_mut().asked(self.age(), Who { ip: ip.to_canonical(), kind });
+        self.askers
+            .borrow_mut()
+            .record_check(self.age(), CheckerId { ip: ip.to_canonical(), protocol: kind });
     }
 
     /// A watcher has gone.
     pub fn left(&self, ip: IpAddr) {
-        self.askers.borrow_mut().left(Who { ip: ip.to_canonical(), kind: Kind::Watch });
+        self.askers.borrow_mut().remove(CheckerId { ip: ip.to_canonical(), protocol: CheckProtocol::Watch });
     }
 
     /// A check that was none, or was not whole in time.
@@ -223,8 +229,8 @@
     }
 
     /// Who has asked of late.
-    pub fn askers(&self) -> Vec<Shown> {
-        self.askers.borrow().show(self.age())
+    pub fn askers(&self) -> Vec<CheckerStatus> {
+        self.askers.borrow().statuses(self.age())
     }
 
     /// The operator's bound on the weight, 1 to 100.
@@ -238,22 +244,22 @@
     }
 
     /// The operator's order.
-    pub fn order(&self) -> Order {
+    pub fn order(&self) -> OperatorOrder {
         self.order.get()
     }
 
     /// Something else is wanted of the router. False: too late.
-    pub fn want(&self, wish: Wish, order: Order) -> bool {
+    pub fn want(&self, wish: DrainGoal, order: OperatorOrder) -> bool {
         let now = self.age();
-        if !self.plan.borrow_mut().want(now, wish) {
+        if !self.plan.borrow_mut().set_goal(now, wish) {
             return false;
         }
         self.order.set(order);
-        self.ending.set(wish == Wish::End);
+        self.ending.set(wish == DrainGoal::Exit);
         let mut askers = self.askers.borrow_mut();
         match wish {
-            Wish::Serve => askers.undrain(),
-            _ => askers.drain(now),
+            DrainGoal::Serve => askers.cancel_drain(),
+            _ => askers.begin_drain(now),
         }
         drop(askers);
         // Told from this moment on, not from the next measurement.
@@ -263,27 +269,27 @@
     }
 
     /// The drain goes on.
-    pub fn go_on(&self) -> Phase {
+    pub fn go_on(&self) -> DrainPhase {
         let now = self.age();
-        let all_told = self.askers.borrow().all_told(now);
-        let phase = self.plan.borrow_mut().step(now, all_told);
+        let all_told = self.askers.borrow().all_notified(now);
+        let phase = self.plan.borrow_mut().advance(now, all_told);
         self.phase.send_if_modified(|p| std::mem::replace(p, phase) != phase);
         phase
     }
 
     /// The phase of a drain.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> DrainPhase {
         self.plan.borrow().phase()
     }
 
     /// The phase, to be followed.
-    pub fn phases(&self) -> watch::Receiver<Phase> {
+    pub fn phases(&self) -> watch::Receiver<DrainPhase> {
         self.phase.subscribe()
     }
 
     /// Whether the telling ended with someone untold.
     pub fn untold(&self) -> bool {
-        self.plan.borrow().untold()
+        self.plan.borrow().notify_timed_out()
     }
 }
 
--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use tallypin_health::exit::Style;
+use tallypin_health::exit_code::ExitCodeStyle;
 
 pub use help::help;
 pub use parse::parse;
@@ -49,7 +49,7 @@
         /// The path of an HTTP check.
         path: String,
         /// What the exit code says.
-        style: Style,
+        style: ExitCodeStyle,
         /// How long to wait.
         timeout: Duration,
     },
--- a/router/src/cli/parse.rs
+++ b/router/src/cli/parse.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use lexopt::prelude::*;
-use tallypin_health::exit::Style;
+use tallypin_health::exit_code::ExitCodeStyle;
 use tallypin_router::fleet::{operator_orders, release_plan};
 use tallypin_settings_schema::{Kind, Value as Setting};
 
@@ -23,7 +23,7 @@
     protocol: Protocol,
     service: String,
     path: String,
-    style: Style,
+    style: ExitCodeStyle,
     timeout: Duration,
     socket: Option<PathBuf>,
     id: Option<String>,
@@ -42,7 +42,7 @@
             protocol: Protocol::Agent,
             service: String::new(),
             path: "/healthz".into(),
-            style: Style::Plain,
+            style: ExitCodeStyle::Plain,
             timeout: Duration::from_secs(1),
             socket: None,
             id: None,
@@ -106,7 +106,7 @@
                 ("health", Long("protocol")) => options.protocol = protocol(&parser.value()?.string()?)?,
                 ("health", Long("service")) => options.service = parser.value()?.string()?,
                 ("health", Long("path")) => options.path = parser.value()?.string()?,
-                ("health", Long("weight-exit")) => options.style = Style::Weight,
+                ("health", Long("weight-exit")) => options.style = ExitCodeStyle::Weight,
                 ("health", Long("timeout")) => options.timeout = timeout(&parser.value()?.string()?)?,
                 ("ctl" | "fleet", Long("socket")) => options.socket = Some(parser.value()?.into()),
                 ("fleet", Long("id")) => options.id = Some(parser.value()?.string()?),
--- a/router/src/front/health.rs
+++ b/router/src/front/health.rs
@@ -5,7 +5,7 @@
 use std::io;
 
 use bytes::Bytes;
-use tallypin_health::state::State;
+use tallypin_health::assessment::HealthState;
 
 use super::{write, write_whole, FrontContext};
 use crate::http::{reason_phrase, BufferedConnection};
@@ -26,9 +26,9 @@
     /// The present state.
     pub fn of(context: &FrontContext) -> FrontHealth {
         match context.outward.told().map(|now| (now.state, now.weight)) {
-            Some((State::Up | State::Degraded, weight)) => return FrontHealth::Up(weight),
-            Some((State::Drain, _)) => return FrontHealth::Draining,
-            Some((State::Maint | State::Down, _)) => return FrontHealth::Down,
+            Some((HealthState::Up | HealthState::Degraded, weight)) => return FrontHealth::Up(weight),
+            Some((HealthState::Draining, _)) => return FrontHealth::Draining,
+            Some((HealthState::Maintenance | HealthState::Down, _)) => return FrontHealth::Down,
             None => {}
         }
         if context.lifecycle.stage() > Stage::Serving {
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -9,10 +9,10 @@
 
 use tallypin::api::{ClassId, TenantId};
 use tallypin::deployment::Deployment;
-use tallypin_health::http::{Policy, Statuses};
-use tallypin_health::orca::Form;
-use tallypin_health::preface::Senders;
-use tallypin_health::{askers, plan, state};
+use tallypin_health::http_check::{HttpCheckPolicy, StatusCodes};
+use tallypin_health::load_report::ReportFormat;
+use tallypin_health::proxy_protocol::TrustedSenders;
+use tallypin_health::{assessment, checkers, drain_sequence};
 use tallypin_settings_schema::{
     check, load, nearest, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
 };
@@ -270,9 +270,9 @@
     /// Where checks over HTTP are answered, if they are.
     pub http: Option<SocketAddr>,
     /// How.
-    pub policy: Policy,
+    pub policy: HttpCheckPolicy,
     /// The load report on ordinary answers, if there is one.
-    pub report: Option<Form>,
+    pub report: Option<ReportFormat>,
     /// gRPC, if it is served.
     pub grpc: Option<GrpcSettings>,
 }
@@ -305,13 +305,13 @@
     /// Measured so often.
     pub every: Duration,
     /// The decision's figures.
-    pub figures: state::Figures,
+    pub figures: assessment::AssessmentLimits,
     /// Open requests a warm model node is worth.
     pub node_room: usize,
     /// The figures of a drain.
-    pub drain: plan::Figures,
+    pub drain: drain_sequence::DrainTiming,
     /// How balancers are remembered.
-    pub askers: askers::Figures,
+    pub askers: checkers::CheckerLimits,
 }
 
 /// The operator's socket.
@@ -468,14 +468,14 @@
     if agent.is_none() && http.is_none() && grpc.is_none() {
         problems.push(Problem::new(s.place, "section `checks` holds none of `agent`, `http` and `grpc`"));
     }
-    let mut policy = Policy { envoy: s.on("envoy"), ..Policy::default() };
+    let mut policy = HttpCheckPolicy { envoy: s.on("envoy"), ..HttpCheckPolicy::default() };
     if let Some(http) = http {
         let status = |name: &str| http.number(name) as u16;
         (policy.paths, policy.methods) = (words(http, "paths"), words(http, "methods"));
-        policy.statuses = Statuses {
+        policy.statuses = StatusCodes {
             degraded: status("degraded"),
             drain: status("drain"),
-            maint: status("maint"),
+            maintenance: status("maint"),
             down: status("down"),
         };
         for e in http.all("paths") {
@@ -502,7 +502,7 @@
         }),
         http: http.and_then(|h| h.address("listen")),
         policy,
-        report: Form::named(s.text("report")),
+        report: ReportFormat::from_name(s.text("report")),
         grpc: grpc.and_then(|g| {
             let bounds = (g.duration("report-least"), g.duration("report-most"));
             let (watches, reports) = (g.number("watches") as usize, g.on("reports").then_some(bounds));
@@ -514,44 +514,44 @@
 fn health(health: Option<&Checked>, drain: Option<&Checked>) -> HealthSettings {
     let mut settings = HealthSettings {
         every: Duration::from_millis(100),
-        figures: state::Figures::default(),
+        figures: assessment::AssessmentLimits::default(),
         node_room: 16,
-        drain: plan::Figures::default(),
-        askers: askers::Figures::default(),
+        drain: drain_sequence::DrainTiming::default(),
+        askers: checkers::CheckerLimits::default(),
     };
     if let Some(s) = health {
         settings.every = s.duration("every");
         settings.node_room = s.number("node-room") as usize;
-        settings.figures = state::Figures {
-            floor: s.share("floor"),
+        settings.figures = assessment::AssessmentLimits {
+            min_weight: s.share("floor"),
             slow_start: s.duration("slow-start"),
-            step: s.share("step"),
-            band: s.share("band"),
-            smooth: s.duration("smooth"),
-            degraded: s.share("degraded-below"),
-            dwell: s.duration("dwell"),
-            tight: s.share("tight"),
-            late: s.duration("late"),
-            list_late: s.duration("list-late"),
-            failures: s.number("failures"),
-            witness_after: s.duration("witness-after"),
-            witness_fresh: s.duration("witness-fresh"),
-            retry: s.duration("retry"),
+            max_change_per_s: s.share("step"),
+            dead_band: s.share("band"),
+            smoothing: s.duration("smooth"),
+            degraded_below: s.share("degraded-below"),
+            min_dwell: s.duration("dwell"),
+            ample_free_share: s.share("tight"),
+            max_event_loop_delay: s.duration("late"),
+            max_list_silence: s.duration("list-late"),
+            max_unanswered: s.number("failures"),
+            peer_serving_after: s.duration("witness-after"),
+            peer_report_max_age: s.duration("witness-fresh"),
+            down_retry_after: s.duration("retry"),
         };
     }
     if let Some(s) = drain {
-        settings.drain = plan::Figures {
-            least: s.duration("least"),
-            most: s.duration("most"),
+        settings.drain = drain_sequence::DrainTiming {
+            min_notify: s.duration("least"),
+            max_notify: s.duration("most"),
             settle: s.duration("settle"),
-            parting: s.duration("parting"),
+            close_connections: s.duration("parting"),
         };
-        settings.askers = askers::Figures {
-            most: s.number("askers") as usize,
-            intervals: s.number("intervals") as u32,
-            unknown: s.duration("unknown-interval"),
-            longest: s.duration("longest-interval"),
-            times: s.number("times") as u32,
+        settings.askers = checkers::CheckerLimits {
+            max_checkers: s.number("askers") as usize,
+            silent_intervals: s.number("intervals") as u32,
+            default_interval: s.duration("unknown-interval"),
+            max_interval: s.duration("longest-interval"),
+            notifications: s.number("times") as u32,
         };
     }
     settings
@@ -564,7 +564,7 @@
         messages: s.on("messages"),
         checks: s.on("checks"),
         within: s.duration("within"),
-        senders: Senders::new(networks.clone()),
+        senders: TrustedSenders::new(networks.clone()),
     };
     if networks.is_empty() && (gate.platform || gate.messages || gate.checks) {
         problems.push(Problem::new(s.place, "section `proxy-protocol` is on and allows no `from`"));
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use cli::{Command, Protocol};
-use tallypin_health::exit;
+use tallypin_health::exit_code;
 use tallypin_router::checks::control::{Control, ToFleet};
 use tallypin_router::checks::{self, Board};
 use tallypin_router::components::Components;
@@ -91,11 +91,11 @@
             return match asked {
                 Ok(said) => {
                     println!("{}", said.words);
-                    ExitCode::from(exit::code(style, said.state, said.weight))
+                    ExitCode::from(exit_code::exit_code(style, said.state, said.weight))
                 }
                 Err(e) => {
                     eprintln!("tallypin: {at}: {e}");
-                    ExitCode::from(exit::NO_ANSWER)
+                    ExitCode::from(exit_code::NO_ANSWER)
                 }
             };
         }
--- a/router/src/outward.rs
+++ b/router/src/outward.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use tallypin_health::preface::{self, Preface, Senders};
-use tallypin_health::state::Assessment;
+use tallypin_health::assessment::Assessment;
+use tallypin_health::proxy_protocol::{self, ProxyHeader, TrustedSenders};
 use tokio::time::timeout;
 
 use crate::http::BufferedConnection;
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Gate {
     /// The balancers' networks.
-    pub senders: Senders,
+    pub senders: TrustedSenders,
     /// The platform's front wants it.
     pub platform: bool,
     /// The messages API wants it.
@@ -112,7 +112,7 @@
         let peer = wire.stream.peer_addr().ok()?;
         // From anybody else it is no preface but an attempt to be someone: it stays where it is, and is no
         // request either.
-        if !self.gate.borrow().senders.sends(peer.ip()) {
+        if !self.gate.borrow().senders.contains(peer.ip()) {
             return Some(Origin { client: Some(peer) });
         }
         let found = timeout(within, read_preface(wire)).await;
@@ -133,20 +133,20 @@
 async fn read_preface(wire: &mut BufferedConnection) -> Result<Option<SocketAddr>, &'static str> {
     use bytes::Buf;
     loop {
-        match preface::read(&wire.unread) {
-            Preface::More => match wire.read_more().await {
+        match proxy_protocol::parse(&wire.unread) {
+            ProxyHeader::Incomplete => match wire.read_more().await {
                 Ok(true) => {}
                 _ => return Err("closed before its PROXY preface"),
             },
-            Preface::From(length, client) => {
+            ProxyHeader::Proxied(length, client) => {
                 wire.unread.advance(length);
                 return Ok(Some(client));
             }
-            Preface::Local(length) => {
+            ProxyHeader::Local(length) => {
                 wire.unread.advance(length);
                 return Ok(None);
             }
-            Preface::Bad(why) => return Err(why),
+            ProxyHeader::Invalid(why) => return Err(why),
         }
     }
 }
--- a/router/src/probe.rs
+++ b/router/src/probe.rs
@@ -7,9 +7,9 @@
 
 use bytes::{Bytes, BytesMut};
 use http::Request;
-use tallypin_health::agent::{Admin, Operation, Says};
-use tallypin_health::grpc::{self, HealthCheckRequest, HealthCheckResponse, ServingStatus};
-use tallypin_health::state::State;
+use tallypin_health::agent_check::{AdminState, AgentReply, OperationalState};
+use tallypin_health::assessment::HealthState;
+use tallypin_health::grpc_health::{self, HealthCheckRequest, HealthCheckResponse, ServingStatus};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpStream, UnixStream};
 
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Said {
     /// The state.
-    pub state: State,
+    pub state: HealthState,
     /// The weight, 1 to 100; 100 where the protocol has none.
     pub weight: u8,
     /// As it was said.
@@ -37,12 +37,12 @@
     stream.write_all(format!("{service}\n").as_bytes()).await?;
     let mut bytes = Vec::new();
     stream.take(LONGEST).read_to_end(&mut bytes).await?;
-    let says = Says::read(&bytes, true).map_err(wrong)?;
+    let says = AgentReply::parse(&bytes, true).map_err(wrong)?;
     let state = match (says.admin, says.operation) {
-        (_, Some(Operation::Down | Operation::Failed)) => State::Down,
-        (Some(Admin::Maint), _) | (_, Some(Operation::Stopped)) => State::Maint,
-        (Some(Admin::Drain), _) => State::Drain,
-        _ => State::Up,
+        (_, Some(OperationalState::Down | OperationalState::Failed)) => HealthState::Down,
+        (Some(AdminState::Maintenance), _) | (_, Some(OperationalState::Stopped)) => HealthState::Maintenance,
+        (Some(AdminState::Drain), _) => HealthState::Draining,
+        _ => HealthState::Up,
     };
     let weight = says.percent.unwrap_or(100).clamp(1, 100) as u8;
     Ok(Said { state, weight, words: says.to_string() })
@@ -64,9 +64,9 @@
     let body = String::from_utf8_lossy(&bytes[end..]);
     let words = format!("{status} {}", body.trim_end());
     let state = match status {
-        200..=399 => State::Up,
-        404 => State::Drain,
-        _ => State::Down,
+        200..=399 => HealthState::Up,
+        404 => HealthState::Draining,
+        _ => HealthState::Down,
     };
     Ok(Said { state, weight: 100, words })
 }
@@ -76,13 +76,13 @@
     let stream = TcpStream::connect(at).await?;
     let (mut send, connection) = h2::client::handshake(stream).await.map_err(wrong)?;
     let driven = tokio::task::spawn_local(connection);
-    let request = Request::post(format!("http://{at}{}", grpc::CHECK))
+    let request = Request::post(format!("http://{at}{}", grpc_health::CHECK))
         .header("content-type", "application/grpc")
         .header("te", "trailers")
         .body(())
         .map_err(wrong)?;
     let (response, mut body) = send.send_request(request, false).map_err(wrong)?;
-    let message: Bytes = grpc::frame(&HealthCheckRequest { service: service.into() });
+    let message: Bytes = grpc_health::encode_frame(&HealthCheckRequest { service: service.into() });
     body.send_data(message, true).map_err(wrong)?;
     let response = response.await.map_err(wrong)?;
     let code =
@@ -93,20 +93,21 @@
     let (mut body, mut bytes) = (response.into_body(), BytesMut::new());
     while let Some(data) = body.data().await {
         let data = data.map_err(wrong)?;
-        if bytes.len() + data.len() > grpc::LARGEST {
+        if bytes.len() + data.len() > grpc_health::MAX_MESSAGE_BYTES {
             return Err(wrong("the answer is too long"));
         }
         bytes.extend_from_slice(&data);
         body.flow_control().release_capacity(data.len()).map_err(wrong)?;
     }
     driven.abort();
-    let answer = grpc::take::<HealthCheckResponse>(&mut bytes).map_err(|e| wrong(format!("{e:?}")))?;
+    let answer =
+        grpc_health::decode_frame::<HealthCheckResponse>(&mut bytes).map_err(|e| wrong(format!("{e:?}")))?;
     let answer = answer.ok_or_else(|| wrong("no answer in the stream"))?;
     let (state, words) = match answer.status() {
-        ServingStatus::Serving => (State::Up, "SERVING"),
-        ServingStatus::NotServing => (State::Down, "NOT_SERVING"),
-        ServingStatus::Unknown => (State::Down, "UNKNOWN"),
-        ServingStatus::ServiceUnknown => (State::Down, "SERVICE_UNKNOWN"),
+        ServingStatus::Serving => (HealthState::Up, "SERVING"),
+        ServingStatus::NotServing => (HealthState::Down, "NOT_SERVING"),
+        ServingStatus::Unknown => (HealthState::Down, "UNKNOWN"),
+        ServingStatus::ServiceUnknown => (HealthState::Down, "SERVICE_UNKNOWN"),
     };
     Ok(Said { state, weight: 100, words: words.into() })
 }
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -10,8 +10,8 @@
 use tallypin::name_hash;
 use tallypin_consensus::release_monitor::AnswerCounts;
 use tallypin_consensus::replica_drains::ReplicaView;
-use tallypin_health::plan::{Phase, Wish};
-use tallypin_health::state::{Order, State};
+use tallypin_health::assessment::{HealthState, OperatorOrder};
+use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
 use tallypin_membership::AdvertisedStatus;
 use tallypin_settings_schema::Problems;
 
@@ -35,7 +35,7 @@
 }
 
 impl ProcessControl {
-    fn request_phase(&self, wish: Wish, order: Order) -> Result<(), ShuttingDown> {
+    fn request_phase(&self, wish: DrainGoal, order: OperatorOrder) -> Result<(), ShuttingDown> {
         if !self.board.want(wish, order) {
             return Err(ShuttingDown);
         }
@@ -46,29 +46,31 @@
 
 impl RouterControl for ProcessControl {
     fn begin_drain(&self) -> Result<(), ShuttingDown> {
-        self.request_phase(Wish::Drain, Order::Drain)
+        self.request_phase(DrainGoal::Drain, OperatorOrder::Drain)
     }
 
     fn resume_service(&self) -> Result<(), ShuttingDown> {
-        self.request_phase(Wish::Serve, Order::Ready)
+        self.request_phase(DrainGoal::Serve, OperatorOrder::Ready)
     }
 
     fn is_drained(&self) -> bool {
         // Streams that were taken before are finished: the end itself waits for them as well.
-        self.board.phase() == Phase::Drained && self.components.with(|core, _| core.open_requests()) == 0
+        self.board.phase() == DrainPhase::Drained && self.components.with(|core, _| core.open_requests()) == 0
     }
 
     fn shut_down(&self) {
         // It shuts down already: as wanted.
-        let _ = self.request_phase(Wish::End, Order::Drain);
+        let _ = self.request_phase(DrainGoal::Exit, OperatorOrder::Drain);
     }
 
     fn advertised_status(&self) -> AdvertisedStatus {
         match (self.board.phase(), self.board.assessment().state) {
-            (Phase::Closing, _) => AdvertisedStatus::Ending,
+            (DrainPhase::ShuttingDown, _) => AdvertisedStatus::Ending,
             // It has just started, or has lost all: whoever came would be turned away.
-            (Phase::Serving, _) if self.components.replicas.ready_count() == 0 => AdvertisedStatus::Starting,
-            (Phase::Serving, State::Up | State::Degraded) => AdvertisedStatus::Serving,
+            (DrainPhase::Serving, _) if self.components.replicas.ready_count() == 0 => {
+                AdvertisedStatus::Starting
+            }
+            (DrainPhase::Serving, HealthState::Up | HealthState::Degraded) => AdvertisedStatus::Serving,
             _ => AdvertisedStatus::Draining,
         }
     }
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use tallypin::api::Nanos;
-use tallypin_health::plan::{Phase, Wish};
-use tallypin_health::state::Order;
+use tallypin_health::assessment::OperatorOrder;
+use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::{sleep, timeout, timeout_at};
 
@@ -69,7 +69,7 @@
 /// cuts it short.
 async fn notify_balancers(components: &Components, board: &Board, termination: &mut Termination) {
     tracing::info!(target: "drain", balancers = board.askers().len(), "shutdown signal received");
-    board.want(Wish::End, Order::Drain);
+    board.want(DrainGoal::Exit, OperatorOrder::Drain);
     signals::follow(&components.lifecycle, board.phase());
     tokio::select! {
         () = listeners_may_close(board) => {}
@@ -95,7 +95,7 @@
 
 async fn listeners_may_close(board: &Board) {
     // It fails only when the board is gone, and that outlives this.
-    let _ = board.phases().wait_for(|phase| *phase == Phase::Closing).await;
+    let _ = board.phases().wait_for(|phase| *phase == DrainPhase::ShuttingDown).await;
 }
 
 /// Waits until no client connection is open.
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -11,9 +11,9 @@
 
 use common::*;
 use tallypin::api::{Effect, ListUpdate, PeerId};
-use tallypin_health::plan::{Phase, Wish};
-use tallypin_health::state::{Order, State};
-use tallypin_health::{grpc, orca};
+use tallypin_health::assessment::{HealthState, OperatorOrder};
+use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
+use tallypin_health::{grpc_health, load_report};
 use tallypin_router::checks::control::{obey, Command, Control};
 use tallypin_router::checks::{self, Board, Listening};
 use tallypin_router::components::Components;
@@ -103,16 +103,16 @@
 async fn start(nodes: &[&Node], at: &[SocketAddr; 4], more: &[(&str, &str)]) -> Checked {
     let rows = nodes.iter().enumerate().map(|(i, n)| row(&format!("s-{i}"), n.addr, "active")).collect();
     let router = start_by(config(), rows, at, more, None).await;
-    router.until(|s| s == State::Up).await;
+    router.until(|s| s == HealthState::Up).await;
     router
 }
 
 impl Checked {
-    async fn until(&self, so: impl Fn(State) -> bool) {
+    async fn until(&self, so: impl Fn(HealthState) -> bool) {
         let _ = self.board.follow().wait_for(|now| so(now.state)).await;
     }
 
-    async fn phase(&self, phase: Phase) {
+    async fn phase(&self, phase: DrainPhase) {
         let _ = self.board.phases().wait_for(|p| *p == phase).await;
     }
 
@@ -144,7 +144,7 @@
 
     /// Goes to its end by itself, as on SIGTERM.
     fn end(&self) -> JoinHandle<()> {
-        assert!(self.board.want(Wish::End, Order::Drain));
+        assert!(self.board.want(DrainGoal::Exit, OperatorOrder::Drain));
         let (host, board) = (self.host.clone(), self.board.clone());
         spawn_local(async move { shutdown::when_drained(&host, &board).await })
     }
@@ -181,13 +181,13 @@
         // Whoever asks now is told now, on connections of before and after.
         assert_eq!(router.says().await, "up drain");
         assert_eq!(probe::grpc(at, "").await.unwrap().words, "NOT_SERVING");
-        assert_eq!(router.board.phase(), Phase::Telling, "the check over HTTP has not been told");
+        assert_eq!(router.board.phase(), DrainPhase::Notifying, "the check over HTTP has not been told");
         let (code, head, _, whole) = client.ask("").await;
         assert!(code == 200 && whole && field(&head, "connection").is_none(), "{head}");
         assert_eq!(status(&mut checker, "/healthz").await.0, 404);
         assert_eq!(status(&mut checker, "/livez").await.0, 200);
         until(|| *told.borrow() == [1, 2]).await;
-        router.phase(Phase::Parting).await;
+        router.phase(DrainPhase::ClosingConnections).await;
         let (code, head, _, whole) = client.ask("").await;
         assert!(code == 200 && whole && field(&head, "connection") == Some("close"), "{head}");
         // Taken back half way.
@@ -206,7 +206,7 @@
         router.says().await;
         probe::grpc(at, "").await.unwrap();
         status(&mut checker, "/healthz").await;
-        router.phase(Phase::Drained).await;
+        router.phase(DrainPhase::Drained).await;
         assert_eq!(client.stream.read(&mut [0; 8]).await.unwrap(), 0, "an idle connection closes");
         assert_eq!(Client::to(router.front).await.ask("").await.0, 200);
         let over = router.end();
@@ -234,7 +234,7 @@
             config.limits.drain_time = 30 * MS;
             config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = effect);
             let router = start_by(config, vec![row("s-0", node.addr, "active")], &ANYWHERE, &[], None).await;
-            router.until(|s| s == State::Up).await;
+            router.until(|s| s == HealthState::Up).await;
             let mut client = Client::to(router.front).await;
             client.send(&platform("", "{}")).await;
             node.next_request().await;
@@ -259,17 +259,17 @@
             )
         };
         list(vec![cold]);
-        router.until(|s| s == State::Degraded).await;
+        router.until(|s| s == HealthState::Degraded).await;
         let mut client = Client::to(router.http()).await;
         let (code, _, body) = status(&mut client, "/healthz").await;
         assert!(code == 200 && body.contains("every model node is cold"), "{body}");
         list(vec![]);
-        until(|| router.board.assessment().cause.words() == "no model node takes work").await;
+        until(|| router.board.assessment().cause.description() == "no model node takes work").await;
         assert!(router.says().await.starts_with("up ready "));
         let (code, _, body) = status(&mut client, "/readyz?verbose").await;
         assert!(code == 200 && body.contains("[-]nodes not well: 0 ready"), "{body}");
         list(vec![row("s-0", node.addr, "active")]);
-        router.until(|s| s == State::Up).await;
+        router.until(|s| s == HealthState::Up).await;
     });
 }
 
@@ -295,18 +295,18 @@
         for _ in 0..4 {
             client.ask("").await;
         }
-        until(|| router.board.assessment().cause.words() == "no model node answers").await;
+        until(|| router.board.assessment().cause.description() == "no model node answers").await;
         assert!(router.says().await.starts_with("up ready "), "nobody else is known to serve");
         let report = tallypin::served_report::encode(digest, 500, &[(7, 0)]);
         let mut every = tokio::time::interval(20 * MS);
-        while router.board.assessment().state != State::Down {
+        while router.board.assessment().state != HealthState::Down {
             every.tick().await;
             other.send_to(&report[0], mine).await.unwrap();
         }
         assert_eq!(router.says().await, "down ready #no model node answers here while another router serves");
-        assert_eq!(probe::http(router.http(), "/healthz").await.unwrap().state, State::Down);
+        assert_eq!(probe::http(router.http(), "/healthz").await.unwrap().state, HealthState::Down);
         // The witness falls silent: it may be the last router.
-        router.until(|s| s == State::Degraded).await;
+        router.until(|s| s == HealthState::Degraded).await;
     });
 }
 
@@ -334,8 +334,8 @@
                 silent.push(stream);
             }
             assert!(router.says().await.starts_with("up ready "));
-            assert_eq!(probe::http(router.http(), "/healthz").await.unwrap().state, State::Up);
-            assert_eq!(probe::grpc(router.grpc(), "").await.unwrap().state, State::Up);
+            assert_eq!(probe::http(router.http(), "/healthz").await.unwrap().state, HealthState::Up);
+            assert_eq!(probe::grpc(router.grpc(), "").await.unwrap().state, HealthState::Up);
         }
         let mut kept = 0;
         for s in &silent {
@@ -421,8 +421,8 @@
         });
         until(|| told.borrow().len() == 1).await;
         assert!(watch_once(at, "", 64 << 10, |_| std::future::ready(())).await.is_some(), "ended at once");
-        for order in [Order::Drain, Order::Ready, Order::Maint] {
-            let wish = if order == Order::Ready { Wish::Serve } else { Wish::Drain };
+        for order in [OperatorOrder::Drain, OperatorOrder::Ready, OperatorOrder::Maintenance] {
+            let wish = if order == OperatorOrder::Ready { DrainGoal::Serve } else { DrainGoal::Drain };
             router.board.want(wish, order);
             tokio::time::sleep(5 * MS).await;
         }
@@ -457,7 +457,7 @@
             }
         };
         assert!(TcpStream::connect(old.addr()).await.is_err(), "the old place is left");
-        router.board.want(Wish::Drain, Order::Drain);
+        router.board.want(DrainGoal::Drain, OperatorOrder::Drain);
         assert_eq!(status(&mut kept, "/healthz").await.0, 418, "a connection of before goes on");
         assert_eq!(status(&mut moved, "/healthz").await.0, 418);
         let (_, head, ..) = Client::to(router.front).await.ask("").await;
@@ -513,15 +513,15 @@
 /// Asks for the stream of load reports; gives its head and what drives the connection.
 async fn ask_reports(
     at: SocketAddr,
-    asked: &orca::OrcaLoadReportRequest,
+    asked: &load_report::OrcaLoadReportRequest,
 ) -> (http::Response<h2::RecvStream>, AbortHandle) {
     let stream = TcpStream::connect(at).await.unwrap();
     let (mut send, connection) = h2::client::handshake(stream).await.unwrap();
     let driven = spawn_local(connection).abort_handle();
-    let request = http::Request::post(format!("http://r{}", orca::STREAM));
+    let request = http::Request::post(format!("http://r{}", load_report::STREAM));
     let request = request.header("content-type", "application/grpc").body(()).unwrap();
     let (answer, mut body) = send.send_request(request, false).unwrap();
-    body.send_data(grpc::frame(asked), true).unwrap();
+    body.send_data(grpc_health::encode_frame(asked), true).unwrap();
     (answer.await.unwrap(), driven)
 }
 
@@ -532,8 +532,9 @@
         let node = Node::new(Chat).await;
         let on = "listen 127.0.0.1:0\n reports on\n report-least 10ms\n    }\n}";
         let router = start(&[&node], &ANYWHERE, &[("listen 127.0.0.1:0\n    }\n}", on)]).await;
-        let every = orca::ProtoDuration { seconds: 0, nanos: 20_000_000 };
-        let asked = orca::OrcaLoadReportRequest { report_interval: Some(every), request_cost_names: vec![] };
+        let every = load_report::ProtoDuration { seconds: 0, nanos: 20_000_000 };
+        let asked =
+            load_report::OrcaLoadReportRequest { report_interval: Some(every), request_cost_names: vec![] };
         let (answer, driven) = ask_reports(router.grpc(), &asked).await;
         let mut stream = answer.into_body();
         let (mut buf, mut reports) = (bytes::BytesMut::new(), Vec::new());
@@ -541,7 +542,9 @@
             let data = stream.data().await.unwrap().unwrap();
             stream.flow_control().release_capacity(data.len()).unwrap();
             buf.extend_from_slice(&data);
-            while let Some(report) = grpc::take::<orca::OrcaLoadReport>(&mut buf).unwrap() {
+            while let Some(report) =
+                grpc_health::decode_frame::<load_report::OrcaLoadReport>(&mut buf).unwrap()
+            {
                 reports.push(report);
             }
         }
@@ -582,7 +585,7 @@
             api.stream.write_all(preface).await.unwrap();
             assert_eq!(status(&mut api, "/healthz").await.0, 200);
         }
-        let askers: Vec<String> = router.board.askers().iter().map(|a| a.who.ip.to_string()).collect();
+        let askers: Vec<String> = router.board.askers().iter().map(|a| a.id.ip.to_string()).collect();
         assert!(askers.contains(&"192.0.2.7".into()) && askers.contains(&"127.0.0.1".into()), "{askers:?}");
         // A balancer that sends none, a broken one, or half of one: a close.
         for bytes in [b"GET /up HTTP/1.1\r\n\r\n".to_vec(), b"PROXY TCP4 x\r\n".to_vec(), line[..9].to_vec()]
@@ -754,7 +757,10 @@
         drop(down);
         let over = router.end();
         seldom.until(0, |h| !h.ready || !h.up).await;
-        assert!(router.board.phase() <= Phase::Parting, "it was still there when the second was told");
+        assert!(
+            router.board.phase() <= DrainPhase::ClosingConnections,
+            "it was still there when the second was told"
+        );
         assert!(!often.held(0).ready);
         over.await.unwrap();
         assert!(!router.board.untold());
