--- a/router/src/fleet/peer_table.rs
+++ b/router/src/fleet/peer_table.rs
@@ -58,12 +58,16 @@
         }
     }
 
-    /// Notes a call, so that it counts once.
+    /// Notes a call, so that it counts once. One that asks for the caller's incarnation is always accepted: the caller does
+    /// not know yet which numbers are new.
     ///
     /// # Errors
     ///
     /// It is of no router of the fleet, or not newer than the last one.
     pub fn accept_call(&self, call: &Call) -> Result<(), StaleCall> {
+        if matches!(call.request, Request::Incarnation) {
+            return Ok(());
+        }
         let mut last_calls = self.last_calls.borrow_mut();
         let last = last_calls.get_mut(usize::from(call.from)).ok_or(StaleCall)?;
         let last = match call.request {
--- a/router/src/fleet/peer_table/tests.rs
+++ b/router/src/fleet/peer_table/tests.rs
@@ -65,3 +65,11 @@
     let reports = table.release_reports(8 * S).unwrap_or_default();
     assert!(reports.iter().flatten().all(|r| (r.incarnation, r.counts.answered) == (8, 0)), "{reports:?}");
 }
+
+#[test]
+fn a_router_may_ask_for_its_incarnation_by_any_number() {
+    let table = table();
+    assert_eq!(table.accept_call(&heartbeat(8, 1)), Ok(()));
+    assert_eq!(table.accept_call(&call(0, 0, Request::Incarnation)), Ok(()));
+    assert_eq!(table.accept_call(&heartbeat(8, 2)), Ok(()), "and that changes nothing");
+}
--- a/router/src/fleet/release_plan/tests.rs
+++ b/router/src/fleet/release_plan/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn said(text: &str) -> Result<ReleaseRequest, String> {
+fn read_text(text: &str) -> Result<ReleaseRequest, String> {
     let get = |_: &Path| Ok(text.to_string());
     read("p.conf".as_ref(), &get).map_err(|p| p.to_string())
 }
@@ -10,7 +10,7 @@
     let digest = "a".repeat(64);
     let good =
         format!("release {{\n what settings\n digest {digest}\n wave r0\n wave zone a\n failed 0.5%\n}}\n");
-    let plan = said(&good).unwrap();
+    let plan = read_text(&good).unwrap();
     assert_eq!((plan.waves.len(), plan.plan.max_extra_failed, plan.plan.watch_ms), (2, 5, 60_000));
     assert_eq!(plan.waves[1], ["zone", "a"]);
     for (from, to, why) in [
@@ -21,9 +21,9 @@
         ("digest", "file nowhere\n digest", "either `file` or `digest`"),
         ("release", "realease", "release"),
     ] {
-        let told = said(&good.replacen(from, to, 1)).unwrap_err();
-        assert!(told.contains(why), "{to}: {told}");
+        let message = read_text(&good.replacen(from, to, 1)).unwrap_err();
+        assert!(message.contains(why), "{to}: {message}");
     }
     let missing = good.replace(&format!("digest {digest}"), "file nowhere-at-all");
-    assert!(said(&missing).unwrap_err().contains("nowhere-at-all"));
+    assert!(read_text(&missing).unwrap_err().contains("nowhere-at-all"));
 }
--- a/router/src/fleet/server.rs
+++ b/router/src/fleet/server.rs
@@ -161,9 +161,6 @@
     }
 
     async fn answer(&self, call: Call) -> Result<Answer, ConnectionError> {
-        if matches!(call.request, Request::Incarnation) {
-            return Ok(Response::Incarnation(self.peers.latest_incarnation(call.from)).into());
-        }
         self.peers.accept_call(&call)?;
         let Call { from, incarnation, request, report, .. } = call;
         match request {
@@ -180,7 +177,7 @@
             }
             // Other connections are served meanwhile: it waits for agreement.
             Request::Submit(command) => Ok(Response::Submitted(self.proposer.enqueue(command).await).into()),
-            Request::Incarnation => Err(StaleCall.into()),
+            Request::Incarnation => Ok(Response::Incarnation(self.peers.latest_incarnation(from)).into()),
         }
     }
 }
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -133,7 +133,7 @@
 fn router(entry: &Entry) -> FleetRouter {
     let address = match entry.values.get(1) {
         Some(Value::Address(address)) => *address,
-        // Told already as a problem of the entry.
+        // Reported already as a problem of the entry.
         _ => ([127, 0, 0, 1], 0).into(),
     };
     FleetRouter { name: entry.text(0).into(), address, zone: entry.text(2).into() }
@@ -142,7 +142,7 @@
 fn path(entry: &Entry, word: usize) -> PathBuf {
     match entry.values.get(word) {
         Some(Value::Path(path)) => Path::to_path_buf(path),
-        // Told already as a problem of the entry.
+        // Reported already as a problem of the entry.
         _ => PathBuf::new(),
     }
 }
--- a/router/src/fleet/stored_state/tests.rs
+++ b/router/src/fleet/stored_state/tests.rs
@@ -18,7 +18,7 @@
 #[test]
 fn a_recorded_file_is_written_and_read_as_it_was() {
     let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/fleet");
-    let (path, told) = (recorded.join("folder/stored"), recorded.join("stored.txt"));
+    let (path, reading) = (recorded.join("folder/stored"), recorded.join("stored.txt"));
     let bytes = std::fs::read(&path).unwrap();
     let body = &bytes[bytes.iter().position(|b| *b == b'\n').unwrap() + 1..];
     let stored: Stored = serde_json::from_slice(body).unwrap();
@@ -50,8 +50,8 @@
     assert_eq!(std::fs::read(dir.path().join("again")).unwrap(), written);
     if std::env::var_os("RECORD").is_some() {
         std::fs::write(&path, &written).unwrap();
-        std::fs::write(&told, &got).unwrap();
+        std::fs::write(&reading, &got).unwrap();
     }
     assert_eq!(std::fs::read(&path).unwrap(), written);
-    assert_eq!(got, std::fs::read_to_string(&told).unwrap());
+    assert_eq!(got, std::fs::read_to_string(&reading).unwrap());
 }
