--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -2,18 +2,17 @@
 //! down to start with another file, and sends nothing new to replicas that operators have drained.
 
 use std::collections::BTreeMap;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use rustc_hash::FxHashMap;
-use tallypin::api::{EndpointState, Nanos};
+use rustc_hash::FxHashSet;
+use tallypin::api::{EndpointState, Nanos, ReplicaId};
 use tallypin::name_hash;
 use tallypin_consensus::release_monitor::AnswerCounts;
 use tallypin_consensus::replica_drains::ReplicaView;
 use tallypin_health::assessment::{HealthState, OperatorOrder};
 use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
 use tallypin_membership::AdvertisedStatus;
-use tallypin_settings_schema::Problems;
 
 use crate::checks::{signals, Board};
 use crate::components::Components;
@@ -42,6 +41,21 @@
         signals::follow(&self.components.lifecycle, self.board.phase());
         Ok(())
     }
+
+    /// Reads a settings file with this text in its place, and the files that it includes as they are.
+    fn validate_settings(&self, text: &str) -> Result<(), InvalidArtifact> {
+        let read = |path: &Path| match path == self.settings {
+            true => Ok(text.to_string()),
+            false => std::fs::read_to_string(path),
+        };
+        match Installation::read_by(&self.settings, &self.components.deployment, &read) {
+            Ok(_) => Ok(()),
+            Err(problems) => {
+                let first = problems.short().next();
+                Err(InvalidArtifact::Settings(first.unwrap_or_else(|| "not understood".into())))
+            }
+        }
+    }
 }
 
 impl RouterControl for ProcessControl {
@@ -76,12 +90,13 @@
     }
 
     fn answer_counts(&self) -> AnswerCounts {
-        let (t, late) = self.components.with(|core, _| (core.counts().clone(), core.late_streams()));
+        let (counts, late) = self.components.with(|core, _| (core.counts().clone(), core.late_streams()));
         AnswerCounts {
-            answered: t.completed + t.interrupted + t.rejected + t.failed,
-            failed: t.failed + t.interrupted,
+            answered: counts.completed + counts.interrupted + counts.rejected + counts.failed,
+            failed: counts.failed + counts.interrupted,
             late,
-            rejected: t.rejected - t.rejected_over_quota,
+            // A tenant over its quota says nothing of the release.
+            rejected: counts.rejected - counts.rejected_over_quota,
         }
     }
 
@@ -90,23 +105,23 @@
         if !components.endpoint_list.state.is_fresh() {
             return None;
         }
-        let word = |words: &[String], at: u32| words.get(at as usize).cloned().unwrap_or_default();
-        let (rows, view) = components
+        let (entries, snapshots) = components
             .with(|core, now| (core.listed_replicas().cloned().collect::<Vec<_>>(), core.view(now)));
-        let seen: FxHashMap<_, bool> =
-            view.into_iter().map(|s| (s.replica, s.is_warming_up || s.ejected_for > 0)).collect();
-        let nodes = rows.into_iter().map(|row| {
-            let out = row.state != EndpointState::Ready || seen.get(&row.replica) == Some(&true);
-            let (zone, kind) = (
-                word(&components.deployment.zones, row.zone.0),
-                word(&components.deployment.kinds, row.kind),
-            );
-            (
-                components.replicas.name(row.replica).to_string(),
-                ReplicaView { zone, kind, out_of_service: out },
-            )
+        let impaired: FxHashSet<ReplicaId> = snapshots
+            .into_iter()
+            .filter(|snapshot| snapshot.is_warming_up || snapshot.ejected_for > 0)
+            .map(|snapshot| snapshot.replica)
+            .collect();
+        let name = |names: &[String], index: u32| names.get(index as usize).cloned().unwrap_or_default();
+        let views = entries.into_iter().map(|entry| {
+            let view = ReplicaView {
+                zone: name(&components.deployment.zones, entry.zone.0),
+                kind: name(&components.deployment.kinds, entry.kind),
+                out_of_service: entry.state != EndpointState::Ready || impaired.contains(&entry.replica),
+            };
+            (components.replicas.name(entry.replica).to_string(), view)
         });
-        Some(nodes.collect())
+        Some(views.collect())
     }
 
     fn set_replica_overrides(&self, drained: &[String], restored: &[RestoredReplica]) {
@@ -128,22 +143,11 @@
     fn validate_artifact(&self, artifact: &str, bytes: &[u8]) -> Result<(), InvalidArtifact> {
         let text = || std::str::from_utf8(bytes).map_err(|_| InvalidArtifact::NotText);
         match artifact {
-            "settings" => {
-                let text = text()?;
-                let read = |path: &std::path::Path| match path == self.settings {
-                    true => Ok(text.to_string()),
-                    false => std::fs::read_to_string(path),
-                };
-                let read = Installation::read_by(&self.settings, &self.components.deployment, &read);
-                let first = |problems: Problems| problems.short().next();
-                read.map(drop).map_err(|problems| {
-                    InvalidArtifact::Settings(first(problems).unwrap_or_else(|| "not understood".into()))
-                })
-            }
-            "configuration" => {
-                let parsed = Config::parse(text()?);
-                parsed.map(drop).map_err(|e| InvalidArtifact::Configuration(e.to_string()))
-            }
+            "settings" => self.validate_settings(text()?),
+            "configuration" => match Config::parse(text()?) {
+                Ok(_) => Ok(()),
+                Err(error) => Err(InvalidArtifact::Configuration(error.to_string())),
+            },
             // Of a program nothing is known before it starts.
             _ => Ok(()),
         }
