--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -205,80 +205,21 @@
     }
 
     fn check(&mut self, action: &Action) {
-        let now = self.now;
         match action {
-            Action::Send { request, replica, timeout: limit } => {
-                let rows = &self.entries;
-                let k = self.requests.get_mut(request).expect("a request that was given");
-                assert!(!k.is_over, "rule 1: nothing after the end");
-                assert!(now <= k.deadline, "rule 1: not after the deadline");
-                assert!(k.attempts.len() < self.settings.max_attempts as usize, "within the limit of tries");
-                assert!(*limit > 0 && now + limit <= k.deadline + MS, "ends by the deadline");
-                let to = rows.get(replica).expect("a replica that was listed");
-                assert_eq!(to.state, EndpointState::Ready, "rule 3: only to ready replicas");
-                let class =
-                    &self.settings.classes[(k.request.class.0 as usize).min(self.settings.classes.len() - 1)];
-                for s in &k.attempts {
-                    assert!(
-                        s.outcome.is_some() || self.settings.concurrent_attempts,
-                        "rule 2: one at a time"
-                    );
-                    if s.outcome.is_some_and(Outcome::never_ran) {
-                        continue;
-                    }
-                    match class.effect {
-                        Effect::Idempotent => {}
-                        Effect::NotIdempotent => panic!("rule 2: an effect could happen twice"),
-                        Effect::IdempotentByKey { scope: group, window } => {
-                            assert!(now < s.sent_at + window, "rule 2: within the window");
-                            let from = &s.entry;
-                            match group {
-                                DeduplicationScope::AllReplicas => {}
-                                DeduplicationScope::Zone => {
-                                    assert_eq!(from.zone, to.zone, "rule 2: same zone")
-                                }
-                                DeduplicationScope::Cell => {
-                                    assert_eq!(from.cell, to.cell, "rule 2: same cell")
-                                }
-                            }
-                        }
-                    }
-                }
-                let (row, limit) = (to.clone(), *limit);
-                k.attempts.push(SentAttempt {
-                    entry: row,
-                    sent_at: now,
-                    timeout: limit,
-                    outcome: None,
-                    has_first_token: false,
-                });
-            }
-            Action::Reject { request, retry_after, .. } => {
-                assert!(*retry_after <= self.settings.max_retry_after);
-                let k = self.requests.get_mut(request).expect("a request that was given");
-                let ran = k.attempts.iter().any(|s| s.outcome.is_none_or(|o| !o.never_ran()));
-                let class =
-                    &self.settings.classes[(k.request.class.0 as usize).min(self.settings.classes.len() - 1)];
-                let allowed = match class.effect {
-                    Effect::Idempotent => true,
-                    Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, .. } => true,
-                    _ => !ran,
-                };
-                assert!(allowed, "rule 2: a refusal says that trying again is harmless");
-                Self::answer(k);
-            }
+            Action::Send { request, replica, timeout } => self.check_send(*request, *replica, *timeout),
+            Action::Reject { request, retry_after, .. } => self.check_reject(*request, *retry_after),
             Action::Fail(request) => Self::answer(self.requests.get_mut(request).expect("given")),
             Action::Cancel { request, attempt } => {
                 assert!(self.settings.can_cancel, "only where it is allowed");
-                let k = &self.requests[request];
-                assert!((*attempt as usize) < k.attempts.len(), "of an attempt that was made");
+                let tracked = &self.requests[request];
+                assert!((*attempt as usize) < tracked.attempts.len(), "of an attempt that was made");
             }
             Action::Gossip(bytes) => {
                 assert!(bytes.len() <= 256 && self.settings.has_peers);
                 self.gossip.push(bytes.clone());
             }
             Action::WakeAt { at, token } => {
-                assert!(*at >= now);
+                assert!(*at >= self.now);
                 self.timers.push((*at, *token));
             }
             Action::WatchEndpoints => self.list_polls += 1,
@@ -286,6 +227,67 @@
         }
     }
 
+    fn effect(&self, request: &Request) -> Effect {
+        let classes = &self.settings.classes;
+        classes[(request.class.0 as usize).min(classes.len() - 1)].effect
+    }
+
+    fn check_send(&mut self, request: RequestId, replica: ReplicaId, timeout: Nanos) {
+        let now = self.now;
+        let effect = self.effect(&self.requests.get(&request).expect("a request that was given").request);
+        let tracked = self.requests.get_mut(&request).expect("a request that was given");
+        assert!(!tracked.is_over, "rule 1: nothing after the end");
+        assert!(now <= tracked.deadline, "rule 1: not after the deadline");
+        assert!(tracked.attempts.len() < self.settings.max_attempts as usize, "within the limit of attempts");
+        assert!(timeout > 0 && now + timeout <= tracked.deadline + MS, "ends by the deadline");
+        let target = self.entries.get(&replica).expect("a replica that was listed");
+        assert_eq!(target.state, EndpointState::Ready, "rule 3: only to ready replicas");
+        for earlier in &tracked.attempts {
+            assert!(earlier.outcome.is_some() || self.settings.concurrent_attempts, "rule 2: one at a time");
+            if !earlier.outcome.is_some_and(Outcome::never_ran) {
+                Self::check_repeat(now, effect, earlier, target);
+            }
+        }
+        tracked.attempts.push(SentAttempt {
+            entry: target.clone(),
+            sent_at: now,
+            timeout,
+            outcome: None,
+            has_first_token: false,
+        });
+    }
+
+    /// An attempt follows one that may have run.
+    fn check_repeat(now: Nanos, effect: Effect, earlier: &SentAttempt, target: &EndpointEntry) {
+        match effect {
+            Effect::Idempotent => {}
+            Effect::NotIdempotent => panic!("rule 2: an effect could happen twice"),
+            Effect::IdempotentByKey { scope, window } => {
+                assert!(now < earlier.sent_at + window, "rule 2: within the window");
+                let from = &earlier.entry;
+                match scope {
+                    DeduplicationScope::AllReplicas => {}
+                    DeduplicationScope::Zone => assert_eq!(from.zone, target.zone, "rule 2: same zone"),
+                    DeduplicationScope::Cell => assert_eq!(from.cell, target.cell, "rule 2: same cell"),
+                }
+            }
+        }
+    }
+
+    fn check_reject(&mut self, request: RequestId, retry_after: Nanos) {
+        assert!(retry_after <= self.settings.max_retry_after);
+        let effect = self.effect(&self.requests.get(&request).expect("a request that was given").request);
+        let tracked = self.requests.get_mut(&request).expect("a request that was given");
+        let may_have_run = |attempt: &SentAttempt| attempt.outcome.is_none_or(|o| !o.never_ran());
+        let allowed = match effect {
+            Effect::Idempotent => true,
+            Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, .. } => true,
+            _ => !tracked.attempts.iter().any(may_have_run),
+        };
+        assert!(allowed, "rule 2: a rejection says that repeating is harmless");
+        Self::answer(tracked);
+    }
+
     fn answer(k: &mut TrackedRequest) {
         assert!(!k.is_over && k.answers == 0, "rule 1: one final answer");
         k.answers += 1;
--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -104,6 +104,14 @@
                 Settings { router_count: 2, has_peers: false, tenants: vec![], max_attempts: 1, ..set };
             Scenario { settings, played: vec![1], faults: 60, seed: 53, ..usual }
         }
+        _ => fleet(name, usual),
+    }
+}
+
+/// Deployments that differ by their size or by how replicas start.
+fn fleet(name: &str, usual: Scenario) -> Scenario {
+    let set = usual.settings.clone();
+    match name {
         "many_gateways" => {
             let tenants = [60.0, 500.0, 5.0, 900.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
             let settings =
@@ -125,11 +133,10 @@
             Scenario { per_10_s: 600, trouble_ms: 120, kinds: 3, ..d }
         }
         "cold_fleet" => {
-            let (cold, fall, fall_multiple) = (25 * SECOND, SECOND, 1.5);
             let settings = Settings {
-                warm_up_time: cold,
-                overload_window: fall,
-                overload_multiple: fall_multiple,
+                warm_up_time: 25 * SECOND,
+                overload_window: SECOND,
+                overload_multiple: 1.5,
                 initial_capacity_share: 0.3,
                 max_retry_after: 0,
                 ..set
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -49,16 +49,8 @@
     }
     match rng.u8(..10) {
         0..=3 => {
-            *next += 1;
-            let mut r = request(*next);
-            r.class = ClassId(rng.u32(..6)); // one of them out of range
-            r.tenant = TenantId(rng.u32(..3));
-            r.time_left = rng.u64(..4) * SECOND + 1;
-            r.resumes_stream = rng.u8(..10) == 0;
-            if rng.u8(..5) == 0 {
-                (r.prefix, r.session) = (None, None);
-            }
-            w.submit(r);
+            let request = any_request(rng, next);
+            w.submit(request);
         }
         4..=5 => {
             if let Some((id, a)) = any(w, rng) {
@@ -78,27 +70,46 @@
             let kind = if rng.u8(..8) == 0 { ListUpdate::Full } else { ListUpdate::Delta };
             w.update_list(kind, vec![r]);
         }
-        _ => match rng.u8(..3) {
-            0 => {
-                // The client leaves; also for requests long over, and for ones never seen.
-                let id = RequestId(rng.u64(..*next + 2));
-                if let Some(k) = w.requests.get_mut(&id) {
-                    k.is_over = true;
-                    k.answers = k.answers.max(1);
-                }
-                w.handle(Event::ClientLeft(id));
-            }
-            1 => {
-                let bytes = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
-                w.handle(Event::PeerMessage { from: PeerId(rng.u32(..6)), bytes });
-            }
-            _ => {
-                // Nonsense about a request that never was.
-                let request = RequestId(u64::MAX);
-                w.handle(Event::FirstToken { request, attempt: 9, elapsed: 1 });
-                w.handle(Event::Timer(rng.u64(..9)));
+        _ => step_oddly(w, rng, *next),
+    }
+}
+
+/// A new request of any kind.
+fn any_request(rng: &mut Rng, next: &mut u64) -> Request {
+    *next += 1;
+    let mut r = request(*next);
+    r.class = ClassId(rng.u32(..6)); // one of them out of range
+    r.tenant = TenantId(rng.u32(..3));
+    r.time_left = rng.u64(..4) * SECOND + 1;
+    r.resumes_stream = rng.u8(..10) == 0;
+    if rng.u8(..5) == 0 {
+        (r.prefix, r.session) = (None, None);
+    }
+    r
+}
+
+/// What is rare: a client that leaves, a message, nonsense.
+fn step_oddly(w: &mut World, rng: &mut Rng, next: u64) {
+    match rng.u8(..3) {
+        0 => {
+            // The client leaves; also for requests long over, and for ones never seen.
+            let id = RequestId(rng.u64(..next + 2));
+            if let Some(k) = w.requests.get_mut(&id) {
+                k.is_over = true;
+                k.answers = k.answers.max(1);
             }
-        },
+            w.handle(Event::ClientLeft(id));
+        }
+        1 => {
+            let bytes = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
+            w.handle(Event::PeerMessage { from: PeerId(rng.u32(..6)), bytes });
+        }
+        _ => {
+            // Nonsense about a request that never was.
+            let request = RequestId(u64::MAX);
+            w.handle(Event::FirstToken { request, attempt: 9, elapsed: 1 });
+            w.handle(Event::Timer(rng.u64(..9)));
+        }
     }
 }
 
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -24,6 +24,31 @@
 }
 
 impl Fleet {
+    /// A fleet of so many routers, as far as the trouble is there from the start.
+    fn in_trouble(routers: u32, trouble: Trouble) -> Fleet {
+        let mut fleet = Fleet::of(routers);
+        if trouble == Trouble::Uncounted {
+            fleet.routers.extend((0..routers.div_ceil(4)).map(|n| {
+                let set = settings(routers, n);
+                World::with_replicas(set, u64::from(1000 + n), REPLICAS)
+            }));
+        }
+        if trouble == Trouble::Unequal {
+            fleet.prompts = vec![400, 400, 400, 8000];
+        }
+        fleet
+    }
+
+    /// A router starts anew, with the list as it was last held.
+    fn restart(&mut self, router: usize, seed: u64, now: Nanos) {
+        let mut anew = World::new(self.routers[router].settings.clone(), seed);
+        anew.now = now;
+        let entries = self.routers[router].entries.values().cloned().collect();
+        anew.update_list(ListUpdate::Cached, entries);
+        self.due.retain(|due| due.1 != router);
+        self.routers[router] = anew;
+    }
+
     fn new() -> Fleet {
         Fleet::of(GATEWAYS)
     }
@@ -274,16 +299,7 @@
 /// within the time of the rule against what it allows, in requests of mean work.
 fn budget_used(routers: u32, trouble: Trouble, seed: u64) -> (f64, f64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut fleet = Fleet::of(routers);
-    if trouble == Trouble::Uncounted {
-        fleet.routers.extend((0..routers.div_ceil(4)).map(|n| {
-            let set = settings(routers, n);
-            World::with_replicas(set, u64::from(1000 + n), REPLICAS)
-        }));
-    }
-    if trouble == Trouble::Unequal {
-        fleet.prompts = vec![400, 400, 400, 8000];
-    }
+    let mut fleet = Fleet::in_trouble(routers, trouble);
     let mean_prompt = fleet.prompts.iter().sum::<u32>() as f64 / fleet.prompts.len() as f64;
     let n = fleet.routers.len();
     // An exponential spread: some get several times the mean, many next to nothing.
@@ -317,12 +333,7 @@
             *knows = true;
         }
         if trouble == Trouble::Restarts && step % (1200 / u64::from(routers)) == 0 {
-            let set = fleet.routers[next].settings.clone();
-            let mut anew = World::new(set, seed * 1000 + next as u64);
-            anew.now = now;
-            anew.update_list(ListUpdate::Cached, fleet.routers[next].entries.values().cloned().collect());
-            fleet.due.retain(|d| d.1 != next);
-            fleet.routers[next] = anew;
+            fleet.restart(next, seed * 1000 + next as u64, now);
             next = (next + 1) % n;
         }
         fleet.work.clear();
@@ -332,10 +343,15 @@
         }
         warmth.push(0.2 + 0.8 * ((now - last_start) as f64 / (10 * SECOND) as f64));
     }
+    used_and_worst(routers, told, &at[..STARTED as usize], &warmth)
+}
+
+/// The share used of what all routers may send, and the worst window, by what the started replicas were sent from `told`
+/// on and their warmth every 10 ms.
+fn used_and_worst(routers: u32, told: Nanos, cold: &[Vec<(Nanos, f64, bool)>], warmth: &[f64]) -> (f64, f64) {
     // 100 requests a second are half of what the fleet can do.
     let mean = 100.0 / REPLICAS as f64;
     let may: f64 = warmth.iter().map(|warm| mean * 2.5 * warm * 0.01).sum();
-    let cold = &at[..STARTED as usize];
     let sent = cold.iter().map(Vec::len).sum::<usize>() as f64;
     let mut worst = 0.0f64;
     for sends in cold {
