--- a/router/src/dialect/write.rs
+++ b/router/src/dialect/write.rs
@@ -1,14 +1,14 @@
-//! Neutral events written in a dialect, for a client whose model nodes speak the other one.
+//! Writes stream events in a dialect, for a client whose replica speaks the other one.
 
 use bytes::Bytes;
 use serde_json::{json, Value};
 
 use super::{StopReason, StreamEvent};
 
-/// What a whole answer comes to.
+/// A complete answer, collected from its events.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CollectedAnswer {
-    /// Its text.
+    /// Its text so far.
     pub text: String,
     stop: Option<StopReason>,
     prompt_tokens: Option<u64>,
@@ -17,7 +17,7 @@
 }
 
 impl CollectedAnswer {
-    /// Takes one event in.
+    /// Adds an event.
     pub fn add(&mut self, event: StreamEvent) {
         match event {
             StreamEvent::Text(text) => self.text.push_str(&text),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes in what the end of an answer tells; not its text.
+    /// Adds what an event says of the answer but its text.
     fn add_summary(&mut self, event: StreamEvent) {
         match event {
             StreamEvent::Started(prompt_tokens) => self.prompt_tokens = prompt_tokens.or(self.prompt_tokens),
@@ -65,7 +65,8 @@
         })
     }
 
-    /// The answer as one object of the messages API; `estimated_prompt_tokens` stands in for a prompt's count not told.
+    /// The answer as one object of the messages API; `estimated_prompt_tokens` stands in for a count of the
+    /// prompt's tokens that the replica did not state.
     pub fn to_message(&self, id: &str, model: &str, estimated_prompt_tokens: u32) -> Value {
         json!({
             "id": id, "type": "message", "role": "assistant", "model": model,
@@ -114,7 +115,7 @@
         write_named_event("content_block_start", start, to);
     }
 
-    /// The events that say the same; what has no word here is left out.
+    /// The bytes of `events` in this dialect; those without a counterpart are left out.
     pub fn write(&mut self, events: &[StreamEvent]) -> Bytes {
         let mut to = String::new();
         for event in events {
@@ -132,7 +133,7 @@
         to.into()
     }
 
-    /// The events that end a whole stream.
+    /// The bytes that end a complete stream.
     pub fn finish(&mut self) -> Bytes {
         let mut to = String::new();
         self.begin(&mut to);
@@ -156,7 +157,7 @@
 }
 
 impl ChatWriter {
-    /// The events that say the same; what has no word here is left out.
+    /// The bytes of `events` in this dialect; those without a counterpart are left out.
     pub fn write(&mut self, events: &[StreamEvent]) -> Bytes {
         let mut to = String::new();
         for event in events {
@@ -168,7 +169,7 @@
         to.into()
     }
 
-    /// The events that end a whole stream.
+    /// The bytes that end a complete stream.
     pub fn finish(&mut self) -> Bytes {
         let (summary, mut to) = (&self.summary, String::new());
         write_chat_choice(json!({}), summary.finish_reason().into(), &mut to);
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -86,7 +86,8 @@
         if !request.head.is_http_11 {
             return Err(HttpError::Malformed.into());
         }
-        let asked = ConversationRequest::parse_messages(&request.body.bytes).map_err(Unfit::Invalid)?;
+        let asked = ConversationRequest::parse_messages(&request.body.bytes)
+            .map_err(|error| Unfit::Invalid(error.to_string()))?;
         let class = *self.models.get(&asked.model).ok_or_else(|| Unfit::NoModel(asked.model.clone()))?;
         let partner = match request.head.text_value(&self.partner_header)? {
             Some(value) => self.partners.get(value).copied(),
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -174,7 +174,7 @@
         r#"{"model":"m","max_tokens":9,"messages":[{"role":"user","content":[{"type":"image"}]}]}"#,
         r#"{"model":"m","max_tokens":-9,"messages":[{"role":"user","content":"x"}]}"#,
     ]
-    .map(|text| ConversationRequest::parse_messages(text.as_bytes()).unwrap_err())
+    .map(|text| ConversationRequest::parse_messages(text.as_bytes()).unwrap_err().to_string())
     .into();
     insta::assert_snapshot!(errors.join("\n"));
 }
