--- a/router/src/log.rs
+++ b/router/src/log.rs
@@ -1,8 +1,8 @@
-//! The log: `tracing` events as text or JSON on standard error, by a writer of its own that drops and counts
-//! lines rather than keep the one thread waiting.
+//! The log: `tracing` events as text or JSON on standard error, written by a thread of its own. If that falls behind, lines
+//! are dropped and counted: the thread that serves requests never waits for the log.
 //!
-//! The same things have the same field names everywhere: `request`, `attempt`, `node`, `partner`, `class`,
-//! `client`, `peer`, `why`. Targets name the part that speaks (see [`TARGETS`]).
+//! The same things have the same field names everywhere: `request`, `attempt`, `node` (a replica), `tenant`, `class`,
+//! `client`, `peer`, `why`. Targets name the part that logs (see [`TARGETS`]).
 
 use std::cell::Cell;
 use std::io;
@@ -14,7 +14,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{fmt, reload, Layer, Registry};
 
-/// The parts that speak.
+/// The targets, one for each part of the router that logs.
 pub const TARGETS: [&str; 12] = [
     "router",
     "request",
@@ -36,13 +36,13 @@
 /// How to log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The level of what no target names.
+    /// The level of targets without one of their own.
     pub level: LevelFilter,
     /// Levels by target.
     pub targets: Vec<(String, LevelFilter)>,
     /// JSON instead of text.
     pub json: bool,
-    /// Lines that may wait for the writer; more are dropped, and counted.
+    /// The most lines that wait for the writer; further ones are dropped and counted.
     pub queue: usize,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// The running log. While it lives, lines are written; dropped, it writes what still waits.
+/// The running log. Lines are written while it lives; on drop it writes those that still wait.
 pub struct Log {
     filter: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
@@ -67,7 +67,8 @@
 }
 
 impl Log {
-    /// Starts it for the whole program.
+    /// Starts the log of the whole program. If the process has one already, as in tests that run several routers, that one
+    /// stays and this one writes nothing.
     pub fn start(settings: &LogSettings) -> Log {
         let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(settings.queue);
         let (writer, guard) = builder.thread_name("log").finish(io::stderr());
@@ -84,19 +85,19 @@
         Log { filter: handle, dropped, reported: Cell::new(0), _writer: guard }
     }
 
-    /// Takes over other levels.
+    /// Changes the levels while the program runs; `json` and `queue` stay as at the start.
     pub fn change_levels(&self, settings: &LogSettings) {
         let _ = self.filter.reload(settings.filter());
     }
 
-    /// Lines dropped since it was asked last.
+    /// How many lines were dropped since the last call.
     pub fn newly_dropped(&self) -> usize {
         let all = self.dropped.dropped_lines();
         all - self.reported.replace(all)
     }
 }
 
-/// A level by its name.
+/// The level of a name of [`LEVELS`]; `None` for any other.
 pub fn parse_level(name: &str) -> Option<LevelFilter> {
     LEVELS.contains(&name).then(|| name.parse().ok()).flatten()
 }
