--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 use tallypin::deployment::{self, Deployment};
 
-use crate::endpoint_list::EndpointListMessage;
+use crate::endpoint_list::message::EndpointListMessage;
 use crate::limits::Limits;
 
 /// What is wrong with the configuration: where, and why.
--- /dev/null
+++ b/router/src/endpoint_list/apply.rs
@@ -0,0 +1,54 @@
+//! A message of the endpoint list, applied to the replica connections and to the decisions.
+
+use std::rc::Rc;
+
+use rustc_hash::FxHashSet;
+use tallypin::api::{EndpointEntry, EndpointState, ListUpdate, ReplicaId};
+use tallypin::deployment::Deployment;
+
+use super::context::EndpointListContext;
+use super::message::{EndpointListMessage, EndpointRecord};
+
+/// A record of a message, and its translation.
+struct DecodedRecord<'a> {
+    record: &'a EndpointRecord,
+    entry: EndpointEntry,
+}
+
+/// Applies a message: replicas are known to the connections before the decisions may choose them, and forgotten after.
+pub fn apply(context: &Rc<EndpointListContext>, message: &EndpointListMessage, kind: ListUpdate) {
+    let records = last_records(message, &context.deployment);
+    if records.len() < message.endpoints.len() {
+        tracing::warn!(target: "node_list", version = message.version, records = message.endpoints.len(),
+            replicas = records.len(), "endpoint list names a replica more than once, the last record counts");
+    }
+    for DecodedRecord { record, entry } in &records {
+        tracing::debug!(target: "node_list", version = message.version, ?kind, replica = %record.id,
+            state = %record.state, started_ms = record.started_ms, machine = %record.kind, "endpoint record");
+        if entry.state != EndpointState::Gone {
+            let ready = entry.state == EndpointState::Ready;
+            context.replicas.upsert(entry.replica, record.addr, record.started_ms, ready);
+            context.replicas.set_name(entry.replica, &record.id);
+        }
+    }
+    let entries: Vec<EndpointEntry> = records.into_iter().map(|decoded| decoded.entry).collect();
+    let (gone, listed): (Vec<&EndpointEntry>, Vec<&EndpointEntry>) =
+        entries.iter().partition(|entry| entry.state == EndpointState::Gone);
+    let gone: Vec<ReplicaId> = gone.iter().map(|entry| entry.replica).collect();
+    let listed: FxHashSet<ReplicaId> = listed.iter().map(|entry| entry.replica).collect();
+    context.dispatcher.with(|core, now| core.endpoints_changed(now, kind, entries));
+    match kind {
+        ListUpdate::Delta => context.replicas.remove(&gone),
+        _ => context.replicas.retain(|id| listed.contains(&id)),
+    }
+}
+
+/// The records of a message in their order, of each replica the last one.
+fn last_records<'a>(message: &'a EndpointListMessage, deployment: &Deployment) -> Vec<DecodedRecord<'a>> {
+    let mut seen = FxHashSet::default();
+    let decode = |record: &'a EndpointRecord| DecodedRecord { record, entry: record.to_entry(deployment) };
+    let from_the_end = message.endpoints.iter().rev().map(decode);
+    let mut records: Vec<_> = from_the_end.filter(|decoded| seen.insert(decoded.entry.replica)).collect();
+    records.reverse();
+    records
+}
--- a/router/tests/list_budget.rs
+++ b/router/tests/list_budget.rs
@@ -9,8 +9,8 @@
 use proptest::prelude::*;
 use tallypin::api::{EndpointEntry, EndpointListMode, ListUpdate, Nanos, PeerId, SECOND};
 use tallypin_router::core::{Core, Instruction};
+use tallypin_router::endpoint_list::watch_clock::{WatchClock, WatchStep, WatchTimeouts};
 use tallypin_router::limits::Limits;
-use tallypin_router::watch_clock::{WatchClock, WatchStep, WatchTimeouts};
 
 const MS: Nanos = SECOND / 1000;
 /// What the list has to tell counts as told so long after it can be reached.
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -6,11 +6,11 @@
 use bytes::BytesMut;
 use tallypin_router::config::Config;
 use tallypin_router::dialect::{parse_load_report, ConversationRequest, Dialect, EventSplitter, StreamEvent};
+use tallypin_router::endpoint_list::object_reader::{NotAnObject, ObjectReader};
 use tallypin_router::endpoint_list::EndpointListMessage;
 use tallypin_router::http::{BodyFraming, BodyPart, BodyReader, HttpError, MessageHead};
 use tallypin_router::installation::Installation;
 use tallypin_router::limits::Limits;
-use tallypin_router::object_reader::{NotAnObject, ObjectReader};
 
 #[test]
 fn heads() {
