--- a/router/src/replica/mod.rs
+++ b/router/src/replica/mod.rs
@@ -1,10 +1,12 @@
-//! Model nodes: connections to them, attempts and probes on these.
+//! Replicas: the connections to them, and attempts and health checks on these.
 
-mod answer;
 mod attempt;
+mod connection;
 mod context;
 mod pool;
 mod probe;
+mod relay;
+mod response;
 
 pub use attempt::Attempt;
 pub use context::{close_idle_connections, ReplicaContext};
--- a/router/src/replica/pool.rs
+++ b/router/src/replica/pool.rs
@@ -1,80 +1,55 @@
-//! The model nodes of the list, and connections to them: opened, kept while they rest, taken again, closed.
+//! The replicas of the endpoint list, and the connections to them: opened, kept while idle, reused, closed.
 
 use std::cell::{Cell, RefCell};
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use rustc_hash::FxHashMap;
-use tallypin::api::{Outcome, ReplicaId};
+use tallypin::api::ReplicaId;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
+use super::connection::{ConnectError, OpenGuard, ReplicaAddress, ReplicaConnection};
 use crate::dialect::Dialect;
 use crate::http::BufferedConnection;
 use crate::limits::Limits;
-use crate::shortage::is_resource_shortage;
-
-/// A connection to a model node, counted while it is open.
-#[derive(Debug)]
-pub(super) struct ReplicaConnection {
-    pub wire: BufferedConnection,
-    /// Whom it was opened to. The address alone does not say that: a new node may stand where one has gone,
-    /// and what was opened to that one is dead.
-    pub to: ReplicaAddress,
-    /// It has carried an answer before.
-    pub reused: bool,
-    open: Rc<Cell<usize>>,
-}
-
-impl Drop for ReplicaConnection {
-    fn drop(&mut self) {
-        self.open.set(self.open.get() - 1);
-    }
-}
 
 /// A connection that carries nothing.
 struct IdleConnection {
-    link: ReplicaConnection,
+    connection: ReplicaConnection,
     since: Instant,
 }
 
-/// Which node, where, and in which of its lives.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct ReplicaAddress {
-    pub id: ReplicaId,
-    addr: SocketAddr,
-    started_ms: u64,
-}
-
-/// A node of the list.
+/// A replica of the endpoint list.
 struct ListedReplica {
-    place: ReplicaAddress,
+    address: ReplicaAddress,
     ready: bool,
-    /// As the list has it, for the log.
+    /// Its name in the list, for the log.
     name: Rc<str>,
 }
 
-/// The model nodes of the list, and idle connections to them.
+/// The replicas of the endpoint list, and idle connections to them.
 pub struct ReplicaPool {
-    /// Attempts whose request has been written and whose connection is still open, by node.
-    pub(super) in_flight: RefCell<FxHashMap<ReplicaId, u32>>,
-    /// The dialect they speak.
+    /// The dialect that the replicas speak.
     pub dialect: Dialect,
     max_connections: usize,
+    /// An idle connection is closed after this,
     idle_limit: Duration,
+    /// and not reused before this: a second response that comes late would else be taken for the next request's.
     rest: Duration,
     connect_limit: Duration,
     /// By the list's `id`: the address may differ from router to router and change.
     listed: RefCell<FxHashMap<ReplicaId, ListedReplica>>,
-    /// The most recently used last; only for nodes that are listed.
+    /// By replica, the most recently used last; only for replicas that are listed.
     idle: RefCell<FxHashMap<ReplicaId, Vec<IdleConnection>>>,
+    /// Attempts whose request has been written and whose connection is still open, by replica.
+    in_flight: RefCell<FxHashMap<ReplicaId, u32>>,
     open: Rc<Cell<usize>>,
 }
 
 impl ReplicaPool {
-    /// No nodes yet.
+    /// No replicas yet.
     pub fn new(dialect: Dialect, limits: &Limits) -> ReplicaPool {
         ReplicaPool {
             dialect,
@@ -82,34 +57,34 @@
             idle_limit: limits.replica_idle_timeout,
             rest: limits.replica_reuse_delay,
             connect_limit: limits.connect_timeout,
-            in_flight: RefCell::default(),
             listed: RefCell::default(),
             idle: RefCell::default(),
+            in_flight: RefCell::default(),
             open: Rc::default(),
         }
     }
 
-    /// A node is at this address since then, and takes work or not. If it was elsewhere, or has started
-    /// again, what is idle to it is closed.
+    /// A replica is at this address since `started_ms`, and ready or not. If it was elsewhere, or has started again, its
+    /// idle connections are closed.
     pub fn upsert(&self, id: ReplicaId, addr: SocketAddr, started_ms: u64, ready: bool) {
-        let place = ReplicaAddress { id, addr, started_ms };
+        let address = ReplicaAddress { id, addr, started_ms };
         let mut listed = self.listed.borrow_mut();
-        let name = listed.get(&id).map(|n| n.name.clone()).unwrap_or_default();
-        let before = listed.insert(id, ListedReplica { place, ready, name });
+        let name = listed.get(&id).map(|known| known.name.clone()).unwrap_or_default();
+        let before = listed.insert(id, ListedReplica { address, ready, name });
         drop(listed);
-        if before.is_some_and(|b| b.place != place) {
+        if before.is_some_and(|before| before.address != address) {
             self.close_idle(id);
         }
     }
 
-    /// Forgets the nodes that are not to be kept, and closes what is idle to them.
+    /// Forgets the replicas that are not to be kept, and closes their idle connections.
     pub fn retain(&self, keep: impl Fn(ReplicaId) -> bool) {
         let mut listed = self.listed.borrow_mut();
         listed.retain(|id, _| keep(*id));
         self.idle.borrow_mut().retain(|id, _| listed.contains_key(id));
     }
 
-    /// Forgets nodes, and closes what is idle to them.
+    /// Forgets replicas, and closes their idle connections.
     pub fn remove(&self, gone: &[ReplicaId]) {
         let (mut listed, mut idle) = (self.listed.borrow_mut(), self.idle.borrow_mut());
         for id in gone {
@@ -118,35 +93,35 @@
         }
     }
 
-    /// Closes what is idle to a node: the next attempt there has to open a connection. A machine that is
-    /// cut off says nothing on the connections it had, and shows only by new ones that do not come up.
+    /// Closes the idle connections of a replica: the next attempt there has to open a new one. A machine that is cut off
+    /// sends nothing on the connections it had, and shows only by new ones that are not established.
     pub fn close_idle(&self, id: ReplicaId) {
         self.idle.borrow_mut().remove(&id);
     }
 
-    /// How many nodes take work.
+    /// How many replicas are ready.
     pub fn ready_count(&self) -> usize {
-        self.listed.borrow().values().filter(|n| n.ready).count()
+        self.listed.borrow().values().filter(|replica| replica.ready).count()
     }
 
-    /// A node's name, as the list has it.
+    /// Sets a replica's name in the list.
     pub fn set_name(&self, id: ReplicaId, name: &str) {
-        if let Some(n) = self.listed.borrow_mut().get_mut(&id).filter(|n| *n.name != *name) {
-            n.name = name.into();
+        if let Some(replica) = self.listed.borrow_mut().get_mut(&id).filter(|known| *known.name != *name) {
+            replica.name = name.into();
         }
     }
 
-    /// The name, empty if it is not known.
+    /// A replica's name in the list, empty if it is not known.
     pub fn name(&self, id: ReplicaId) -> Rc<str> {
-        self.listed.borrow().get(&id).map(|n| n.name.clone()).unwrap_or_default()
+        self.listed.borrow().get(&id).map(|replica| replica.name.clone()).unwrap_or_default()
     }
 
-    /// Where a node is.
+    /// Where a replica is.
     pub fn address(&self, id: ReplicaId) -> Option<SocketAddr> {
-        self.listed.borrow().get(&id).map(|n| n.place.addr)
+        self.listed.borrow().get(&id).map(|replica| replica.address.addr)
     }
 
-    /// How many attempts are out on a node's connections.
+    /// How many attempts are in flight at a replica.
     pub fn in_flight(&self, id: ReplicaId) -> u32 {
         self.in_flight.borrow().get(&id).copied().unwrap_or(0)
     }
@@ -156,99 +131,98 @@
         (self.open.get(), self.idle.borrow().values().map(Vec::len).sum())
     }
 
-    /// Closes connections that have been idle for long or that the node has closed.
+    /// Closes connections that have been idle for too long or that the replica has closed.
     pub fn close_expired(&self) {
         let limit = self.idle_limit;
-        self.idle.borrow_mut().retain(|_, links| {
-            links.retain_mut(|i| i.since.elapsed() < limit && !i.link.wire.is_unusable());
-            !links.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections
+                .retain_mut(|idle| idle.since.elapsed() < limit && !idle.connection.wire.is_unusable());
+            !connections.is_empty()
         });
     }
 
-    /// The most recently used idle connection: the others then grow old and are retired. One that has just carried an
-    /// answer rests first: a second answer that comes late would else be taken for the next request's.
+    /// Counts an attempt as in flight at a replica until the guard is dropped.
+    pub(super) fn count_in_flight(self: &Rc<Self>, id: ReplicaId) -> InFlightGuard {
+        *self.in_flight.borrow_mut().entry(id).or_default() += 1;
+        InFlightGuard { pool: self.clone(), id }
+    }
+
+    /// The most recently used idle connection that has rested: the others then grow old and are closed.
     fn reuse_idle(&self, id: ReplicaId) -> Option<ReplicaConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&id)?;
-        while let Some(at) = links.iter().rposition(|i| i.since.elapsed() >= self.rest) {
-            let mut i = links.remove(at);
-            // A node that closed it, or is about to, would turn the next request into a reset.
-            if i.since.elapsed() < self.idle_limit && !i.link.wire.is_unusable() {
-                return Some(i.link);
+        let connections = idle.get_mut(&id)?;
+        while let Some(at) = connections.iter().rposition(|idle| idle.since.elapsed() >= self.rest) {
+            let mut idle = connections.remove(at);
+            // A replica that closed it, or is about to, would turn the next request into a reset.
+            if idle.since.elapsed() < self.idle_limit && !idle.connection.wire.is_unusable() {
+                return Some(idle.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection for later, unless its node has gone, moved or started again while it was out.
-    pub(super) fn give_back(&self, mut link: ReplicaConnection) {
-        if self.listed.borrow().get(&link.to.id).is_some_and(|n| n.place == link.to) {
-            link.wire.release_buffer();
-            link.reused = true;
-            let idle = IdleConnection { since: Instant::now(), link };
-            self.idle.borrow_mut().entry(idle.link.to.id).or_default().push(idle);
+    /// Keeps a connection for later, unless its replica has gone, moved or started again meanwhile.
+    pub(super) fn give_back(&self, mut connection: ReplicaConnection) {
+        let id = connection.to.id;
+        if self.listed.borrow().get(&id).is_some_and(|replica| replica.address == connection.to) {
+            connection.wire.release_buffer();
+            connection.reused = true;
+            let idle = IdleConnection { since: Instant::now(), connection };
+            self.idle.borrow_mut().entry(id).or_default().push(idle);
         }
     }
 
-    /// Makes room for one more connection, if need be by closing the one idle for longest.
+    /// Makes room for one more connection, if need be by closing the one idle for longest; false if all are in use.
     fn make_room(&self) -> bool {
         if self.open.get() < self.max_connections {
             return true;
         }
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0].since);
-        oldest.map(|links| links.remove(0)).is_some()
-    }
-
-    /// Whether a connection still leads to a node that takes work: it may have been told to drain, have moved or have
-    /// started again since the connection was asked for.
-    pub(super) fn takes_work(&self, place: &ReplicaAddress) -> bool {
-        self.listed.borrow().get(&place.id).is_some_and(|node| node.ready && node.place == *place)
-    }
-
-    /// A connection to a node. What fails for want of anything here is *skipped*, not *refused*: it says
-    /// nothing of the node, which the module would else shun.
-    pub(super) async fn connect(&self, id: ReplicaId) -> Result<ReplicaConnection, Outcome> {
-        let to = self.listed.borrow().get(&id).map(|n| n.place).ok_or(Outcome::NotSent)?;
-        if let Some(link) = self.reuse_idle(id) {
-            return Ok(link);
+        let oldest = idle.values_mut().filter(|all| !all.is_empty()).min_by_key(|all| all[0].since);
+        oldest.map(|connections| connections.remove(0)).is_some()
+    }
+
+    /// Whether a connection still leads to a ready replica: it may drain, have moved or have started again since the
+    /// connection was asked for.
+    pub(super) fn is_ready_at(&self, address: &ReplicaAddress) -> bool {
+        let listed = self.listed.borrow();
+        listed.get(&address.id).is_some_and(|replica| replica.ready && replica.address == *address)
+    }
+
+    /// A connection to a replica: an idle one, or a new one. Cancel-safe: a connection that is being established is closed.
+    ///
+    /// # Errors
+    /// There is no connection, for a reason of the replica or of this machine.
+    pub(super) async fn connect(&self, id: ReplicaId) -> Result<ReplicaConnection, ConnectError> {
+        let to =
+            self.listed.borrow().get(&id).map(|replica| replica.address).ok_or(ConnectError::NotReady)?;
+        if let Some(connection) = self.reuse_idle(id) {
+            return Ok(connection);
         }
         if !self.make_room() {
-            return Err(Outcome::NotSent);
-        }
-        self.open.set(self.open.get() + 1);
-        let count = OpenCount(Some(self.open.clone()));
-        match timeout(self.connect_limit, TcpStream::connect(to.addr)).await {
-            Ok(Ok(stream)) => Ok(count.into_link(BufferedConnection::new(stream), to)),
-            Ok(Err(e)) if is_local(&e) => Err(Outcome::NotSent),
-            _ => Err(Outcome::ConnectionRefused),
+            return Err(ConnectError::LimitReached);
         }
+        let open = OpenGuard::new(&self.open);
+        let connecting = timeout(self.connect_limit, TcpStream::connect(to.addr));
+        let stream = connecting.await.map_err(|_| ConnectError::TimedOut)?.map_err(ConnectError::of)?;
+        Ok(ReplicaConnection::new(BufferedConnection::new(stream), to, open))
     }
 }
 
-/// Whether a connection failed for a reason of this machine or process, which says nothing of the node: a call cut short by
-/// a signal, or want of descriptors, memory, buffers or addresses.
-fn is_local(e: &io::Error) -> bool {
-    let kinds = [io::ErrorKind::Interrupted, io::ErrorKind::WouldBlock, io::ErrorKind::AddrNotAvailable];
-    kinds.contains(&e.kind()) || is_resource_shortage(e)
+/// Counts an attempt as in flight at a replica until it is dropped.
+pub(super) struct InFlightGuard {
+    pool: Rc<ReplicaPool>,
+    id: ReplicaId,
 }
 
-/// A counted connection that is not up yet.
-struct OpenCount(Option<Rc<Cell<usize>>>);
-
-impl OpenCount {
-    fn into_link(mut self, wire: BufferedConnection, to: ReplicaAddress) -> ReplicaConnection {
-        ReplicaConnection { wire, to, reused: false, open: self.0.take().unwrap_or_default() }
-    }
-}
-
-impl Drop for OpenCount {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        if let Some(open) = &self.0 {
-            open.set(open.get() - 1);
+        let mut in_flight = self.pool.in_flight.borrow_mut();
+        if let Some(count) = in_flight.get_mut(&self.id) {
+            *count -= 1;
+            if *count == 0 {
+                in_flight.remove(&self.id);
+            }
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/router/src/replica/probe.rs
+++ b/router/src/replica/probe.rs
@@ -1,4 +1,4 @@
-//! Asks a model node for its health.
+//! The health check of a replica: whether it serves, and its load report.
 
 use std::rc::Rc;
 
@@ -6,52 +6,58 @@
 use tallypin::api::{Outcome, ReplicaId};
 use tokio::time::timeout;
 
-use super::answer::read_head;
 use super::context::ReplicaContext;
+use super::response::read_head;
 use crate::core::AttemptResult;
 use crate::dialect;
 use crate::dispatcher::Dispatcher;
-use crate::http::{BodyPart, BodyReader, StartLine};
+use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, StartLine};
 
-/// Probes a node and tells the core. The module sends no probes today; its interface has them.
-pub async fn probe(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, node: ReplicaId) {
-    let limit = context.limits.health_check_timeout;
-    let end = timeout(limit, ask_health(&context, node)).await.unwrap_or_else(|_| Outcome::TimedOut.into());
-    dispatcher.with(|core, now| core.probe_ended(now, node, end));
+/// Checks a replica and reports the result to the core. The decisions ask for no health check today; their interface has
+/// them.
+pub async fn probe(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, replica: ReplicaId) {
+    let checked = timeout(context.limits.health_check_timeout, check(&context, replica)).await;
+    let result = checked.unwrap_or(Err(Outcome::TimedOut)).unwrap_or_else(AttemptResult::from);
+    dispatcher.with(|core, now| core.probe_ended(now, replica, result));
 }
 
-async fn ask_health(context: &ReplicaContext, node: ReplicaId) -> AttemptResult {
+/// One health check.
+///
+/// # Errors
+/// How it failed before there was a whole response.
+async fn check(context: &ReplicaContext, replica: ReplicaId) -> Result<AttemptResult, Outcome> {
     let names = &context.report_fields;
     let target = if names.is_empty() { "/alive" } else { "/metrics/load" };
-    let mut link = match context.pool.connect(node).await {
-        Ok(reached) => reached,
-        Err(outcome) => return outcome.into(),
-    };
-    let head = format!("GET {target} HTTP/1.1\r\nHost: backend.local\r\n\r\n");
-    if link.wire.write(Bytes::from(head)).await.is_err() {
-        return Outcome::ConnectionRefused.into();
+    let mut connection = context.pool.connect(replica).await?;
+    let request = format!("GET {target} HTTP/1.1\r\nHost: backend.local\r\n\r\n");
+    connection.wire.write(Bytes::from(request)).await.map_err(|_| Outcome::ConnectionRefused)?;
+    let head = read_head(&mut connection.wire, &context.limits).await.ok_or(Outcome::ConnectionReset)?;
+    let framing = head.framing().map_err(|_| Outcome::ConnectionReset)?;
+    let report = read_body(&mut connection.wire, framing, context.limits.max_head_size).await?;
+    let outcome =
+        if head.start_line == StartLine::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
+    let load_report = dialect::parse_load_report(&String::from_utf8_lossy(&report), names);
+    if head.keeps_alive() && connection.wire.unread.is_empty() {
+        context.pool.give_back(connection);
     }
-    let Some(head) = read_head(&mut link.wire, &context.limits).await else {
-        return Outcome::ConnectionReset.into();
-    };
-    let Ok(framing) = head.framing() else { return Outcome::ConnectionReset.into() };
-    let (mut body, mut report) =
-        (BodyReader::for_response(framing, context.limits.max_head_size), Vec::new());
+    Ok(AttemptResult { outcome, cached_tokens: None, load_report })
+}
+
+/// Reads a body of at most `limit` bytes.
+async fn read_body(
+    wire: &mut BufferedConnection,
+    framing: BodyFraming,
+    limit: usize,
+) -> Result<Vec<u8>, Outcome> {
+    let (mut body, mut bytes) = (BodyReader::for_response(framing, limit), Vec::new());
     loop {
-        match body.next_part(&mut link.wire.unread) {
-            Ok(Some(BodyPart::Data(data))) if report.len() + data.len() <= context.limits.max_head_size => {
-                report.extend_from_slice(&data);
+        match body.next_part(&mut wire.unread) {
+            Ok(Some(BodyPart::Data(data))) if bytes.len() + data.len() <= limit => {
+                bytes.extend_from_slice(&data)
             }
-            Ok(Some(BodyPart::End)) => break,
-            Ok(None) if matches!(link.wire.read_more().await, Ok(true)) => {}
-            _ => return Outcome::ConnectionReset.into(),
+            Ok(Some(BodyPart::End)) => return Ok(bytes),
+            Ok(None) if matches!(wire.read_more().await, Ok(true)) => {}
+            _ => return Err(Outcome::ConnectionReset),
         }
     }
-    let outcome =
-        if head.start_line == StartLine::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
-    let load = dialect::parse_load_report(&String::from_utf8_lossy(&report), names);
-    if head.keeps_alive() && link.wire.unread.is_empty() {
-        context.pool.give_back(link);
-    }
-    AttemptResult { outcome, cached_tokens: None, load_report: load }
 }
