--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -1,159 +1,175 @@
-//! Datagrams between the routers of a deployment.
+//! Load reports between the routers of a deployment, as datagrams.
 
 use std::cell::Cell;
-use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use std::{fmt, io};
 
 use tallypin::api::{PeerId, TenantsDigest};
-use tallypin::served_report::{self, ReportError};
+use tallypin::served_report::{self, ReportError, ServedReport};
 use tokio::net::UdpSocket;
 
 use crate::bind;
 use crate::config::PeerAddresses;
 use crate::dispatcher::Dispatcher;
 
-/// The most bytes of a message; a longer one would void the run.
+/// The most bytes of a message; a longer one would void the platform's run.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 
-/// After an error of a moment a message is waited for again after this.
+/// The pause after an error of the socket. Want of memory, say, would fail again at once, and again.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Messages that were not gone by, since the start.
+/// Messages that were not used, since the start, by the reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DroppedMessages {
     /// From addresses that are no peer's, or too long.
     pub strangers: u64,
     /// From peers with other tenants, or of another version.
     pub foreign: u64,
-    /// Torn, or saying what cannot be.
+    /// Malformed reports.
     pub malformed: u64,
 }
 
-/// Why a message is not gone by.
+/// Why a message is not used.
 #[derive(Debug, Clone, Copy)]
-enum Unusable {
+enum DropReason {
     /// It comes from no peer, or is too long.
     Stranger,
-    /// It is no report to go by.
+    /// It is no usable report.
     Report(ReportError),
 }
 
-/// The way to the other routers.
+impl fmt::Display for DropReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            DropReason::Stranger => f.write_str("from no peer, or too long"),
+            DropReason::Report(error) => error.fmt(f),
+        }
+    }
+}
+
+/// The socket for load reports, and what has been heard on it.
 #[derive(Debug)]
 pub struct Peers {
     socket: UdpSocket,
     addresses: PeerAddresses,
-    me: usize,
-    /// What the own reports are told apart by.
+    /// This router's index among the addresses.
+    own_index: usize,
+    /// The digest that the other routers' reports have to carry.
     digest: TenantsDigest,
-    /// Messages from strangers, from routers with other tenants or of another version, and malformed ones.
     dropped: Cell<DroppedMessages>,
-    /// When another router was heard last.
-    heard: Cell<Option<Instant>>,
-    /// When another router last told of requests that it had served.
-    served: Cell<Option<Instant>>,
+    /// When another router was last heard.
+    heard_at: Cell<Option<Instant>>,
+    /// When another router last reported requests that it had served.
+    served_at: Cell<Option<Instant>>,
 }
 
 impl Peers {
-    /// Listens for the other routers; `me` is the own number, `digest` what their reports have to agree in.
-    pub async fn new(addresses: PeerAddresses, me: PeerId, digest: TenantsDigest) -> io::Result<Peers> {
+    /// Listens for the other routers.
+    ///
+    /// # Errors
+    /// The socket can't be had; want of resources is waited out for a while.
+    pub async fn new(addresses: PeerAddresses, own: PeerId, digest: TenantsDigest) -> io::Result<Peers> {
         let socket = bind::bind_with_retry(async || UdpSocket::bind(addresses.listen).await).await?;
         // Until the runtime has seen that it can be written, what is sent at once would be lost.
         socket.writable().await?;
         Ok(Peers {
             socket,
             addresses,
-            me: me.0 as usize,
+            own_index: own.0 as usize,
             digest,
             dropped: Cell::default(),
-            heard: Cell::new(None),
-            served: Cell::new(None),
+            heard_at: Cell::new(None),
+            served_at: Cell::new(None),
         })
     }
 
-    /// Tells all other routers. What cannot go out at once is lost, as it may be on the way.
+    /// Sends a message to all other routers. What cannot go out at once is lost, as it may be on the way.
     pub fn gossip(&self, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_BYTES {
-            tracing::warn!(target: "peers", bytes = bytes.len(), most = MAX_MESSAGE_BYTES, "message too long, dropped");
+            tracing::warn!(target: "peers", bytes = bytes.len(), limit = MAX_MESSAGE_BYTES,
+                "load report too long, not sent");
             return;
         }
+        let send = |to: SocketAddr| drop(self.socket.try_send_to(bytes, to));
         match self.addresses.all {
-            Some(all) => drop(self.socket.try_send_to(bytes, all)),
+            Some(all) => send(all),
             None => {
-                let others = self.addresses.each.iter().enumerate().filter(|(i, _)| *i != self.me);
-                others.for_each(|(_, to)| drop(self.socket.try_send_to(bytes, *to)));
+                let others = self.addresses.each.iter().enumerate().filter(|(i, _)| *i != self.own_index);
+                others.for_each(|(_, to)| send(*to));
             }
         }
     }
 
-    /// The next message, and the number of the router that it came from.
+    /// The next message of another router, be it a usable report or not: the decisions read it for themselves. Cancel-safe:
+    /// no message is lost while it is waited for.
     pub async fn receive(&self) -> (PeerId, Vec<u8>) {
-        // One byte more than a message may have, to tell a longer one.
+        // One byte more than a message may have, to detect a longer one.
         let mut buf = [0u8; MAX_MESSAGE_BYTES + 1];
         loop {
-            let Ok((n, from)) = self.socket.recv_from(&mut buf).await else {
-                // Want of memory, say: at once it would fail again, and again.
+            let Ok((length, from)) = self.socket.recv_from(&mut buf).await else {
                 tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
             };
-            // Whoever is not among the peers, or says too much, is not heard.
-            let Some(peer) = self.number(from).filter(|peer| n <= MAX_MESSAGE_BYTES && *peer != self.me)
-            else {
-                self.note_dropped(Unusable::Stranger);
+            let Some(peer) = self.peer_at(from).filter(|_| length <= MAX_MESSAGE_BYTES) else {
+                self.record_dropped(DropReason::Stranger);
                 continue;
             };
-            self.heard.set(Some(Instant::now()));
-            match served_report::decode(self.digest, &buf[..n]) {
-                Ok(report) if report.served.iter().any(|(_, hits)| *hits > 0) => {
-                    self.served.set(self.heard.get());
-                }
-                Ok(_) => {}
-                Err(why) => self.note_dropped(Unusable::Report(why)),
-            }
-            return (PeerId(peer as u32), buf[..n].to_vec());
+            self.record_heard(&buf[..length]);
+            return (peer, buf[..length].to_vec());
         }
     }
 
-    /// Messages that were not gone by, since the start.
+    /// Takes note of a message of a peer.
+    fn record_heard(&self, bytes: &[u8]) {
+        self.heard_at.set(Some(Instant::now()));
+        let serves = |report: &ServedReport| report.served.iter().any(|(_, requests)| *requests > 0);
+        match served_report::decode(self.digest, bytes) {
+            Ok(report) if serves(&report) => self.served_at.set(self.heard_at.get()),
+            Ok(_) => {}
+            Err(error) => self.record_dropped(DropReason::Report(error)),
+        }
+    }
+
+    /// Messages that were not used, since the start.
     pub fn dropped(&self) -> DroppedMessages {
         self.dropped.get()
     }
 
-    /// Counts a message that is not gone by; the first of each kind is logged.
-    fn note_dropped(&self, why: Unusable) {
+    /// Counts a message that is not used; the first of each kind is logged.
+    fn record_dropped(&self, reason: DropReason) {
         let mut dropped = self.dropped.get();
-        let (count, what) = match why {
-            Unusable::Stranger => (&mut dropped.strangers, "is no peer's or too long"),
-            Unusable::Report(ReportError::ForeignDigest) => {
-                (&mut dropped.foreign, "is of a router with other tenants or of another version")
-            }
-            Unusable::Report(ReportError::Malformed) => (&mut dropped.malformed, "is malformed"),
+        let count = match reason {
+            DropReason::Stranger => &mut dropped.strangers,
+            DropReason::Report(ReportError::ForeignDigest) => &mut dropped.foreign,
+            DropReason::Report(ReportError::Malformed) => &mut dropped.malformed,
         };
         *count += 1;
         if *count == 1 {
-            tracing::warn!(target: "peers", "a message that {what}, dropped; later ones are counted");
+            tracing::warn!(target: "peers", %reason, "message dropped, further ones are counted");
         }
         self.dropped.set(dropped);
     }
 
-    /// Whether another router has been heard within a time. One that is about to end says nothing.
+    /// Whether another router has been heard within a time. One that is about to end sends nothing.
     pub fn heard_within(&self, time: Duration) -> bool {
-        self.heard.get().is_some_and(|at| at.elapsed() < time)
+        self.heard_at.get().is_some_and(|at| at.elapsed() < time)
     }
 
-    /// When another router last told of requests that it had served.
+    /// When another router last reported requests that it had served.
     pub fn served_at(&self) -> Option<Instant> {
-        self.served.get()
+        self.served_at.get()
     }
 
-    fn number(&self, from: SocketAddr) -> Option<usize> {
-        self.addresses.each.iter().position(|a| *a == from)
+    /// The other router at an address.
+    fn peer_at(&self, address: SocketAddr) -> Option<PeerId> {
+        let index = self.addresses.each.iter().position(|peer| *peer == address)?;
+        (index != self.own_index).then_some(PeerId(index as u32))
     }
 }
 
-/// Hands what the other routers say to the core. Ends never.
+/// Hands the messages of the other routers to the core. Never ends.
 pub async fn receive_gossip(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
     loop {
         let (from, bytes) = peers.receive().await;
