--- a/router/src/keep_alive.rs
+++ b/router/src/keep_alive.rs
@@ -42,22 +42,16 @@
     /// There was no place for it: it gets one answer.
     over_limit: bool,
     has_requested: bool,
-    /// When its last request was rejected, if it was,
-    /// and how many requests came one after the other, each at once after a rejection.
+    /// When its last request was rejected, if it was.
     rejected_at: Option<Instant>,
+    /// How many requests came one after the other, each at once after a rejection.
     immediate_retries: u32,
 }
 
 impl KeepAlive {
     /// One that was opened now.
-    pub fn new(now: Instant, crowded: bool) -> KeepAlive {
-        KeepAlive {
-            opened: now,
-            over_limit: crowded,
-            has_requested: false,
-            rejected_at: None,
-            immediate_retries: 0,
-        }
+    pub fn new(now: Instant, over_limit: bool) -> KeepAlive {
+        KeepAlive { opened: now, over_limit, has_requested: false, rejected_at: None, immediate_retries: 0 }
     }
 
     /// How long the connection may be idle now. One that has carried a request may be idle for longer, and closes earlier in a
@@ -83,10 +77,10 @@
     /// Whether the connection stays open after an answer. `keeps`: its client wants that. From the stage on at which answers say
     /// `Connection: close`, none does.
     pub fn stays_open_after(&mut self, now: Instant, then: AfterAnswer, keeps: bool, stage: Stage) -> bool {
-        let goes_on =
+        let stays_open =
             keeps && !self.over_limit && stage < Stage::AnnouncingClose && then != AfterAnswer::Close;
-        self.rejected_at = (goes_on && then == AfterAnswer::KeepOpenAfterRejection).then_some(now);
-        goes_on
+        self.rejected_at = (stays_open && then == AfterAnswer::KeepOpenAfterRejection).then_some(now);
+        stays_open
     }
 }
 
