--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -34,7 +34,7 @@
 
 /// A router with checks, and where it is asked what.
 struct Checked {
-    host: Rc<Components>,
+    components: Rc<Components>,
     board: Rc<Board>,
     front: SocketAddr,
     messages: SocketAddr,
@@ -79,25 +79,25 @@
 ) -> Checked {
     let installation = installation(&config, &quick(at, more));
     installation.reserve(&mut config.limits).unwrap();
-    let host = Components::new(config, Chat, peers).unwrap();
-    host.start();
-    host.outward.guard(installation.gate.clone());
+    let components = Components::new(config, Chat, peers).unwrap();
+    components.start();
+    components.outward.guard(installation.gate.clone());
     endpoint_list::apply(
-        &host.endpoint_list,
+        &components.endpoint_list,
         &EndpointListMessage { version: 1, full: true, endpoints: rows },
         ListUpdate::Cached,
     );
-    let board = Board::new(&installation, host.outward.clone());
-    let listening = checks::start(&host.check_context(), &board).await.unwrap();
+    let board = Board::new(&installation, components.outward.clone());
+    let listening = checks::start(&components.check_context(), &board).await.unwrap();
     let (listener, second) =
         (TcpListener::bind(at[0]).await.unwrap(), TcpListener::bind(ANYWHERE[0]).await.unwrap());
     let (front, messages) = (listener.local_addr().unwrap(), second.local_addr().unwrap());
     let api = Box::new(installation.messages.clone().unwrap());
     let fronts = vec![
-        spawn_local(front::serve(host.front_context(), listener, Front::Platform)).abort_handle(),
-        spawn_local(front::serve(host.front_context(), second, Front::Messages(api))).abort_handle(),
+        spawn_local(front::serve(components.front_context(), listener, Front::Platform)).abort_handle(),
+        spawn_local(front::serve(components.front_context(), second, Front::Messages(api))).abort_handle(),
     ];
-    Checked { host, board, front, messages, listening: Some(listening), installation, fronts }
+    Checked { components, board, front, messages, listening: Some(listening), installation, fronts }
 }
 
 async fn start(nodes: &[&Node], at: &[SocketAddr; 4], more: &[(&str, &str)]) -> Checked {
@@ -145,8 +145,8 @@
     /// Goes to its end by itself, as on SIGTERM.
     fn end(&self) -> JoinHandle<()> {
         assert!(self.board.want(DrainGoal::Exit, OperatorOrder::Drain));
-        let (host, board) = (self.host.clone(), self.board.clone());
-        spawn_local(async move { shutdown::when_drained(&host, &board).await })
+        let (components, board) = (self.components.clone(), self.board.clone());
+        spawn_local(async move { shutdown::when_drained(&components, &board).await })
     }
 }
 
@@ -177,7 +177,7 @@
         });
         until(|| !told.borrow().is_empty()).await;
         assert_eq!(router.says().await, "up ready 100%");
-        obey(Command::Drain { end: false }, &router.host.check_context(), &router.board);
+        obey(Command::Drain { end: false }, &router.components.check_context(), &router.board);
         // Whoever asks now is told now, on connections of before and after.
         assert_eq!(router.says().await, "up drain");
         assert_eq!(probe::grpc(at, "").await.unwrap().words, "NOT_SERVING");
@@ -191,7 +191,7 @@
         let (code, head, _, whole) = client.ask("").await;
         assert!(code == 200 && whole && field(&head, "connection") == Some("close"), "{head}");
         // Taken back half way.
-        assert_eq!(obey(Command::Ready, &router.host.check_context(), &router.board)["done"], true);
+        assert_eq!(obey(Command::Ready, &router.components.check_context(), &router.board)["done"], true);
         assert_eq!(router.says().await, "up ready 100%");
         assert_eq!(status(&mut checker, "/healthz").await.0, 200);
         until(|| *told.borrow() == [1, 2, 1]).await;
@@ -200,7 +200,7 @@
         assert!(code == 200 && field(&head, "connection").is_none());
         // And begun again, to the end this time: idle connections close, new ones are served until then.
         assert_eq!(
-            obey(Command::Drain { end: false }, &router.host.check_context(), &router.board)["done"],
+            obey(Command::Drain { end: false }, &router.components.check_context(), &router.board)["done"],
             true
         );
         router.says().await;
@@ -211,7 +211,7 @@
         assert_eq!(Client::to(router.front).await.ask("").await.0, 200);
         let over = router.end();
         assert_eq!(
-            obey(Command::Ready, &router.host.check_context(), &router.board)["done"],
+            obey(Command::Ready, &router.components.check_context(), &router.board)["done"],
             false,
             "the signal stays"
         );
@@ -253,7 +253,7 @@
         let cold = EndpointRecord { started_ms: now, ..row("s-9", node.addr, "active") };
         let list = |servers| {
             endpoint_list::apply(
-                &router.host.endpoint_list,
+                &router.components.endpoint_list,
                 &EndpointListMessage { version: 1, full: true, endpoints: servers },
                 ListUpdate::Full,
             )
@@ -449,7 +449,7 @@
         at[2] = spare.addr();
         let more = [("drain 404", "drain 418"), ("checks {", "checks {\n connections 5\n envoy on")];
         let new = installation(&config(), &quick(&at, &more));
-        adopting.apply(&router.host.outward, &new);
+        adopting.apply(&router.components.outward, &new);
         let mut moved = loop {
             match TcpStream::connect(spare.addr()).await {
                 Ok(stream) => break Client { stream, buf: Vec::new() },
@@ -465,7 +465,7 @@
         // A place that is taken is not moved to.
         let taken = TcpListener::bind("127.0.0.1:0").await.unwrap();
         at[2] = taken.local_addr().unwrap();
-        adopting.apply(&router.host.outward, &installation(&config(), &quick(&at, &[])));
+        adopting.apply(&router.components.outward, &installation(&config(), &quick(&at, &[])));
         assert_eq!(status(&mut kept, "/healthz").await.0, 404);
         assert_eq!(status(&mut Client::to(spare.addr()).await, "/healthz").await.0, 404);
     });
@@ -485,7 +485,7 @@
             ("listen 127.0.0.1:0\n    }\n}", "listen 127.0.0.1:0\n reports on\n }\n}"),
         ];
         let router = start(&[&node], &ANYWHERE, &more).await;
-        until(|| router.host.outward.fields().contains("weight=1")).await;
+        until(|| router.components.outward.fields().contains("weight=1")).await;
         for (head, body) in [
             {
                 let (_, h, b, _) = Client::to(router.front).await.ask("").await;
@@ -502,7 +502,7 @@
             );
             assert_eq!(field(&head, "x-envoy-degraded"), None);
         }
-        obey(Command::Maint, &router.host.check_context(), &router.board);
+        obey(Command::Maint, &router.components.check_context(), &router.board);
         let (_, head, ..) = Client::to(router.front).await.ask("").await;
         assert_eq!(field(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
         let report = router.board.report();
@@ -598,11 +598,11 @@
                 assert_eq!(all, b"", "{bytes:?}");
             }
         }
-        assert_eq!(router.host.outward.unread(), 9);
+        assert_eq!(router.components.outward.unread(), 9);
         // Whoever may not send one can be nobody else by it.
         let gate = gate.replace("from 127.0.0.1", "from 10.0.0.0/8");
         let new = installation(&config(), &quick(&ANYWHERE, &[("health {", &gate)]));
-        router.host.outward.guard(new.gate);
+        router.components.outward.guard(new.gate);
         let mut client = Client::to(router.front).await;
         client.stream.write_all(&line).await.unwrap();
         assert_eq!(client.ask("").await.0, 400);
@@ -622,7 +622,8 @@
         let settings = ControlSettings { socket: socket.clone(), mode: 0o600 };
         let control = Control::bind(&settings).await.unwrap();
         assert_eq!(std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777, 0o600);
-        let serving = spawn_local(control.serve(router.host.check_context(), router.board.clone(), None));
+        let serving =
+            spawn_local(control.serve(router.components.check_context(), router.board.clone(), None));
         let again = Control::bind(&settings).await.err().expect("it is taken").to_string();
         assert!(again.contains("another router answers there"), "{again}");
         let ask = async |order: &str| -> serde_json::Value {
@@ -794,11 +795,11 @@
                 // Ordered, and taken back half way.
                 obey(
                     Command::Drain { end: true },
-                    &routers[number].host.check_context(),
+                    &routers[number].components.check_context(),
                     &routers[number].board,
                 );
                 tokio::time::sleep(Duration::from_millis(random.u64(0..10))).await;
-                obey(Command::Ready, &routers[number].host.check_context(), &routers[number].board);
+                obey(Command::Ready, &routers[number].components.check_context(), &routers[number].board);
                 balancer.until(number, |h| h.up && h.ready).await;
             }
             routers[number].end().await.unwrap();
--- a/router/tests/closing.rs
+++ b/router/tests/closing.rs
@@ -28,7 +28,7 @@
 
 /// The router closes; some time later the play goes on.
 async fn closes(router: &Router, at: u32) {
-    router.host.lifecycle.enter(Stage::Closing);
+    router.components.lifecycle.enter(Stage::Closing);
     let begun = Instant::now();
     until(|| begun.elapsed() >= Duration::from_micros(100) * at).await;
 }
@@ -110,7 +110,7 @@
             client.send(&request()).await;
             assert_eq!(client.answer().await.0, 200);
             if parting {
-                router.host.lifecycle.enter(Stage::Closing);
+                router.components.lifecycle.enter(Stage::Closing);
             }
             assert_eq!(client.stream.read(&mut [0; 9]).await.unwrap(), 0, "shut down");
             for _ in 0..3 {
@@ -121,7 +121,7 @@
             }
             assert_eq!(node.so_far().1, 1, "read after the shutdown and sent on");
             drop(client);
-            until(|| router.host.clients.open() == 0).await;
+            until(|| router.components.clients.open() == 0).await;
         }
     });
 }
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -394,7 +394,7 @@
 }
 
 pub struct Router {
-    pub host: Rc<Components>,
+    pub components: Rc<Components>,
     pub addr: SocketAddr,
     pub messages: SocketAddr,
     _ports: [ReservedPort; 2],
@@ -409,18 +409,18 @@
 
     pub async fn by(config: Config, dialect: Dialect, nodes: &[&Node], peers: Option<Peers>) -> Router {
         let front = installation(&config, &settings("")).messages.expect("it has the messages API");
-        let host = Components::new(config, dialect, peers).unwrap();
-        host.start();
+        let components = Components::new(config, dialect, peers).unwrap();
+        components.start();
         let ports = [ReservedPort::new(), ReservedPort::new()];
         let (listener, second) = (ports[0].listen().await, ports[1].listen().await);
         let (addr, messages) = (ports[0].addr(), ports[1].addr());
-        spawn_local(front::serve(host.front_context(), listener, Front::Platform));
-        spawn_local(front::serve(host.front_context(), second, Front::Messages(Box::new(front))));
-        let router = Router { host, addr, messages, _ports: ports };
+        spawn_local(front::serve(components.front_context(), listener, Front::Platform));
+        spawn_local(front::serve(components.front_context(), second, Front::Messages(Box::new(front))));
+        let router = Router { components, addr, messages, _ports: ports };
         let servers = nodes.iter().enumerate();
         let servers = servers.map(|(i, n)| row(&format!("s-{i}"), n.addr, "active")).collect();
         endpoint_list::apply(
-            &router.host.endpoint_list,
+            &router.components.endpoint_list,
             &EndpointListMessage { version: 1, full: true, endpoints: servers },
             ListUpdate::Cached,
         );
@@ -429,15 +429,15 @@
 
     pub fn list(&self, rows: impl IntoIterator<Item = EndpointRecord>) {
         let page = EndpointListMessage { version: 1, full: true, endpoints: rows.into_iter().collect() };
-        endpoint_list::apply(&self.host.endpoint_list, &page, ListUpdate::Full);
+        endpoint_list::apply(&self.components.endpoint_list, &page, ListUpdate::Full);
     }
 
     pub fn tallies(&self) -> RequestCounts {
-        self.host.with(|core, _| core.counts().clone())
+        self.components.with(|core, _| core.counts().clone())
     }
 
     pub fn open(&self) -> usize {
-        self.host.with(|core, _| core.open_requests())
+        self.components.with(|core, _| core.open_requests())
     }
 }
 
--- a/router/tests/dialects.rs
+++ b/router/tests/dialects.rs
@@ -81,7 +81,7 @@
         format!(
             "{:?}, unknown events {}",
             router.tallies(),
-            router.host.replica_context.unknown_events.get()
+            router.components.replica_context.unknown_events.get()
         ),
         seen,
     )
--- a/router/tests/ending.rs
+++ b/router/tests/ending.rs
@@ -34,9 +34,9 @@
             let (head, rest) = request.split_at(request.len() / 2);
             let mut client = Client::to(addr).await;
             client.send(head).await;
-            let host = router.host.clone();
-            let end = spawn_local(async move { shutdown::drain(&host).await });
-            router.host.lifecycle.wait_for(Stage::Rejecting).await;
+            let components = router.components.clone();
+            let end = spawn_local(async move { shutdown::drain(&components).await });
+            router.components.lifecycle.wait_for(Stage::Rejecting).await;
             client.send(rest).await;
             assert_eq!(client.answer().await.0, status, "front {front}");
             assert_eq!(node.so_far(), (0, 0), "front {front}: nothing was sent on");
@@ -70,9 +70,9 @@
             }
         });
         until(|| connects.load(Ordering::SeqCst)).await;
-        let host = router.host.clone();
-        let end = spawn_local(async move { shutdown::drain(&host).await });
-        router.host.lifecycle.wait_for(Stage::Closing).await;
+        let components = router.components.clone();
+        let end = spawn_local(async move { shutdown::drain(&components).await });
+        router.components.lifecycle.wait_for(Stage::Closing).await;
         let closing = Instant::now();
         // The crowd goes on; the system refuses who connects once the listener is gone.
         while TcpStream::connect(addr).await.is_ok() {
@@ -103,14 +103,14 @@
             let router = Router::by(config, Chat, &[], None).await;
             router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
             let mut client = Client::to(router.addr).await;
-            let host = router.host.clone();
-            let end = spawn_local(async move { shutdown::drain(&host).await });
-            router.host.lifecycle.wait_for(Stage::Grace).await;
+            let components = router.components.clone();
+            let end = spawn_local(async move { shutdown::drain(&components).await });
+            router.components.lifecycle.wait_for(Stage::Grace).await;
             tokio::time::sleep(MS).await;
             client.send(&platform("", "{}")).await;
             let mut node = asked(&listener).await;
             node.send(&(HEAD.to_string() + &chunk(CHAT[0]))).await;
-            router.host.lifecycle.wait_for(Stage::Rejecting).await;
+            router.components.lifecycle.wait_for(Stage::Rejecting).await;
             tokio::time::sleep(5 * MS).await;
             let rest: String = CHAT[1..].iter().map(|event| chunk(event)).collect();
             let _ = node.stream.write_all((rest + "0\r\n\r\n").as_bytes()).await;
@@ -156,8 +156,8 @@
             client.send(&request()).await;
             node.next_request().await;
             // The attempt has told the core of its first event, and not yet its client's front.
-            router.host.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
-            router.host.with(|core, now| core.answer_for_shutdown(now, Some(0)));
+            router.components.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
+            router.components.with(|core, now| core.answer_for_shutdown(now, Some(0)));
             let (got, _, body, _) = client.answer().await;
             assert_eq!(got, status, "front {front}");
             assert!(front == 0 || body.contains("event: error"), "front {front}: {body}");
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -32,14 +32,14 @@
                 clients.push(client);
             }
             // A task beside the router's has its turns between theirs.
-            let host = router.host.clone();
+            let components = router.components.clone();
             let left = spawn_local(async move {
-                while host.with(|core, _| core.open_requests()) < clients.len() {
+                while components.with(|core, _| core.open_requests()) < clients.len() {
                     turns(1).await;
                 }
                 turns(wait).await;
                 drop(clients);
-                host.replicas.in_flight(name_hash::replica_id("s-0"))
+                components.replicas.in_flight(name_hash::replica_id("s-0"))
             });
             let out = left.await.unwrap();
             until(|| router.tallies().client_disconnects == 8).await;
@@ -71,29 +71,32 @@
             let router = Router::by(config, Chat, &[&first, &second], None).await;
             // Copies are sent where first tokens are known to come at once.
             assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
-            until(|| router.host.replicas.connection_counts().0 == 0).await;
+            until(|| router.components.replicas.connection_counts().0 == 0).await;
             first.plan(&[Fault::Mute]);
             second.plan(&[Fault::Mute]);
             assert_eq!(first.so_far().1 + second.so_far().1, 1);
             let (addr, request) = fronts(&router)[wait / 10 % 2];
             let mut client = Client::to(addr).await;
             client.send(&request()).await;
-            let host = router.host.clone();
+            let components = router.components.clone();
             let left = spawn_local(async move {
-                let open = || host.with(|core, _| core.open_requests());
+                let open = || components.with(|core, _| core.open_requests());
                 while open() == 0 {
                     turns(1).await;
                 }
                 // One that is counted is up or on its way.
                 let begun = Instant::now();
-                while host.replicas.connection_counts().0 < 2 && open() > 0 && begun.elapsed() < HEDGE_WAIT {
+                while components.replicas.connection_counts().0 < 2
+                    && open() > 0
+                    && begun.elapsed() < HEDGE_WAIT
+                {
                     turns(1).await;
                 }
-                let copied = host.replicas.connection_counts().0 == 2;
+                let copied = components.replicas.connection_counts().0 == 2;
                 turns(wait).await;
                 leave([client]);
-                let out = host.replicas.in_flight(name_hash::replica_id("s-0"))
-                    + host.replicas.in_flight(name_hash::replica_id("s-1"));
+                let out = components.replicas.in_flight(name_hash::replica_id("s-0"))
+                    + components.replicas.in_flight(name_hash::replica_id("s-1"));
                 copied.then_some(out)
             });
             // Where the machine stood still first tokens look late, and no copy is sent: played again.
@@ -153,7 +156,7 @@
         clients.clear();
         until(|| router.tallies().client_disconnects == 50 && router.open() == 0).await;
         let before = sent();
-        tokio::time::sleep(router.host.limits.connect_timeout * 4).await;
+        tokio::time::sleep(router.components.limits.connect_timeout * 4).await;
         assert_eq!((before, sent()), (0, 0), "tried again for a client that has left");
     });
 }
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -28,20 +28,24 @@
             (0..MANY).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
         let began = Instant::now();
         endpoint_list::apply(
-            &router.host.endpoint_list,
+            &router.components.endpoint_list,
             &pages(ListUpdate::Full, rows.clone()),
             ListUpdate::Full,
         );
-        endpoint_list::apply(&router.host.endpoint_list, &pages(ListUpdate::Full, rows), ListUpdate::Full);
+        endpoint_list::apply(
+            &router.components.endpoint_list,
+            &pages(ListUpdate::Full, rows),
+            ListUpdate::Full,
+        );
         let changed = vec![row("s-7", node.addr, "left")];
         endpoint_list::apply(
-            &router.host.endpoint_list,
+            &router.components.endpoint_list,
             &pages(ListUpdate::Delta, changed),
             ListUpdate::Delta,
         );
         let took = began.elapsed();
         assert!(took < Duration::from_secs(3), "two whole lists of {MANY} rows took {took:?}");
-        assert_eq!(router.host.replicas.ready_count(), MANY - 1);
+        assert_eq!(router.components.replicas.ready_count(), MANY - 1);
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
     });
 }
@@ -55,13 +59,13 @@
                 let node = Node::new(Chat).await;
                 let router = Router::new(Chat, &[&node], |_| {}).await;
                 let rows = states.iter().map(|state| row("s-0", node.addr, state)).collect();
-                endpoint_list::apply(&router.host.endpoint_list, &pages(kind, rows), kind);
-                let by_module = router.host.with(|core, _| {
+                endpoint_list::apply(&router.components.endpoint_list, &pages(kind, rows), kind);
+                let by_module = router.components.with(|core, _| {
                     core.listed_replicas().filter(|r| r.state == EndpointState::Ready).count()
                 });
                 let case = format!("{kind:?}, {states:?}");
                 assert_eq!(
-                    (by_module, router.host.replicas.ready_count()),
+                    (by_module, router.components.replicas.ready_count()),
                     (usize::from(ready), usize::from(ready)),
                     "{case}"
                 );
@@ -95,15 +99,15 @@
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, _) = next_call(&list).await;
         call.send(&(WATCH.to_string() + &long_list(41, 1, &"n".repeat(60_000), &node))).await;
-        until(|| router.host.replicas.ready_count() == 1).await;
+        until(|| router.components.replicas.ready_count() == 1).await;
         call.send(&long_list(42, 5_000, "u", &node)).await;
-        until(|| router.host.with(|core, _| core.listed_replicas().count()) == 5_001).await;
+        until(|| router.components.with(|core, _| core.listed_replicas().count()) == 5_001).await;
         let endless = long_list(43, 100_000, "t", &node);
         // The router closes before it has read all of it.
         let _ = tokio::io::AsyncWriteExt::write_all(&mut call.stream, endless.as_bytes()).await;
         let (_again, head) = next_call(&list).await;
         assert!(head.contains("since=42"), "{head}");
-        assert_eq!(router.host.with(|core, _| core.listed_replicas().count()), 5_001);
+        assert_eq!(router.components.with(|core, _| core.listed_replicas().count()), 5_001);
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
     });
 }
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -29,16 +29,16 @@
             let mut node = asked(&listener).await;
             node.send(&answer("first")).await;
             assert_eq!(client.answer().await.0, 200);
-            until(|| router.host.replicas.connection_counts() == (1, 1)).await;
+            until(|| router.components.replicas.connection_counts() == (1, 1)).await;
             // From here on the router has to be told of what comes on the idle connection.
-            router.host.replicas.close_expired();
+            router.components.replicas.close_expired();
             let (mut client, node) = (into_blocking(client), into_blocking(node));
             client.write_all(request().as_bytes()).unwrap();
             arrived(&[&client], Arrival::Data);
             // A task beside the router's has its turn between the pick and the attempt's first.
-            let host = router.host.clone();
+            let components = router.components.clone();
             let closes = tokio::task::spawn_local(async move {
-                while host.with(|core, _| core.open_requests()) == 0 {
+                while components.with(|core, _| core.open_requests()) == 0 {
                     turns(1).await;
                 }
                 node.shutdown(std::net::Shutdown::Write).unwrap();
@@ -66,7 +66,7 @@
                 let mut client = Client::to(addr).await;
                 client.send(&request()).await;
                 assert_eq!(client.answer().await.0, 200);
-                until(|| router.host.replicas.connection_counts() == (1, 1)).await;
+                until(|| router.components.replicas.connection_counts() == (1, 1)).await;
                 assert_eq!(first.so_far().1, 1);
                 client.send(&request()).await;
                 while router.open() == 0 {
@@ -104,7 +104,7 @@
             resting.send(&request()).await;
             assert_eq!(resting.answer().await.0, 200);
             let mut resting = into_blocking(resting);
-            until(|| router.host.clients.close_one_idle()).await;
+            until(|| router.components.clients.close_one_idle()).await;
             // The connection was told to close and has not had its turn; its readiness is that of the last look.
             resting.write_all(request().as_bytes()).unwrap();
             arrived(&[&resting], Arrival::Data);
@@ -187,8 +187,8 @@
     let router = Router::by(config, Chat, &[], None).await;
     let mut old_watch = watched(&former).await;
     old_watch.write_all(page(41, true, "s-1", node, "active").as_bytes()).unwrap();
-    until(|| router.host.replicas.ready_count() == 1).await;
-    reload::apply(&router.host.endpoint_list.state, &running, &moved);
+    until(|| router.components.replicas.ready_count() == 1).await;
+    reload::apply(&router.components.endpoint_list.state, &running, &moved);
     let new_watch = watched(&new).await;
     (router, old_watch, new_watch)
 }
@@ -203,7 +203,7 @@
         new_watch.write_all(page(7, true, "s-1", &node, "leaving").as_bytes()).unwrap();
         old_watch.write_all(page(42, false, "s-1", &node, "active").as_bytes()).unwrap();
         arrived(&[&new_watch, &old_watch], Arrival::Data);
-        let state = || router.host.with(|core, _| core.listed_replicas().map(|r| r.state).next());
+        let state = || router.components.with(|core, _| core.listed_replicas().map(|r| r.state).next());
         until(|| state() != Some(tallypin::api::EndpointState::Ready)).await;
         for _ in 0..50 {
             tokio::task::yield_now().await;
@@ -229,7 +229,7 @@
         let rows = |id: &str| {
             let id = tallypin::name_hash::replica_id(id);
             router
-                .host
+                .components
                 .with(|core, _| core.listed_replicas().filter(|r| r.replica == id).map(|r| r.state).next())
         };
         say(page(41, true, "s-1", &node, "active"));
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -209,8 +209,8 @@
         let mut client = Client::to(cut.addr).await;
         client.send(&plain("cut", "", "{}")).await;
         node.next_request().await;
-        cut.host.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
-        cut.host.with(|core, now| core.answer_for_shutdown(now, Some(0)));
+        cut.components.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
+        cut.components.with(|core, now| core.answer_for_shutdown(now, Some(0)));
         recording.case("cut before it was passed on", raw_answer(&mut client).await);
         recording.check();
     });
@@ -344,7 +344,7 @@
         for (stage, nodes) in [(Stage::Serving, 1), (Stage::Serving, 0), (Stage::Grace, 1)] {
             let node = Node::new(Chat).await;
             let router = Router::new(Chat, &[&node][..nodes], |_| {}).await;
-            router.host.lifecycle.enter(stage);
+            router.components.lifecycle.enter(stage);
             for (front, at) in [("platform", router.addr), ("messages", router.messages)] {
                 for path in ["/up", "/healthz", "/up?query"] {
                     for method in ["GET", "HEAD", "POST"] {
@@ -362,7 +362,7 @@
                         client.stream.read_to_end(&mut raw).await.unwrap();
                         recording.case(&title, raw);
                         drop(client);
-                        until(|| router.host.clients.open() == 0).await;
+                        until(|| router.components.clients.open() == 0).await;
                     }
                 }
             }
@@ -387,8 +387,8 @@
                 let mut client = Client::to(at).await;
                 let (first, rest) = request.split_at(20);
                 client.send(first).await;
-                until(|| router.host.clients.open() == 1).await;
-                router.host.lifecycle.enter(stage);
+                until(|| router.components.clients.open() == 1).await;
+                router.components.lifecycle.enter(stage);
                 client.send(rest).await;
                 let mut raw = raw_answer(&mut client).await;
                 if stage > Stage::Grace && !raw.ends_with(b"<closed>") {
@@ -443,8 +443,8 @@
             let node = Node::new(Chat).await;
             let router = Router::by(config, Chat, &[&node], None).await;
             tokio::task::spawn_local(replica::probe(
-                router.host.replica_context.clone(),
-                router.host.dispatcher.clone(),
+                router.components.replica_context.clone(),
+                router.components.dispatcher.clone(),
                 tallypin::name_hash::replica_id("s-0"),
             ));
             recording.case(&format!("probe {title}"), node.next_request().await.0);
@@ -471,12 +471,12 @@
             let (mut call, head) = next_call(&old).await;
             recording.case(&format!("{title}, the first call"), head);
             call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
-            until(|| router.host.replicas.ready_count() == 1).await;
+            until(|| router.components.replicas.ready_count() == 1).await;
             drop(call);
             let (_call, head) = next_call(&old).await;
             recording.case(&format!("{title}, after a loss"), head);
             moved.node_list = ports[1].addr();
-            reload::apply(&router.host.endpoint_list.state, &running, &moved);
+            reload::apply(&router.components.endpoint_list.state, &running, &moved);
             let (_call, head) = next_call(&new).await;
             recording.case(&format!("{title}, at a new place"), head);
         }
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -33,7 +33,7 @@
         for _ in 0..2 {
             assert_eq!(owner.ask("").await.0, 200);
         }
-        assert_eq!(router.host.request_ids.len(), 1);
+        assert_eq!(router.components.request_ids.len(), 1);
     });
 }
 
@@ -61,8 +61,11 @@
         half.send(&request[20..]).await;
         assert_eq!((half.answer().await.0, usual.ask("").await.0), (200, 200));
         // Those that were told to close are read for a moment more. Nobody needs room any more, so nobody else is closed.
-        until(|| router.host.clients.open() <= 3).await;
-        assert_eq!((router.host.clients.open(), router.host.clients.is_one_closing()), (3, false));
+        until(|| router.components.clients.open() <= 3).await;
+        assert_eq!(
+            (router.components.clients.open(), router.components.clients.is_one_closing()),
+            (3, false)
+        );
         silent[39].send(&platform("", "{}")).await;
         assert_eq!(silent[39].answer().await.0, 200);
     });
@@ -97,7 +100,7 @@
             client.send(&platform(fields, "").replace("Content-Length: 0\r\n", "")).await;
             announced.push(client);
         }
-        until(|| router.host.clients.open() == 8).await;
+        until(|| router.components.clients.open() == 8).await;
         let mut usual = Client::to(router.addr).await;
         usual.send(&platform("", &"x".repeat(900))).await;
         assert_eq!(usual.answer().await.0, 200);
@@ -187,7 +190,7 @@
             router.list([]);
             assert!(!reused.await.unwrap(), "{what}");
         }
-        assert_eq!(router.host.replicas.connection_counts(), (0, 0));
+        assert_eq!(router.components.replicas.connection_counts(), (0, 0));
     });
 }
 
@@ -245,7 +248,7 @@
         first.send(&answer("first")).await;
         assert!(one.answer().await.2.contains("first"));
         first.send(&answer("late")).await;
-        tokio::time::sleep(router.host.limits.replica_reuse_delay * 2).await;
+        tokio::time::sleep(router.components.limits.replica_reuse_delay * 2).await;
         one.send(&platform("", "{}")).await;
         second.message().await.expect("on the one that is not spoilt");
         second.send(&answer("third")).await;
@@ -275,7 +278,7 @@
             }),
         ] {
             router.list(rows);
-            assert_eq!(router.host.replicas.connection_counts(), (0, 0), "{id}");
+            assert_eq!(router.components.replicas.connection_counts(), (0, 0), "{id}");
             node.so_far();
             assert_eq!((client.ask("").await.0, node.so_far()), (200, (1, 1)), "{id}");
         }
@@ -284,7 +287,7 @@
         client.send(&platform("", "{}")).await;
         node.next_request().await;
         router.list([row("s-2", node.addr, "active")]);
-        assert_eq!((client.answer().await.0, router.host.replicas.connection_counts().1), (200, 0));
+        assert_eq!((client.answer().await.0, router.components.replicas.connection_counts().1), (200, 0));
     });
 }
 
@@ -300,9 +303,9 @@
         a.send(&platform("", "{}")).await;
         b.send(&platform("", "{}")).await;
         assert_eq!((a.answer().await.0, b.answer().await.0), (200, 200));
-        assert_eq!(router.host.replicas.connection_counts(), (2, 2));
+        assert_eq!(router.components.replicas.connection_counts(), (2, 2));
         assert_eq!(a.ask("Req-Deadline-Ms: 60\r\n").await.0, 503);
-        until(|| router.host.replicas.connection_counts() == (0, 0)).await;
+        until(|| router.components.replicas.connection_counts() == (0, 0)).await;
     });
 }
 
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -350,8 +350,8 @@
         router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
         let probe = || {
             spawn_local(replica::probe(
-                router.host.replica_context.clone(),
-                router.host.dispatcher.clone(),
+                router.components.replica_context.clone(),
+                router.components.dispatcher.clone(),
                 tallypin::name_hash::replica_id("s-1"),
             ))
         };
@@ -426,7 +426,7 @@
         large.send(&platform("", &"x".repeat(101))).await;
         assert_eq!(large.answer().await.0, 503, "more body than the budget holds");
         drop(large);
-        until(|| router.host.clients.open() == 1).await;
+        until(|| router.components.clients.open() == 1).await;
         let mut busy = Client::to(router.addr).await;
         busy.send(&platform("", "{}")).await;
         until(|| router.open() == 1).await;
@@ -447,9 +447,9 @@
         let mut idle = Client::to(router.addr).await;
         idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n").await;
         assert_eq!(idle.answer().await.0, 200);
-        let host = router.host.clone();
-        let end = spawn_local(async move { shutdown::drain(&host).await });
-        until(|| router.host.lifecycle.stage() != Stage::Serving).await;
+        let components = router.components.clone();
+        let end = spawn_local(async move { shutdown::drain(&components).await });
+        until(|| router.components.lifecycle.stage() != Stage::Serving).await;
         idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n").await;
         assert_eq!(idle.answer().await.0, 503, "no more clients are wanted");
         let mut late = Client::to(router.addr).await;
@@ -459,11 +459,11 @@
         assert_eq!(late.answer().await.0, 200, "but who comes is served");
         late.send(&platform("", "{}")).await;
         node.message().await.expect("a request");
-        until(|| router.host.lifecycle.stage() == Stage::Closing).await;
+        until(|| router.components.lifecycle.stage() == Stage::Closing).await;
         node.send(&answer("second")).await;
         assert_eq!((late.answer().await.0, late.answer().await.0), (200, 0), "to the end, then closed");
         end.await.unwrap();
-        assert_eq!((idle.answer().await.0, router.host.clients.open()), (0, 0));
+        assert_eq!((idle.answer().await.0, router.components.clients.open()), (0, 0));
         assert!(TcpStream::connect(router.addr).await.is_err(), "nobody listens any more");
     });
 }
@@ -495,10 +495,10 @@
             tokio::time::sleep(120 * MS).await;
             if heard {
                 other.send_to(b"here", mine).await.unwrap();
-                until(|| router.host.peers.as_ref().is_some_and(|p| p.heard_within(100 * MS))).await;
+                until(|| router.components.peers.as_ref().is_some_and(|p| p.heard_within(100 * MS))).await;
             }
-            let host = router.host.clone();
-            let end = spawn_local(async move { shutdown::drain(&host).await });
+            let components = router.components.clone();
+            let end = spawn_local(async move { shutdown::drain(&components).await });
             tokio::time::sleep(60 * MS).await;
             let mut after = [0; 12];
             let _ = client.stream.write_all(platform("", "{}").as_bytes()).await;
@@ -530,9 +530,9 @@
             flooded = node.flooded.get();
             tokio::time::sleep(40 * MS).await;
         }
-        let (host, told) = (router.host.clone(), Instant::now());
-        let end = spawn_local(async move { shutdown::drain(&host).await });
-        tokio::time::sleep(router.host.limits.late_arrival_after_stop * 5).await;
+        let (components, told) = (router.components.clone(), Instant::now());
+        let end = spawn_local(async move { shutdown::drain(&components).await });
+        tokio::time::sleep(router.components.limits.late_arrival_after_stop * 5).await;
         let (mut waiting, mut begun) = (Client::to(router.addr).await, Client::to(router.addr).await);
         for late in [&mut waiting, &mut begun] {
             late.send(&platform("", "{}")).await;
@@ -560,7 +560,7 @@
         let (mut call, head) = next_call(&list).await;
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
         call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
-        until(|| router.host.replicas.ready_count() == 1).await;
+        until(|| router.components.replicas.ready_count() == 1).await;
         // Silent for too long, malformed, refused: each time the list is kept and asked for anew.
         for answer in ["", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", "HTTP/1.1 503 No\r\n\r\n"] {
             let (mut again, head) = next_call(&list).await;
@@ -596,7 +596,7 @@
         let (first, second) = text.split_at(70);
         call.send(&format!("{WATCH}{:x}\r\n{first}\r\n", first.len())).await;
         call.send(&format!("{:x}\r\n{second}\r\n", second.len())).await;
-        until(|| router.host.replicas.ready_count() == 1).await;
+        until(|| router.components.replicas.ready_count() == 1).await;
         // It falls silent, and so does whoever is called after it.
         let mut unanswered = Vec::new();
         for _ in 0..3 {
@@ -607,7 +607,7 @@
         }
         let (mut back, _) = next_call(&agent).await;
         back.send(&(WATCH.to_string() + &page(42, false, "s-1", &node, "leaving"))).await;
-        until(|| router.host.replicas.ready_count() == 0).await;
+        until(|| router.components.replicas.ready_count() == 0).await;
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 503);
     });
 }
@@ -629,9 +629,9 @@
         let router = Router::by(config, Chat, &[], None).await;
         let (mut first, _) = next_call(&old).await;
         first.send(&(WATCH.to_string() + &page(41, true, "s-1", &a, "active"))).await;
-        until(|| router.host.replicas.ready_count() == 1).await;
+        until(|| router.components.replicas.ready_count() == 1).await;
         moved.node_list = new.local_addr().unwrap();
-        reload::apply(&router.host.endpoint_list.state, &running, &moved);
+        reload::apply(&router.components.endpoint_list.state, &running, &moved);
         // Its versions are its own: the whole list is asked for, and again when that fails.
         for _ in 0..2 {
             let (mut call, head) = next_call(&new).await;
@@ -640,10 +640,10 @@
         }
         let (mut second, _) = next_call(&new).await;
         first.send(&page(42, false, "s-2", &b, "active")).await;
-        until(|| router.host.replicas.ready_count() == 2).await;
+        until(|| router.components.replicas.ready_count() == 2).await;
         second.send(&(WATCH.to_string() + &page(3, true, "s-2", &b, "active"))).await;
         assert!(first.message().await.is_none(), "the old watch is closed");
-        until(|| router.host.replicas.ready_count() == 1).await;
+        until(|| router.components.replicas.ready_count() == 1).await;
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
         // Lost, it is asked for where it is now, from what that place has told.
         drop(second);
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -16,9 +16,9 @@
 /// The module's view of the first node, beside the attempts on its connections.
 fn view(router: &Router) -> (View, u32) {
     let id = name_hash::replica_id("s-0");
-    let seen = router.host.with(|core, now| core.view(now));
+    let seen = router.components.with(|core, now| core.view(now));
     let seen = seen.into_iter().find(|s| s.replica == id).expect("listed as active");
-    (seen, router.host.replicas.in_flight(id))
+    (seen, router.components.replicas.in_flight(id))
 }
 
 #[test]
@@ -104,7 +104,7 @@
     until(|| router.tallies().streams_started == 3).await;
     let mut listed = row("s-0", node.addr, "active");
     if restarted {
-        listed.started_ms = router.host.with(|_, now| now) / 1_000_000;
+        listed.started_ms = router.components.with(|_, now| now) / 1_000_000;
     }
     router.list([listed]);
     until(|| router.tallies().interrupted == 3).await;
