--- a/router/src/fleet/agent.rs
+++ b/router/src/fleet/agent.rs
@@ -8,8 +8,9 @@
 use std::time::Duration;
 
 use serde_json::Value;
+use tallypin_consensus::fleet_state::FleetState;
 use tallypin_consensus::register::Acceptor;
-use tallypin_membership::RouterIndex;
+use tallypin_membership::{Incarnation, RouterIndex};
 use tokio::net::TcpListener;
 
 use super::artifacts::Artifacts;
@@ -150,6 +151,16 @@
     settings.council.iter().map(connection).collect()
 }
 
+/// The acceptor of a router that starts, with what an earlier incarnation has stored; `None`: it is no member.
+async fn acceptor(settings: &FleetSettings, incarnation: Incarnation) -> Option<Acceptor<FleetState>> {
+    settings.own_member_index()?;
+    let stored = match settings.own_state_file() {
+        Some(path) => persistence::read_stored(path, settings.name.clone()).await,
+        None => None,
+    };
+    Some(Acceptor::new(incarnation).with_stored(stored))
+}
+
 impl Parts {
     async fn new(
         settings: FleetSettings,
@@ -161,13 +172,9 @@
         // A second member can be tried within the time of an order.
         let command_connections = connect(&settings, &keys, settings.order_timeout / 2);
         let incarnation = incarnation::choose(&connections, settings.own_index).await;
-        let stored = match settings.own_state_file() {
-            Some(path) => persistence::read_stored(path, settings.name.clone()).await,
-            None => None,
-        };
+        let acceptor = acceptor(&settings, incarnation).await;
         let artifacts = Artifacts::open(&settings.release_files, control.clone());
         let artifacts = Rc::new(artifacts.map_err(StartError::ReleaseFile)?);
-        let acceptor = settings.own_member_index().map(|_| Acceptor::new(incarnation).with_stored(stored));
         let tasks = Rc::new(TaskGroup::default());
         let local = Rc::new(LocalRouter::new(settings.own_index, incarnation));
         let peers = Rc::new(PeerTable::new(settings.heartbeat, settings.routers.len()));
