--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -2,7 +2,7 @@
 //! module's choice; a lost watch is reported to it, and what is known goes on being used.
 //!
 //! [`message`] has the form of the messages, [`object_reader`] cuts them out of the stream, [`watch_clock`] says when a
-//! watch is opened and abandoned; [`follow`] drives the watches, and [`apply`] gives their messages to the decisions and the
+//! watch is opened and abandoned; [`follow`] drives the watches, and [`fn@apply`] gives their messages to the decisions and the
 //! connections.
 
 use std::future::Future;
@@ -73,7 +73,7 @@
 /// is one from the start, whatever the decisions ask. Never ends.
 ///
 /// Each arm of the `select!` is cancel-safe: notifications keep their permit, the address channel its newest value, and
-/// [`SourceWatch::run`] its watch.
+/// `SourceWatch::run` its watch.
 pub async fn follow(context: Rc<EndpointListContext>) {
     let timeouts = SourceTimeouts::new(context.deployment.decisions.list_mode, &context.limits);
     let mut address = context.state.address();
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -15,7 +15,7 @@
 use crate::dispatcher::Dispatcher;
 
 /// The most bytes of a message; a longer one would void the platform's run.
-pub const MAX_MESSAGE_BYTES: usize = 256;
+const MAX_MESSAGE_BYTES: usize = 256;
 
 /// The pause after an error of the socket. Want of memory, say, would fail again at once, and again.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
@@ -124,7 +124,7 @@
     /// Takes note of a message of a peer.
     fn record_heard(&self, bytes: &[u8]) {
         self.heard_at.set(Some(Instant::now()));
-        let serves = |report: &ServedReport| report.served.iter().any(|(_, requests)| *requests > 0);
+        let serves = |report: &ServedReport| report.served.iter().any(|count| count.requests > 0);
         match served_report::decode(self.digest, bytes) {
             Ok(report) if serves(&report) => self.served_at.set(self.heard_at.get()),
             Ok(_) => {}
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -297,7 +297,7 @@
         }
         until(|| router.board.assessment().cause.description() == "no model node answers").await;
         assert!(router.says().await.starts_with("up ready "), "nobody else is known to serve");
-        let report = tallypin::served_report::encode(digest, 500, &[(7, 0)]);
+        let report = tallypin::served_report::encode(digest, 500, &[served(7, 0)]);
         let mut every = tokio::time::interval(20 * MS);
         while router.board.assessment().state != HealthState::Down {
             every.tick().await;
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -59,6 +59,11 @@
     read.unwrap_or_else(|problems| panic!("{problems}"))
 }
 
+/// Requests of a tenant that a router has served.
+pub fn served(requests: u32, tenant: u32) -> tallypin::served_report::ServedCount {
+    tallypin::served_report::ServedCount { tenant: tallypin::api::TenantId(tenant), requests }
+}
+
 /// Runs a test on one thread, and ends it if it hangs.
 pub fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/router/tests/core.rs
+++ b/router/tests/core.rs
@@ -4,7 +4,8 @@
 mod common;
 
 use tallypin::api::*;
-use tallypin::{name_hash, served_report};
+use tallypin::name_hash;
+use tallypin::served_report::{self, ServedCount};
 use tallypin_router::core::{AbortReason, AttemptResult, Core, FinalAnswer, Instruction, NewRequest};
 
 const MS: Nanos = 1_000_000;
@@ -323,7 +324,9 @@
             7 => core.endpoints_changed(now, ListUpdate::Failed, Vec::new()),
             8 => {
                 let noise: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
-                let hits: Vec<_> = (0..rng.u32(..4)).map(|tenant| (rng.u32(..2_000_000), tenant)).collect();
+                let hits: Vec<_> = (0..rng.u32(..4))
+                    .map(|tenant| ServedCount { tenant: TenantId(tenant), requests: rng.u32(..2_000_000) })
+                    .collect();
                 let reports = served_report::encode(set.digest, rng.u64(..20_000), &hits);
                 for bytes in reports.into_iter().chain([noise]) {
                     core.report_received(now, PeerId(rng.u32(..400)), bytes);
@@ -384,9 +387,8 @@
                 // Its digest is that of the tenants' names, which is all that names may decide.
                 Instruction::SendReport(bytes) => {
                     let told = served_report::decode(set.digest, &bytes).expect("the own digest");
-                    let hits: Vec<_> = told.served.iter().map(|&(tenant, hits)| (hits, tenant)).collect();
                     let [nameless] =
-                        &served_report::encode(TenantsDigest::default(), told.span_ms, &hits)[..]
+                        &served_report::encode(TenantsDigest::default(), told.span_ms, &told.served)[..]
                     else {
                         panic!("one message of what came in one: {told:?}")
                     };
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -502,7 +502,8 @@
         let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
         let mut buf = [0; 512];
         for counts in [&[(3, 0), (200, 1), (70_000, 130)][..], &[(1, 0)], &[]] {
-            for message in tallypin::served_report::encode(digest, 500, counts) {
+            let typed: Vec<_> = counts.iter().map(|&(requests, tenant)| served(requests, tenant)).collect();
+            for message in tallypin::served_report::encode(digest, 500, &typed) {
                 peers.gossip(&message);
                 let (length, from) = other.recv_from(&mut buf).await.unwrap();
                 assert_eq!(from, mine);
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -672,8 +672,9 @@
         other.send_to(b"news", mine).await.unwrap();
         assert_eq!(peers.receive().await, (PeerId(1), b"news".to_vec()));
         assert_eq!(peers.dropped(), DroppedMessages { strangers: 2, foreign: 1, malformed: 0 });
-        let torn = [&served_report::encode(TenantsDigest::default(), 1000, &[(1, 0)]).remove(0)[..], &[0xff]]
-            .concat();
+        let torn =
+            [&served_report::encode(TenantsDigest::default(), 1000, &[served(1, 0)]).remove(0)[..], &[0xff]]
+                .concat();
         other.send_to(&torn, mine).await.unwrap();
         assert_eq!(peers.receive().await, (PeerId(1), torn));
         assert_eq!(peers.dropped(), DroppedMessages { strangers: 2, foreign: 1, malformed: 1 });
--- a/src/decisions/load_reports.rs
+++ b/src/decisions/load_reports.rs
@@ -5,8 +5,8 @@
 use std::cmp::Reverse;
 
 use super::{Balancer, REPORT_TIMER};
-use crate::api::{Action, LoadField, Nanos, PeerId, SECOND};
-use crate::served_report;
+use crate::api::{Action, LoadField, Nanos, PeerId, TenantId, SECOND};
+use crate::served_report::{self, ServedCount};
 
 /// A peer silent for so many periods is forecast at half, and half again in each period.
 const PEER_SILENCE_PERIODS: f64 = 3.0;
@@ -35,14 +35,14 @@
         let silence_limit = PEER_SILENCE_PERIODS * length as f64;
         for (tenant, bucket) in self.buckets.iter_mut().enumerate() {
             bucket.refill(now, self.statistics.load_level);
-            let count = bucket.end_report_period(now, period_s, silence_limit);
-            if count > 0 {
-                served.push((count, tenant as u32));
+            let requests = bucket.end_report_period(now, period_s, silence_limit);
+            if requests > 0 {
+                served.push(ServedCount { tenant: TenantId(tenant as u32), requests });
             }
         }
         self.update_highest_wait(now);
         if self.settings.has_peers && self.settings.router_count > 1 && !self.settings.tenants.is_empty() {
-            served.sort_unstable_by_key(|&(count, tenant)| (Reverse(count), tenant));
+            served.sort_unstable_by_key(|count| (Reverse(count.requests), count.tenant));
             let period_ms = (period_s * 1000.0) as u64;
             out.extend(
                 served_report::encode(self.settings.digest, period_ms, &served)
@@ -72,10 +72,10 @@
         }
         let Ok(report) = served_report::decode(self.settings.digest, bytes) else { return };
         let span_s = (report.span_ms.max(1) as f64 / 1000.0).max(MIN_SPAN_S);
-        for (tenant, count) in report.served {
-            if let Some(bucket) = self.buckets.get_mut(tenant as usize) {
+        for ServedCount { tenant, requests } in report.served {
+            if let Some(bucket) = self.buckets.get_mut(tenant.0 as usize) {
                 bucket.refill(now, self.statistics.load_level);
-                bucket.apply_peer_report(now, from.0 as usize, f64::from(count), span_s);
+                bucket.apply_peer_report(now, from.0 as usize, f64::from(requests), span_s);
             }
         }
     }
--- a/src/ready_replicas.rs
+++ b/src/ready_replicas.rs
@@ -15,7 +15,7 @@
 use crate::api::{EndpointEntry, EndpointState, ZoneId};
 use crate::prefix_traffic::MAX_TRACKED_PREFIXES;
 use crate::rendezvous_hash::{mix, unit_race};
-pub use crate::replica_set::ReplicaSet;
+use crate::replica_set::ReplicaSet;
 
 /// The most ready replicas that are all looked at for a new key. At 256 that takes 2 us.
 pub const MAX_SCANNED_REPLICAS: usize = 256;
--- a/src/served_report.rs
+++ b/src/served_report.rs
@@ -4,6 +4,7 @@
 
 use std::fmt;
 
+use crate::api::TenantId;
 use crate::name_hash;
 
 /// The format of reports; hashed into each digest, so that another format is another digest. The text itself is never
@@ -56,13 +57,22 @@
 
 impl std::error::Error for ReportError {}
 
+/// Requests of one tenant that a router has served.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ServedCount {
+    /// The tenant.
+    pub tenant: TenantId,
+    /// How many of its requests.
+    pub requests: u32,
+}
+
 /// A report: what a router has served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServedReport {
     /// Within this time, ms.
     pub span_ms: u64,
-    /// Tenants, and the requests of each that were served.
-    pub served: Vec<(u32, u32)>,
+    /// The requests that were served, by tenant.
+    pub served: Vec<ServedCount>,
 }
 
 /// Appends a number as a varint: seven bits a byte, the lowest first, the high bit set in all but the last.
@@ -88,13 +98,13 @@
     None
 }
 
-/// Messages that hold `counts` of (served requests, tenant) in the order given; none without counts.
-pub fn encode(digest: TenantsDigest, span_ms: u64, counts: &[(u32, u32)]) -> Vec<Vec<u8>> {
+/// Messages that hold the counts in the order given; none without counts.
+pub fn encode(digest: TenantsDigest, span_ms: u64, counts: &[ServedCount]) -> Vec<Vec<u8>> {
     let mut messages: Vec<Vec<u8>> = Vec::new();
-    for &(count, tenant) in counts {
+    for count in counts {
         let mut pair = Vec::new();
-        write_varint(u64::from(tenant), &mut pair);
-        write_varint(u64::from(count), &mut pair);
+        write_varint(u64::from(count.tenant.0), &mut pair);
+        write_varint(u64::from(count.requests), &mut pair);
         match messages.last_mut() {
             Some(last) if last.len() + pair.len() <= MAX_MESSAGE_BYTES => last.extend(pair),
             _ => {
@@ -126,11 +136,12 @@
     let mut served = Vec::new();
     while at < body.len() {
         let tenant = read_varint(body, &mut at)?;
-        let count = read_varint(body, &mut at)?;
-        if count > MAX_COUNT {
+        let requests = read_varint(body, &mut at)?;
+        if requests > MAX_COUNT {
             return None;
         }
-        served.push((u32::try_from(tenant).ok()?, u32::try_from(count).ok()?));
+        let tenant = TenantId(u32::try_from(tenant).ok()?);
+        served.push(ServedCount { tenant, requests: u32::try_from(requests).ok()? });
     }
     Some(ServedReport { span_ms, served })
 }
--- a/src/state/replica_table.rs
+++ b/src/state/replica_table.rs
@@ -7,7 +7,8 @@
 
 use super::replica::Replica;
 use crate::api::{EndpointEntry, EndpointState, ReplicaId, ZoneId};
-use crate::ready_replicas::{ReadyReplicas, ReplicaSet};
+use crate::ready_replicas::ReadyReplicas;
+use crate::replica_set::ReplicaSet;
 
 /// The replicas by slot. A slot is given to another replica only once its own is gone and has no attempt in
 /// flight.
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -137,14 +137,14 @@
 
 #[test]
 fn reports_round_trip_largest_first_within_256_bytes() {
-    let counts: Vec<(u32, u32)> = (0..500).map(|t| (1000 - t, t)).collect();
+    let counts: Vec<_> = (0..500).map(|tenant| served(1000 - tenant, tenant)).collect();
     let messages = served_report::encode(TenantsDigest::default(), 250, &counts);
     assert!(messages.len() > 1 && messages.iter().all(|m| m.len() <= 256));
     let mut back = vec![];
     for m in &messages {
         let report = served_report::decode(TenantsDigest::default(), m).expect("own messages decode");
         assert_eq!(report.span_ms, 250);
-        back.extend(report.served.into_iter().map(|(tenant, hits)| (hits, tenant)));
+        back.extend(report.served);
     }
     assert_eq!(back, counts);
     assert_eq!(served_report::encode(TenantsDigest::default(), 250, &[]), Vec::<Vec<u8>>::new());
@@ -152,7 +152,7 @@
 
 #[test]
 fn hostile_reports_change_nothing() {
-    let good = served_report::encode(TenantsDigest::default(), 1000, &[(5, 0)]).remove(0);
+    let good = served_report::encode(TenantsDigest::default(), 1000, &[served(5, 0)]).remove(0);
     let mut bad: Vec<Vec<u8>> = vec![vec![], vec![9], vec![0; 257], vec![1; 300], vec![1, 0xff, 0xff, 0xff]];
     for cut in 1..good.len() {
         if cut != 5 {
@@ -160,13 +160,14 @@
         }
     }
     bad.push([&good[..3], &[255; 20]].concat());
-    bad.push(served_report::encode(TenantsDigest::default(), 1000, &[(u32::MAX, 0)]).remove(0)); // an absurd count
+    bad.push(served_report::encode(TenantsDigest::default(), 1000, &[served(u32::MAX, 0)]).remove(0)); // an absurd count
     for b in &bad {
         assert!(served_report::decode(TenantsDigest::default(), b).is_err(), "{b:?}");
     }
     // An unknown tenant, an unknown peer, and oneself as a peer, in numbers that would empty any bucket.
     let mut w = World::with_replicas(settings(2, 0), 1, 4);
-    let huge = |tenant| served_report::encode(TenantsDigest::default(), 1000, &[(900_000, tenant)]).remove(0);
+    let huge =
+        |tenant| served_report::encode(TenantsDigest::default(), 1000, &[served(900_000, tenant)]).remove(0);
     w.handle(Event::PeerMessage { from: PeerId(1), bytes: huge(7) });
     w.handle(Event::PeerMessage { from: PeerId(2), bytes: huge(0) });
     w.handle(Event::PeerMessage { from: PeerId(0), bytes: huge(0) });
@@ -196,7 +197,7 @@
     set.digest = mine;
     let mut router = World::with_replicas(set, 1, 4);
     for (what, other) in others {
-        let bytes = served_report::encode(other, 1000, &[(900_000, 0), (900_000, 1)]).remove(0);
+        let bytes = served_report::encode(other, 1000, &[served(900_000, 0), served(900_000, 1)]).remove(0);
         assert_eq!(
             served_report::decode(mine, &bytes),
             Err(served_report::ReportError::ForeignDigest),
@@ -207,7 +208,7 @@
     // The form of the version before, whose first byte was 1.
     router.handle(Event::PeerMessage { from: PeerId(1), bytes: vec![1, 100, 0, 0xa0, 0xf7, 0x36] });
     assert!(router.serve(request(1)), "nobody's hits were counted");
-    let bytes = served_report::encode(mine, 1000, &[(900_000, 0)]).remove(0);
+    let bytes = served_report::encode(mine, 1000, &[served(900_000, 0)]).remove(0);
     router.handle(Event::PeerMessage { from: PeerId(1), bytes });
     assert!(!router.serve(request(2)), "those of a router with the same tenants are");
 }
@@ -222,7 +223,7 @@
         w.run_to(w.now + 250 * MS);
         w.handle(Event::PeerMessage {
             from: PeerId(1),
-            bytes: served_report::encode(TenantsDigest::default(), 250, &[(3, 0)]).remove(0),
+            bytes: served_report::encode(TenantsDigest::default(), 250, &[served(3, 0)]).remove(0),
         });
     }
     let mut n = 0;
@@ -279,7 +280,7 @@
             if !(lossy && period % 3 == 0) {
                 w.handle(Event::PeerMessage {
                     from: PeerId(1),
-                    bytes: served_report::encode(TenantsDigest::default(), 250, &[(3, 0)]).remove(0),
+                    bytes: served_report::encode(TenantsDigest::default(), 250, &[served(3, 0)]).remove(0),
                 });
             }
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,6 +8,11 @@
 
 pub const MS: Nanos = 1_000_000;
 
+/// Requests of a tenant that a router has served.
+pub fn served(requests: u32, tenant: u32) -> tallypin::served_report::ServedCount {
+    tallypin::served_report::ServedCount { tenant: TenantId(tenant), requests }
+}
+
 pub fn settings(routers: u32, me: u32) -> Settings {
     let class = Class {
         latency_objective: 1_000 * MS,
--- a/tests/recorded_report.rs
+++ b/tests/recorded_report.rs
@@ -5,7 +5,12 @@
 mod recorded;
 
 use recorded::{hex, Recording};
-use tallypin::served_report::{decode, encode, TenantsDigest};
+use tallypin::api::TenantId;
+use tallypin::served_report::{decode, encode, ServedCount, TenantsDigest};
+
+fn served(requests: u32, tenant: u32) -> ServedCount {
+    ServedCount { tenant: TenantId(tenant), requests }
+}
 
 const TENANTS: [&[&str]; 5] = [
     &[],
@@ -17,7 +22,7 @@
 
 /// The digest's bytes, seen from outside: a message without counts is not sent, one with a single count begins with them.
 fn digest_bytes(digest: TenantsDigest) -> String {
-    hex(&encode(digest, 0, &[(0, 0)])[0][..3])
+    hex(&encode(digest, 0, &[served(0, 0)])[0][..3])
 }
 
 #[test]
@@ -48,7 +53,8 @@
         (u64::from(u32::MAX), &[(u32::MAX, u32::MAX)]),
         (250, &many),
     ] {
-        let messages: String = encode(digest, span_ms, counts).iter().map(|m| hex(m) + "\n").collect();
+        let typed: Vec<_> = counts.iter().map(|&(requests, tenant)| served(requests, tenant)).collect();
+        let messages: String = encode(digest, span_ms, &typed).iter().map(|m| hex(m) + "\n").collect();
         let messages = if messages.is_empty() { "no message\n".into() } else { messages };
         recording
             .case(&format!("{span_ms} ms, {} counts from {:?}", counts.len(), counts.first()), &messages);
@@ -61,14 +67,14 @@
     let mut recording = Recording::new(env!("CARGO_MANIFEST_DIR"), "report", "decoded.txt");
     let digest = TenantsDigest::of_tenants(["haendlerbund", "grenzstellen"]);
     let other = TenantsDigest::of_tenants(["grenzstellen", "haendlerbund"]);
-    let mine = encode(digest, 0, &[(0, 0)])[0][..3].to_vec();
+    let mine = encode(digest, 0, &[served(0, 0)])[0][..3].to_vec();
     let with = |rest: &[u8]| [&mine[..], rest].concat();
-    let whole = encode(digest, 1_000, &[(5, 0), (300, 1)]).remove(0);
-    let million = encode(digest, 1_000, &[(1_000_000, 0)]).remove(0);
-    let above = encode(digest, 1_000, &[(1_000_001, 0)]).remove(0);
+    let whole = encode(digest, 1_000, &[served(5, 0), served(300, 1)]).remove(0);
+    let million = encode(digest, 1_000, &[served(1_000_000, 0)]).remove(0);
+    let above = encode(digest, 1_000, &[served(1_000_001, 0)]).remove(0);
     let cases = [
         ("whole", whole.clone()),
-        ("of other tenants", encode(other, 1_000, &[(5, 0)]).remove(0)),
+        ("of other tenants", encode(other, 1_000, &[served(5, 0)]).remove(0)),
         ("empty", Vec::new()),
         ("half a digest", mine[..2].to_vec()),
         ("digest alone", mine.clone()),
@@ -85,7 +91,10 @@
     ];
     for (title, bytes) in cases {
         let outcome = match decode(digest, &bytes) {
-            Ok(report) => format!("span {} ms, (tenant, count) {:?}\n", report.span_ms, report.served),
+            Ok(report) => {
+                let served: Vec<_> = report.served.iter().map(|c| (c.tenant.0, c.requests)).collect();
+                format!("span {} ms, (tenant, count) {served:?}\n", report.span_ms)
+            }
             Err(why) => format!("rejected: {}\n", rejection(&format!("{why:?}"))),
         };
         recording.case(&format!("{title}: {}", hex(&bytes)), &outcome);
