--- a/router/src/endpoint_list/watch_clock/tests.rs
+++ b/router/src/endpoint_list/watch_clock/tests.rs
@@ -10,30 +10,30 @@
 };
 
 /// What an agent does over time: silent in outages, else it answers at once and gives a sign every 2 s to watches
-/// that have not fallen silent. Gives the longest time in which the agent spoke and no watch of it stood.
-fn longest_deaf(outages: &[(Nanos, Nanos)], mute: &[Nanos], end: Nanos) -> Nanos {
+/// that have not fallen silent. Gives the longest time in which the agent answered and no watch was established.
+fn longest_unwatched(outages: &[(Nanos, Nanos)], silences: &[Nanos], end: Nanos) -> Nanos {
     let clock = WatchClock::new(PUSHED);
     let down = |t: Nanos| outages.iter().any(|&(from, to)| (from..to).contains(&t));
-    let (mut watch_mute, mut deaf, mut longest) = (true, 0, 0);
+    let (mut watch_silent, mut unwatched, mut longest) = (true, 0, 0);
     clock.request_watch(0);
     for t in (0..end).step_by(MS as usize) {
-        watch_mute |= mute.contains(&t) || down(t);
+        watch_silent |= silences.contains(&t) || down(t);
         match clock.next_step(t) {
             WatchStep::Open => {
                 clock.watch_opened(t);
-                watch_mute = down(t);
-                if !watch_mute {
+                watch_silent = down(t);
+                if !watch_silent {
                     clock.heard(t);
                 }
             }
             WatchStep::Abandon => clock.watch_lost(t, 1.0),
             WatchStep::Wait(_) => {}
         }
-        if !watch_mute && t % (2 * SECOND) == 0 {
+        if !watch_silent && t % (2 * SECOND) == 0 {
             clock.heard(t);
         }
-        deaf = if watch_mute && !down(t) { deaf + MS } else { 0 };
-        longest = longest.max(deaf);
+        unwatched = if watch_silent && !down(t) { unwatched + MS } else { 0 };
+        longest = longest.max(unwatched);
     }
     longest
 }
@@ -41,19 +41,19 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
     /// After an outage that outlasts a watch the agent is heard again before any drain has to be, and a watch
-    /// that falls silent is replaced before what it misses counts as told, 6 s after.
+    /// that falls silent is replaced before what it misses counts as notified, 6 s after.
     #[test]
-    fn an_agent_is_not_unheard_for_long(from in 1u64..8_000, long in 4_001u64..15_000, mute in 0u64..30_000) {
+    fn an_agent_is_not_unwatched_for_long(from in 1u64..8_000, long in 4_001u64..15_000, silences in 0u64..30_000) {
         let outage = [(from * MS, (from + long) * MS)];
-        let after_outage = longest_deaf(&outage, &[], 30 * SECOND);
+        let after_outage = longest_unwatched(&outage, &[], 30 * SECOND);
         prop_assert!(after_outage <= 451 * MS, "{} ms after an outage", after_outage / MS);
-        let silent = longest_deaf(&[], &[mute * MS], 40 * SECOND);
+        let silent = longest_unwatched(&[], &[silences * MS], 40 * SECOND);
         prop_assert!(silent <= 4_202 * MS, "{} ms", silent / MS);
     }
 }
 
 #[test]
-fn where_the_list_is_asked_for_the_wish_decides_when() {
+fn a_polled_list_is_watched_when_requested() {
     let clock = WatchClock::new(WatchTimeouts { answer: Duration::from_secs(2), reconnect: None, ..PUSHED });
     assert_eq!(clock.next_step(0), WatchStep::Wait(None));
     clock.request_watch(5);
@@ -63,7 +63,7 @@
     assert_eq!(
         clock.next_step(5 + 2 * SECOND),
         WatchStep::Abandon,
-        "whoever wished for it is told that it has failed"
+        "the one that requested it learns that it has failed"
     );
     clock.heard(SECOND);
     assert_eq!(clock.next_step(SECOND), WatchStep::Wait(Some(5 * SECOND)));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn waits_grow_to_their_bound_by_losses_in_a_row_and_are_spread() {
+fn the_backoff_grows_to_its_maximum_by_losses_in_a_row_and_is_spread() {
     let again = Backoff { first: Duration::from_millis(300), max: Duration::from_secs(3) };
     let clock = WatchClock::new(WatchTimeouts { reconnect: Some(again), ..PUSHED });
     let wait = |draw| {
--- a/src/prefix_cache/tests.rs
+++ b/src/prefix_cache/tests.rs
@@ -1,39 +1,39 @@
 use super::*;
 use proptest::prelude::*;
 
-fn row(id: u64, last_start: Nanos) -> EndpointEntry {
-    EndpointEntry { replica: ReplicaId(id), started_at: last_start, ..EndpointEntry::default() }
+fn entry(id: u64, started_at: Nanos) -> EndpointEntry {
+    EndpointEntry { replica: ReplicaId(id), started_at, ..EndpointEntry::default() }
 }
 
 #[test]
-fn a_holder_is_one_life_of_a_replica() {
+fn a_session_replica_is_one_incarnation() {
     let mut sessions = SessionAffinity::default();
-    sessions.record(0, 1, &row(7, 5), 100);
-    let holder = sessions.last_replica(SECOND, 1).expect("noted");
-    assert!(holder.is_incarnation_of(&row(7, 5), None) && holder.is_incarnation_of(&row(7, 5), Some(0)));
-    assert!(!holder.is_incarnation_of(&row(7, 6), None), "another life has kept nothing");
-    assert!(!holder.is_incarnation_of(&row(7, 5), Some(1)), "it may have started anew since");
-    assert!(!holder.is_incarnation_of(&row(8, 5), None));
+    sessions.record(0, 1, &entry(7, 5), 100);
+    let last = sessions.last_replica(SECOND, 1).expect("noted");
+    assert!(last.is_incarnation_of(&entry(7, 5), None) && last.is_incarnation_of(&entry(7, 5), Some(0)));
+    assert!(!last.is_incarnation_of(&entry(7, 6), None), "another incarnation has an empty cache");
+    assert!(!last.is_incarnation_of(&entry(7, 5), Some(1)), "it may have started anew since");
+    assert!(!last.is_incarnation_of(&entry(8, 5), None));
     assert_eq!(sessions.last_replica(SECOND, 2), None);
     assert_eq!(sessions.last_replica(EVICTED_AFTER, 1), None, "long ago");
 }
 
 #[test]
-fn the_table_is_bounded_and_keeps_whoever_has_turns() {
+fn the_table_is_bounded_and_keeps_sessions_that_have_turns() {
     let mut sessions = SessionAffinity::default();
     for s in 0..3 * MAX_SESSIONS as u64 {
-        sessions.record(0, s, &row(1, 0), 1);
-        sessions.record(0, u64::MAX, &row(2, 0), 2);
+        sessions.record(0, s, &entry(1, 0), 1);
+        sessions.record(0, u64::MAX, &entry(2, 0), 2);
         assert!(sessions.young.len() + sessions.old.len() <= MAX_SESSIONS);
     }
-    assert!(sessions.last_replica(0, u64::MAX).is_some_and(|h| h.is_incarnation_of(&row(2, 0), None)));
+    assert!(sessions.last_replica(0, u64::MAX).is_some_and(|h| h.is_incarnation_of(&entry(2, 0), None)));
     assert_eq!(sessions.last_replica(0, 0), None, "the oldest are gone");
     assert!(sessions.last_replica(0, 3 * MAX_SESSIONS as u64 - 1).is_some());
 }
 
 proptest! {
     #[test]
-    fn a_replica_refills_from_nothing_to_what_it_keeps_when_warm(
+    fn a_cache_fills_from_empty_to_what_it_holds_when_warm(
         prompt in 0.0f64..1e5, part in 0.0f64..1.0, age in 0u64..100 * SECOND, later in 0u64..100 * SECOND,
     ) {
         let warm = prompt * part;
--- a/src/prefix_traffic/tests.rs
+++ b/src/prefix_traffic/tests.rs
@@ -2,7 +2,7 @@
 use crate::api::SECOND;
 
 #[test]
-fn a_prefix_s_share_is_believed_with_the_requests_seen_and_forgotten_with_time() {
+fn a_prefix_s_share_is_shrunk_to_the_prior_and_forgotten_with_time() {
     let mut traffic = PrefixTraffic::default();
     let (one, never) = (Some(PrefixKey(1)), Some(PrefixKey(9)));
     assert!((traffic.share(one, 0.2, 150.0) - 0.2).abs() < 1e-9, "nothing seen: the prior");
@@ -10,10 +10,10 @@
         traffic.record(SECOND, if n % 4 == 0 { one } else { None });
     }
     let share = traffic.share(one, 0.0, 150.0);
-    assert!((share - 150.0 / 750.0).abs() < 1e-9, "{share}: a quarter, believed for four fifths");
+    assert!((share - 150.0 / 750.0).abs() < 1e-9, "{share}: a quarter, with four fifths of the weight");
     assert_eq!(traffic.share(never, 0.0, 150.0), 0.0);
     traffic.record(SECOND + 200 * SECOND, never);
-    assert!(traffic.share(never, 0.0, 1.0) > 0.45, "what was so long ago says little");
+    assert!(traffic.share(never, 0.0, 1.0) > 0.45, "old requests weigh little");
 }
 
 /// Guards against clients that never name the same prefix twice.
--- a/src/ready_replicas/tests.rs
+++ b/src/ready_replicas/tests.rs
@@ -2,9 +2,9 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn holders(m: &ReadyReplicas, key: u64) -> Vec<usize> {
+fn candidates(replicas: &ReadyReplicas, key: u64) -> Vec<usize> {
     let mut found = Vec::new();
-    m.for_each_near_key(key, |i| found.push(i));
+    replicas.for_each_near_key(key, |index| found.push(index));
     found
 }
 
@@ -15,23 +15,23 @@
 }
 
 proptest! {
-    /// One more moves a key's candidates by itself and the one it takes the place of; gone again, all is as before.
+    /// One more replica changes a key's candidates by itself and the one it displaces; removed again, all is as before.
     #[test]
-    fn one_that_comes_or_goes_moves_little(n in MAX_SCANNED_REPLICAS + 1..2_000, key in any::<u64>(), far in any::<bool>()) {
+    fn a_replica_that_comes_or_goes_moves_few_candidates(n in MAX_SCANNED_REPLICAS + 1..2_000, key in any::<u64>(), far in any::<bool>()) {
         let mut m = fleet(n);
-        let before: BTreeSet<usize> = holders(&m, key).into_iter().collect();
+        let before: BTreeSet<usize> = candidates(&m, key).into_iter().collect();
         m.add(n, mix(n as u64, 1), far);
-        let with: BTreeSet<usize> = holders(&m, key).into_iter().collect();
+        let with: BTreeSet<usize> = candidates(&m, key).into_iter().collect();
         prop_assert!(before.difference(&with).count() <= 1 && with.difference(&before).count() <= 1);
         m.remove(n, mix(n as u64, 1), far);
-        prop_assert!(holders(&m, key).into_iter().eq(holders(&fleet(n), key)));
+        prop_assert!(candidates(&m, key).into_iter().eq(candidates(&fleet(n), key)));
     }
 }
 
 #[test]
-fn small_fleets_are_looked_at_whole_and_large_ones_about_the_key() {
-    assert_eq!(holders(&fleet(MAX_SCANNED_REPLICAS), 5).len(), MAX_SCANNED_REPLICAS);
-    let large = holders(&fleet(5_000), 5);
+fn small_fleets_are_scanned_and_large_ones_searched_after_the_key() {
+    assert_eq!(candidates(&fleet(MAX_SCANNED_REPLICAS), 5).len(), MAX_SCANNED_REPLICAS);
+    let large = candidates(&fleet(5_000), 5);
     assert_eq!(large.len(), 2 * REPLICAS_AFTER_KEY);
     let near = large.iter().filter(|&&i| i % 3 == 0).count();
     assert_eq!(near, REPLICAS_AFTER_KEY, "of the own zone as many, however few they are");
@@ -40,9 +40,9 @@
         m
     });
     assert_eq!(
-        holders(&one_zone, u64::MAX).len(),
+        candidates(&one_zone, u64::MAX).len(),
         REPLICAS_AFTER_KEY,
-        "past the end it goes on at the beginning"
+        "past the end of the ring it goes on at its start"
     );
 }
 
@@ -51,7 +51,7 @@
     let m = fleet(3_000);
     let mut held: BTreeMap<usize, u32> = BTreeMap::new();
     for key in 0..20_000u64 {
-        holders(&m, mix(key, 2)).into_iter().for_each(|i| *held.entry(i).or_default() += 1);
+        candidates(&m, mix(key, 2)).into_iter().for_each(|i| *held.entry(i).or_default() += 1);
     }
     // A third of the fleet is of the own zone and is half of the candidates: 960 keys each, the others 480.
     for (&i, &n) in &held {
