--- a/router/src/body_budget.rs
+++ b/router/src/body_budget.rs
@@ -59,3 +59,6 @@
     /// Its part of the budget.
     pub reserved: BodyReservation,
 }
+
+#[cfg(test)]
+mod tests;
--- a/router/src/core/timers.rs
+++ b/router/src/core/timers.rs
@@ -64,3 +64,6 @@
         self.queue.retain(|Reverse((_, kind))| needed(kind));
     }
 }
+
+#[cfg(test)]
+mod tests;
