--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -1,5 +1,5 @@
 //! The messages API: the second front. It names the events of a stream differently, and goes through the
-//! same core. What it listens on, which class a model belongs to and how partners are recognised stands in
+//! same core. What it listens on, which class a model belongs to and how tenants are recognised stands in
 //! the settings file (`deploy/tallypin.conf`); `docs/MESSAGES.md` has the mapping.
 
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
 const BEGUN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
                        Transfer-Encoding: chunked\r\n\r\n";
 
-/// This front: what it listens on, which class a model belongs to, how partners are recognised.
+/// This front: what it listens on, which class a model belongs to, how tenants are recognised.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MessagesFront {
     /// Where it listens.
@@ -41,18 +41,18 @@
     pub nodes: Dialect,
     /// The class of each model.
     pub models: BTreeMap<String, ClassId>,
-    /// The header field by which a partner is recognised,
-    pub partner_header: String,
+    /// The header field by which a tenant is recognised,
+    pub tenant_header: String,
     /// whose values mean these.
-    pub partners: BTreeMap<String, TenantId>,
-    /// The partner of a request without it.
-    pub otherwise: Option<TenantId>,
+    pub tenants: BTreeMap<String, TenantId>,
+    /// The tenant of a request without it.
+    pub default_tenant: Option<TenantId>,
     /// The header field in which a client says how long it waits for the first event.
     pub deadline_header: String,
 }
 
 /// A request of this front that was understood.
-struct Understood {
+struct ParsedRequest {
     ask: NewRequest,
     asked: ConversationRequest,
     /// The body as model nodes are to get it; `None`: as it came.
@@ -60,46 +60,52 @@
     idempotency_key: Option<Bytes>,
 }
 
-/// Why not.
+/// Why a request cannot be taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Unfit {
+enum InvalidRequest {
     /// With the front's own words.
     Invalid(String),
     NoModel(String),
     Rejection(Rejection),
 }
 
-impl From<HttpError> for Unfit {
+impl From<HttpError> for InvalidRequest {
     fn from(bad: HttpError) -> Self {
-        Unfit::Rejection(bad.into())
+        InvalidRequest::Rejection(bad.into())
     }
 }
 
 impl MessagesFront {
-    fn read(&self, context: &FrontContext, request: &Incoming, now: Nanos) -> Result<Understood, Unfit> {
+    fn read(
+        &self,
+        context: &FrontContext,
+        request: &Incoming,
+        now: Nanos,
+    ) -> Result<ParsedRequest, InvalidRequest> {
         if request.path() != PATH {
-            return Err(Unfit::Rejection(Rejection::NotFound));
+            return Err(InvalidRequest::Rejection(Rejection::NotFound));
         }
         if &request.method[..] != b"POST" {
-            return Err(Unfit::Rejection(Rejection::Method));
+            return Err(InvalidRequest::Rejection(Rejection::Method));
         }
         if !request.head.is_http_11 {
             return Err(HttpError::Malformed.into());
         }
         let asked = ConversationRequest::parse_messages(&request.body.bytes)
-            .map_err(|error| Unfit::Invalid(error.to_string()))?;
-        let class = *self.models.get(&asked.model).ok_or_else(|| Unfit::NoModel(asked.model.clone()))?;
-        let partner = match request.head.text_value(&self.partner_header)? {
-            Some(value) => self.partners.get(value).copied(),
-            None => self.otherwise,
+            .map_err(|error| InvalidRequest::Invalid(error.to_string()))?;
+        let class =
+            *self.models.get(&asked.model).ok_or_else(|| InvalidRequest::NoModel(asked.model.clone()))?;
+        let tenant = match request.head.text_value(&self.tenant_header)? {
+            Some(value) => self.tenants.get(value).copied(),
+            None => self.default_tenant,
         };
-        let unknown = || Unfit::Invalid(format!("{}: not a known partner", self.partner_header));
-        let partner = partner.ok_or_else(unknown)?;
+        let unknown = || InvalidRequest::Invalid(format!("{}: not a known partner", self.tenant_header));
+        let tenant = tenant.ok_or_else(unknown)?;
         let wait = match request.head.text_value(&self.deadline_header)? {
             None => context.deployment.classes[class.0 as usize].deadline,
             Some(ms) => {
                 let ms = ms.parse().ok().filter(|ms| (1..=ABSURD_MS).contains(ms));
-                let bad = || Unfit::Invalid(format!("{}: not a wait", self.deadline_header));
+                let bad = || InvalidRequest::Invalid(format!("{}: not a wait", self.deadline_header));
                 ms.ok_or_else(bad)? * 1_000_000
             }
         };
@@ -110,7 +116,7 @@
         let session = [&beginning[..], b"\0", asked.first_message().as_bytes()].concat();
         let ask = NewRequest {
             class,
-            tenant: partner,
+            tenant,
             time_left: request.left(now, wait),
             prompt_tokens: tokens(asked.prompt_size()),
             prefix_tokens: tokens(asked.system.len()),
@@ -125,7 +131,7 @@
             Dialect::Chat => Some(asked.chat_body()),
         };
         let idempotency_key = request.idempotency_key()?;
-        Ok(Understood { ask, asked, body, idempotency_key })
+        Ok(ParsedRequest { ask, asked, body, idempotency_key })
     }
 
     /// Answers one request.
@@ -135,7 +141,7 @@
         wire: &mut BufferedConnection,
         request: Incoming,
     ) -> io::Result<AfterAnswer> {
-        let Understood { ask, asked, body, idempotency_key } =
+        let ParsedRequest { ask, asked, body, idempotency_key } =
             match self.read(context, &request, context.clock.now()) {
                 Ok(understood) => understood,
                 Err(why) => return refuse(context, wire, why).await,
@@ -277,12 +283,12 @@
 async fn refuse(
     context: &FrontContext,
     wire: &mut BufferedConnection,
-    why: Unfit,
+    why: InvalidRequest,
 ) -> io::Result<AfterAnswer> {
     match why {
-        Unfit::Invalid(why) => error(context, wire, 400, "", &why).await,
-        Unfit::NoModel(model) => error(context, wire, 404, "", &format!("model: {model}")).await,
-        Unfit::Rejection(why) => reject(context, wire, why).await,
+        InvalidRequest::Invalid(why) => error(context, wire, 400, "", &why).await,
+        InvalidRequest::NoModel(model) => error(context, wire, 404, "", &format!("model: {model}")).await,
+        InvalidRequest::Rejection(why) => reject(context, wire, why).await,
     }
 }
 
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -47,8 +47,8 @@
     let kind = head.text_value("req-kind")?;
     let class = of.classes.iter().position(|c| Some(c.name.as_str()) == kind).ok_or(HttpError::Malformed)?;
     let owner = head.text_value("req-owner")?;
-    let partner = match of.tenant_names.iter().position(|p| Some(p.as_str()) == owner) {
-        Some(partner) => partner,
+    let tenant = match of.tenant_names.iter().position(|p| Some(p.as_str()) == owner) {
+        Some(tenant) => tenant,
         None if of.tenant_names.is_empty() => 0,
         None => return Err(HttpError::Malformed.into()),
     };
@@ -59,7 +59,7 @@
     let retry = head.text_value("req-retry")?;
     let mut ask = NewRequest {
         class: ClassId(class as u32),
-        tenant: TenantId(partner as u32),
+        tenant: TenantId(tenant as u32),
         time_left: request.left(now, wait),
         session: head.single_value("req-key")?.map(|key| name_hash::session_key(key)),
         resumes_stream: retry == Some("again"),
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -435,7 +435,7 @@
 
 fn messages(s: &Checked, of: &Deployment, problems: &mut Vec<Problem>) -> MessagesFront {
     let classes: Vec<&str> = of.classes.iter().map(|c| c.name.as_str()).collect();
-    let partners: Vec<&str> = of.tenant_names.iter().map(String::as_str).collect();
+    let tenant_names: Vec<&str> = of.tenant_names.iter().map(String::as_str).collect();
     let mut models = BTreeMap::new();
     for e in s.all("model") {
         models.insert(e.text(0).to_string(), ClassId(place(e, 1, "class", &classes, problems)));
@@ -445,16 +445,16 @@
     }
     let mut values = BTreeMap::new();
     for e in s.all("partner") {
-        values.insert(e.text(0).to_string(), TenantId(place(e, 1, "partner", &partners, problems)));
+        values.insert(e.text(0).to_string(), TenantId(place(e, 1, "partner", &tenant_names, problems)));
     }
     let otherwise = s.entry("partner-otherwise");
     MessagesFront {
         listen: s.address("listen").unwrap_or(([127, 0, 0, 1], 0).into()),
         nodes: if s.text("nodes") == "messages" { Dialect::Messages } else { Dialect::Chat },
         models,
-        partner_header: s.text("partner-header").to_string(),
-        partners: values,
-        otherwise: otherwise.map(|e| TenantId(place(e, 0, "partner", &partners, problems))),
+        tenant_header: s.text("partner-header").to_string(),
+        tenants: values,
+        default_tenant: otherwise.map(|e| TenantId(place(e, 0, "partner", &tenant_names, problems))),
         deadline_header: s.text("deadline-header").to_string(),
     }
 }
