--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -324,8 +324,8 @@
         });
     }
 
-    /// The one place where a request gets its final answer. Whoever wants it rejected: one that may have run fails instead where a
-    /// retry could do harm.
+    /// The one place where a request gets its final answer. Whoever wants it rejected: one that may have run fails instead
+    /// where a retry could do harm.
     fn finish(&mut self, now: Nanos, id: RequestId, wanted: FinalAnswer, cause: AnswerCause) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.answered) else { return };
         let answer = open.allowed_answer(now, wanted);
