--- a/health/src/agent_check.rs
+++ b/health/src/agent_check.rs
@@ -76,6 +76,10 @@
 impl AgentReply {
     /// Reads a line: it ends at the first CR or LF, its words are parted by spaces, tabs or commas. `closed`: no
     /// more will come, which ends it too.
+    ///
+    /// # Errors
+    ///
+    /// [`AgentReplyError::Incomplete`] while more may come; the others for a line that is none of an agent check.
     pub fn parse(bytes: &[u8], closed: bool) -> Result<AgentReply, AgentReplyError> {
         let end = bytes.iter().position(|b| matches!(b, b'\r' | b'\n'));
         let line = match end {
--- a/health/src/grpc_health.rs
+++ b/health/src/grpc_health.rs
@@ -109,7 +109,11 @@
     bytes.freeze()
 }
 
-/// Takes a framed message off the front of `buf`; `None` until it is whole.
+/// Takes a framed message off the front of `buf`; `None` until it is complete.
+///
+/// # Errors
+///
+/// A frame that is compressed, too large, or holds no message of this kind.
 pub fn decode_frame<M: Message + Default>(buf: &mut BytesMut) -> Result<Option<M>, DecodeError> {
     let Some((&[flag, a, b, c, d], _)) = buf.split_first_chunk::<5>() else { return Ok(None) };
     if flag != 0 {
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 //! | `known_state`, `state_follower` | what is agreed on; this router's own drains and returns |
 //! | `release_controller`, `artifacts`, `release_files`, `release_plan` | releases: waves, files on disk, plans |
 //! | `operator_orders`, `order_execution`, `status_report` | orders of `tallypin fleet` and their answers |
-//! | `persistence`, `stored_state`, `key_reload`, `disk` | files that are written and read meanwhile |
+//! | `persistence`, `stored_state`, `key_reload`, `disk` | files that are read at the start or meanwhile, and written |
 //! | `control`, `settings`, `local_router`, `incarnation`, `tasks` | the router that this is a part of; basics |
 
 #![deny(clippy::too_many_lines, clippy::cognitive_complexity, clippy::missing_errors_doc)]
--- a/settings-schema/src/lines.rs
+++ b/settings-schema/src/lines.rs
@@ -43,6 +43,10 @@
 }
 
 /// The words of one line.
+///
+/// # Errors
+///
+/// The first quote, backslash or control character that makes it no line of words.
 pub fn words(line: &str) -> Result<Vec<Word>, Torn> {
     let mut words = Vec::new();
     let mut characters = line.char_indices().peekable();
