--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -199,7 +199,8 @@
         let took = begun.elapsed().as_secs_f64();
         let share = |n: u64| 100.0 * n as f64 / r.came.max(1) as f64;
         println!(
-            "{name:<12} {:>8} {:>6.1}% {:>5.1}% {:>6.1}% {:>5.1}% {:>7.2} {:>6.0} ms {:>6.0} ms {:>5.1}% {:>9} {:>10.0} {:>6.1} us",
+            "{name:<12} {:>8} {:>6.1}% {:>5.1}% {:>6.1}% {:>5.1}% {:>7.2} {:>6.0} ms {:>6.0} ms {:>5.1}% \
+             {:>9} {:>10.0} {:>6.1} us",
             r.came,
             share(r.in_time),
             share(r.late),
