--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -1,36 +1,36 @@
-//! The failure detector of one member of the council.
+//! Failure detector of one member of the council.
 
 use std::time::Duration;
 
 use super::{elapsed, AdvertisedStatus, Incarnation, Nanos, PeerStatus, RouterIndex};
 
-/// How often heartbeats come, and when their absence is silence.
+/// Timing of heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatTiming {
-    /// The time between two heartbeats of a router.
+    /// Time between two heartbeats of a router.
     pub interval: Duration,
-    /// How long a router may send none before it is silent: several intervals, so that a heartbeat that is lost or late is
-    /// no silence.
+    /// Time without a heartbeat after which a router counts as silent. It spans several intervals, so that a lost or
+    /// late heartbeat does not make a router silent.
     pub silence_limit: Duration,
 }
 
 /// Why a heartbeat was not recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HeartbeatError {
-    /// The fleet has no router of this index.
+    /// The fleet has no router with this index.
     #[error("the fleet has no router {0}")]
     UnknownRouter(RouterIndex),
-    /// It is of an earlier incarnation than the known one, which this is.
-    #[error("the router has started again since, in incarnation {0}")]
+    /// The heartbeat is from an earlier incarnation than the known one, which is given.
+    #[error("heartbeat is from an earlier incarnation; the router's latest is {0}")]
     StaleIncarnation(Incarnation),
 }
 
 /// A router that is not silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LivePeer {
-    /// Its latest incarnation.
+    /// Latest incarnation of the router.
     pub incarnation: Incarnation,
-    /// Whether it says that it serves.
+    /// Whether the router advertises that it is serving.
     pub serving: bool,
 }
 
@@ -41,29 +41,30 @@
     advertised: AdvertisedStatus,
 }
 
-/// What one member of the council has heard of each router.
+/// Last heartbeats received from each router by one member of the council.
 ///
-/// Invariant: a router whose heartbeats are received within [`HeartbeatTiming::silence_limit`] of each other is never
-/// silent. All times are of the member's own monotonic clock, in ns.
+/// Invariant: a router whose heartbeats arrive within [`HeartbeatTiming::silence_limit`] of each other is never silent.
+/// All times are on the member's own monotonic clock, in ns.
 #[derive(Debug)]
 pub struct FailureDetector {
     timing: HeartbeatTiming,
-    /// By [`RouterIndex`].
+    /// Last heartbeats by [`RouterIndex`].
     last: Vec<Option<LastHeartbeat>>,
-    /// Since when this member has listened without a pause of its own.
+    /// Time since which this member has listened without being paused.
     listening_since: Nanos,
     last_clock: Nanos,
 }
 
 impl FailureDetector {
-    /// A detector for a fleet of so many routers that begins to listen at `now`.
+    /// Creates a detector for a fleet of `routers` routers that starts to listen at `now`.
     pub fn new(timing: HeartbeatTiming, routers: usize, now: Nanos) -> FailureDetector {
         FailureDetector { timing, last: vec![None; routers], listening_since: now, last_clock: now }
     }
 
-    /// Notes that the clock reads `now`: to be called at least once in a heartbeat interval, and before a query.
+    /// Advances the detector's clock to `now`. Must be called at least once per heartbeat interval and before each
+    /// query.
     ///
-    /// A member that was paused itself has received nothing meanwhile, which says nothing of the others: they all get a full
+    /// A member that was itself paused has received nothing in the meantime. So after a pause all routers get a full
     /// silence limit again.
     pub fn note_clock(&mut self, now: Nanos) {
         if elapsed(now, self.last_clock) > self.timing.silence_limit / 2 {
@@ -76,7 +77,8 @@
     ///
     /// # Errors
     ///
-    /// The heartbeat is of an earlier incarnation than one known, or of no router of the fleet. Nothing is recorded.
+    /// Returns an error and records nothing if the heartbeat is from an earlier incarnation than the known one, or from
+    /// a router that is not in the fleet.
     pub fn record_heartbeat(
         &mut self,
         now: Nanos,
@@ -97,29 +99,29 @@
         }
     }
 
-    /// What is believed of a router.
+    /// Returns the status of a router at `now`.
     pub fn status(&self, now: Nanos, router: RouterIndex) -> PeerStatus {
         let last = self.last(router);
         let since = last.map_or(self.listening_since, |last| last.received_at.max(self.listening_since));
         match last {
-            // It has announced its end: silence is no news, and it is out of service either way.
+            // A router that announced its end is out of service whether it is silent or not.
             Some(LastHeartbeat { advertised: AdvertisedStatus::Ending, .. }) => {
                 PeerStatus::Alive(AdvertisedStatus::Ending)
             }
-            _ if self.is_silence(now, since) => PeerStatus::Silent,
+            _ if self.exceeds_silence_limit(now, since) => PeerStatus::Silent,
             Some(last) => PeerStatus::Alive(last.advertised),
             None => PeerStatus::Unknown,
         }
     }
 
-    /// Whether a router has announced its end and has been silent since: no process of it runs.
+    /// Returns whether a router announced its end and has been silent since: its process no longer runs.
     pub fn has_left(&self, now: Nanos, router: RouterIndex) -> bool {
         self.last(router).is_some_and(|last| {
-            last.advertised == AdvertisedStatus::Ending && self.is_silence(now, last.received_at)
+            last.advertised == AdvertisedStatus::Ending && self.exceeds_silence_limit(now, last.received_at)
         })
     }
 
-    /// A router's latest incarnation, if it is alive.
+    /// Returns a router's latest incarnation, if it is alive.
     pub fn live_peer(&self, now: Nanos, router: RouterIndex) -> Option<LivePeer> {
         let incarnation = self.last(router)?.incarnation;
         match self.status(now, router) {
@@ -130,23 +132,23 @@
         }
     }
 
-    /// All routers that count as out of service.
+    /// Returns all routers that count as out of service.
     pub fn out_of_service(&mut self, now: Nanos) -> Vec<RouterIndex> {
         self.note_clock(now);
         let all = 0..self.last.len() as RouterIndex;
         all.filter(|&router| self.status(now, router).is_out_of_service()).collect()
     }
 
-    /// Whether this member may be asked who is silent: one that has just started, or was paused, can't tell.
+    /// Returns whether this member can detect silence: it cannot shortly after its start or after a pause.
     pub fn can_detect_silence(&self, now: Nanos) -> bool {
-        self.is_silence(now, self.listening_since)
+        self.exceeds_silence_limit(now, self.listening_since)
     }
 
     fn last(&self, router: RouterIndex) -> Option<LastHeartbeat> {
         self.last.get(usize::from(router)).copied().flatten()
     }
 
-    fn is_silence(&self, now: Nanos, since: Nanos) -> bool {
+    fn exceeds_silence_limit(&self, now: Nanos, since: Nanos) -> bool {
         elapsed(now, since) > self.timing.silence_limit
     }
 }
--- a/membership/src/status.rs
+++ b/membership/src/status.rs
@@ -1,36 +1,36 @@
-//! What a router says of its own state, and what others believe of it.
+//! Status that a router advertises, and status that others derive from its heartbeats.
 
 use serde::{Deserialize, Serialize};
 
-/// What a router says of itself in its heartbeats.
+/// Status that a router advertises in its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AdvertisedStatus {
-    /// It serves.
+    /// The router serves requests.
     Serving,
-    /// It has just started and does not serve yet.
+    /// The router has just started and does not serve requests yet.
     Starting,
-    /// It drains, or has drained.
+    /// The router is draining or has drained.
     Draining,
-    /// It ends as planned: from now on silence is expected.
+    /// The router shuts down as planned; its silence is expected from then on.
     Ending,
 }
 
-/// What is believed of a router.
+/// Status of a router as derived from its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PeerStatus {
-    /// It has sent no heartbeat yet, and there was not enough time to call that silence.
+    /// The router has sent no heartbeat yet, but not for long enough to count as silent.
     Unknown,
-    /// It advertised this status recently, or it has ended as it said it would.
+    /// The router advertised this status recently, or announced its end.
     #[serde(rename = "here")]
     Alive(AdvertisedStatus),
-    /// It has sent no heartbeat for too long.
+    /// The router has sent no heartbeat for longer than the silence limit.
     Silent,
 }
 
 impl PeerStatus {
-    /// Whether the router counts as out of service: all do but one that serves, or of which nothing is known yet.
+    /// Returns whether the router counts as out of service: true unless it is serving or its status is unknown.
     pub fn is_out_of_service(self) -> bool {
         !matches!(self, PeerStatus::Alive(AdvertisedStatus::Serving) | PeerStatus::Unknown)
     }
