--- a/src/api.rs
+++ b/src/api.rs
@@ -1,5 +1,5 @@
-//! The interface of the decisions: what a router hands in ([`Settings`], [`Event`]) and what it gets back
-//! ([`Action`]). Plain data; every time and every span is in nanoseconds ([`Nanos`]).
+//! Interface of the decisions: their inputs ([`Settings`], [`Event`]) and their outputs ([`Action`]). All are plain
+//! data; times and durations are in nanoseconds ([`Nanos`]).
 
 mod action;
 pub(crate) mod endpoint;
@@ -17,7 +17,7 @@
     ClassId, Nanos, PeerId, PrefixKey, ReplicaId, RequestId, SessionKey, TenantId, ZoneId, SECOND,
 };
 pub use self::request::{AttemptEnded, Outcome, RejectReason, Request};
-pub(crate) use self::settings::usable;
+pub(crate) use self::settings::is_finite_non_negative;
 pub use self::settings::{Class, LoadField, Settings, SettingsError, Tenant};
 pub use crate::effect::{DeduplicationScope, Effect};
 pub use crate::served_report::TenantsDigest;
--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,36 +1,36 @@
-//! What a router gets back.
+//! Outputs of the decisions.
 
 use super::ids::{Nanos, PeerId, ReplicaId, RequestId};
 use super::request::RejectReason;
 
-/// What a router is to do, in this order.
+/// An action for the router. The actions of one event are performed in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// Where to.
+        /// The replica to send it to.
         replica: ReplicaId,
-        /// Its time-out.
+        /// Timeout of the attempt.
         timeout: Nanos,
     },
-    /// Final answer: rejected; repeating the request is harmless.
+    /// Final answer: the request is rejected, and repeating it is safe.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// When the client may come back, ns; 0 for no Retry-After.
+        /// Time after which the client may retry, ns; 0 for no Retry-After.
         retry_after: Nanos,
-        /// What for.
+        /// Why the request is rejected.
         reason: RejectReason,
     },
-    /// Final answer: failed; promises nothing.
+    /// Final answer: the request failed; its effect may have happened.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// The attempt.
+        /// Index of the attempt, from 0.
         attempt: u32,
     },
     /// Send a health check to a replica.
@@ -41,16 +41,16 @@
     Gossip(Vec<u8>),
     /// Send a message of at most 256 bytes to one peer.
     SendToPeer {
-        /// The peer.
+        /// The receiver.
         peer: PeerId,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Deliver [`Event::Timer`](crate::api::Event::Timer) with this token at this time.
+    /// Deliver [`Event::Timer`](crate::api::Event::Timer) with `token` at time `at`.
     WakeAt {
-        /// When.
+        /// Time at which the timer fires.
         at: Nanos,
-        /// The token.
+        /// Token that identifies the timer.
         token: u64,
     },
 }
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -1,48 +1,47 @@
-//! The endpoint list: its entries, what changes them, and how changes come.
+//! The endpoint list: its entries, its updates, and how updates arrive.
 
 use super::ids::{Nanos, ReplicaId, ZoneId, SECOND};
 
-/// A router counts as notified of a change so long after it, whether it has heard of it or not.
+/// Time after a change at which a router counts as notified of it, whether it has received it or not.
 pub const NOTIFICATION_LIMIT: Nanos = 6 * SECOND;
-/// The shortest and the longest interval between two calls for the endpoint list. The longest is half of the time
-/// after which a router counts as notified: the other half is for a call that was under way when the list came
-/// back, and for the answer.
-const LIST_CALL_INTERVALS: (Nanos, Nanos) = (SECOND * 4 / 5, NOTIFICATION_LIMIT / 2);
-/// Routers of one fleet call so often together at the most; four fifths of an interval pass between two calls on
-/// the average. Refusing calls takes the list service time that it needs for answers.
-const FLEET_CALLS_PER_S: Nanos = 100;
+/// Minimum and maximum interval between two calls for the endpoint list. The maximum is half of the notification limit:
+/// the other half is for a call that was in flight when the list service recovered, and for the answer.
+const LIST_CALL_INTERVAL_RANGE: (Nanos, Nanos) = (SECOND * 4 / 5, NOTIFICATION_LIMIT / 2);
+/// Maximum rate of calls of all routers of a fleet together; four fifths of an interval pass between two calls on
+/// average. Refusing calls takes time that the list service needs for answers.
+const MAX_FLEET_CALLS_PER_S: Nanos = 100;
 
-/// The interval at which one of so many routers calls for the endpoint list until it is answered, by how far `now` is
-/// from `notified_at`, when it counts as notified of the first change that it may have missed. The less time is
-/// left, the sooner it calls again; then it slows down as it sped up, since the changes behind the first one count
-/// a little later. An interval that grew with refusals instead would leave behind who was refused most often.
+/// Returns the interval between calls of one router for the endpoint list, until a call is answered. It depends on the
+/// distance of `now` from `notified_at`, the time at which the router counts as notified of the first change that it
+/// may have missed. The interval shrinks as that time approaches and grows again after it, since later changes are due
+/// a little later. If the interval grew with each refusal instead, the routers refused most often would fall behind.
 pub fn list_call_interval(router_count: u32, now: Nanos, notified_at: Nanos) -> Nanos {
-    let (shortest, longest) = LIST_CALL_INTERVALS;
-    let of_the_fleet = Nanos::from(router_count) * SECOND * 5 / (4 * FLEET_CALLS_PER_S);
+    let (shortest, longest) = LIST_CALL_INTERVAL_RANGE;
+    let fleet_interval = Nanos::from(router_count) * SECOND * 5 / (4 * MAX_FLEET_CALLS_PER_S);
     let distance = notified_at.abs_diff(now);
-    (distance / 3 * 2).clamp(of_the_fleet.clamp(shortest, longest), longest)
+    (distance / 3 * 2).clamp(fleet_interval.clamp(shortest, longest), longest)
 }
 
-/// How the endpoint list comes.
+/// How updates of the endpoint list arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListMode {
-    /// Changes arrive unprompted.
+    /// Updates arrive unrequested.
     Pushed,
-    /// Changes arrive after a [`Action::WatchEndpoints`](crate::api::Action::WatchEndpoints) only.
+    /// Updates arrive only after a [`Action::WatchEndpoints`](crate::api::Action::WatchEndpoints).
     Polled {
-        /// A router that has neither watched nor polled for this long counts as notified all the same.
+        /// Time after which a router that has neither watched nor polled counts as notified of changes.
         max_poll_interval: Nanos,
     },
 }
 
-/// What the endpoint list says of a replica.
+/// State of a replica by the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes work.
+    /// The replica takes new work.
     Ready,
-    /// Finishes its work; nothing new.
+    /// The replica finishes its work and takes no new work.
     Draining,
-    /// Is gone; nothing new.
+    /// The replica is gone.
     #[default]
     Gone,
 }
@@ -50,34 +49,35 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// Which replica.
+    /// The replica.
     pub replica: ReplicaId,
-    /// Its state.
+    /// State of the replica.
     pub state: EndpointState,
-    /// When it last started; 0 if long ago.
+    /// Time of its last start; 0 if that was long ago.
     pub started_at: Nanos,
-    /// Its zone.
+    /// Zone of the replica.
     pub zone: ZoneId,
-    /// Its cell: a small set of replicas.
+    /// Cell of the replica: a small group of replicas.
     pub cell: u32,
-    /// Its kind of machine: machines of one kind are about alike.
+    /// Kind of machine; machines of one kind perform about alike.
     pub kind: u32,
 }
 
-/// What an update of the endpoint list holds.
+/// Content of an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListUpdate {
     /// Changed entries only.
     Delta,
-    /// The whole list.
+    /// The full list.
     Full,
-    /// The whole list as last held before a restart, perhaps old.
+    /// The full list as stored before a restart; it may be outdated.
     Cached,
-    /// Changed entries only, by an order of this router's operators: it says nothing of whether the list is heard.
+    /// Changed entries only, from an override by this router's operators. It does not show that the list is being
+    /// received.
     Override,
-    /// A poll has failed, or the watch has ended. No entries.
+    /// A poll failed or the watch ended. No entries.
     Failed,
-    /// The answer to a poll has begun and stops in its middle: unlike one that is refused, it shows that the service has
-    /// room. No entries.
+    /// The answer to a poll broke off after it had begun. Unlike a refusal, it shows that the list service is not
+    /// overloaded. No entries.
     Truncated,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,50 +1,50 @@
-//! What a router hands in.
+//! Inputs of the decisions.
 
 use super::endpoint::{EndpointEntry, ListUpdate};
 use super::ids::{Nanos, PeerId, ReplicaId, RequestId};
 use super::request::{AttemptEnded, Outcome, Request};
 
-/// What has happened at a router.
+/// An event at a router.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// An update of the endpoint list.
     EndpointList {
-        /// What it holds.
+        /// Content of the update.
         kind: ListUpdate,
-        /// The entries.
+        /// Entries of the update.
         rows: Vec<EndpointEntry>,
     },
-    /// A request.
+    /// A request has arrived.
     Request(Request),
-    /// An attempt has had its first token: the client gets its stream from here on, without a deadline.
+    /// An attempt has had its first token: its stream goes to the client from now on, without a deadline.
     FirstToken {
-        /// The request.
+        /// The request of the attempt.
         request: RequestId,
-        /// The attempt, counted from 0.
+        /// Index of the attempt, from 0.
         attempt: u32,
-        /// Time since its send.
+        /// Time since the send.
         elapsed: Nanos,
     },
-    /// An attempt has ended. Each has exactly one.
+    /// An attempt has ended. Each attempt ends exactly once.
     AttemptEnded(AttemptEnded),
-    /// The client has left: no answer is owed.
+    /// The client has disconnected: no answer is owed.
     ClientLeft(RequestId),
-    /// A timer set by [`Action::WakeAt`](crate::api::Action::WakeAt).
+    /// A timer set by [`Action::WakeAt`](crate::api::Action::WakeAt) has fired.
     Timer(u64),
     /// A health check has ended.
     ProbeEnded {
-        /// The replica.
+        /// The checked replica.
         replica: ReplicaId,
-        /// How it went.
+        /// Result of the health check.
         outcome: Outcome,
-        /// The load report, as in [`Event::AttemptEnded`].
+        /// Load report, as in [`Event::AttemptEnded`].
         load: Vec<f64>,
     },
-    /// A message from a peer.
+    /// A message from a peer has arrived.
     PeerMessage {
-        /// Its sender.
+        /// The sender.
         from: PeerId,
-        /// What it sent.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,9 +1,9 @@
-//! Time, and the numbers that stand for what takes part.
+//! Time, and identifiers of replicas, requests, tenants and other entities.
 
-/// A point in time or a span, in nanoseconds. Points are of the router's own monotonic clock.
+/// A point in time or a duration, in nanoseconds. Points in time are on the router's own monotonic clock.
 pub type Nanos = u64;
 
-/// One second.
+/// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000_000_000;
 
 macro_rules! id {
@@ -15,35 +15,34 @@
 }
 
 id!(
-    /// A replica. The same number must mean the same replica at every router: rendezvous hashing
-    /// relies on it.
+    /// Identifier of a replica. It must be the same at every router, as rendezvous hashing relies on it.
     ReplicaId(u64)
 );
 id!(
-    /// A request, as the router numbers it. Never used twice within one incarnation of a router.
+    /// Identifier of a request. It is never reused within one incarnation of a router.
     RequestId(u64)
 );
 id!(
-    /// A tenant: its index in [`Settings::tenants`](crate::api::Settings::tenants).
+    /// Index of a tenant in [`Settings::tenants`](crate::api::Settings::tenants).
     TenantId(u32)
 );
 id!(
-    /// A class of requests: its index in [`Settings::classes`](crate::api::Settings::classes).
+    /// Index of a request class in [`Settings::classes`](crate::api::Settings::classes).
     ClassId(u32)
 );
 id!(
-    /// A zone: its index in the list of zones that all routers share.
+    /// Index of a zone in the list of zones that all routers share.
     ZoneId(u32)
 );
 id!(
-    /// A peer: its index among the routers.
+    /// Index of a router among all routers.
     PeerId(u32)
 );
 id!(
-    /// A session, hashed from its name in the same way at every router.
+    /// Hash of a session's name, the same at every router.
     SessionKey(u64)
 );
 id!(
-    /// A prefix that prompts of several sessions share, hashed in the same way at every router.
+    /// Hash of the name of a prefix that prompts of several sessions share, the same at every router.
     PrefixKey(u64)
 );
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -1,85 +1,85 @@
-//! A request, how its attempts end, and why it is rejected.
+//! A request, the outcomes of its attempts, and the reasons for rejecting it.
 
 use super::ids::{ClassId, Nanos, PrefixKey, RequestId, SessionKey, TenantId};
 
 /// A request from a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its number.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant; ignored without tenants.
+    /// Tenant of the request; ignored if no tenants are configured.
     pub tenant: TenantId,
     /// Time until the client gives up.
     pub time_left: Nanos,
-    /// Tokens in the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// How many of them are the shared prefix.
+    /// Number of prompt tokens that belong to the shared prefix.
     pub prefix_tokens: u32,
-    /// The session.
+    /// Session of the request, if any.
     pub session: Option<SessionKey>,
-    /// The shared prefix.
+    /// Shared prefix of the prompt, if any.
     pub prefix: Option<PrefixKey>,
-    /// The client asks for the rest of a broken or migrated stream.
+    /// Whether the client requests the rest of a broken or migrated stream.
     pub resumes_stream: bool,
-    /// The client marks this as a retry of an earlier request, where clients do.
+    /// Whether the client marks the request as a retry of an earlier one.
     pub is_client_retry: bool,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Complete.
+    /// The attempt completed.
     Completed,
-    /// The replica answered with an error; the attempt may have run.
+    /// The replica answered with an error. The attempt may have run.
     ReplicaError,
-    /// The replica rejected it; it never ran.
+    /// The replica rejected the attempt. It never ran.
     Rejected,
-    /// No answer in time; it may have run.
+    /// The replica did not answer in time. The attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established. The attempt never ran.
     ConnectionRefused,
-    /// The connection broke; it may have run.
+    /// The connection broke. The attempt may have run.
     ConnectionReset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. It may have run.
     Cancelled,
-    /// Not sent; it never ran.
+    /// The attempt was not sent. It never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Returns whether the outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectionRefused | Outcome::NotSent)
     }
 }
 
-/// The end of an attempt.
+/// Result of an attempt that has ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptEnded {
-    /// The request.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// The attempt, counted from 0.
+    /// Index of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since its send.
+    /// Time since the send.
     pub elapsed: Nanos,
-    /// The request is over, by this or before it: no answer is owed.
+    /// Whether the request ended with this attempt or before it, so that no answer is owed.
     pub request_over: bool,
-    /// Prompt tokens that the replica had cached, if it says so.
+    /// Prompt tokens that the replica had cached, if it reported them.
     pub cached_tokens: Option<u32>,
-    /// The replica's load report, in the order of
-    /// [`Settings::report_fields`](crate::api::Settings::report_fields); empty if none came.
+    /// The replica's load report, in the order of [`Settings::report_fields`](crate::api::Settings::report_fields);
+    /// empty if there was none.
     pub load: Vec<f64>,
 }
 
-/// What a request is rejected for.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its tenant has used up its quota.
+    /// The tenant has used up its quota.
     QuotaExceeded,
-    /// No replica would give a first token in time, or none did.
+    /// No replica is likely to give a first token in time, or none did.
     NoCapacity,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a router decides by, given once at its start.
+//! Settings of the decisions, fixed when a router starts.
 
 use std::fmt;
 
@@ -10,22 +10,22 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// A first token within this time has its full value.
+    /// Time within which a first token has its full value.
     pub latency_objective: Nanos,
-    /// Added to that for every 1,000 tokens of the prompt.
+    /// Additional latency objective per 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Nanos,
-    /// The objective for the time between two tokens; 0 if none is stated.
+    /// Objective for the time between two tokens; 0 if there is none.
     pub token_interval_objective: Nanos,
     /// What repeating a request does.
     pub effect: Effect,
-    /// What one request is worth against others, in any unit common to all classes.
+    /// Value of a request relative to others, in any unit common to all classes.
     pub priority_weight: f64,
-    /// The part of it that an answer after the latency objective has, 0 to 1.
+    /// Share of the value that an answer has after the latency objective, 0 to 1.
     pub late_value_share: f64,
 }
 
 impl Class {
-    /// The latency objective for a prompt of so many tokens, ns.
+    /// Returns the latency objective for a prompt of `prompt_tokens` tokens, ns.
     pub fn latency_objective_for(&self, prompt_tokens: u32) -> f64 {
         self.latency_objective as f64
             + self.latency_objective_per_1000_tokens as f64 * f64::from(prompt_tokens) / 1000.0
@@ -35,95 +35,99 @@
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests per second that it may have, over all routers together. Above zero.
+    /// Quota over all routers together, requests per second. Above zero.
     pub quota_per_s: f64,
 }
 
-/// A value in a replica's load report.
+/// A field of a replica's load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests queued.
+    /// Number of queued requests.
     Queue,
     /// Share of the replica's capacity in use, 0 to 1.
     Utilization,
-    /// Thousands of prompt tokens that it has yet to read.
+    /// Prompt tokens yet to prefill, in thousands.
     PrefillBacklogThousands,
-    /// Anything else: skipped.
+    /// Any other field; ignored.
     Other,
 }
 
-/// What a router decides by, given once at its start.
+/// Settings of the decisions, fixed when a router starts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This router's index among the routers.
+    /// Index of this router among all routers.
     pub own_index: PeerId,
-    /// How many routers there are.
+    /// Number of routers.
     pub router_count: u32,
-    /// This router's zone.
+    /// Zone of this router.
     pub zone: ZoneId,
-    /// The tenants; may be empty.
+    /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Stands for what their numbers mean: a peer's reports count only where it is the same.
+    /// Digest of the tenants' names and order. A peer's reports count only if its digest is the same.
     pub digest: TenantsDigest,
-    /// The classes; at least one.
+    /// Request classes; at least one.
     pub classes: Vec<Class>,
-    /// The most attempts for a request. At least one.
+    /// Maximum number of attempts per request; at least one.
     pub max_attempts: u32,
-    /// Two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub concurrent_attempts: bool,
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub can_cancel: bool,
-    /// Messages to peers are possible.
+    /// Whether messages can be sent to peers.
     pub has_peers: bool,
-    /// Health checks are possible.
+    /// Whether health checks can be sent to replicas.
     pub can_probe: bool,
-    /// The longest Retry-After that clients follow.
+    /// Maximum Retry-After; clients ignore longer ones.
     pub max_retry_after: Nanos,
-    /// How the endpoint list comes.
+    /// How updates of the endpoint list arrive.
     pub list_mode: EndpointListMode,
-    /// The values of a load report, in order.
+    /// Fields of a load report, in order.
     pub report_fields: Vec<LoadField>,
-    /// A replica starts at this share of its capacity or more, 0 to 1.
+    /// Minimum capacity of a replica at its start, as a share of its full capacity, 0 to 1.
     pub initial_capacity_share: f64,
-    /// It is warm after this time.
+    /// Time after its start at which a replica has its full capacity.
     pub warm_up_time: Nanos,
-    /// A warming replica that is overloaded for this time fails.
+    /// Duration of an overload after which a warming replica fails.
     pub overload_window: Nanos,
-    /// Overloaded: sent more than so many times what it can do then.
+    /// Load above which a warming replica is overloaded, as a multiple of its current capacity.
     pub overload_multiple: f64,
-    /// What crossing zones costs, as a share of a request's priority weight.
+    /// Cost of crossing zones, as a share of a request's priority weight.
     pub cross_zone_cost: f64,
-    /// An idle connection to a replica is closed after this.
+    /// Time after which replicas close an idle connection.
     pub idle_timeout: Nanos,
 }
 
 impl Settings {
-    /// Whether a router can decide by these.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
     ///
-    /// The first setting, in the order of the checks, that nothing can be decided by.
+    /// Returns an error for the first invalid setting, in the order of the checks.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if self.tenants.iter().any(|tenant| !usable(tenant.quota_per_s) || tenant.quota_per_s == 0.0) {
-            return Err(SettingsError::BadNumber("quota_per_s"));
+        if self
+            .tenants
+            .iter()
+            .any(|tenant| !is_finite_non_negative(tenant.quota_per_s) || tenant.quota_per_s == 0.0)
+        {
+            return Err(SettingsError::InvalidNumber("quota_per_s"));
         }
-        if !usable(self.overload_multiple) {
-            return Err(SettingsError::BadNumber("fall_multiple"));
+        if !is_finite_non_negative(self.overload_multiple) {
+            return Err(SettingsError::InvalidNumber("fall_multiple"));
         }
         if self.classes.iter().any(|class| class.latency_objective == 0) {
-            return Err(SettingsError::BadNumber("aim"));
+            return Err(SettingsError::InvalidNumber("aim"));
         }
         if self.max_attempts == 0 {
-            return Err(SettingsError::BadNumber("try_limit"));
+            return Err(SettingsError::InvalidNumber("try_limit"));
         }
         for (value, name) in
             [(self.initial_capacity_share, "cold_share"), (self.cross_zone_cost, "cross_zone_price")]
         {
-            if !usable(value) {
-                return Err(SettingsError::BadNumber(name));
+            if !is_finite_non_negative(value) {
+                return Err(SettingsError::InvalidNumber(name));
             }
         }
         if self.router_count == 0 || self.own_index.0 >= self.router_count {
@@ -133,28 +137,30 @@
     }
 }
 
-/// Whether a number can be one of the settings.
-pub(crate) fn usable(value: f64) -> bool {
+/// Returns whether a value is finite and not negative.
+pub(crate) fn is_finite_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
 
-/// What is wrong with [`Settings`].
+/// Why [`Settings`] are invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no class.
+    /// There is no request class.
     NoClasses,
-    /// A number is missing, zero where it must not be, negative or not finite. Names the setting.
-    BadNumber(&'static str),
-    /// This router's index is not below the number of routers.
+    /// A number is missing, zero where it must not be, negative or not finite. Holds the name of the setting.
+    InvalidNumber(&'static str),
+    /// The router's index is not below the number of routers.
     InvalidRouterIndex,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::NoClasses => write!(f, "no class of requests"),
-            SettingsError::BadNumber(name) => write!(f, "{name}: not a usable number"),
-            SettingsError::InvalidRouterIndex => write!(f, "me: not among the routers"),
+            SettingsError::NoClasses => write!(f, "settings: at least one request class is required"),
+            SettingsError::InvalidNumber(name) => {
+                write!(f, "setting {name}: missing, or not a number in its valid range")
+            }
+            SettingsError::InvalidRouterIndex => write!(f, "setting me: must be below the number of routers"),
         }
     }
 }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The settings of a deployment: what the simulator's first message and a router's configuration file both hold, as one
-//! JSON object. [`parse`] reads it, [`Deployment::validate`] says whether a router can go by it.
+//! Settings of a deployment: one JSON object, which both the simulator's first message and a router's configuration
+//! file contain. [`parse`] reads it, and [`Deployment::validate`] checks it.
 
 mod document;
 mod validation;
@@ -8,46 +8,47 @@
 
 pub use validation::InvalidSetting;
 
-/// A request class as clients name it.
+/// Name and deadline of a request class.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ClassTerms {
-    /// Its name.
+pub struct ClassInfo {
+    /// Name of the class, as clients send it.
     pub name: String,
-    /// The longest that its clients wait for a first token.
+    /// Maximum time that clients of the class wait for a first token.
     pub deadline: Nanos,
 }
 
-/// The settings of a deployment: what the decisions go by, and what only a router's sockets need.
+/// Settings of a deployment: those of the decisions, and those that only a router's sockets need.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// What the decision module gets.
+    /// Settings of the decisions.
     pub decisions: Settings,
-    /// The classes, in the order of [`Settings::classes`].
-    pub classes: Vec<ClassTerms>,
-    /// The tenants' names, in the order of [`Settings::tenants`].
+    /// Request classes, in the order of [`Settings::classes`].
+    pub classes: Vec<ClassInfo>,
+    /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenant_names: Vec<String>,
-    /// The names of zones; a [`crate::api::ZoneId`] is an index into them.
+    /// Names of the zones, indexed by [`crate::api::ZoneId`].
     pub zones: Vec<String>,
-    /// The names of kinds of machines.
+    /// Names of the kinds of machines.
     pub kinds: Vec<String>,
-    /// The names of the values in a load report, in the order of [`Settings::report_fields`].
+    /// Names of the fields of a load report, in the order of [`Settings::report_fields`].
     pub report_field_names: Vec<String>,
-    /// A connection to a replica that is not established within this counts as refused.
+    /// Time after which a connection to a replica that is not established counts as refused.
     pub connect_timeout: Nanos,
-    /// Replicas close a connection that has been idle for so long.
+    /// Time after which replicas close an idle connection.
     pub replica_idle_timeout: Nanos,
-    /// The most requests in flight.
+    /// Maximum number of requests in flight.
     pub max_in_flight: usize,
-    /// A final answer still counts so long after its client's deadline.
+    /// Time after a client's deadline within which a final answer still counts.
     pub deadline_slack: Nanos,
-    /// Clients whose stream broke come back for the rest.
+    /// Whether clients whose stream broke request the rest of it.
     pub resumes_streams: bool,
 }
 
-/// Why an object can't be read: the path to the field, and the error there as its source.
+/// Why an object can't be read: the path to the field, with the error as its source.
 pub type ParseError = serde_path_to_error::Error<serde_json::Error>;
 
-/// Reads the object. Unknown keys are skipped, absent ones get a safe default, and unknown words the safest meaning.
+/// Reads the object. Unknown keys are ignored, absent ones get a safe default, and unknown values get the safest
+/// meaning.
 ///
 /// # Errors
 /// The text is not JSON, or a value has another type than its field.
--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -1,9 +1,9 @@
-//! The JSON object as it is written, with its defaults, and its translation. The names of fields and words are the
-//! operators' pages' and stay.
+//! The JSON object as written, its defaults, and its conversion to settings. The names of fields and values are
+//! documented for operators and must not change.
 
 use serde::Deserialize;
 
-use super::{ClassTerms, Deployment};
+use super::{ClassInfo, Deployment};
 use crate::api::{
     Class, DeduplicationScope, Effect, EndpointListMode, LoadField, Nanos, PeerId, Settings, Tenant,
     TenantsDigest, ZoneId, SECOND,
@@ -35,7 +35,7 @@
             group: "cell".into(),
             window_ns: 0,
             worth: 1.0,
-            // A deployment that states none is not taken to mean that late answers are worth less.
+            // Without a stated share, late answers keep their full value.
             late_share: 1.0,
         }
     }
@@ -97,7 +97,7 @@
             answer_slack_ns: 0,
             cold_ns: 30 * SECOND,
             cold_share: 0.1,
-            // Under the 2.5 of the protocol's example: a deployment that states none may have less.
+            // Below the protocol's example of 2.5, as a deployment that states no multiple may have a lower one.
             fall_multiple: 2.0,
             fall_ns: 2 * SECOND,
             must_ask_in_ns: 10 * SECOND,
@@ -126,7 +126,7 @@
     cross_zone: f64,
 }
 
-/// The whole object.
+/// The JSON object.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub(super) struct Document {
@@ -148,7 +148,7 @@
 impl From<Document> for Deployment {
     fn from(document: Document) -> Self {
         let decisions = document.decisions();
-        let class = |profile: Profile| ClassTerms { name: profile.name, deadline: profile.deadline_ns };
+        let class = |profile: Profile| ClassInfo { name: profile.name, deadline: profile.deadline_ns };
         Deployment {
             decisions,
             classes: document.profiles.into_iter().map(class).collect(),
@@ -173,7 +173,7 @@
             router_count: self.replicas_of_me,
             zone: ZoneId(self.my_zone),
             tenants: self.tenants.iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s }).collect(),
-            digest: TenantsDigest::of_tenants(self.tenants.iter().map(|tenant| tenant.name.as_str())),
+            digest: TenantsDigest::from_names(self.tenants.iter().map(|tenant| tenant.name.as_str())),
             classes: self.profiles.iter().enumerate().map(|(i, profile)| self.class(i, profile)).collect(),
             max_attempts: limits.try_limit,
             concurrent_attempts: limits.parallel_tries,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The class at `index`, whose objectives for tokens stand in lists of their own.
+    /// Returns the class at `index`, whose token objectives are in separate lists.
     fn class(&self, index: usize, profile: &Profile) -> Class {
         let family = &self.family_info;
         let micros_per_1000_tokens = family.aim_us_per_1000_prompt_tokens.get(index).copied().unwrap_or(0.0);
--- a/src/deployment/validation.rs
+++ b/src/deployment/validation.rs
@@ -1,29 +1,29 @@
-//! Whether a router can go by a deployment's settings.
+//! Validation of a deployment's settings.
 
 use std::collections::BTreeSet;
 use std::fmt;
 
-use super::{ClassTerms, Deployment};
-use crate::api::{usable, Class, Tenant};
+use super::{ClassInfo, Deployment};
+use crate::api::{is_finite_non_negative, Class, Tenant};
 
-/// A field that no router can go by: its path in the object, and what is expected there.
+/// A field with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidSetting {
-    /// The path, as `Profiles[1].GoalTimeNs`.
+    /// Path of the field in the object, such as `Profiles[1].GoalTimeNs`.
     pub path: String,
-    /// What the field has to be.
+    /// What the field must be.
     pub expected: &'static str,
 }
 
 impl fmt::Display for InvalidSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: wanted: {}", self.path, self.expected)
+        write!(f, "setting {}: expected {}", self.path, self.expected)
     }
 }
 
 impl std::error::Error for InvalidSetting {}
 
-/// An error about the field at `path` unless `valid`.
+/// Returns an error for the field at `path` unless `valid`.
 fn require(valid: bool, path: &str, expected: &'static str) -> Result<(), InvalidSetting> {
     match valid {
         true => Ok(()),
@@ -32,10 +32,11 @@
 }
 
 impl Deployment {
-    /// Checks the fields in the order of the operators' page. Unknown fields, and names that nobody uses, are no fault.
+    /// Checks the fields in the order in which they are documented for operators. Unknown fields and unused names are
+    /// valid.
     ///
     /// # Errors
-    /// The first field that is missing or that no router can go by.
+    /// Returns an error for the first missing or invalid field.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         self.validate_classes()?;
         self.validate_tenants()?;
@@ -43,17 +44,21 @@
         let settings = &self.decisions;
         require(settings.max_attempts != 0, "Limits.TryLimit", "1 or more")?;
         require((0.0..=1.0).contains(&settings.initial_capacity_share), "Rules.ColdShare", "0 to 1")?;
-        require(usable(settings.overload_multiple), "Rules.FallMultiple", "a number of 0 or more")?;
-        require(usable(settings.cross_zone_cost), "Prices.CrossZone", "a number of 0 or more")
+        require(
+            is_finite_non_negative(settings.overload_multiple),
+            "Rules.FallMultiple",
+            "a number of 0 or more",
+        )?;
+        require(is_finite_non_negative(settings.cross_zone_cost), "Prices.CrossZone", "a number of 0 or more")
     }
 
     fn validate_classes(&self) -> Result<(), InvalidSetting> {
         let classes = &self.decisions.classes;
         require(!classes.is_empty(), "Profiles", "one class at least")?;
-        for (i, (class, terms)) in classes.iter().zip(&self.classes).enumerate() {
-            validate_class(i, class, terms)?;
+        for (i, (class, info)) in classes.iter().zip(&self.classes).enumerate() {
+            validate_class(i, class, info)?;
         }
-        validate_unique("Profiles", self.classes.iter().map(|terms| terms.name.as_str()))
+        validate_unique("Profiles", self.classes.iter().map(|info| info.name.as_str()))
     }
 
     fn validate_tenants(&self) -> Result<(), InvalidSetting> {
@@ -63,7 +68,7 @@
         validate_unique("Tenants", self.tenant_names.iter().map(String::as_str))
     }
 
-    /// Which router and which zone this is, among how many.
+    /// Checks the router's index, the number of routers, and the router's zone.
     fn validate_own_position(&self) -> Result<(), InvalidSetting> {
         let settings = &self.decisions;
         require(settings.router_count != 0, "ReplicasOfMe", "1 or more")?;
@@ -73,23 +78,23 @@
     }
 }
 
-fn validate_class(index: usize, class: &Class, terms: &ClassTerms) -> Result<(), InvalidSetting> {
+fn validate_class(index: usize, class: &Class, info: &ClassInfo) -> Result<(), InvalidSetting> {
     let path = |field: &str| format!("Profiles[{index}].{field}");
-    require(!terms.name.is_empty(), &path("Name"), "a name")?;
+    require(!info.name.is_empty(), &path("Name"), "a name")?;
     require(class.latency_objective != 0, &path("GoalTimeNs"), "a time above 0, ns")?;
-    require(terms.deadline != 0, &path("DeadlineNs"), "a time above 0, ns")?;
-    require(usable(class.priority_weight), &path("Worth"), "a number of 0 or more")?;
+    require(info.deadline != 0, &path("DeadlineNs"), "a time above 0, ns")?;
+    require(is_finite_non_negative(class.priority_weight), &path("Worth"), "a number of 0 or more")?;
     require((0.0..=1.0).contains(&class.late_value_share), &path("LateShare"), "0 to 1")
 }
 
 fn validate_tenant(index: usize, tenant: &Tenant, name: &str) -> Result<(), InvalidSetting> {
     let path = |field: &str| format!("Tenants[{index}].{field}");
     require(!name.is_empty(), &path("Name"), "a name")?;
-    let quota = usable(tenant.quota_per_s) && tenant.quota_per_s > 0.0;
+    let quota = is_finite_non_negative(tenant.quota_per_s) && tenant.quota_per_s > 0.0;
     require(quota, &path("QuotaPerS"), "requests a second, above 0")
 }
 
-/// An error about the first name of a list that stands in it before.
+/// Returns an error for the first name of a list that occurs in it before.
 fn validate_unique<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), InvalidSetting> {
     let mut seen = BTreeSet::new();
     for (i, name) in names.enumerate() {
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -182,7 +182,7 @@
 /// Guards against tenants' hits that drain the buckets of others while a change of the settings is being rolled out.
 #[test]
 fn reports_of_routers_with_other_tenants_drain_no_bucket() {
-    let digest = |names: &[&str]| TenantsDigest::of_tenants(names.iter().copied());
+    let digest = |names: &[&str]| TenantsDigest::from_names(names.iter().copied());
     let mine = digest(&["alpha", "beta"]);
     let others = [
         ("another order", digest(&["beta", "alpha"])),
@@ -249,14 +249,17 @@
         tallypin::Balancer::new(set, 1).err()
     };
     assert_eq!(bad(&|s| s.classes.clear()), Some(SettingsError::NoClasses));
-    assert_eq!(bad(&|s| s.tenants[0].quota_per_s = 0.0), Some(SettingsError::BadNumber("quota_per_s")));
-    assert_eq!(bad(&|s| s.tenants[0].quota_per_s = f64::NAN), Some(SettingsError::BadNumber("quota_per_s")));
+    assert_eq!(bad(&|s| s.tenants[0].quota_per_s = 0.0), Some(SettingsError::InvalidNumber("quota_per_s")));
+    assert_eq!(
+        bad(&|s| s.tenants[0].quota_per_s = f64::NAN),
+        Some(SettingsError::InvalidNumber("quota_per_s"))
+    );
     assert_eq!(
         bad(&|s| s.initial_capacity_share = f64::INFINITY),
-        Some(SettingsError::BadNumber("cold_share"))
+        Some(SettingsError::InvalidNumber("cold_share"))
     );
-    assert_eq!(bad(&|s| s.classes[0].latency_objective = 0), Some(SettingsError::BadNumber("aim")));
-    assert_eq!(bad(&|s| s.max_attempts = 0), Some(SettingsError::BadNumber("try_limit")));
+    assert_eq!(bad(&|s| s.classes[0].latency_objective = 0), Some(SettingsError::InvalidNumber("aim")));
+    assert_eq!(bad(&|s| s.max_attempts = 0), Some(SettingsError::InvalidNumber("try_limit")));
     assert_eq!(bad(&|s| s.own_index = PeerId(2)), Some(SettingsError::InvalidRouterIndex));
     assert_eq!(bad(&|s| s.router_count = 0), Some(SettingsError::InvalidRouterIndex));
     assert_eq!(bad(&|_| ()), None);
--- a/tests/recorded_report.rs
+++ b/tests/recorded_report.rs
@@ -31,7 +31,7 @@
     for names in TENANTS {
         recording.case(
             &format!("{names:?}"),
-            &format!("{}\n", digest_bytes(TenantsDigest::of_tenants(names.to_vec()))),
+            &format!("{}\n", digest_bytes(TenantsDigest::from_names(names.to_vec()))),
         );
     }
     recording.case("default", &format!("{}\n", digest_bytes(TenantsDigest::default())));
@@ -41,7 +41,7 @@
 #[test]
 fn encoded_reports_stay_as_they_were() {
     let mut recording = Recording::new(env!("CARGO_MANIFEST_DIR"), "report", "encoded.txt");
-    let digest = TenantsDigest::of_tenants(["haendlerbund", "grenzstellen"]);
+    let digest = TenantsDigest::from_names(["haendlerbund", "grenzstellen"]);
     let many: Vec<(u32, u32)> = (0..200).map(|n| (n * 37 + 1, n)).collect();
     for (span_ms, counts) in [
         (0, &[][..]),
@@ -65,8 +65,8 @@
 #[test]
 fn decoded_and_rejected_reports_stay_as_they_were() {
     let mut recording = Recording::new(env!("CARGO_MANIFEST_DIR"), "report", "decoded.txt");
-    let digest = TenantsDigest::of_tenants(["haendlerbund", "grenzstellen"]);
-    let other = TenantsDigest::of_tenants(["grenzstellen", "haendlerbund"]);
+    let digest = TenantsDigest::from_names(["haendlerbund", "grenzstellen"]);
+    let other = TenantsDigest::from_names(["grenzstellen", "haendlerbund"]);
     let mine = encode(digest, 0, &[served(0, 0)])[0][..3].to_vec();
     let with = |rest: &[u8]| [&mine[..], rest].concat();
     let whole = encode(digest, 1_000, &[served(5, 0), served(300, 1)]).remove(0);
--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -60,7 +60,7 @@
         tenants,
         classes: classes(),
         concurrent_attempts: true,
-        digest: TenantsDigest::of_tenants(["one", "two", "three", "four"]),
+        digest: TenantsDigest::from_names(["one", "two", "three", "four"]),
         report_fields: report,
         ..settings(1, 0)
     };
