--- a/src/linear_fit.rs
+++ b/src/linear_fit.rs
@@ -1,12 +1,13 @@
-//! A least-squares fit of a line whose older samples weigh less.
+//! Least-squares fit of a line with exponentially decaying weights.
 
-/// Weight kept by older samples at each new one: the last 200 samples have about two thirds of all weight.
+/// Factor on the weight of older samples at each new one: the last 200 samples have about two thirds of the total
+/// weight.
 const RETENTION: f64 = 0.995;
-/// Weight of the prior slope, in squared units of x. Here x are tokens: as much as ten samples that lie 1,000 tokens off
+/// Weight of the prior slope, in squared units of x. For x in tokens it equals ten samples that are 1,000 tokens from
 /// the mean.
 const PRIOR_WEIGHT: f64 = 1e7;
 
-/// The sums of a fit of y over x.
+/// Weighted sums for a fit of y over x.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct LinearFit {
     x: f64,
@@ -17,7 +18,6 @@
 }
 
 impl LinearFit {
-    /// Adds a sample.
     pub(crate) fn add(&mut self, x: f64, y: f64) {
         for (sum, v) in [
             (&mut self.n, 1.0),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The slope, pulled towards `prior` while samples are few or have much the same x.
+    /// Returns the slope, shrunk towards `prior` while samples are few or have similar x.
     pub(crate) fn slope(&self, prior: f64) -> f64 {
         let n = self.n.max(1.0);
         let covariance = self.xy - self.x * self.y / n;
--- a/src/prefix_cache.rs
+++ b/src/prefix_cache.rs
@@ -1,47 +1,48 @@
-//! What is believed to be in the prefix caches of replicas: of a session's last turn, and of anything after a start.
+//! Estimate of what replicas have in their prefix caches, for sessions and after a start.
 //!
-//! Preferred replicas by hash need no memory, and routers agree on them without a message. But a session that found its
-//! preferred replica busy or gone has left its prompt elsewhere, and until its next migration that is where the prompt is
-//! read cheaply. So a router remembers where each session's last answer began. What other routers did with the session it
-//! does not know: the entry is a hint of where to look, beside the preferred replicas.
+//! Preferred replicas are computed by hash, without stored state or messages between routers. But a session whose
+//! preferred replica was busy or gone has its prompt cached elsewhere, and until its next migration that replica reads
+//! it most cheaply. So a router remembers which replica last answered each session. It does not know about the
+//! session's requests at other routers: the entry is a hint in addition to the preferred replicas.
 
 use rustc_hash::FxHashMap;
 
 use crate::api::{EndpointEntry, Nanos, ReplicaId, SECOND};
 
-/// The most sessions remembered, in two tables of half as many: 41 bytes for each of 65,536 entries, 5.4 MB in all.
+/// Maximum number of sessions remembered, in two tables of half the size: 65,536 entries of 41 bytes with their table
+/// capacity take 5.4 MB.
 const MAX_SESSIONS: usize = 65_536;
-/// A prompt is taken for evicted after so long without a turn of its session. A turn within a minute found it on all days
-/// drawn; replicas evict the least recently used and tell nobody.
-const EVICTED_AFTER: Nanos = 60 * SECOND;
-/// The cache of a replica that has just started is empty; half of what it would hold when warm it is believed to hold
-/// after so long, s, as the traffic brings the prefixes back. Taken for empty until warm, it was left idle while the warm
-/// ones were overloaded: 0.898 of mean G without, 0.904 at 3 and 8 s.
+/// Time without a turn of a session after which its prompt counts as evicted. Replicas evict the least recently used
+/// prompts and do not report it.
+const EVICTION_TIME: Nanos = 60 * SECOND;
+/// Half-life of the missing part of a cache after a replica's start, s, as traffic refills it with prefixes. If the
+/// cache counted as empty until warm, the replica would be left idle while the warm ones are overloaded.
 const REFILL_HALF_LIFE_S: f64 = 5.0;
 
-/// Where a session's last answer began.
+/// The replica that last answered a session.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SessionReplica {
-    /// Which replica.
+    /// The replica.
     pub replica: ReplicaId,
-    /// When it had last started then.
+    /// Time of the replica's last start, as listed when it answered.
     pub started_at: Nanos,
-    /// Tokens of the prompt that it has read.
+    /// Prompt tokens that it has read.
     pub tokens: u32,
-    at: Nanos,
+    recorded_at: Nanos,
 }
 
 impl SessionReplica {
-    /// Whether a listed replica is this one, in the same incarnation: another one has an empty cache. `warming_up_since`:
-    /// since when it is taken to warm up, be it for a silence in which it may have started anew.
+    /// Returns whether a listed replica is this one in the same incarnation; a later incarnation has an empty cache.
+    /// `warming_up_since` is the start of its warm-up, which may also follow a silence during which it may have
+    /// restarted.
     pub fn is_incarnation_of(&self, entry: &EndpointEntry, warming_up_since: Option<Nanos>) -> bool {
         let same = self.replica == entry.replica && self.started_at == entry.started_at;
-        same && warming_up_since.is_none_or(|since| since <= self.at)
+        same && warming_up_since.is_none_or(|since| since <= self.recorded_at)
     }
 }
 
-/// Sessions and where their last answers began, in two generations: once the younger is full it becomes the older, and
-/// the older one is dropped. So the table is bounded, a session that still has turns stays, and nothing is ever scanned.
+/// The replicas that last answered sessions, in two generations. When the younger one is full, it becomes the older
+/// one, and the older one is dropped. So the size is bounded, active sessions stay, and no scan is needed.
 #[derive(Debug, Default)]
 pub struct SessionAffinity {
     young: FxHashMap<u64, SessionReplica>,
@@ -49,23 +50,24 @@
 }
 
 impl SessionAffinity {
-    /// An answer to this session has begun at a replica, which has read `tokens` of its prompt.
+    /// Records that a replica began to answer a session and has read `tokens` of its prompt.
     pub fn record(&mut self, now: Nanos, session: u64, entry: &EndpointEntry, tokens: u32) {
         if self.young.len() >= MAX_SESSIONS / 2 && !self.young.contains_key(&session) {
             self.old = std::mem::take(&mut self.young);
         }
-        let last = SessionReplica { replica: entry.replica, started_at: entry.started_at, tokens, at: now };
+        let last =
+            SessionReplica { replica: entry.replica, started_at: entry.started_at, tokens, recorded_at: now };
         self.young.insert(session, last);
     }
 
-    /// Where this session's last answer began, unless its prompt is taken for evicted.
+    /// Returns the replica that last answered a session, unless its prompt counts as evicted.
     pub fn last_replica(&self, now: Nanos, session: u64) -> Option<SessionReplica> {
         let found = self.young.get(&session).or_else(|| self.old.get(&session));
-        found.filter(|last| now.saturating_sub(last.at) < EVICTED_AFTER).copied()
+        found.filter(|last| now.saturating_sub(last.recorded_at) < EVICTION_TIME).copied()
     }
 }
 
-/// Tokens of a prompt that a replica has to read which started `age` ago, where it would have to read
+/// Returns the prompt tokens that a replica must read `age` after its start, if it would have to read
 /// `uncached_when_warm` of `prompt` tokens with a full cache.
 pub fn uncached_tokens_after_start(uncached_when_warm: f64, prompt: f64, age: Nanos) -> f64 {
     let half_lives = age as f64 / SECOND as f64 / REFILL_HALF_LIFE_S;
--- a/src/replica_set.rs
+++ b/src/replica_set.rs
@@ -1,16 +1,16 @@
-//! A set of replicas from which one is drawn at random as cheaply as it is added or removed.
+//! A set of replicas with constant-time random choice.
 
-/// Replicas by their index in the decision module's table, in no order. Adding, removing and drawing take the same time
-/// whatever their number.
+/// Replicas by their index in the decision module's table, unordered. Adding, removing and choosing at random take
+/// constant time.
 #[derive(Debug, Default)]
 pub struct ReplicaSet {
     indices: Vec<usize>,
-    /// By index: its position in `indices`, plus one; 0 if it is not in the set.
+    /// Position in `indices` plus one, by replica index; 0 if the replica is not in the set.
     positions: Vec<usize>,
 }
 
 impl ReplicaSet {
-    /// Adds a replica; false if it was in the set.
+    /// Adds a replica; returns false if it was in the set already.
     pub fn add(&mut self, index: usize) -> bool {
         if self.positions.len() <= index {
             self.positions.resize(index + 1, 0);
@@ -23,7 +23,7 @@
         new
     }
 
-    /// Removes a replica; false if it was not in the set.
+    /// Removes a replica; returns false if it was not in the set.
     pub fn remove(&mut self, index: usize) -> bool {
         let Some(at) = self.positions.get(index).and_then(|position| position.checked_sub(1)) else {
             return false;
@@ -36,7 +36,7 @@
         true
     }
 
-    /// All replicas of the set.
+    /// Returns all replicas of the set.
     pub fn all(&self) -> &[usize] {
         &self.indices
     }
--- a/src/replica_set/tests.rs
+++ b/src/replica_set/tests.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 proptest! {
-    /// Whatever comes and goes, in whatever order: the same as an ordered set holds.
+    /// After random additions and removals, the set equals a `BTreeSet` with the same changes.
     #[test]
-    fn it_holds_what_an_ordered_set_holds(changes in proptest::collection::vec((any::<bool>(), 0usize..40), 0..200)) {
+    fn random_changes_give_the_same_set_as_btree_set(changes in proptest::collection::vec((any::<bool>(), 0usize..40), 0..200)) {
         let (mut replicas, mut set) = (ReplicaSet::default(), BTreeSet::new());
         for (add, index) in changes {
             let changed = if add { replicas.add(index) } else { replicas.remove(index) };
