--- a/src/decisions/candidate.rs
+++ b/src/decisions/candidate.rs
@@ -1,28 +1,28 @@
-//! The replicas that an attempt may go to, and the one that it goes to.
+//! The replicas considered for an attempt, and the one selected.
 
 use crate::ready_replicas::MAX_PREFERRED_REPLICAS;
 
-/// Replicas drawn at random of the own zone, and as many of all zones.
+/// Number of replicas sampled at random from the own zone, and again from all zones.
 pub(super) const RANDOM_CANDIDATES: usize = 4;
-/// The most warming replicas that are looked at.
+/// Maximum number of warming replicas considered for an attempt.
 pub(super) const MAX_WARMING_CANDIDATES: usize = 64;
-/// The most candidates: the preferred replicas, the drawn, the warming, and where the session was last
-/// answered.
+/// Maximum number of candidates: preferred, random and warming replicas, and the one that last answered the
+/// session.
 pub(super) const MAX_CANDIDATES: usize =
     MAX_PREFERRED_REPLICAS + RANDOM_CANDIDATES * 2 + MAX_WARMING_CANDIDATES + 1;
 
-/// A replica that an attempt may go to, and the prompt tokens that it would have to read when warm.
+/// A replica that an attempt may go to, with the prompt tokens that it would have to prefill when warm.
 pub(super) struct Candidate {
     pub(super) slot: usize,
     pub(super) prefill_tokens: f64,
 }
 
-/// The replica that an attempt goes to.
+/// The replica selected for an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct Selection {
     pub(super) slot: usize,
-    /// Prompt tokens that it is expected to read.
+    /// Expected number of prompt tokens to prefill.
     pub(super) prefill_tokens: f64,
-    /// The first-token wait to expect by what was sampled of it, ns.
+    /// Predicted first-token wait by the replica's samples, ns.
     pub(super) predicted_wait: f64,
 }
--- a/src/decisions/drain_notices.rs
+++ b/src/decisions/drain_notices.rs
@@ -1,52 +1,52 @@
-//! Decides what routers tell each other of replicas that take nothing new. A router that does not hear the
-//! endpoint list asks some others, again and again, and leaves out what they tell of. The list service
-//! answers one call after the other: when many routers are restarted at once it cannot tell all of them
-//! before each counts as notified.
+//! Decides what routers tell each other about drained replicas. A router without a watch on the endpoint list
+//! queries random peers periodically and stops using the replicas that they report as drained. The list
+//! service answers calls one at a time: when many routers restart at once, it cannot reach all of them before
+//! each counts as notified.
 //!
-//! A notice only ever takes a replica out: who may be sent to is for the router's own list to say. Once that
-//! is heard, it alone counts.
+//! A notice can only remove a replica from use; only the router's own list can make one ready. Once the
+//! router receives the list again, the list alone counts.
 
 use super::{Balancer, DRAIN_QUERY_TIMER};
 use crate::api::{Action, EndpointEntry, EndpointListMode, EndpointState, Nanos, PeerId, SECOND};
-use crate::drain_notice::{DrainMessage, Incarnation, MAX_ENTRIES};
+use crate::drain_notice::{DrainMessage, Incarnation, MAX_NOTICE_ENTRIES};
 
-/// A router that does not hear the list asks so often. It counts as notified 6 s after a change, so some
-/// dozen queries may be lost.
+/// Interval between queries of a router without a watch on the list. It counts as notified 6 s after a
+/// change, so about a dozen queries may be lost.
 const QUERY_INTERVAL: Nanos = SECOND / 2;
-/// So many others are asked at a time, drawn anew each time.
-const QUERIED_PEERS: usize = 3;
+/// Number of peers queried at a time, chosen at random each time.
+const PEERS_PER_QUERY: usize = 3;
 
 impl Balancer {
-    /// The list is not heard: other routers are asked until it is.
-    pub(super) fn ask_for_drain_notices(&mut self, now: Nanos, out: &mut Vec<Action>) {
+    /// Starts querying peers, unless queries are scheduled already; they continue until the list is watched.
+    pub(super) fn schedule_drain_queries(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let settings = &self.settings;
-        let can_ask = settings.has_peers && settings.router_count > 1;
+        let can_query = settings.has_peers && settings.router_count > 1;
         let is_polled = matches!(settings.list_mode, EndpointListMode::Polled { .. });
-        if can_ask && is_polled && !self.known_drains.query_scheduled {
+        if can_query && is_polled && !self.known_drains.query_scheduled {
             self.known_drains.query_scheduled = true;
             let jitter = QUERY_INTERVAL as f64 * self.known_drains.rng.f64();
             out.push(Action::WakeAt { at: now + jitter as Nanos, token: DRAIN_QUERY_TIMER });
         }
     }
 
-    /// Queries are due, unless the list is heard by now.
+    /// Queries random peers and schedules the next queries, unless the list is watched again.
     pub(super) fn send_drain_queries(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.known_drains.query_scheduled = false;
         if self.list_polling.is_watched {
             return;
         }
-        let own = self.settings.own_index.0;
-        let others = self.settings.router_count - 1;
-        for _ in 0..QUERIED_PEERS.min(others as usize) {
-            let drawn = self.known_drains.rng.u32(..others);
-            let peer = PeerId(if drawn < own { drawn } else { drawn + 1 });
+        let own_index = self.settings.own_index.0;
+        let peer_count = self.settings.router_count - 1;
+        for _ in 0..PEERS_PER_QUERY.min(peer_count as usize) {
+            let index = self.known_drains.rng.u32(..peer_count);
+            let peer = PeerId(if index < own_index { index } else { index + 1 });
             out.push(Action::SendToPeer { peer, bytes: DrainMessage::Query.encode() });
         }
         self.known_drains.query_scheduled = true;
         out.push(Action::WakeAt { at: now + QUERY_INTERVAL, token: DRAIN_QUERY_TIMER });
     }
 
-    /// A message about drains from another router. A malformed one is skipped.
+    /// Handles a drain message from a peer. Malformed messages are ignored.
     pub(super) fn handle_drain_message(
         &mut self,
         now: Nanos,
@@ -57,26 +57,26 @@
         match DrainMessage::decode(bytes) {
             Some(DrainMessage::Query) => self.answer_drain_query(now, from, out),
             Some(DrainMessage::Notice(drained)) if !self.list_polling.is_watched => {
-                drained.into_iter().for_each(|incarnation| self.take_out(incarnation));
+                drained.into_iter().for_each(|incarnation| self.apply_drain_notice(incarnation));
             }
             _ => {}
         }
     }
 
-    /// Tells of what this router's own list has told, and passes on what it goes by itself: a few routers
-    /// that hear the list are enough for all.
+    /// Answers a query with the drains known from the list and those known from notices: passing notices on
+    /// lets a few routers with a watch inform the whole fleet.
     fn answer_drain_query(&mut self, now: Nanos, peer: PeerId, out: &mut Vec<Action>) {
-        for part in self.known_drains.known_at(now).chunks(MAX_ENTRIES) {
-            let bytes = DrainMessage::Notice(part.to_vec()).encode();
+        for chunk in self.known_drains.known_incarnations(now).chunks(MAX_NOTICE_ENTRIES) {
+            let bytes = DrainMessage::Notice(chunk.to_vec()).encode();
             out.push(Action::SendToPeer { peer, bytes });
         }
     }
 
-    /// The list tells of an entry: one that stops taking work is remembered.
-    pub(super) fn note_drain(&mut self, now: Nanos, entry: &EndpointEntry) {
-        let incarnation = Incarnation::of(entry);
+    /// Records a drain that the list reports, and forgets it if the replica is ready again.
+    pub(super) fn record_drain(&mut self, now: Nanos, entry: &EndpointEntry) {
+        let incarnation = Incarnation::from_entry(entry);
         if entry.state == EndpointState::Ready {
-            return self.known_drains.recent.forget(incarnation);
+            return self.known_drains.recent.remove(incarnation);
         }
         let known = self.replicas.slot_of(entry.replica).map(|slot| &self.replicas[slot].entry);
         if known.is_none_or(|known| known.state == EndpointState::Ready) {
@@ -84,35 +84,36 @@
         }
     }
 
-    /// Another router's list says that an incarnation takes nothing new.
-    fn take_out(&mut self, incarnation: Incarnation) {
+    /// Stops using a replica that a peer reports as drained.
+    fn apply_drain_notice(&mut self, incarnation: Incarnation) {
         let Some(slot) = self.replicas.slot_of(incarnation.replica) else { return };
         let entry = self.replicas[slot].entry.clone();
-        if entry.state == EndpointState::Ready && Incarnation::of(&entry) == incarnation {
+        if entry.state == EndpointState::Ready && Incarnation::from_entry(&entry) == incarnation {
             let drained = EndpointEntry { state: EndpointState::Draining, ..entry.clone() };
-            self.known_drains.taken_out.push((slot, entry));
+            self.known_drains.drained_by_notice.push((slot, entry));
             self.replicas.set_entry(slot, drained, self.settings.zone);
         }
     }
 
-    /// An operator's order changes the entry of a replica that a notice took out. True if the replica stays
-    /// out.
-    pub(super) fn stays_taken_out(&mut self, entry: &EndpointEntry) -> bool {
-        let taken_out = &mut self.known_drains.taken_out;
-        let Some(place) = taken_out.iter().position(|(_, listed)| listed.replica == entry.replica) else {
+    /// Applies an operator override to a replica drained by a notice. Returns true if the replica stays
+    /// drained.
+    pub(super) fn stays_drained(&mut self, entry: &EndpointEntry) -> bool {
+        let drained_by_notice = &mut self.known_drains.drained_by_notice;
+        let Some(index) = drained_by_notice.iter().position(|(_, listed)| listed.replica == entry.replica)
+        else {
             return false;
         };
         if entry.state != EndpointState::Ready {
-            taken_out.swap_remove(place);
+            drained_by_notice.swap_remove(index);
             return false;
         }
-        taken_out[place].1 = entry.clone();
+        drained_by_notice[index].1 = entry.clone();
         true
     }
 
-    /// The list is heard: what other routers told of no longer counts, and the list says what does.
+    /// Restores the listed entries of all replicas drained by notices, as the list is received again.
     pub(super) fn withdraw_drain_notices(&mut self) {
-        for (slot, listed) in std::mem::take(&mut self.known_drains.taken_out) {
+        for (slot, listed) in std::mem::take(&mut self.known_drains.drained_by_notice) {
             self.replicas.set_entry(slot, listed, self.settings.zone);
         }
     }
--- a/src/decisions/known_drains.rs
+++ b/src/decisions/known_drains.rs
@@ -1,4 +1,4 @@
-//! What is known of drains beside the endpoint list, and whether other routers are being asked for it.
+//! Drains known from the endpoint list and from notices of peers.
 
 use fastrand::Rng;
 
@@ -6,38 +6,38 @@
 use crate::drain_notice::Incarnation;
 use crate::state::recent_drains::RecentDrains;
 
-/// Makes another seed of the router's own.
-const SEED_OF_QUERIES: u64 = 0x6472_6169_6e73_2121;
+/// Combined with the router's seed to seed the generator for drain queries.
+const QUERY_SEED_SALT: u64 = 0x6472_6169_6e73_2121;
 
-/// What is known of drains beside the endpoint list.
+/// Drains known to this router, and the state of its queries to peers.
 pub(super) struct KnownDrains {
-    /// What the list has told this router.
+    /// Drains reported by this router's own endpoint list.
     pub(super) recent: RecentDrains,
-    /// Slots that other routers' notices took out, with the entries that they have by the list.
-    pub(super) taken_out: Vec<(usize, EndpointEntry)>,
-    /// A timer for the next queries is set.
+    /// Slots of replicas drained by peers' notices, with their entries in the endpoint list.
+    pub(super) drained_by_notice: Vec<(usize, EndpointEntry)>,
+    /// Whether a timer for the next queries is set.
     pub(super) query_scheduled: bool,
-    /// Draws who is asked, and when first. Apart from all other draws: these stay the same whether others are
-    /// asked or not.
+    /// Selects the peers to query and the first delay. It is separate so that queries do not change the
+    /// router's other random choices.
     pub(super) rng: Rng,
 }
 
 impl KnownDrains {
-    /// Nothing is known yet.
     pub(super) fn new(seed: u64) -> KnownDrains {
         KnownDrains {
             recent: RecentDrains::default(),
-            taken_out: Vec::new(),
+            drained_by_notice: Vec::new(),
             query_scheduled: false,
-            rng: Rng::with_seed(seed ^ SEED_OF_QUERIES),
+            rng: Rng::with_seed(seed ^ QUERY_SEED_SALT),
         }
     }
 
-    /// All that another router is told of: what the list has told, the latest first, then what notices have.
-    pub(super) fn known_at(&mut self, now: Nanos) -> Vec<Incarnation> {
-        let mut known = self.recent.since(now);
-        let passed_on = self.taken_out.iter().map(|(_, entry)| Incarnation::of(entry));
-        known.extend(passed_on.filter(|incarnation| !known.contains(incarnation)).collect::<Vec<_>>());
+    /// Returns the drains to report to a peer: first those from the list, latest first, then those from
+    /// notices.
+    pub(super) fn known_incarnations(&mut self, now: Nanos) -> Vec<Incarnation> {
+        let mut known = self.recent.remembered_at(now);
+        let from_notices = self.drained_by_notice.iter().map(|(_, entry)| Incarnation::from_entry(entry));
+        known.extend(from_notices.filter(|incarnation| !known.contains(incarnation)).collect::<Vec<_>>());
         known
     }
 }
--- a/src/decisions/load_reports.rs
+++ b/src/decisions/load_reports.rs
@@ -1,6 +1,6 @@
-//! Decides what load reports change: those of replicas, that come with answers, and those between routers, of
-//! the requests that each has served for each tenant. At the end of each report period the own are sent to
-//! the peers.
+//! Applies load reports: those of replicas, which arrive with answers, and those of peers on the requests
+//! that each has served per tenant. At the end of each report period the router sends its own report to its
+//! peers.
 
 use std::cmp::Reverse;
 
@@ -8,13 +8,13 @@
 use crate::api::{Action, LoadField, Nanos, PeerId, TenantId, SECOND};
 use crate::served_report::{self, ServedCount};
 
-/// A peer silent for so many periods is forecast at half, and half again in each period.
+/// Report periods without a report from a peer after which its forecast is halved in each period.
 const PEER_SILENCE_PERIODS: f64 = 3.0;
-/// A report is taken to cover at least this time, s: no rate is beyond belief.
-const MIN_SPAN_S: f64 = 0.01;
+/// Minimum time that a report is taken to cover, s, so that no rate is implausibly high.
+const MIN_REPORT_SPAN_S: f64 = 0.01;
 
 impl Balancer {
-    /// The first report period begins. Staggered, so that peers' reports do not arrive together.
+    /// Starts the first report period. Routers are staggered, so that peers' reports do not arrive together.
     pub(super) fn start_report_period(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let length = self.report_period.length;
         let phase = length * u64::from(self.settings.own_index.0) / u64::from(self.settings.router_count);
@@ -22,7 +22,7 @@
         out.push(Action::WakeAt { at: now + length / 2 + phase, token: REPORT_TIMER });
     }
 
-    /// A report period has ended: rates are smoothed, and what was served is reported.
+    /// Ends a report period: updates the smoothed rates and sends the report to peers.
     pub(super) fn end_report_period(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let length = self.report_period.length;
         out.push(Action::WakeAt { at: now + length, token: REPORT_TIMER });
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The highest smoothed wait is where replicas without a sample start.
+    /// Updates the highest smoothed wait, which is the initial value for replicas without a sample.
     fn update_highest_wait(&mut self, now: Nanos) {
         self.statistics.highest_wait = 0.0;
         for &slot in self.replicas.ready() {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// A report from a peer. One that is no report of this deployment's tenants is skipped.
+    /// Applies a report from a peer. Reports with other tenants, or malformed ones, are ignored.
     pub(super) fn apply_peer_report(&mut self, now: Nanos, from: PeerId, bytes: &[u8]) {
         if self.settings.tenants.is_empty() {
             return;
         }
         let Ok(report) = served_report::decode(self.settings.digest, bytes) else { return };
-        let span_s = (report.span_ms.max(1) as f64 / 1000.0).max(MIN_SPAN_S);
+        let span_s = (report.span_ms.max(1) as f64 / 1000.0).max(MIN_REPORT_SPAN_S);
         for ServedCount { tenant, requests } in report.served {
             if let Some(bucket) = self.buckets.get_mut(tenant.0 as usize) {
                 bucket.refill(now, self.statistics.load_level);
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A replica's load report. Values that are no numbers of 0 or more are skipped.
+    /// Records a replica's load report. Values that are negative or not finite are ignored.
     pub(super) fn record_load_report(&mut self, now: Nanos, slot: usize, load: &[f64]) {
         let replica = &mut self.replicas[slot];
         for (field, &value) in self.settings.report_fields.iter().zip(load) {
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,33 +1,36 @@
-//! Every decision of a router. The events and actions stand in `api.rs`.
+//! The decisions of a router. Its events and actions are defined in `api.rs`.
 //!
-//! Which replica gets a request, whether it is retried, and what is rejected: a [`Balancer`] takes one
-//! [`Event`] at a time, with the time it came at, and appends the [`Action`]s that follow. It does no I/O,
-//! reads no clock and draws only from its own seeded generator, so the same events give the same actions.
+//! A [`Balancer`] selects the replica for each request, retries it, or rejects it. It takes one [`Event`] at
+//! a time, with the time of the event, and appends the resulting [`Action`]s. It does no I/O, reads no clock
+//! and uses only its own seeded generator, so the same events give the same actions.
 //!
 //! Each of these modules decides one thing:
 //!
 //! | module | decides |
 //! | --- | --- |
 //! | `admission` | whether a request is admitted, by quota and by time left |
-//! | `ranking` | which replica an attempt goes to: the one with the least predicted first-token wait |
-//! | `affinity` | which replicas are likely to have a prompt cached, and are candidates for that |
-//! | `slow_start` | how much a replica gets that is warming up |
-//! | `timeouts` | when an attempt without a first token is cancelled, or hedged by another |
-//! | `retry` | whether another attempt follows one that has failed |
-//! | `outlier_ejection` | which replicas are left out because they fail |
-//! | `load_reports` | what peers are told of served requests, and what their reports change |
-//! | `endpoint_list` | which replicas there are, and when the list is polled |
-//! | `drain_notices` | what routers tell each other of replicas that take nothing new |
+//! | `ranking` | which replica an attempt goes to: the one with the lowest predicted first-token wait |
+//! | `affinity` | which replicas are candidates because they are likely to have a prompt cached |
+//! | `slow_start` | how many requests a replica gets while it is warming up |
+//! | `timeouts` | when an attempt without a first token is cancelled or hedged |
+//! | `retry` | whether another attempt follows a failed one |
+//! | `outlier_ejection` | which replicas are ejected because they fail |
+//! | `load_reports` | what peers' and replicas' load reports change, and what is reported to peers |
+//! | `endpoint_list` | which replicas exist, and when the list is polled |
+//! | `drain_notices` | what routers tell each other about drained replicas |
 //!
 //! `request_lifecycle` takes a request through them, from its arrival to the end of its last attempt. All of
-//! these extend [`Balancer`]. What they decide with are values that know nothing of it: `leaky_bucket`,
+//! these modules extend [`Balancer`]. They use types that do not depend on it: `leaky_bucket`,
 //! `retry_budget`, `candidate`, `attempt_checks`, `list_polling`, `known_drains`, `report_period`, and the
-//! state of replicas and requests in `src/state/`. `tests/decision_imports.rs` holds that imports run one
+//! state of replicas and requests in `src/state/`. `tests/decision_imports.rs` checks that imports go one
 //! way.
 //!
-//! The rules that the comments number: 1, each request gets exactly one final answer, by its deadline; 2,
-//! nothing is repeated or rejected that could take effect twice; 3, only ready replicas get anything new; 4,
-//! a replica that is warming up gets no more than it can do.
+//! Comments refer to these rules by number:
+//!
+//! 1. Each request gets exactly one final answer, by its deadline.
+//! 2. A request is neither repeated nor rejected if its effect could then happen twice.
+//! 3. Only ready replicas get new attempts.
+//! 4. A replica that is warming up gets no more than its current capacity allows.
 
 mod admission;
 mod affinity;
@@ -74,19 +77,19 @@
 /// Token of the timer for queries about drains.
 const DRAIN_QUERY_TIMER: u64 = 4;
 
-/// The decisions of one router.
+/// Makes the decisions of one router.
 pub struct Balancer {
     pub(crate) settings: Settings,
     rng: Rng,
     started: bool,
     pub(crate) replicas: ReplicaTable,
     pub(crate) statistics: ReplicaStatistics,
-    /// Requests that are owed an answer or have attempts in flight.
+    /// Requests that are unanswered or have attempts in flight.
     requests: FxHashMap<RequestId, RequestState>,
-    /// By tenant.
+    /// Leaky buckets by tenant.
     buckets: Vec<LeakyBucket>,
     affinity: AffinityState,
-    /// What a ranking looks at; kept so that none allocates.
+    /// Candidates of the current ranking; kept to avoid an allocation per ranking.
     candidates: Vec<Candidate>,
     retry_budget: RetryBudget,
     attempt_checks: AttemptChecks,
@@ -96,16 +99,16 @@
 }
 
 impl Balancer {
-    /// A router that has just started.
+    /// Creates the decisions of a router that has just started.
     ///
     /// # Errors
     ///
-    /// Settings that nothing can be decided by, see [`Settings::check`].
+    /// Returns an error if the settings are invalid, see [`Settings::check`].
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let mut rng = Rng::with_seed(seed);
         Ok(Balancer {
-            buckets: LeakyBucket::of_all_tenants(&settings, &mut rng),
+            buckets: LeakyBucket::for_all_tenants(&settings, &mut rng),
             rng,
             started: false,
             replicas: ReplicaTable::default(),
@@ -122,7 +125,7 @@
         })
     }
 
-    /// Takes one event at `now` and appends what is to be done to `out`. Times never go back.
+    /// Handles one event at `now` and appends the resulting actions to `out`. Times must not decrease.
     pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
         if !self.started {
             self.start(now, out);
@@ -152,12 +155,12 @@
         }
     }
 
-    /// Whether a message may be from this sender.
+    /// Returns whether a message may come from this sender.
     fn is_peer(&self, from: PeerId) -> bool {
         from != self.settings.own_index && from.0 < self.settings.router_count
     }
 
-    /// The first event: time begins.
+    /// Starts the timers and buckets at the time of the first event.
     fn start(&mut self, now: Nanos, out: &mut Vec<Action>) {
         self.started = true;
         self.statistics.started_at = now;
--- a/src/decisions/report_period.rs
+++ b/src/decisions/report_period.rs
@@ -1,23 +1,23 @@
-//! How long a report period lasts, and when the last one ended.
+//! Length of the report period, and the end of the last one.
 
 use crate::api::{Nanos, SECOND};
 
-/// Report period for each router, s: the load of reports grows with the square of the routers, so the period
-/// grows too.
+/// Report period per router, s. The number of reports grows with the square of the number of routers, so the
+/// period grows too.
 const PERIOD_PER_ROUTER_S: f64 = 0.05;
-/// Shortest and longest report period, s.
+/// Minimum and maximum report period, s.
 const PERIOD_RANGE_S: (f64, f64) = (0.25, 16.0);
 
 /// The report period.
 pub(super) struct ReportPeriod {
-    /// How long each lasts.
+    /// Length of each period.
     pub(super) length: Nanos,
-    /// When the last one ended.
+    /// Time at which the last period ended.
     pub(super) last_end: Nanos,
 }
 
 impl ReportPeriod {
-    /// The period of a deployment with so many routers.
+    /// Returns the report period of a deployment with `router_count` routers.
     pub(super) fn new(router_count: u32) -> ReportPeriod {
         let length_s =
             (PERIOD_PER_ROUTER_S * f64::from(router_count)).clamp(PERIOD_RANGE_S.0, PERIOD_RANGE_S.1);
--- a/src/decisions/request_lifecycle.rs
+++ b/src/decisions/request_lifecycle.rs
@@ -1,32 +1,32 @@
-//! Takes a request from its arrival to the end of its last attempt: asks the deciding modules in turn, and
-//! records what is learnt of replicas on the way.
+//! Takes a request from its arrival to the end of its last attempt: calls the deciding modules in turn and
+//! records what the attempts show about replicas.
 
 use super::candidate::Selection;
 use super::Balancer;
 use crate::api::{Action, AttemptEnded, Nanos, Outcome, Request, RequestId, SECOND};
 use crate::state::request::{Attempt, RequestState};
 
-/// An attempt that has ended, with what is known of it and its request.
+/// An attempt that has ended, with the data of its request.
 struct EndedAttempt<'a> {
     report: &'a AttemptEnded,
     slot: usize,
     kind: u32,
     sent_at: Nanos,
-    /// First token so long after the send; 0 without one.
-    first_token_after: Nanos,
-    /// Prompt tokens that the replica was expected to read.
-    expected_prefill: f64,
-    /// The request had a first token, of this attempt or another.
+    /// Time from the send to the first token, ns; 0 without a first token.
+    time_to_first_token: Nanos,
+    /// Prompt tokens that the replica was expected to prefill.
+    expected_prefill_tokens: f64,
+    /// Whether any attempt of the request had a first token.
     stream_started: bool,
     prompt_tokens: u32,
     prefix_tokens: u32,
-    /// The replica has not started anew since the send. What became of an earlier incarnation's attempts
-    /// tells nothing of this one: above all not that it fails.
+    /// Whether the replica has not restarted since the send. Failures of an earlier incarnation must not
+    /// count against the current one.
     same_incarnation: bool,
 }
 
 impl Balancer {
-    /// A request has come: an attempt is sent, or it is rejected early.
+    /// Handles a new request: sends an attempt or rejects the request.
     pub(super) fn handle_request(&mut self, now: Nanos, mut request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         request.class.0 = request.class.0.min(self.settings.classes.len() as u32 - 1);
@@ -39,7 +39,7 @@
         let mut state = RequestState::new(now, now.saturating_add(request.time_left), request);
         state.quota_charged = admitted && !resumes_stream;
         let selection = if admitted { self.select_replica(now, &state) } else { None };
-        let selection = selection.filter(|selection| self.begins_in_time(now, &state, selection));
+        let selection = selection.filter(|selection| self.first_token_likely_in_time(now, &state, selection));
         self.requests.insert(id, state);
         self.retry_budget.earn();
         match selection {
@@ -77,7 +77,7 @@
             sent_at: now,
             prefill_tokens: selection.prefill_tokens,
             concurrency: f64::from(replica.in_flight),
-            first_token_after: 0,
+            time_to_first_token: 0,
             first_token_timeout_at: timeouts.first_token_at,
             outcome: None,
         };
@@ -87,12 +87,12 @@
         }
     }
 
-    /// An attempt has had its first token, so long after its send.
+    /// Handles the first token of an attempt, `elapsed` ns after its send.
     pub(super) fn handle_first_token(&mut self, now: Nanos, id: RequestId, index: u32, elapsed: Nanos) {
         let Some(state) = self.requests.get_mut(&id) else { return };
         let (request_elapsed, class) = (state.elapsed(now), state.request.class.0 as usize);
         let Some(attempt) = state.attempt_in_flight(index) else { return };
-        attempt.first_token_after = elapsed;
+        attempt.time_to_first_token = elapsed;
         let (slot, sent_at, started_at) = (attempt.slot, attempt.sent_at, attempt.entry.started_at);
         let (prefill_tokens, concurrency) = (attempt.prefill_tokens, attempt.concurrency);
         if let Some(session) = state.request.session {
@@ -106,11 +106,11 @@
         }
         let objective = self.settings.classes[class].latency_objective_for(state.request.prompt_tokens);
         self.replicas[slot].stop_awaiting_first_token(sent_at);
-        // What is sent under overload is no measure of what replicas can do; first tokens are.
+        // Rates count first tokens, not sends: under overload more is sent than replicas can handle.
         self.statistics.record_first_token(now);
         self.statistics.record_load_level(now, request_elapsed / objective);
         if started_at != self.replicas[slot].entry.started_at {
-            return; // An earlier incarnation's answer tells nothing of this one.
+            return; // The answer of an earlier incarnation says nothing about the current one.
         }
         self.replicas[slot].decode_rate.stream_began(now);
         let wait = (elapsed as f64 - prefill_tokens * self.statistics.prefill_ns_per_token()).max(0.0);
@@ -118,8 +118,8 @@
         self.record_success(now, slot);
     }
 
-    /// An attempt has ended: what it tells is recorded, and the request is closed, left to its other
-    /// attempts, or retried.
+    /// Handles the end of an attempt: records its result, then closes the request, leaves it to its other
+    /// attempts, or retries it.
     pub(super) fn handle_attempt_ended(&mut self, now: Nanos, report: &AttemptEnded, out: &mut Vec<Action>) {
         let id = report.request;
         let Some(ended) = self.end_attempt(report) else { return };
@@ -127,7 +127,7 @@
         replica.in_flight = replica.in_flight.saturating_sub(1);
         replica.stop_awaiting_first_token(ended.sent_at);
         if ended.same_incarnation {
-            if ended.first_token_after > 0 {
+            if ended.time_to_first_token > 0 {
                 replica.decode_rate.stream_ended(now, report.outcome == Outcome::Completed);
             }
             self.record_load_report(now, ended.slot, &report.load);
@@ -135,7 +135,7 @@
         if report.outcome == Outcome::Completed {
             self.record_completion(now, &ended);
         } else if ended.same_incarnation {
-            self.record_no_completion(now, &ended);
+            self.record_incomplete_attempt(now, &ended);
         }
         self.replicas[ended.slot].half_open_check &= !ended.same_incarnation;
         let state = self.requests.get(&id).filter(|state| !report.request_over && !state.answered);
@@ -145,13 +145,13 @@
             }
             return self.close_request(id);
         };
-        // Another attempt in flight will answer.
+        // If another attempt is in flight, it answers the request.
         if state.attempts_in_flight() == 0 {
             self.retry_or_answer(now, id, out);
         }
     }
 
-    /// Notes the outcome of an attempt. `None` for one that is not in flight.
+    /// Sets the outcome of an attempt. Returns `None` if the attempt is not in flight.
     fn end_attempt<'a>(&mut self, report: &'a AttemptEnded) -> Option<EndedAttempt<'a>> {
         let state = self.requests.get_mut(&report.request)?;
         let (stream_started, prompt_tokens) = (state.stream_started, state.request.prompt_tokens);
@@ -164,8 +164,8 @@
             slot: attempt.slot,
             kind: attempt.entry.kind,
             sent_at: attempt.sent_at,
-            first_token_after: attempt.first_token_after,
-            expected_prefill: attempt.prefill_tokens,
+            time_to_first_token: attempt.time_to_first_token,
+            expected_prefill_tokens: attempt.prefill_tokens,
             stream_started,
             prompt_tokens,
             prefix_tokens,
@@ -173,7 +173,7 @@
         })
     }
 
-    /// An attempt has completed.
+    /// Records a completed attempt.
     fn record_completion(&mut self, now: Nanos, ended: &EndedAttempt) {
         if ended.same_incarnation {
             let replica = &mut self.replicas[ended.slot];
@@ -182,32 +182,32 @@
         }
         let Some(cached_tokens) = ended.report.cached_tokens else { return };
         let prefix_tokens = f64::from(ended.prefix_tokens);
-        // As much was expected to be read as at a replica that is not preferred.
-        if ended.expected_prefill > 0.5 * prefix_tokens && ended.prefix_tokens > 0 {
+        // The expected prefill shows that the replica was not one of the prefix's preferred ones.
+        if ended.expected_prefill_tokens > 0.5 * prefix_tokens && ended.prefix_tokens > 0 {
             let share = f64::from(cached_tokens.min(ended.prefix_tokens)) / prefix_tokens;
             self.statistics.record_cached_elsewhere(share);
         }
-        let stream = ended.report.elapsed.saturating_sub(ended.first_token_after);
+        let stream = ended.report.elapsed.saturating_sub(ended.time_to_first_token);
         self.statistics.record_stream(ended.kind, stream as f64 / SECOND as f64);
-        if ended.first_token_after > 0 {
+        if ended.time_to_first_token > 0 {
             let prefill_tokens = f64::from(ended.prompt_tokens.saturating_sub(cached_tokens));
-            self.statistics.prefill_fit.add(prefill_tokens, ended.first_token_after as f64);
+            self.statistics.prefill_fit.add(prefill_tokens, ended.time_to_first_token as f64);
         }
     }
 
-    /// An attempt has ended without completing, in the replica's present incarnation.
-    fn record_no_completion(&mut self, now: Nanos, ended: &EndedAttempt) {
+    /// Records an attempt that ended without completing, in the replica's current incarnation.
+    fn record_incomplete_attempt(&mut self, now: Nanos, ended: &EndedAttempt) {
         let (slot, elapsed) = (ended.slot, ended.report.elapsed);
         let request_over = ended.report.request_over;
         match ended.report.outcome {
-            // Cancelled by a check: as good as timed out.
+            // Cancelled by a check: counts as timed out.
             Outcome::Cancelled if !request_over && !ended.stream_started => {
                 self.record_failure(now, slot, Outcome::TimedOut, ended.stream_started, elapsed);
             }
-            // Another attempt was faster: what this one would have taken is at least this.
+            // Another attempt was faster: the elapsed time is a lower bound for the wait of this one.
             Outcome::Cancelled
                 if !request_over
-                    && ended.first_token_after == 0
+                    && ended.time_to_first_token == 0
                     && self.replicas[slot].is_silent_since(ended.sent_at) =>
             {
                 self.statistics.record_wait_sample(now, &mut self.replicas[slot], elapsed as f64, 1.0);
@@ -226,7 +226,7 @@
         }
     }
 
-    /// No answer is owed any longer; the request is forgotten once its last attempt has ended.
+    /// Marks a request as answered, and removes it once its last attempt has ended.
     pub(super) fn close_request(&mut self, id: RequestId) {
         if let Some(state) = self.requests.get_mut(&id) {
             state.answered = true;
--- a/src/decisions/retry_budget.rs
+++ b/src/decisions/retry_budget.rs
@@ -1,12 +1,12 @@
-//! How many retries and hedged requests may be sent over all requests: a share of the requests that come, so
-//! that retries cannot make an overload worse.
+//! The retry budget: retries and hedged requests are limited to a share of all requests, so that they cannot
+//! amplify an overload.
 
-/// Retries that each request earns for the budget of all.
+/// Retries that each request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// The most retries that can be saved.
+/// Maximum number of retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 20.0;
 
-/// Retries and hedged requests that may still be sent, over all requests. Full at the start.
+/// Number of retries and hedged requests that may still be sent. Full at the start.
 pub(super) struct RetryBudget {
     saved: f64,
 }
@@ -18,17 +18,17 @@
 }
 
 impl RetryBudget {
-    /// A request has come.
+    /// Adds the share of a new request.
     pub(super) fn earn(&mut self) {
         self.saved = (self.saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a further attempt may be sent.
+    /// Returns whether another retry or hedged request may be sent.
     pub(super) fn allows(&self) -> bool {
         self.saved >= 1.0
     }
 
-    /// A further attempt is sent.
+    /// Takes one retry or hedged request from the budget.
     pub(super) fn spend(&mut self) {
         self.saved -= 1.0;
     }
--- a/src/decisions/timeouts.rs
+++ b/src/decisions/timeouts.rs
@@ -1,50 +1,50 @@
 //! Decides when an attempt without a first token has waited too long: when it is cancelled, and when a hedged
-//! request is sent beside it.
+//! request is sent.
 
 use super::candidate::Selection;
 use super::{Balancer, ATTEMPT_CHECK_TIMER};
 use crate::api::{Action, Nanos, RequestId};
 use crate::state::request::RequestState;
 
-/// An attempt may wait for its first token for this share of the latency objective while another is
-/// affordable. What is cancelled goes on where it ran: a shorter time-out would let an overload feed itself.
+/// Minimum first-token timeout as a share of the latency objective, not counting the prefill allowance.
+/// Replicas may keep working on cancelled attempts, so a shorter timeout would let an overload sustain
+/// itself.
 const TIMEOUT_OBJECTIVE_SHARE: f64 = 1.2;
-/// It may read its whole prompt so many times over, as others may be read before it.
+/// Prefill allowance, as a multiple of the prompt's prefill time: other prompts may be read first.
 const TIMEOUT_PREFILL_MULTIPLE: f64 = 1.5;
-/// And it may always take so many times what first tokens take on the average.
+/// Minimum first-token timeout as a multiple of the current average first-token time.
 pub(super) const TIMEOUT_LOAD_MULTIPLE: f64 = 4.0;
-/// It may take so many times what was predicted for its replica.
+/// Minimum first-token timeout as a multiple of the wait predicted for the replica.
 const TIMEOUT_PREDICTED_MULTIPLE: f64 = 3.0;
-/// It may take this share of what is left of the latency objective, and at the most that share of the time to
-/// the deadline, so that there is time for another.
+/// First-token timeout as a share of the time left: at least the first share of the time to the latency
+/// objective, at most the second share of the time to the deadline, which leaves time for another attempt.
 const TIMEOUT_REMAINING_SHARE: (f64, f64) = (0.5, 0.7);
-/// Without a first token after this share of the latency objective and the prefill of the prompt, a hedged
-/// request goes to another replica, if its own is silent.
+/// Time without a first token after which a hedged request is sent if the replica is silent, as a share of
+/// the latency objective, in addition to the prefill allowance.
 const HEDGE_OBJECTIVE_SHARE: f64 = 0.4;
-/// Below this load level (first tokens take less than this share of the latency objective) requests are
-/// hedged: where most tokens come at once, waiting for the time-out only makes the answer late. Above it
-/// hedging makes more work.
-pub(super) const CALM_LOAD_LEVEL: f64 = 0.15;
+/// Load level below which requests are hedged: while most first tokens come at once, waiting for the timeout
+/// only makes the answer late. At a higher load, hedging adds work.
+pub(super) const LOW_LOAD_LEVEL: f64 = 0.15;
 
-/// How long an attempt may take.
+/// Time limits of an attempt.
 pub(super) struct Timeouts {
-    /// The attempt's time-out at the socket, ns.
+    /// Timeout of the attempt at the socket, ns.
     pub(super) attempt: Nanos,
-    /// From then on it is cancelled if it has no first token.
+    /// Time at which the attempt is cancelled if it has no first token.
     pub(super) first_token_at: Nanos,
-    /// When a hedged request may be sent.
+    /// Time at which a hedged request may be sent.
     hedge_at: Option<Nanos>,
-    /// Whether the attempt is looked at on these two occasions.
+    /// Whether the attempt is checked at `hedge_at` and `first_token_at`.
     is_checked: bool,
 }
 
 impl Balancer {
-    /// The time-outs of the next attempt of a request.
+    /// Returns the time limits of the next attempt of a request.
     ///
-    /// The first-token timeout leaves time for another attempt, unless there will be none. Where attempts can
-    /// be cancelled, a check after it tells silence from slowness; elsewhere it is the attempt's time-out. It
-    /// grows with what first tokens take now and with what may have to be read: under overload, cancelling
-    /// slow attempts and ejecting slow replicas would only make more work.
+    /// The first-token timeout leaves time for another attempt, if another is allowed. Where attempts can be
+    /// cancelled, a check at the timeout distinguishes silent replicas from slow ones; elsewhere the timeout
+    /// applies at the socket. It grows with the current first-token times and with the prefill that may be
+    /// needed: under overload, cancelling slow attempts and ejecting slow replicas would only add work.
     pub(super) fn timeouts(&self, now: Nanos, state: &RequestState, selection: &Selection) -> Timeouts {
         let time_left = state.deadline.saturating_sub(now) as f64;
         let objective = self.latency_objective(&state.request);
@@ -54,15 +54,15 @@
             * f64::from(state.request.prompt_tokens)
             * self.statistics.prefill_ns_per_token();
         let predicted = TIMEOUT_PREDICTED_MULTIPLE * selection.predicted_wait;
-        let (of_objective, of_time_left) = TIMEOUT_REMAINING_SHARE;
+        let (objective_share, time_left_share) = TIMEOUT_REMAINING_SHARE;
         let first_token = (TIMEOUT_OBJECTIVE_SHARE * objective + prefill_allowance)
             .max(predicted)
             .max(TIMEOUT_LOAD_MULTIPLE * self.statistics.load_level * objective)
-            .max(of_objective * (objective - state.elapsed(now)))
-            .min(time_left * of_time_left);
+            .max(objective_share * (objective - state.elapsed(now)))
+            .min(time_left * time_left_share);
         let hedge_after = (HEDGE_OBJECTIVE_SHARE * objective + prefill_allowance).max(predicted);
         let may_hedge = self.settings.concurrent_attempts
-            && self.statistics.load_level < CALM_LOAD_LEVEL
+            && self.statistics.load_level < LOW_LOAD_LEVEL
             && hedge_after < first_token;
         let attempt = if may_retry && !is_checked { first_token } else { time_left };
         Timeouts {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Has an attempt, given by its index, looked at when it may have to be hedged or cancelled.
+    /// Schedules the checks at which an attempt may be hedged or cancelled.
     pub(super) fn schedule_checks(
         &mut self,
         id: RequestId,
@@ -89,12 +89,12 @@
         }
     }
 
-    /// Looks at the attempts whose time has come.
+    /// Performs the checks that are due.
     pub(super) fn check_attempts(&mut self, now: Nanos, out: &mut Vec<Action>) {
         while let Some((at, id, attempt_index)) = self.attempt_checks.next_due(now) {
             let Some(state) = self.requests.get(&id) else { continue };
             let Some(attempt) = state.attempts.get(attempt_index as usize) else { continue };
-            // A replica that has begun another answer since is alive: waiting on beats starting over.
+            // A replica that has begun another answer since is alive: waiting is faster than starting over.
             let is_silent = self.replicas[attempt.slot].is_silent_since(attempt.sent_at);
             let is_waiting = !state.answered && !state.stream_started && attempt.outcome.is_none();
             if at < attempt.first_token_timeout_at {
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Whether a silent attempt is cancelled. Not where no other is likely to be in time, if late answers
-    /// have a value and others can be asked for at all.
+    /// Returns whether a silent attempt may be cancelled. If late answers have value and concurrent attempts
+    /// are possible, another replica must be likely to answer in time.
     fn may_cancel(&mut self, now: Nanos, id: RequestId) -> bool {
         let Some(state) = self.requests.get(&id) else { return false };
         let class = &self.settings.classes[state.request.class.0 as usize];
@@ -116,14 +116,13 @@
         self.retry_budget.allows() && (!needs_target || self.retry_target(now, id).is_some())
     }
 
-    /// One attempt is in flight and has no first token where most have: a hedged request, if that is likely
-    /// to be in time.
+    /// Sends a hedged request for a request with one silent attempt in flight, if it is likely to be in time.
     fn hedge(&mut self, now: Nanos, id: RequestId, out: &mut Vec<Action>) {
-        // Replicas that are warming up are slow by nature, and more work makes them slower.
+        // Warming replicas are slow in any case, and more work would slow them further.
         let any_warming_up =
             self.replicas.warming_up().iter().any(|&slot| self.is_warming_up(now, &self.replicas[slot]));
-        let is_calm = self.statistics.load_level < CALM_LOAD_LEVEL && !any_warming_up;
-        if !is_calm || !self.retry_budget.allows() {
+        let is_low_load = self.statistics.load_level < LOW_LOAD_LEVEL && !any_warming_up;
+        if !is_low_load || !self.retry_budget.allows() {
             return;
         }
         let Some(state) = self.requests.get(&id).filter(|state| !state.answered && !state.stream_started)
--- a/src/drain_notice.rs
+++ b/src/drain_notice.rs
@@ -1,77 +1,78 @@
-//! The coding of drain notices between routers: which replicas take nothing new, as the endpoint list told their sender.
-//! A message is a digest of the format, one byte that says what it is, and in a notice the replicas. What is sent
-//! when, and what follows from it, is decided in `decisions/drain_notices.rs`.
+//! Encoding of the drain messages between routers, which report replicas that take no new work. A message has a digest
+//! of the format, one byte for its type, and in a notice the incarnations of the replicas. `decisions/drain_notices.rs`
+//! decides when they are sent and what they change.
 
 use crate::api::{EndpointEntry, Nanos, ReplicaId};
 use crate::name_hash::{message_digest, MESSAGE_DIGEST_LENGTH};
 
-/// The format; hashed into the digest that each message begins with, so that another format is another digest.
+/// Name of the format. It is hashed into the digest at the start of each message, so that another format has another
+/// digest.
 const FORMAT: &str = "drain notices, form 1";
-/// Each message begins with it.
+/// Digest at the start of each message.
 const DIGEST: [u8; MESSAGE_DIGEST_LENGTH] = message_digest(FORMAT.as_bytes());
-/// What a message is.
+/// Type bytes of the messages.
 const QUERY: u8 = 0;
 const NOTICE: u8 = 1;
-/// Bytes of a replica and the digest of its start.
+/// Length of an entry in bytes: 8 for the replica, 4 for the digest of its start time.
 const ENTRY_LENGTH: usize = 12;
-/// The most bytes of a message; the platform's bound on what routers send each other.
+/// Maximum length of a message in bytes; the platform limits messages between routers to it.
 const MAX_MESSAGE_BYTES: usize = 256;
-/// The most replicas of a message.
-pub const MAX_ENTRIES: usize = (MAX_MESSAGE_BYTES - DIGEST.len() - 1) / ENTRY_LENGTH;
+/// Maximum number of replicas in a message.
+pub const MAX_NOTICE_ENTRIES: usize = (MAX_MESSAGE_BYTES - DIGEST.len() - 1) / ENTRY_LENGTH;
 
-/// An incarnation of a replica, as routers tell each other of it: one that has started again is another.
+/// One incarnation of a replica, as in messages between routers: a replica that restarts has another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Incarnation {
     /// The replica.
     pub replica: ReplicaId,
-    /// Stands for its start.
-    pub start: u32,
+    /// Digest of the start time.
+    pub start_digest: u32,
 }
 
 impl Incarnation {
-    /// The incarnation of an entry of the endpoint list.
-    pub fn of(entry: &EndpointEntry) -> Incarnation {
-        Incarnation { replica: entry.replica, start: start_digest(entry.started_at) }
+    /// Returns the incarnation of an entry of the endpoint list.
+    pub fn from_entry(entry: &EndpointEntry) -> Incarnation {
+        Incarnation { replica: entry.replica, start_digest: start_digest(entry.started_at) }
     }
 }
 
-/// The list states starts in ms, so 32 bits of them are told apart for 49 days.
+/// Returns the digest of a start time. The list states start times in ms, so 32 bits are unique for 49 days.
 fn start_digest(started_at: Nanos) -> u32 {
     (started_at / 1_000_000) as u32
 }
 
-/// A message about drains.
+/// A message about drained replicas.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DrainMessage {
-    /// Its sender does not hear the endpoint list and asks which replicas take nothing new.
+    /// The sender does not receive the endpoint list and requests the replicas that take no new work.
     Query,
-    /// These take nothing new.
+    /// These incarnations take no new work.
     Notice(Vec<Incarnation>),
 }
 
 impl DrainMessage {
-    /// Whether a message is one about drains, be it well formed or not.
+    /// Returns whether a message is a drain message, well formed or not.
     pub fn is_one(bytes: &[u8]) -> bool {
         bytes.starts_with(&DIGEST)
     }
 
-    /// The message as it is sent; a notice has no more than [`MAX_ENTRIES`].
+    /// Encodes the message; a notice is cut to [`MAX_NOTICE_ENTRIES`] entries.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = DIGEST.to_vec();
         match self {
             DrainMessage::Query => bytes.push(QUERY),
             DrainMessage::Notice(entries) => {
                 bytes.push(NOTICE);
-                for entry in entries.iter().take(MAX_ENTRIES) {
+                for entry in entries.iter().take(MAX_NOTICE_ENTRIES) {
                     bytes.extend(entry.replica.0.to_be_bytes());
-                    bytes.extend(entry.start.to_be_bytes());
+                    bytes.extend(entry.start_digest.to_be_bytes());
                 }
             }
         }
         bytes
     }
 
-    /// Reads a message; `None` if it is none about drains, or malformed.
+    /// Decodes a message. Returns `None` if it is malformed or no drain message.
     pub fn decode(bytes: &[u8]) -> Option<DrainMessage> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
@@ -89,6 +90,6 @@
 
 fn read_entry(bytes: &[u8]) -> Incarnation {
     let number = |bytes: &[u8]| bytes.iter().fold(0u64, |number, byte| number << 8 | u64::from(*byte));
-    let (replica, start) = bytes.split_at(8);
-    Incarnation { replica: ReplicaId(number(replica)), start: number(start) as u32 }
+    let (replica, start_digest) = bytes.split_at(8);
+    Incarnation { replica: ReplicaId(number(replica)), start_digest: number(start_digest) as u32 }
 }
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -1,43 +1,42 @@
-//! What repeating a request does, and what follows from it: when it may be rejected, and when a further attempt may be
-//! sent.
+//! Effect of repeating a request. It determines when a request may be rejected and when a further attempt may be sent.
 
 use crate::api::endpoint::EndpointEntry;
 use crate::api::ids::{Nanos, SECOND};
 
-/// The longest from the decision to send a further attempt to the arrival of its last byte: the router may be held up
-/// between the two.
+/// Maximum time from the decision to send a further attempt to the arrival of its last byte; the router may be delayed
+/// in between.
 const MAX_WRITE_TIME: Nanos = 3 * SECOND / 20;
 
-/// What repeating a request would do.
+/// Effect of repeating a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated and rejected at will.
+    /// None: the request may be repeated and rejected freely.
     Idempotent,
     /// Repeats are dropped within `scope`, for `window` from the send of the first attempt that may have run.
     IdempotentByKey {
         /// The replicas that recognise each other's requests.
         scope: DeduplicationScope,
-        /// How long they do.
+        /// Time for which they recognise a request.
         window: Nanos,
     },
-    /// The effect would happen again: it is repeated or rejected only if no attempt can have run.
+    /// The effect would happen again: the request is repeated or rejected only if no attempt can have run.
     NotIdempotent,
 }
 
-/// The replicas among which an [`Effect::IdempotentByKey`] request has its effect once.
+/// The replicas among which an [`Effect::IdempotentByKey`] request takes effect only once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All replicas.
     AllReplicas,
-    /// Those in one zone.
+    /// Replicas in the same zone.
     Zone,
-    /// Those of one cell (see [`EndpointEntry::cell`]).
+    /// Replicas in the same cell (see [`EndpointEntry::cell`]).
     Cell,
 }
 
 impl Effect {
-    /// Whether a request may be answered as rejected, which promises that another try does no harm. `may_have_run`: a
-    /// replica may have run it, or may yet.
+    /// Returns whether a request may be rejected, which promises that a retry by the client is safe. `may_have_run`
+    /// says whether a replica may have run it or may still run it.
     pub fn may_reject(self, may_have_run: bool) -> bool {
         match self {
             Effect::Idempotent | Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, .. } => {
@@ -47,8 +46,9 @@
         }
     }
 
-    /// Whether a further attempt may be sent at `now` after one that may have run, sent at `sent`; to a replica of the same
-    /// scope where there are scopes. Time for the write is left: the window counts until the last byte has arrived.
+    /// Returns whether a further attempt may be sent at `now` after one that may have run, sent at `sent`. Where there
+    /// is a scope, the replica must be in the same one. The window counts until the last byte has arrived, so time for
+    /// the write is reserved.
     pub fn may_resend(self, now: Nanos, sent: Nanos) -> bool {
         match self {
             Effect::Idempotent => true,
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Whether two replicas drop each other's repeats, as far as that depends on where they are.
-    pub fn share_deduplication(self, one: &EndpointEntry, other: &EndpointEntry) -> bool {
+    /// Returns whether two replicas are in the same deduplication scope.
+    pub fn same_deduplication_scope(self, one: &EndpointEntry, other: &EndpointEntry) -> bool {
         match self {
             Effect::IdempotentByKey { scope: DeduplicationScope::Zone, .. } => one.zone == other.zone,
             Effect::IdempotentByKey { scope: DeduplicationScope::Cell, .. } => one.cell == other.cell,
--- a/src/ready_replicas/tests.rs
+++ b/src/ready_replicas/tests.rs
@@ -2,10 +2,10 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-fn candidates(replicas: &ReadyReplicas, key: u64) -> Vec<usize> {
-    let mut found = Vec::new();
-    replicas.for_each_near_key(key, |index| found.push(index));
-    found
+fn contenders(replicas: &ReadyReplicas, key: u64) -> Vec<usize> {
+    let mut contenders = Vec::new();
+    replicas.for_each_contender(key, |index| contenders.push(index));
+    contenders
 }
 
 fn fleet(n: usize) -> ReadyReplicas {
@@ -15,49 +15,49 @@
 }
 
 proptest! {
-    /// One more replica changes a key's candidates by itself and the one it displaces; removed again, all is as before.
+    /// Adding a replica changes at most one other contender of a key, and removing it restores the former contenders.
     #[test]
-    fn a_replica_that_comes_or_goes_moves_few_candidates(n in MAX_SCANNED_REPLICAS + 1..2_000, key in any::<u64>(), far in any::<bool>()) {
+    fn adding_or_removing_a_replica_moves_few_contenders(n in MAX_SCANNED_REPLICAS + 1..2_000, key in any::<u64>(), other_zone in any::<bool>()) {
         let mut m = fleet(n);
-        let before: BTreeSet<usize> = candidates(&m, key).into_iter().collect();
-        m.add(n, mix(n as u64, 1), far);
-        let with: BTreeSet<usize> = candidates(&m, key).into_iter().collect();
+        let before: BTreeSet<usize> = contenders(&m, key).into_iter().collect();
+        m.add(n, mix(n as u64, 1), other_zone);
+        let with: BTreeSet<usize> = contenders(&m, key).into_iter().collect();
         prop_assert!(before.difference(&with).count() <= 1 && with.difference(&before).count() <= 1);
-        m.remove(n, mix(n as u64, 1), far);
-        prop_assert!(candidates(&m, key).into_iter().eq(candidates(&fleet(n), key)));
+        m.remove(n, mix(n as u64, 1), other_zone);
+        prop_assert!(contenders(&m, key).into_iter().eq(contenders(&fleet(n), key)));
     }
 }
 
 #[test]
-fn small_fleets_are_scanned_and_large_ones_searched_after_the_key() {
-    assert_eq!(candidates(&fleet(MAX_SCANNED_REPLICAS), 5).len(), MAX_SCANNED_REPLICAS);
-    let large = candidates(&fleet(5_000), 5);
+fn small_fleets_are_scanned_and_large_ones_searched_on_the_ring() {
+    assert_eq!(contenders(&fleet(MAX_SCANNED_REPLICAS), 5).len(), MAX_SCANNED_REPLICAS);
+    let large = contenders(&fleet(5_000), 5);
     assert_eq!(large.len(), 2 * REPLICAS_AFTER_KEY);
-    let near = large.iter().filter(|&&i| i % 3 == 0).count();
-    assert_eq!(near, REPLICAS_AFTER_KEY, "of the own zone as many, however few they are");
+    let in_own_zone = large.iter().filter(|&&i| i % 3 == 0).count();
+    assert_eq!(in_own_zone, REPLICAS_AFTER_KEY, "half of the contenders are of the own zone");
     let one_zone = (0..1000).fold(ReadyReplicas::default(), |mut m, i| {
         m.add(i, mix(i as u64, 1), false);
         m
     });
     assert_eq!(
-        candidates(&one_zone, u64::MAX).len(),
+        contenders(&one_zone, u64::MAX).len(),
         REPLICAS_AFTER_KEY,
-        "past the end of the ring it goes on at its start"
+        "the search wraps around at the end of the ring"
     );
 }
 
 #[test]
-fn keys_spread_over_a_large_fleet() {
+fn keys_are_spread_evenly_over_a_large_fleet() {
     let m = fleet(3_000);
-    let mut held: BTreeMap<usize, u32> = BTreeMap::new();
+    let mut keys_of: BTreeMap<usize, u32> = BTreeMap::new();
     for key in 0..20_000u64 {
-        candidates(&m, mix(key, 2)).into_iter().for_each(|i| *held.entry(i).or_default() += 1);
+        contenders(&m, mix(key, 2)).into_iter().for_each(|i| *keys_of.entry(i).or_default() += 1);
     }
-    // A third of the fleet is of the own zone and is half of the candidates: 960 keys each, the others 480.
-    for (&i, &n) in &held {
+    // A third of the fleet is in the own zone and gives half of the contenders: 960 keys per replica, and 480 for others.
+    for (&i, &n) in &keys_of {
         let mean = if i % 3 == 0 { 960.0 } else { 480.0 };
         let share = f64::from(n) / mean;
-        assert!((0.4..1.8).contains(&share), "{i} holds {share:.2} of an even part");
+        assert!((0.4..1.8).contains(&share), "replica {i} has {share:.2} of an even share");
     }
-    assert_eq!(held.len(), 3_000);
+    assert_eq!(keys_of.len(), 3_000);
 }
--- a/src/replica_snapshot.rs
+++ b/src/replica_snapshot.rs
@@ -1,36 +1,36 @@
-//! What the decisions hold of the replicas, for status lines and health, and to be compared with the traffic
-//! that a router sees. Nothing is decided by it.
+//! Snapshots of the replicas' state for status output and health, and for comparison with observed traffic. They do not
+//! influence decisions.
 
 use crate::api::{EndpointState, Nanos, ReplicaId};
 use crate::decode_rate::RelativeDuration;
 use crate::state::replica::Replica;
 use crate::Balancer;
 
-/// What the decisions hold of a replica that takes work, at one time.
+/// State of a ready replica at one time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaSnapshot {
-    /// Which replica.
+    /// The replica.
     pub replica: ReplicaId,
     /// Own attempts in flight.
     pub in_flight: u32,
-    /// Those without a first token yet.
+    /// Own attempts without a first token.
     pub awaiting_first_token: usize,
-    /// The smoothed first-token wait, without the prefill of the request's own prompt.
+    /// Smoothed first-token wait, without the prefill of the request's own prompt.
     pub first_token_wait: Nanos,
-    /// The age of that wait's last sample; `None` without one.
+    /// Age of the last sample of the wait; `None` without a sample.
     pub wait_sample_age: Option<Nanos>,
-    /// Ejected for so long yet; 0 if it is not ejected.
+    /// Remaining time of the ejection; 0 if the replica is not ejected.
     pub ejected_for: Nanos,
-    /// It is taken to be warming up.
+    /// Whether the replica is warming up.
     pub is_warming_up: bool,
-    /// What it is taken to be able to do now, as a share of what it can when warm, 0 to 1.
+    /// Current capacity as a share of the capacity when warm, 0 to 1.
     pub capacity_share: f64,
-    /// How long its streams take against the mean of all replicas, apart from its warming up.
+    /// Duration of the replica's streams relative to the mean of all replicas, corrected for its warm-up.
     pub decode_rate: RelativeDuration,
 }
 
 impl Balancer {
-    /// The replicas that take work, as the decisions see them at `now`.
+    /// Returns snapshots of the ready replicas at `now`.
     pub fn replica_snapshots(&self, now: Nanos) -> Vec<ReplicaSnapshot> {
         let ready = self.replicas.iter().filter(|replica| replica.entry.state == EndpointState::Ready);
         ready.map(|replica| self.replica_snapshot(now, replica)).collect()
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What a router remembers of replicas and requests. Nothing is decided here: [`crate::decisions`] reads and
-//! writes it.
+//! What a router remembers about replicas and requests. [`crate::decisions`] reads and writes this state;
+//! nothing is decided here.
 
 pub(crate) mod affinity;
 pub(crate) mod recent_drains;
--- a/src/state/affinity.rs
+++ b/src/state/affinity.rs
@@ -1,25 +1,26 @@
-//! What a router remembers to find the replicas that have a prompt's tokens cached.
+//! State used to find the replicas that have a prompt's tokens cached.
 
 use crate::prefix_cache::SessionAffinity;
 use crate::prefix_traffic::PrefixTraffic;
 
-/// A replica of another zone is preferred e times less for each so much of the cost of crossing.
+/// Cost of crossing zones that reduces the weight of another zone's replica by a factor of e.
 const CROSS_ZONE_PREFERENCE_SCALE: f64 = 0.05;
-/// The least weight of a replica of another zone, however dear crossing is.
+/// Minimum weight of a replica of another zone, whatever the cost of crossing.
 const MIN_OTHER_ZONE_WEIGHT: f64 = 1e-6;
 
-/// What is remembered to find a prompt's tokens again.
+/// State used to find the replicas that have a prompt's tokens cached.
 pub(crate) struct AffinityState {
-    /// Where sessions' last answers began.
+    /// Replica that last answered each session.
     pub(crate) sessions: SessionAffinity,
-    /// The prefixes' shares of the traffic.
+    /// Share of the traffic of each prefix.
     pub(crate) prefix_traffic: PrefixTraffic,
-    /// Weight of a replica of another zone as a preferred one, against one of the own.
+    /// Weight of a replica of another zone as a preferred replica; those of the own zone have weight 1.
     pub(crate) other_zone_weight: f64,
 }
 
 impl AffinityState {
-    /// Of a router that has just started, where crossing zones costs that share of a request's weight.
+    /// Creates the state of a router that has just started. `cross_zone_cost` is the cost of crossing zones
+    /// as a share of a request's priority weight.
     pub(crate) fn new(cross_zone_cost: f64) -> AffinityState {
         let weight = (-cross_zone_cost / CROSS_ZONE_PREFERENCE_SCALE).exp();
         AffinityState {
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -1,57 +1,58 @@
-//! What a router remembers of one request and its attempts, until its last attempt has ended.
+//! State of one request and its attempts, kept until the last attempt has ended.
 
 use crate::api::{Effect, EndpointEntry, Nanos, Outcome, Request};
 use smallvec::SmallVec;
 
 /// One attempt of a request.
 pub(crate) struct Attempt {
-    /// Where the replica stands in the replica table. Valid while the attempt is in flight.
+    /// Slot of the replica in the replica table. Valid while the attempt is in flight.
     pub(crate) slot: usize,
-    /// The replica's entry at the send.
+    /// Entry of the replica at the time of the send.
     pub(crate) entry: EndpointEntry,
-    /// When it was sent.
+    /// Time of the send.
     pub(crate) sent_at: Nanos,
-    /// Prompt tokens that the replica was expected to read.
+    /// Prompt tokens that the replica was expected to prefill.
     pub(crate) prefill_tokens: f64,
-    /// Own requests in flight at the replica then, this one among them.
+    /// Own requests in flight at the replica at the send, including this one.
     pub(crate) concurrency: f64,
-    /// First token so long after the send; 0 before it.
-    pub(crate) first_token_after: Nanos,
-    /// Until then it is not cancelled for want of a first token; a hedged request may be sent before.
+    /// Time from the send to the first token, ns; 0 before the first token.
+    pub(crate) time_to_first_token: Nanos,
+    /// Earliest time at which the attempt is cancelled without a first token; a hedged request may be sent
+    /// before.
     pub(crate) first_token_timeout_at: Nanos,
-    /// `None` while in flight.
+    /// Outcome of the attempt; `None` while in flight.
     pub(crate) outcome: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Whether the replica may have run it, or may yet.
+    /// Returns whether the replica may have run the attempt or may still run it.
     fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
 }
 
-/// A request that has not been answered, or has attempts in flight.
+/// State of a request that is unanswered or has attempts in flight.
 pub(crate) struct RequestState {
-    /// What the client asks for; its class and tenant are in the settings.
+    /// The request, with its class and tenant limited to those in the settings.
     pub(crate) request: Request,
-    /// When it came.
+    /// Time of arrival.
     pub(crate) arrived_at: Nanos,
-    /// When its client gives up.
+    /// Time at which the client gives up.
     pub(crate) deadline: Nanos,
-    /// Its attempts in order. The first is held in place: most requests have no other.
+    /// Attempts in order. The first is stored inline, as most requests have only one.
     pub(crate) attempts: SmallVec<[Attempt; 1]>,
-    /// No answer is owed any longer.
+    /// Whether no answer is owed any more.
     pub(crate) answered: bool,
-    /// An attempt has had its first token.
+    /// Whether an attempt has had its first token.
     pub(crate) stream_started: bool,
-    /// A token of its tenant's leaky bucket was taken for it.
+    /// Whether a token of the tenant's leaky bucket was taken for the request.
     pub(crate) quota_charged: bool,
-    /// It has been counted as served, for the reports to peers.
+    /// Whether the request has been counted as served in the reports to peers.
     pub(crate) counted_as_served: bool,
 }
 
 impl RequestState {
-    /// A request that has just come.
+    /// Creates the state of a request that has just arrived.
     pub(crate) fn new(now: Nanos, deadline: Nanos, request: Request) -> Self {
         RequestState {
             request,
@@ -65,27 +66,28 @@
         }
     }
 
-    /// Time since it came, ns.
+    /// Returns the time since the arrival, ns.
     pub(crate) fn elapsed(&self, now: Nanos) -> f64 {
         now.saturating_sub(self.arrived_at) as f64
     }
 
-    /// The number of attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.outcome.is_none()).count()
     }
 
-    /// An attempt that is still in flight.
+    /// Returns an attempt by its index, if it is in flight.
     pub(crate) fn attempt_in_flight(&mut self, index: u32) -> Option<&mut Attempt> {
         self.attempts.get_mut(index as usize).filter(|attempt| attempt.outcome.is_none())
     }
 
-    /// Whether a replica may have run it, or may yet.
+    /// Returns whether any replica may have run the request or may still run it.
     pub(crate) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Rule 2: an attempt that may have run binds later ones to its group and window, or forbids them.
+    /// Rule 2: returns whether another attempt may go to `target`. An attempt that may have run restricts
+    /// later ones to its deduplication scope and window, or forbids them.
     pub(crate) fn may_repeat(
         &self,
         now: Nanos,
@@ -97,7 +99,7 @@
             let is_alone = concurrent_attempts || earlier.outcome.is_some();
             is_alone
                 && effect.may_resend(now, earlier.sent_at)
-                && effect.share_deduplication(&earlier.entry, target)
+                && effect.same_deduplication_scope(&earlier.entry, target)
         };
         self.attempts.iter().all(|earlier| !earlier.may_have_run() || allows(earlier))
     }
--- a/tests/drain_notices.rs
+++ b/tests/drain_notices.rs
@@ -6,7 +6,7 @@
 use common::*;
 use proptest::prelude::*;
 use tallypin::api::*;
-use tallypin::drain_notice::{DrainMessage, Incarnation, MAX_ENTRIES};
+use tallypin::drain_notice::{DrainMessage, Incarnation, MAX_NOTICE_ENTRIES};
 
 const ROUTERS: u32 = 5;
 
@@ -29,7 +29,7 @@
 }
 
 fn notice(entries: &[EndpointEntry]) -> Vec<u8> {
-    DrainMessage::Notice(entries.iter().map(Incarnation::of).collect()).encode()
+    DrainMessage::Notice(entries.iter().map(Incarnation::from_entry).collect()).encode()
 }
 
 /// Hands in a message of the router with this index.
@@ -165,8 +165,8 @@
 
 proptest! {
     #[test]
-    fn messages_come_back_as_they_were_sent(entries in prop::collection::vec((any::<u64>(), any::<u32>()), 0..=MAX_ENTRIES)) {
-        let entries = entries.into_iter().map(|(replica, start)| Incarnation { replica: ReplicaId(replica), start });
+    fn messages_come_back_as_they_were_sent(entries in prop::collection::vec((any::<u64>(), any::<u32>()), 0..=MAX_NOTICE_ENTRIES)) {
+        let entries = entries.into_iter().map(|(replica, start_digest)| Incarnation { replica: ReplicaId(replica), start_digest });
         let message = DrainMessage::Notice(entries.collect());
         let bytes = message.encode();
         prop_assert!(bytes.len() <= 256 && DrainMessage::is_one(&bytes));
