--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -58,8 +58,9 @@
         let (request, time_left) = (&state.request, state.deadline.saturating_sub(now) as f64);
         let class = &self.settings.classes[request.class.0 as usize];
         let late_has_full_value = request.resumes_stream || class.late_value_share >= 1.0;
-        let within_objective = !late_has_full_value && self.statistics.load_level_at(now) >= LOW_LOAD_LEVEL;
-        if within_objective {
+        let is_limited_to_objective =
+            !late_has_full_value && self.statistics.load_level_at(now) >= LOW_LOAD_LEVEL;
+        if is_limited_to_objective {
             time_left.min(self.latency_objective(request) - state.elapsed(now))
         } else {
             time_left
--- a/src/decisions/drain_notices.rs
+++ b/src/decisions/drain_notices.rs
@@ -97,7 +97,7 @@
 
     /// Applies an operator override to a replica drained by a notice. Returns true if the replica stays
     /// drained.
-    pub(super) fn stays_drained(&mut self, entry: &EndpointEntry) -> bool {
+    pub(super) fn apply_override_to_drained(&mut self, entry: &EndpointEntry) -> bool {
         let drained_by_notice = &mut self.known_drains.drained_by_notice;
         let Some(index) = drained_by_notice.iter().position(|(_, listed)| listed.replica == entry.replica)
         else {
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -72,7 +72,7 @@
             if is_received {
                 self.record_drain(now, &entry);
             }
-            if kind == ListUpdate::Override && self.stays_drained(&entry) {
+            if kind == ListUpdate::Override && self.apply_override_to_drained(&entry) {
                 continue;
             }
             self.apply_entry(now, entry);
@@ -91,7 +91,7 @@
         if let EndpointListMode::Polled { .. } = self.settings.list_mode {
             let interval = match kind {
                 // A truncated answer shows that the service is not overloaded: polls again at the shortest
-                // interval.
+                // interval for the fleet's size.
                 ListUpdate::Truncated => list_call_interval(self.settings.router_count, now, now),
                 _ => self.list_polling.interval(now, self.settings.router_count),
             };
--- a/src/decisions/leaky_bucket.rs
+++ b/src/decisions/leaky_bucket.rs
@@ -19,7 +19,8 @@
 const MIN_CLAIMED_SHARE: f64 = 0.25;
 /// Maximum extra refill rate while replicas are idle, as a share of the quota.
 const MAX_HEADROOM: f64 = 0.5;
-/// Load level from which there is no extra refill.
+/// Load level, that is first-token time as a share of the latency objective, from which there is no extra
+/// refill.
 const NO_HEADROOM_LOAD_LEVEL: f64 = 0.4;
 /// Load level above which quotas are reduced in proportion.
 pub(super) const OVERLOAD_LOAD_LEVEL: f64 = 0.35;
--- a/src/decisions/ranking.rs
+++ b/src/decisions/ranking.rs
@@ -147,7 +147,7 @@
         let replica = &self.replicas[slot];
         let was_tried = state.attempts.iter().any(|attempt| attempt.entry.replica == replica.entry.replica);
         let effect = self.settings.classes[state.request.class.0 as usize].effect;
-        // Rules 2 and 4.
+        // Rule 2 restricts repeats; rule 4 limits requests to warming replicas.
         let may_repeat = state.may_repeat(now, effect, &replica.entry, self.settings.concurrent_attempts);
         let has_credit = || !self.is_warming_up(now, replica) || self.slow_start_credit(now, replica) >= 1.0;
         !was_tried && may_repeat && has_credit()
@@ -193,9 +193,9 @@
         Prediction { rank, wait: wait.max(replica.longest_wait(now)) }
     }
 
-    /// Returns the predicted queueing at a replica, ns. It starts from the fleet's wait, scaled down for a
-    /// warming replica by its capacity share. A replica without a recent sample differs from the fleet by as
-    /// much as its kind does.
+    /// Returns the predicted queueing at a replica, ns: the lower of the fleet's wait and its own, scaled by
+    /// its capacity share, because a warming replica is sent less. A replica without a recent sample differs
+    /// from the fleet by as much as its kind does.
     fn predicted_queueing(&self, now: Nanos, replica: &Replica, smoothed: f64) -> f64 {
         let all = self.statistics.first_token_wait;
         let kind_excess = (self.statistics.smoothed_wait_of_kind(now, replica.entry.kind) - all)
--- a/src/decisions/request_lifecycle.rs
+++ b/src/decisions/request_lifecycle.rs
@@ -78,7 +78,7 @@
             prefill_tokens: selection.prefill_tokens,
             concurrency: f64::from(replica.in_flight),
             time_to_first_token: 0,
-            first_token_timeout_at: timeouts.first_token_at,
+            first_token_timeout_at: timeouts.first_token_timeout_at,
             outcome: None,
         };
         out.push(Action::Send { request: id, replica: attempt.entry.replica, timeout: timeouts.attempt });
--- a/src/decisions/timeouts.rs
+++ b/src/decisions/timeouts.rs
@@ -31,10 +31,10 @@
     /// Timeout of the attempt at the socket, ns.
     pub(super) attempt: Nanos,
     /// Time at which the attempt is cancelled if it has no first token.
-    pub(super) first_token_at: Nanos,
+    pub(super) first_token_timeout_at: Nanos,
     /// Time at which a hedged request may be sent.
     hedge_at: Option<Nanos>,
-    /// Whether the attempt is checked at `hedge_at` and `first_token_at`.
+    /// Whether the attempt is checked at `hedge_at` and `first_token_timeout_at`.
     is_checked: bool,
 }
 
@@ -55,7 +55,7 @@
             * self.statistics.prefill_ns_per_token();
         let predicted = TIMEOUT_PREDICTED_MULTIPLE * selection.predicted_wait;
         let (objective_share, time_left_share) = TIMEOUT_REMAINING_SHARE;
-        let first_token = (TIMEOUT_OBJECTIVE_SHARE * objective + prefill_allowance)
+        let first_token_timeout = (TIMEOUT_OBJECTIVE_SHARE * objective + prefill_allowance)
             .max(predicted)
             .max(TIMEOUT_LOAD_MULTIPLE * self.statistics.load_level * objective)
             .max(objective_share * (objective - state.elapsed(now)))
@@ -63,11 +63,11 @@
         let hedge_after = (HEDGE_OBJECTIVE_SHARE * objective + prefill_allowance).max(predicted);
         let may_hedge = self.settings.concurrent_attempts
             && self.statistics.load_level < LOW_LOAD_LEVEL
-            && hedge_after < first_token;
-        let attempt = if may_retry && !is_checked { first_token } else { time_left };
+            && hedge_after < first_token_timeout;
+        let attempt = if may_retry && !is_checked { first_token_timeout } else { time_left };
         Timeouts {
             attempt: (attempt as Nanos).max(1),
-            first_token_at: now + first_token as Nanos,
+            first_token_timeout_at: now + first_token_timeout as Nanos,
             hedge_at: may_hedge.then_some(now + hedge_after as Nanos),
             is_checked,
         }
@@ -82,7 +82,7 @@
         out: &mut Vec<Action>,
     ) {
         if timeouts.is_checked {
-            for at in timeouts.hedge_at.into_iter().chain([timeouts.first_token_at]) {
+            for at in timeouts.hedge_at.into_iter().chain([timeouts.first_token_timeout_at]) {
                 self.attempt_checks.add(at, id, attempt);
                 out.push(Action::WakeAt { at, token: ATTEMPT_CHECK_TIMER });
             }
--- a/src/prefix_cache.rs
+++ b/src/prefix_cache.rs
@@ -9,8 +9,8 @@
 
 use crate::api::{EndpointEntry, Nanos, ReplicaId, SECOND};
 
-/// Maximum number of sessions remembered, in two tables of half the size: 65,536 entries of 41 bytes with their table
-/// capacity take 5.4 MB.
+/// Maximum number of sessions remembered, in two tables of half the size. Each table allocates 65,536 slots of 41 bytes:
+/// 5.4 MB in all.
 const MAX_SESSIONS: usize = 65_536;
 /// Time without a turn of a session after which its prompt counts as evicted. Replicas evict the least recently used
 /// prompts and do not report it.
--- a/src/ready_replicas.rs
+++ b/src/ready_replicas.rs
@@ -17,7 +17,7 @@
 use crate::rendezvous_hash::{exponential_variate, mix};
 use crate::replica_set::ReplicaSet;
 
-/// Maximum number of ready replicas that are all examined for a new key. With 256 that takes 2 µs.
+/// Maximum number of ready replicas that are all examined for a new key. With 256 that takes 2 us.
 pub const MAX_SCANNED_REPLICAS: usize = 256;
 /// Maximum number of preferred replicas of a prefix.
 pub const MAX_PREFERRED_REPLICAS: usize = 32;
