--- a/router/src/fleet/artifacts.rs
+++ b/router/src/fleet/artifacts.rs
@@ -1,4 +1,4 @@
-//! The files of this router that a release may change: what runs, whether a new one would, and its installation.
+//! Releasable files of this router: digests of the running versions, validation of new versions, and installation.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,60 +8,65 @@
 use super::disk::{self, DiskError};
 use super::release_files::{FileError, ReleaseFile};
 
-/// Why a released file can't be run or installed.
+/// Why a released file can't be validated or installed.
 #[derive(Debug, thiserror::Error)]
 pub enum ArtifactError {
-    /// The settings name no file of this kind.
-    #[error("its settings have no place for `{0}`")]
+    /// The router's settings have no `release` entry for this artifact.
+    #[error("the router's settings have no `release` entry for `{0}`")]
     NotInSettings(String),
-    /// Its files can't be read or written.
+    /// A file operation failed.
     #[error("{0}")]
     Disk(#[from] DiskError<FileError>),
-    /// The router could not start with it.
+    /// The router could not start with the released file.
     #[error("{0}")]
     Invalid(#[from] InvalidArtifact),
 }
 
-/// The files that a release may change.
+/// The releasable files of this router.
 pub struct Artifacts {
     control: Rc<dyn RouterControl>,
     files: Vec<ReleaseFile>,
-    /// The digest of what runs, by the artifact's name.
-    running: BTreeMap<String, String>,
-    /// The digest that was found valid last: a check is not repeated while a lease is waited for.
-    last_valid: RefCell<Option<String>>,
+    /// Digest of the running version, by artifact name.
+    running_digests: BTreeMap<String, String>,
+    /// Digest that was validated last. Avoids repeated validation while the router waits for its drain lease.
+    last_valid_digest: RefCell<Option<String>>,
 }
 
 impl Artifacts {
-    /// Reads what runs: the files that the process was started with.
+    /// Reads the installed files, which are the ones the process was started with, and records their digests.
     ///
     /// # Errors
     ///
-    /// One of them can't be read.
+    /// An installed file can't be read.
     pub fn open(files: &[ReleaseFile], control: Rc<dyn RouterControl>) -> Result<Artifacts, FileError> {
-        let running = files.iter().map(|file| Ok((file.artifact.clone(), file.installed_digest()?)));
-        let running = running.collect::<Result<_, FileError>>()?;
-        Ok(Artifacts { control, files: files.to_vec(), running, last_valid: RefCell::default() })
+        let running_digests = files.iter().map(|file| Ok((file.artifact.clone(), file.installed_digest()?)));
+        let running_digests = running_digests.collect::<Result<_, FileError>>()?;
+        Ok(Artifacts {
+            control,
+            files: files.to_vec(),
+            running_digests,
+            last_valid_digest: RefCell::default(),
+        })
     }
 
-    /// The digest of what runs; `None`: the settings name no such file.
+    /// Returns the digest of the running version; `None` if the settings have no `release` entry for the artifact.
     pub fn running_digest(&self, artifact: &str) -> Option<&str> {
-        self.running.get(artifact).map(String::as_str)
+        self.running_digests.get(artifact).map(String::as_str)
     }
 
-    /// Checks that the store has a file of this digest, and that the router could start with it.
+    /// Checks that the store has a file with this digest and that the router could start with it.
     ///
     /// # Errors
     ///
-    /// Why it could not.
+    /// The file is missing from the store, unreadable or invalid.
     pub async fn validate(&self, artifact: &str, digest: &str) -> Result<(), ArtifactError> {
-        if self.last_valid.borrow().as_deref() == Some(digest) {
+        if self.last_valid_digest.borrow().as_deref() == Some(digest) {
             return Ok(());
         }
-        let wanted = digest.to_string();
-        let bytes = self.on_disk(artifact, move |file| file.stored_bytes(&wanted)).await?;
+        let owned_digest = digest.to_string();
+        let bytes = self.on_disk(artifact, move |file| file.stored_bytes(&owned_digest)).await?;
         self.control.validate_artifact(artifact, &bytes)?;
-        self.last_valid.replace(Some(digest.into()));
+        self.last_valid_digest.replace(Some(digest.into()));
         Ok(())
     }
 
@@ -69,17 +74,17 @@
     ///
     /// # Errors
     ///
-    /// What failed. What was installed before stays, or the new one is on trial.
+    /// A step failed. Either the previous file is still installed, or the new one is installed on trial.
     pub async fn install(&self, artifact: &str, digest: &str) -> Result<(), ArtifactError> {
         let digest = digest.to_string();
         self.on_disk(artifact, move |file| file.install(&digest)).await
     }
 
-    /// Ends the trial of what is installed.
+    /// Ends the trial of the installed file.
     ///
     /// # Errors
     ///
-    /// The trial's marker can't be removed.
+    /// The trial marker can't be removed.
     pub async fn confirm(&self, artifact: &str) -> Result<(), ArtifactError> {
         self.on_disk(artifact, |file| file.confirm()).await
     }
--- a/router/src/fleet/disk.rs
+++ b/router/src/fleet/disk.rs
@@ -1,29 +1,29 @@
-//! File operations off the thread that serves requests, with a timeout: a disk that hangs holds nothing up.
+//! File operations on a blocking thread, with a timeout, so that a hung disk does not delay the thread that serves requests.
 
 use std::time::Duration;
 
-/// A disk that has not answered for so long is taken to hang: far above any pause of a healthy one.
+/// Time after which a file operation is given up. Pauses of a healthy disk are far shorter.
 const DISK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why an operation on files gave no result.
+/// Why a file operation gave no result.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError<E: std::error::Error> {
-    /// It failed by itself.
+    /// The operation returned an error.
     #[error("{0}")]
     Failed(#[source] E),
-    /// It panicked.
+    /// The operation panicked.
     #[error("{0}")]
     Panicked(#[source] tokio::task::JoinError),
-    /// It has not ended in time. It may still end, unseen.
-    #[error("the disk does not answer")]
+    /// The operation exceeded `DISK_TIMEOUT`. It may still complete later; its result is then discarded.
+    #[error("the disk operation timed out")]
     TimedOut,
 }
 
-/// Runs an operation on a thread of its own.
+/// Runs a file operation on a blocking thread.
 ///
 /// # Errors
 ///
-/// Its own error, or that it has not ended within `DISK_TIMEOUT`.
+/// The operation failed, panicked or exceeded `DISK_TIMEOUT`.
 pub async fn run<T, E>(operation: impl FnOnce() -> Result<T, E> + Send + 'static) -> Result<T, DiskError<E>>
 where
     T: Send + 'static,
--- a/router/src/fleet/key_reload.rs
+++ b/router/src/fleet/key_reload.rs
@@ -1,4 +1,4 @@
-//! Reads the key file again and again, so that keys change without a restart.
+//! Periodic reload of the key file, so that keys can be changed without a restart.
 
 use std::cell::RefCell;
 use std::io;
@@ -11,22 +11,22 @@
 use super::disk::{self, DiskError};
 use super::wire::{KeyFileError, Keys};
 
-/// How often the file is read: a change of keys waits for a few of these, and a file of two lines costs nothing.
+/// Interval between reads of the key file. A key rotation waits for a few reloads, and reading two lines is cheap.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Why the key file gave no keys.
+/// Why the key file could not be reloaded.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyReloadError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{0}")]
     Disk(#[from] DiskError<io::Error>),
-    /// Its text holds no keys.
+    /// The content of the file is invalid.
     #[error("{0}")]
     Content(#[from] KeyFileError),
 }
 
-/// Replaces the keys when the file has others. One that can't be read, or holds none, changes nothing and is logged once.
-/// Never returns.
+/// Replaces the keys when the content of the file changes. A file that is unreadable or invalid leaves the keys unchanged;
+/// the error is logged once. Never returns.
 pub async fn run(path: PathBuf, fleet: String, keys: Rc<RefCell<Keys>>) {
     let mut logged_error = String::new();
     loop {
@@ -41,7 +41,7 @@
             Err(error) => {
                 let error = error.to_string();
                 if error != logged_error {
-                    tracing::warn!(target: "fleet", error, "fleet key file can't be used, the keys stay");
+                    tracing::warn!(target: "fleet", error, "fleet key file can't be used; keeping the current keys");
                     logged_error = error;
                 }
             }
--- a/router/src/fleet/persistence.rs
+++ b/router/src/fleet/persistence.rs
@@ -1,4 +1,4 @@
-//! Stores the fleet state of a member of the council, for the case that all members restart at once.
+//! Stores the fleet state of a council member on disk, for the case that all members restart at once.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -11,10 +11,10 @@
 use super::known_state::KnownState;
 use super::stored_state;
 
-/// How often a changed state is stored: changes come in bursts, and a file that is this old is only a hint.
+/// Minimum interval between writes of a changed state. Changes come in bursts, and the file is only a hint, so it may lag.
 const STORE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What an earlier incarnation has stored; `None`: nothing that can be used.
+/// Reads the state that an earlier incarnation stored; `None` if there is none or it is unusable.
 pub async fn read_stored(path: PathBuf, fleet: String) -> Option<FleetState> {
     let read = disk::run(move || stored_state::read(&path, &fleet)).await;
     read.unwrap_or_else(|error| {
@@ -23,8 +23,8 @@
     })
 }
 
-/// Stores the newest known state, again and again. A disk that hangs or fails is logged once, and delays nothing. Never
-/// returns.
+/// Writes the newest known state to disk whenever its version has changed. The first failure is logged; a hung or failing
+/// disk delays nothing else. Never returns.
 pub async fn store(path: PathBuf, fleet: String, state: Rc<KnownState>) {
     let (mut stored_version, mut failure_logged) = (None, false);
     loop {
--- a/router/src/fleet/release_files.rs
+++ b/router/src/fleet/release_files.rs
@@ -1,11 +1,13 @@
-//! The files that a release may change: each is found by the program, or its supervisor, at a path, and is kept in a store
-//! beside it under its digest. Installed, the path becomes a link into the store, replaced by rename.
+//! Files that a release may replace. The program or its supervisor reads each file at a fixed path. All versions are kept
+//! in a store directory under their digests; installing a version replaces the path by a symbolic link into the store, with
+//! a rename.
 //!
-//! An installed file is on trial until the fleet has agreed that the router serves with it. A start that finds the trial
-//! too old goes back to the file of before, so that a file with which the program does not come up is undone by itself.
+//! An installed file is on trial until the fleet has agreed that the router serves with it. Each start of the program
+//! counts against the trial. After too many starts the previous file is installed again, so a file with which the program
+//! does not come up is rolled back without help.
 //!
-//! Disks are not trusted: a file is known by its digest, read anew each time. One that lies about what it has stored makes
-//! a start with the file of before, which the fleet then sees.
+//! Disks are not trusted: a file is identified by its digest, which is computed anew at each read. If a disk loses a write
+//! that it reported as synced, the program starts with the previous file, and the fleet notices by the reported digest.
 
 use std::fmt;
 use std::fs::{self, File};
@@ -14,25 +16,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Starts on trial before the program goes back: one more than a crash by chance, or two, explain.
+/// Number of starts on trial after which the previous file is installed again. One or two crashes may have other causes.
 const MAX_TRIAL_STARTS: u32 = 3;
-/// The longest file that is released, bytes: far above any program, and read into memory.
+/// Maximum size of a released file, in bytes. Files are read into memory; programs are far smaller.
 const MAX_FILE_BYTES: u64 = 256 << 20;
-/// Hex digits of a digest.
+/// Number of hex digits of a digest.
 const DIGEST_DIGITS: usize = 64;
 
-/// A file that a release may change.
+/// A file that a release may replace.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseFile {
-    /// What it is called in a plan.
+    /// Name of the artifact in release plans.
     pub artifact: String,
-    /// Where the program, or its supervisor, finds it.
+    /// Path at which the program or its supervisor reads the file.
     pub path: PathBuf,
-    /// Where there is one for each digest, by that name.
+    /// Directory that holds the versions of the file, each named by its digest.
     pub store_dir: PathBuf,
 }
 
-/// A trial, in a file beside the installed one.
+/// Content of the trial marker, a JSON file beside the installed file.
 #[derive(Debug, Serialize, Deserialize)]
 struct Trial {
     #[serde(rename = "old")]
@@ -47,30 +49,30 @@
 /// Why a file can't be read, stored or installed.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// A call on it failed.
+    /// An I/O operation failed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// The file, or its directory.
+        /// Path of the file or its directory.
         path: PathBuf,
-        /// What failed.
+        /// The I/O error.
         source: io::Error,
     },
-    /// It is longer than `MAX_FILE_BYTES`.
-    #[error("{}: longer than {MAX_FILE_BYTES} bytes", .0.display())]
+    /// The file is longer than `MAX_FILE_BYTES`.
+    #[error("{}: the file is longer than {MAX_FILE_BYTES} bytes", .0.display())]
     TooLong(PathBuf),
-    /// A name that is no digest.
-    #[error("not a digest")]
+    /// The name of a version does not have the form of a digest.
+    #[error("the name of the released file is not a digest")]
     NotADigest,
-    /// A file of the store that is not what its name says.
-    #[error("{}: holds something else than its digest says", .0.display())]
+    /// The content of a file in the store does not match the digest in its name.
+    #[error("{}: the content does not match the digest in the name", .0.display())]
     WrongDigest(PathBuf),
-    /// What is to be written can't be put into JSON.
+    /// The trial marker or the stored state can't be encoded as JSON.
     #[error("{0}")]
     NotEncodable(#[from] serde_json::Error),
 }
 
 impl FileError {
-    /// Its kind as that of an I/O error: `InvalidData` for a file that is not what it should be.
+    /// Returns the kind of the I/O error; `InvalidData` for all other errors.
     pub fn kind(&self) -> io::ErrorKind {
         match self {
             FileError::Io { source, .. } => source.kind(),
@@ -79,23 +81,23 @@
     }
 }
 
-/// What a start did about a trial, for the operator.
+/// Event of a trial at the start of the program, to be logged for the operator.
 #[derive(Debug)]
 pub enum TrialEvent {
-    /// The start can't be counted: a trial that fails would not be rolled back.
+    /// The start can't be counted. A trial that fails would not be rolled back.
     NotCounted(FileError),
-    /// There were too many starts: the file of before is installed again.
+    /// The trial had too many starts, and the previous file is installed again.
     RolledBack {
-        /// What did not come to serve.
+        /// Digest of the file whose trial failed.
         installed_digest: String,
-        /// What is installed now.
+        /// Digest of the file that is installed now.
         previous_digest: String,
     },
-    /// There were too many starts, and the file of before can't be installed.
+    /// The trial had too many starts, and the previous file can't be installed.
     NotRolledBack {
-        /// What did not come to serve, and is still installed.
+        /// Digest of the file whose trial failed and that is still installed.
         installed_digest: String,
-        /// What failed.
+        /// Why the roll-back failed.
         error: FileError,
     },
 }
@@ -103,93 +105,96 @@
 impl fmt::Display for TrialEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            TrialEvent::NotCounted(error) => write!(f, "a start on trial can't be counted: {error}"),
+            TrialEvent::NotCounted(error) => {
+                write!(f, "the start of a released file on trial can't be counted: {error}")
+            }
             TrialEvent::RolledBack { installed_digest, previous_digest } => write!(
                 f,
-                "{installed_digest} has not come to serve in {MAX_TRIAL_STARTS} starts: back to {previous_digest}"
+                "released file {installed_digest} did not reach service in {MAX_TRIAL_STARTS} starts: \
+                 rolled back to {previous_digest}"
             ),
             TrialEvent::NotRolledBack { installed_digest, error } => {
-                write!(f, "{installed_digest} has not come to serve, and there is no way back: {error}")
+                write!(f, "released file {installed_digest} did not reach service, and its roll-back failed: {error}")
             }
         }
     }
 }
 
-/// The digest of a file's bytes, in hex.
+/// Returns the digest of a file's bytes, in hex.
 pub fn digest(bytes: &[u8]) -> String {
     blake3::hash(bytes).to_hex().to_string()
 }
 
-/// Whether a word has the form of a digest.
-pub fn is_digest(word: &str) -> bool {
-    word.len() == DIGEST_DIGITS && word.bytes().all(|b| b.is_ascii_hexdigit())
+/// Returns whether a text has the form of a digest.
+pub fn is_digest(text: &str) -> bool {
+    text.len() == DIGEST_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-fn with_path(path: &Path, source: io::Error) -> FileError {
+fn io_error(path: &Path, source: io::Error) -> FileError {
     FileError::Io { path: path.into(), source }
 }
 
-/// A file's bytes.
+/// Reads a file into memory.
 ///
 /// # Errors
 ///
-/// It can't be read, or is longer than `MAX_FILE_BYTES`.
+/// The file can't be read, or is longer than `MAX_FILE_BYTES`.
 pub fn read(path: &Path) -> Result<Vec<u8>, FileError> {
     let mut bytes = Vec::new();
-    let file = File::open(path).map_err(|e| with_path(path, e))?;
-    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|e| with_path(path, e))?;
+    let file = File::open(path).map_err(|e| io_error(path, e))?;
+    file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes).map_err(|e| io_error(path, e))?;
     match bytes.len() as u64 > MAX_FILE_BYTES {
         true => Err(FileError::TooLong(path.into())),
         false => Ok(bytes),
     }
 }
 
-/// Replaces a file with one of these bytes, or leaves it as it was, as far as the disk can be trusted.
+/// Replaces a file atomically with a new one of these bytes, provided that the disk honours syncs and renames.
 ///
 /// # Errors
 ///
-/// A step failed. The file is whole: the old one, or the new one.
+/// A step failed. The path holds either the complete old file or the complete new one.
 pub fn write(path: &Path, bytes: &[u8]) -> Result<(), FileError> {
-    let new = beside(path, "new");
-    let mut file = File::create(&new).map_err(|e| with_path(&new, e))?;
-    file.write_all(bytes).and_then(|()| file.sync_all()).map_err(|e| with_path(&new, e))?;
-    fs::rename(&new, path).map_err(|e| with_path(path, e))?;
+    let new = sibling_path(path, "new");
+    let mut file = File::create(&new).map_err(|e| io_error(&new, e))?;
+    file.write_all(bytes).and_then(|()| file.sync_all()).map_err(|e| io_error(&new, e))?;
+    fs::rename(&new, path).map_err(|e| io_error(path, e))?;
     sync_parent(path)
 }
 
-/// Makes a rename last.
+/// Syncs the parent directory, so that a rename in it survives a crash.
 fn sync_parent(path: &Path) -> Result<(), FileError> {
     let dir = path.parent().filter(|d| !d.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(dir).and_then(|d| d.sync_all()).map_err(|e| with_path(dir, e))
+    File::open(dir).and_then(|d| d.sync_all()).map_err(|e| io_error(dir, e))
 }
 
-fn beside(path: &Path, suffix: &str) -> PathBuf {
+fn sibling_path(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.as_os_str().to_os_string();
     name.push(format!(".{suffix}"));
     name.into()
 }
 
 fn trial_path(path: &Path) -> PathBuf {
-    beside(path, "trial")
+    sibling_path(path, "trial")
 }
 
 impl ReleaseFile {
-    /// The digest of what is installed now.
+    /// Returns the digest of the installed file.
     ///
     /// # Errors
     ///
-    /// It can't be read.
+    /// The file can't be read.
     pub fn installed_digest(&self) -> Result<String, FileError> {
         read(&self.path).map(|bytes| digest(&bytes))
     }
 
-    /// What the store has under a digest.
+    /// Returns the content that the store holds under a digest.
     ///
     /// # Errors
     ///
-    /// It can't be read, or is something else.
+    /// The name is not a digest, the file can't be read, or its content does not match the digest.
     pub fn stored_bytes(&self, digest: &str) -> Result<Vec<u8>, FileError> {
-        // It comes from others: it must be a name, and lead nowhere out of the store.
+        // The digest comes from other routers and is used as a file name: a path could lead out of the store.
         if !is_digest(digest) {
             return Err(FileError::NotADigest);
         }
@@ -201,21 +206,22 @@
         }
     }
 
-    /// Installs what the store has under a digest, on trial. What was installed before is kept in the store.
+    /// Installs the version with this digest from the store, on trial. The previous version is kept in the store.
     ///
     /// # Errors
     ///
-    /// A step failed. The path still has a whole file: that of before, or the new one on trial.
+    /// A step failed. The path holds a complete file: either the previous one, or the new one on trial.
     pub fn install(&self, digest: &str) -> Result<(), FileError> {
         self.stored_bytes(digest)?;
-        let before = read(&self.path)?;
-        let previous_digest = self::digest(&before);
+        let previous = read(&self.path)?;
+        let previous_digest = self::digest(&previous);
         if previous_digest == digest {
-            // Installed already, perhaps by an attempt whose last call failed: a new trial would lose the way back.
+            // Already installed, perhaps by an attempt whose last step failed. A new trial marker would name this version
+            // as the previous one, and the trial could no longer be rolled back.
             return sync_parent(&self.path);
         }
         if self.stored_bytes(&previous_digest).is_err() {
-            write(&self.store_dir.join(&previous_digest), &before)?;
+            write(&self.store_dir.join(&previous_digest), &previous)?;
         }
         let store_dir = self.store_dir.clone();
         let trial = Trial { previous_digest, installed_digest: digest.into(), store_dir, starts: 0 };
@@ -223,31 +229,31 @@
         replace_with_link(&self.path, &self.store_dir, digest)
     }
 
-    /// Ends the trial: the router serves with what is installed.
+    /// Ends the trial, as the router serves with the installed file.
     ///
     /// # Errors
     ///
-    /// The trial's file can't be removed.
+    /// The trial marker can't be removed.
     pub fn confirm(&self) -> Result<(), FileError> {
         match fs::remove_file(trial_path(&self.path)) {
-            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(with_path(&self.path, e)),
+            Err(e) if e.kind() != io::ErrorKind::NotFound => Err(io_error(&self.path, e)),
             _ => Ok(()),
         }
     }
 }
 
 fn replace_with_link(path: &Path, store_dir: &Path, digest: &str) -> Result<(), FileError> {
-    let new = beside(path, "new");
+    let new = sibling_path(path, "new");
     let _ = fs::remove_file(&new);
-    // A link to a name in the store that is not absolute would be looked for beside the link.
-    let store_dir = fs::canonicalize(store_dir).map_err(|e| with_path(store_dir, e))?;
-    std::os::unix::fs::symlink(store_dir.join(digest), &new).map_err(|e| with_path(&new, e))?;
-    fs::rename(&new, path).map_err(|e| with_path(path, e))?;
+    // The target must be absolute: a relative one would be resolved from the directory of the link.
+    let store_dir = fs::canonicalize(store_dir).map_err(|e| io_error(store_dir, e))?;
+    std::os::unix::fs::symlink(store_dir.join(digest), &new).map_err(|e| io_error(&new, e))?;
+    fs::rename(&new, path).map_err(|e| io_error(path, e))?;
     sync_parent(path)
 }
 
-/// At a start, before the file is read: counts the start if the file is on trial, and goes back to the file of before
-/// after too many. `None`: there is nothing to tell.
+/// Counts a start of the program if the file is on trial, and installs the previous file again after too many starts. Must
+/// be called before the file is read. Returns the event to be logged, if any.
 pub fn begin_trial(path: &Path) -> Option<TrialEvent> {
     let marker = trial_path(path);
     let mut trial: Trial = serde_json::from_slice(&fs::read(&marker).ok()?).ok()?;
--- a/router/src/fleet/stored_state/tests.rs
+++ b/router/src/fleet/stored_state/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn what_is_stored_is_read_again_and_what_a_disk_has_spoilt_is_not() {
-    let document = FleetState { version: 7, halted: Some("x".into()), ..FleetState::default() };
-    let bytes = encode("nord", &document).unwrap();
-    assert_eq!(decode("nord", &bytes).unwrap(), document);
+fn a_stored_state_is_read_back_and_a_corrupted_one_is_rejected() {
+    let state = FleetState { version: 7, halted: Some("x".into()), ..FleetState::default() };
+    let bytes = encode("nord", &state).unwrap();
+    assert_eq!(decode("nord", &bytes).unwrap(), state);
     assert!(decode("sued", &bytes).unwrap_err().to_string().contains("another fleet"));
     for k in 0..bytes.len() {
         let mut flipped = bytes.clone();
@@ -14,20 +14,21 @@
     }
 }
 
-/// Bytes of a file that a router of today has stored: it is written so, and read so, whole or not.
+/// Guards the format of the stored state: the recorded file is written byte for byte, and the results of reading it, and
+/// of reading damaged variants of it, are as recorded.
 #[test]
-fn a_recorded_file_is_written_and_read_as_it_was() {
+fn a_stored_state_is_written_and_read_as_recorded() {
     let recorded = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/fleet");
-    let (path, reading) = (recorded.join("folder/stored"), recorded.join("stored.txt"));
+    let (path, results_path) = (recorded.join("folder/stored"), recorded.join("stored.txt"));
     let bytes = std::fs::read(&path).unwrap();
     let body = &bytes[bytes.iter().position(|b| *b == b'\n').unwrap() + 1..];
-    let stored: Stored = serde_json::from_slice(body).unwrap();
+    let stored: StoredState = serde_json::from_slice(body).unwrap();
     let written = encode(&stored.fleet, &stored.state).unwrap();
-    let signed =
+    let with_digest =
         |body: &str| [release_files::digest(body.as_bytes()).as_bytes(), b"\n", body.as_bytes()].concat();
     let text = std::str::from_utf8(body).unwrap();
     let dir = tempfile::tempdir().unwrap();
-    let mut got = String::new();
+    let mut results = String::new();
     for (case, fleet, bytes) in [
         ("whole", "test", written.clone()),
         ("of another fleet", "nord", written.clone()),
@@ -36,22 +37,22 @@
         ("a byte short", "test", written[..written.len() - 1].to_vec()),
         ("empty", "test", vec![]),
         ("another text", "test", b"not that".to_vec()),
-        ("of a later version", "test", signed(&text.replace("\"v\":1", "\"v\":2"))),
-        ("without a document", "test", signed("{\"v\":1,\"fleet\":\"test\"}")),
-        ("with a field of later", "test", signed(&text.replace("\"v\":1", "\"v\":1,\"later\":1"))),
+        ("of a later version", "test", with_digest(&text.replace("\"v\":1", "\"v\":2"))),
+        ("without a document", "test", with_digest("{\"v\":1,\"fleet\":\"test\"}")),
+        ("with a field of later", "test", with_digest(&text.replace("\"v\":1", "\"v\":1,\"later\":1"))),
     ] {
         let path = dir.path().join("stored");
         std::fs::write(&path, bytes).unwrap();
-        let read = read(&path, fleet).map(|d| serde_json::to_string(&d).unwrap());
-        got += &format!("{case}: {}\n", read.unwrap_or_else(|why| format!("can't be read: {why}")));
+        let read = read(&path, fleet).map(|state| serde_json::to_string(&state).unwrap());
+        results += &format!("{case}: {}\n", read.unwrap_or_else(|error| format!("can't be read: {error}")));
     }
-    got += &format!("nowhere: {:?}\n", read(&dir.path().join("nowhere"), "test"));
+    results += &format!("nowhere: {:?}\n", read(&dir.path().join("nowhere"), "test"));
     write(&dir.path().join("again"), "test", &stored.state).unwrap();
     assert_eq!(std::fs::read(dir.path().join("again")).unwrap(), written);
     if std::env::var_os("RECORD").is_some() {
         std::fs::write(&path, &written).unwrap();
-        std::fs::write(&reading, &got).unwrap();
+        std::fs::write(&results_path, &results).unwrap();
     }
     assert_eq!(std::fs::read(&path).unwrap(), written);
-    assert_eq!(got, std::fs::read_to_string(&reading).unwrap());
+    assert_eq!(results, std::fs::read_to_string(&results_path).unwrap());
 }
--- a/router/tests/recorded_fleet/stored_folder.rs
+++ b/router/tests/recorded_fleet/stored_folder.rs
@@ -34,8 +34,11 @@
     assert_eq!(std::fs::read(dir.join("config.json")).unwrap(), old, "the trial is gone back from");
     assert!(!dir.join("config.json.trial").exists());
     let said = fleet.log(2);
-    let back = format!("{} has not come to serve in 3 starts: back to {digest}", release_files::digest(&new));
-    assert!(said.contains(&format!("tallypin: {back}\n")), "{said}");
+    let rolled_back = format!(
+        "released file {} did not reach service in 3 starts: rolled back to {digest}",
+        release_files::digest(&new)
+    );
+    assert!(said.contains(&format!("tallypin: {rolled_back}\n")), "{said}");
     fleet.until("all are heard", || (0..3).all(|r| fleet.order(r, "status")["out_here"] == none));
     fleet.until("all have told what they do", || {
         let status = fleet.order(0, "status");
