--- a/router/src/fleet/agent.rs
+++ b/router/src/fleet/agent.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a router's fleet agent together, and owns their tasks.
+//! Builds the components of a router's fleet agent and owns their tasks.
 
 use std::cell::RefCell;
 use std::io;
@@ -36,39 +36,39 @@
 use super::wire::{KeyFileError, Keys};
 use super::{incarnation, key_reload, persistence};
 
-/// Why a router can't take part in its fleet.
+/// Why the fleet agent of a router can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The key file can't be read.
     #[error("fleet: {}: {source}", path.display())]
     KeyFile {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What failed.
+        /// The error of the read.
         source: io::Error,
     },
-    /// The key file holds no keys.
+    /// The content of the key file is invalid.
     #[error("fleet: {}: {source}", path.display())]
     Keys {
-        /// The file.
+        /// Path of the key file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why its content is invalid.
         source: KeyFileError,
     },
-    /// Its address can't be listened on.
+    /// The fleet listener can't bind its address.
     #[error("fleet: {address}: {source}")]
     Bind {
-        /// The address.
+        /// This router's fleet address.
         address: SocketAddr,
-        /// What failed.
+        /// The error of the bind.
         source: io::Error,
     },
-    /// A file that a release may change can't be read.
+    /// An installed file that releases may replace can't be read.
     #[error("fleet: release: {0}")]
     ReleaseFile(#[source] FileError),
 }
 
-/// A router's part in its fleet. Its tasks are aborted when it is dropped.
+/// The fleet agent of a router. Dropping it aborts its tasks.
 pub struct FleetAgent {
     settings: Rc<FleetSettings>,
     state: Rc<KnownState>,
@@ -82,8 +82,8 @@
     }
 }
 
-/// What the tasks share.
-struct Parts {
+/// Components that the tasks of the agent share.
+struct AgentComponents {
     settings: Rc<FleetSettings>,
     keys: Rc<RefCell<Keys>>,
     control: Rc<dyn RouterControl>,
@@ -99,11 +99,11 @@
 }
 
 impl FleetAgent {
-    /// Binds this router's address and starts its tasks, within a `LocalSet`.
+    /// Binds this router's fleet address and starts the tasks of the agent. Must run within a `LocalSet`.
     ///
     /// # Errors
     ///
-    /// The keys, the address or a file that a release may change can't be used.
+    /// The key file is unreadable or invalid, the address can't be bound, or a releasable file can't be read.
     pub async fn start(
         settings: FleetSettings,
         control: Box<dyn RouterControl>,
@@ -112,20 +112,20 @@
         let address = settings.routers[usize::from(settings.own_index)].address;
         let listener = TcpListener::bind(address).await;
         let listener = listener.map_err(|source| StartError::Bind { address, source })?;
-        let parts = Parts::new(settings, keys, control.into()).await?;
-        parts.start_tasks(listener);
-        let (fleet, incarnation) = (&parts.settings.name, parts.local.incarnation());
+        let components = AgentComponents::new(settings, keys, control.into()).await?;
+        components.start_tasks(listener);
+        let (fleet, incarnation) = (&components.settings.name, components.local.incarnation());
         tracing::info!(target: "fleet", fleet, %address, incarnation, "fleet agent started");
-        Ok(Rc::new(parts.into_agent()))
+        Ok(Rc::new(components.into_agent()))
     }
 
-    /// Waits until the fleet state is known, or for as long as an order may take: a router that serves before would send
-    /// to drained replicas.
+    /// Waits until the fleet state is known, at most for the order timeout. A router that serves earlier would send
+    /// requests to drained replicas.
     pub async fn wait_for_first_state(&self) {
         self.state.wait_for_first(self.settings.order_timeout).await;
     }
 
-    /// Carries out an order; the answer that the operator gets.
+    /// Executes an operator order and returns the JSON answer.
     pub async fn execute_order(&self, order: IdentifiedOrder) -> Value {
         self.orders.execute(order).await
     }
@@ -138,7 +138,7 @@
     Keys::read(&settings.name, &text).map_err(|source| StartError::Keys { path: path(), source })
 }
 
-/// Connections to the members of the council; `None` for this router.
+/// Returns a connection for each council member, by member index; `None` stands for this router.
 fn connect(
     settings: &FleetSettings,
     keys: &Rc<RefCell<Keys>>,
@@ -151,7 +151,7 @@
     settings.council.iter().map(connection).collect()
 }
 
-/// The acceptor of a router that starts, with what an earlier incarnation has stored; `None`: it is no member.
+/// Creates this router's acceptor with the state that an earlier incarnation stored; `None` if it is not a member.
 async fn acceptor(settings: &FleetSettings, incarnation: Incarnation) -> Option<Acceptor<FleetState>> {
     settings.own_member_index()?;
     let stored = match settings.own_state_file() {
@@ -161,15 +161,15 @@
     Some(Acceptor::new(incarnation).with_stored(stored))
 }
 
-impl Parts {
+impl AgentComponents {
     async fn new(
         settings: FleetSettings,
         keys: Keys,
         control: Rc<dyn RouterControl>,
-    ) -> Result<Parts, StartError> {
+    ) -> Result<AgentComponents, StartError> {
         let (settings, keys) = (Rc::new(settings), Rc::new(RefCell::new(keys)));
         let connections = connect(&settings, &keys, settings.reply_timeout);
-        // A second member can be tried within the time of an order.
+        // Half of the order timeout leaves time to submit to a second member if the first does not reply.
         let command_connections = connect(&settings, &keys, settings.order_timeout / 2);
         let incarnation = incarnation::choose(&connections, settings.own_index).await;
         let acceptor = acceptor(&settings, incarnation).await;
@@ -197,7 +197,7 @@
             command_connections,
         ));
         let rejected = Rc::default();
-        Ok(Parts {
+        Ok(AgentComponents {
             settings,
             keys,
             control,
--- a/router/src/fleet/control.rs
+++ b/router/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! What the fleet needs of the router that it runs in.
+//! Interface through which the fleet agent controls and observes the router process it runs in.
 
 use std::collections::BTreeMap;
 
@@ -6,75 +6,75 @@
 use tallypin_consensus::replica_drains::{ReplicaView, UnixMs};
 use tallypin_membership::AdvertisedStatus;
 
-/// The router's shutdown has gone too far to be changed.
+/// The router is shutting down, and its drain can no longer be started or reverted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the router is shutting down")]
 pub struct ShuttingDown;
 
-/// Why a router could not start with a file.
+/// Why the router could not start with a released file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidArtifact {
-    /// It is not UTF-8.
-    #[error("not text")]
+    /// The file is not UTF-8.
+    #[error("the file is not UTF-8 text")]
     NotText,
-    /// The first problem of a settings file, with its line.
+    /// A settings file is invalid: its first problem, with the line.
     #[error("{0}")]
     Settings(String),
-    /// The first problem of a configuration.
+    /// A configuration is invalid: its first problem.
     #[error("{0}")]
     Configuration(String),
 }
 
-/// A replica that operators have put back.
+/// A replica that operators have returned to service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RestoredReplica {
-    /// Its id in the endpoint list.
+    /// Id of the replica in the endpoint list.
     pub id: String,
-    /// When it was put back, Unix ms: it warms up from then on.
+    /// Time of its return to service, Unix ms, at which its slow start begins.
     pub at: UnixMs,
 }
 
-/// What the fleet can have a router do, and ask of it.
+/// Operations and observations that the router process offers to the fleet agent.
 pub trait RouterControl {
-    /// Begins to drain.
+    /// Begins to drain the router.
     ///
     /// # Errors
     ///
-    /// It is shutting down already.
+    /// The router is already shutting down.
     fn begin_drain(&self) -> Result<(), ShuttingDown>;
 
-    /// Takes new requests again.
+    /// Returns the router to service after a drain.
     ///
     /// # Errors
     ///
-    /// It is shutting down already.
+    /// The router is already shutting down.
     fn resume_service(&self) -> Result<(), ShuttingDown>;
 
-    /// Whether it has drained: nothing that it took before is in flight.
+    /// Returns whether the router has drained and has no request in flight.
     fn is_drained(&self) -> bool;
 
     /// Shuts the process down.
     fn shut_down(&self);
 
-    /// The status that it advertises to the council.
+    /// Returns the status that heartbeats advertise to the council.
     fn advertised_status(&self) -> AdvertisedStatus;
 
-    /// Its final answers since its start.
+    /// Returns the counts of final answers since the start of the process.
     fn answer_counts(&self) -> AnswerCounts;
 
-    /// The listed replicas by id; `None`: the endpoint list is stale.
+    /// Returns the listed replicas by id; `None` while the endpoint list is stale.
     fn replica_views(&self) -> Option<BTreeMap<String, ReplicaView>>;
 
-    /// Replaces the operator overrides: which replicas are drained, and which were put back.
+    /// Replaces the operator overrides: the drained replicas and the replicas returned to service.
     fn set_replica_overrides(&self, drained: &[String], restored: &[RestoredReplica]);
 
-    /// Whether it has requests in flight at a replica.
+    /// Returns whether this router has requests in flight at a replica.
     fn has_in_flight(&self, replica: &str) -> bool;
 
-    /// Checks that it could start with these bytes as its file of this kind.
+    /// Checks that the router could start with these bytes as the named artifact.
     ///
     /// # Errors
     ///
-    /// What is wrong with them.
+    /// The bytes are not valid for the artifact.
     fn validate_artifact(&self, artifact: &str, bytes: &[u8]) -> Result<(), InvalidArtifact>;
 }
--- a/router/src/fleet/local_router.rs
+++ b/router/src/fleet/local_router.rs
@@ -1,4 +1,4 @@
-//! This router as the others know it: index, incarnation, and the sequence numbers of its calls.
+//! Identity of this router in its fleet: index, incarnation, and the sequence numbers of its calls.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 
 use super::wire::{Call, HeartbeatReport, Request, VERSION};
 
-/// This router. Times are ns since its creation, by a clock that is never set.
+/// This router. Times are ns since its creation, by the monotonic clock.
 pub struct LocalRouter {
     index: RouterIndex,
     incarnation: Incarnation,
@@ -18,7 +18,7 @@
 }
 
 impl LocalRouter {
-    /// A router that has just started.
+    /// Creates the identity of a router that has just started.
     pub fn new(index: RouterIndex, incarnation: Incarnation) -> LocalRouter {
         LocalRouter {
             index,
@@ -29,22 +29,22 @@
         }
     }
 
-    /// Its index in the fleet's settings.
+    /// Returns the index of this router in the fleet's settings.
     pub fn index(&self) -> RouterIndex {
         self.index
     }
 
-    /// This start of its process.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The time since its start, ns.
+    /// Returns the time since the start, in ns.
     pub fn now(&self) -> Nanos {
         self.started.elapsed().as_nanos() as u64
     }
 
-    /// A call with the next sequence number.
+    /// Creates a call with the next sequence number.
     pub fn next_call(&self, request: Request, report: Option<HeartbeatReport>) -> Call {
         self.last_sequence.set(self.last_sequence.get() + 1);
         Call {
@@ -57,14 +57,15 @@
         }
     }
 
-    /// A drawn number, for the id of an order.
+    /// Returns a random number for the id of an order.
     pub fn random_id(&self) -> u64 {
         self.rng.borrow_mut().u64(..)
     }
 
-    /// A drawn time between half of `longest` and `longest`, by whole ms: two routers that collide part.
-    pub fn jittered(&self, longest: Duration) -> Duration {
-        let longest = longest.as_millis() as u64;
-        Duration::from_millis(self.rng.borrow_mut().u64(longest / 2..=longest))
+    /// Returns a random duration between half of `max` and `max`, in whole ms. Keeps routers that collided from colliding
+    /// again.
+    pub fn jittered(&self, max: Duration) -> Duration {
+        let max_ms = max.as_millis() as u64;
+        Duration::from_millis(self.rng.borrow_mut().u64(max_ms / 2..=max_ms))
     }
 }
--- a/router/src/fleet/mod.rs
+++ b/router/src/fleet/mod.rs
@@ -1,20 +1,20 @@
-//! A router's part in its fleet, where the settings have a section `fleet`: the routers agree on who is out of service, on
-//! drained replicas and on releases.
+//! Fleet membership of a router, enabled by section `fleet` of the settings: the routers agree on which routers are out of
+//! service, on drained replicas and on releases.
 //!
-//! Decisions are made by `tallypin_membership` and `tallypin_consensus`, which do no input or output. Here are
-//! connections, time, files and tasks, none of them in the path of a request:
+//! `tallypin_membership` and `tallypin_consensus` make the decisions and do no input or output. The modules here handle
+//! connections, time, files and tasks. None of them is in the path of a request:
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `agent` | puts the parts together and owns their tasks |
+//! | `agent` | builds the components and owns their tasks |
 //! | `wire`, `connection`, `server` | the messages; calls to council members; replies to calls |
-//! | `heartbeat`, `peer_table` | reports to the council; what the others have reported |
-//! | `council`, `proposer`, `submission`, `bootstrap` | the acceptors; rounds; commands of this router; joining |
-//! | `known_state`, `state_follower` | what is agreed on; this router's own drains and returns |
+//! | `heartbeat`, `peer_table` | heartbeats to the council; heartbeats received from other routers |
+//! | `council`, `proposer`, `submission`, `bootstrap` | acceptors; proposal rounds; this router's commands; joining |
+//! | `known_state`, `state_follower` | the agreed fleet state; this router's own drain and return to service |
 //! | `release_controller`, `artifacts`, `release_files`, `release_plan` | releases: waves, files on disk, plans |
 //! | `operator_orders`, `order_execution`, `status_report` | orders of `tallypin fleet` and their answers |
-//! | `persistence`, `stored_state`, `key_reload`, `disk` | files that are read at the start or meanwhile, and written |
-//! | `control`, `settings`, `local_router`, `incarnation`, `tasks` | the router that this is a part of; basics |
+//! | `persistence`, `stored_state`, `key_reload`, `disk` | the stored fleet state, the key file, file operations |
+//! | `control`, `settings`, `local_router`, `incarnation`, `tasks` | interface to the router process; shared basics |
 
 #![deny(clippy::too_many_lines, clippy::cognitive_complexity, clippy::missing_errors_doc)]
 
@@ -54,7 +54,7 @@
 
 use tallypin_consensus::replica_drains::UnixMs;
 
-/// The time as routers tell it each other. Of a clock before 1970: 0.
+/// Returns the current Unix time in ms, the unit of times in messages; 0 if the clock is set before 1970.
 fn unix_ms() -> UnixMs {
     std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/router/src/fleet/tasks/tests.rs
+++ b/router/src/fleet/tasks/tests.rs
@@ -6,14 +6,14 @@
 
 #[tokio::test(flavor = "current_thread")]
 async fn an_aborted_group_drops_what_its_tasks_own() {
-    let in_set = LocalSet::new();
-    in_set
+    let local_set = LocalSet::new();
+    local_set
         .run_until(async {
             let (group, owned) = (Rc::new(TaskGroup::default()), Rc::new(()));
-            // The task owns the group that owns the task, as those of an agent do.
-            let (of_task, of_group) = (owned.clone(), group.clone());
+            // The task owns the group that owns the task: the same reference cycle as in an agent.
+            let (task_value, task_group) = (owned.clone(), group.clone());
             group.spawn(async move {
-                let _held = (of_task, of_group);
+                let _owned_by_task = (task_value, task_group);
                 std::future::pending::<()>().await;
             });
             yield_now().await;
--- a/router/src/operator_override/tests.rs
+++ b/router/src/operator_override/tests.rs
@@ -8,11 +8,11 @@
     EndpointEntry { replica: ReplicaId(id), state, started_at, ..EndpointEntry::default() }
 }
 
-/// Two replicas, both started at 5.
+/// A list of two replicas, both started at 5 ns.
 fn list() -> OverriddenList {
     let mut list = OverriddenList::default();
     let all = vec![entry(1, Ready, 5), entry(2, Ready, 5)];
-    assert_eq!(list.apply_update(ListUpdate::Full, all.clone()), all, "nothing is laid over it");
+    assert_eq!(list.apply_update(ListUpdate::Full, all.clone()), all, "no entry is overridden");
     list
 }
 
@@ -24,8 +24,8 @@
 fn a_drained_replica_stays_drained_whatever_the_list_says() {
     let mut list = list();
     assert_eq!(list.set_overrides(&[FIRST, UNLISTED], &[]), [entry(1, Draining, 5)]);
-    assert_eq!(list.set_overrides(&[FIRST, UNLISTED], &[]), [], "once");
-    // It starts again, elsewhere: it is still drained. Another that takes its address is another.
+    assert_eq!(list.set_overrides(&[FIRST, UNLISTED], &[]), [], "unchanged overrides change no entry");
+    // The drained replica restarts and remains drained. A different replica is not affected.
     assert_eq!(update(&mut list, entry(1, Ready, 8)), [entry(1, Draining, 8)]);
     let all = vec![entry(1, Ready, 8), entry(3, Ready, 1)];
     assert_eq!(list.apply_update(ListUpdate::Full, all)[1], entry(3, Ready, 1));
@@ -38,9 +38,13 @@
     update(&mut list, entry(1, Ready, 8));
     let restored = Restoration { replica: FIRST, at: 20 };
     assert_eq!(list.set_overrides(&[], &[restored]), [entry(1, Ready, 20)]);
-    assert_eq!(update(&mut list, entry(1, Ready, 8)), [entry(1, Ready, 20)], "no start by the list's word");
-    assert_eq!(list.set_overrides(&[], &[]), [], "no longer named, and still the same start");
-    assert_eq!(update(&mut list, entry(1, Ready, 30)), [entry(1, Ready, 30)], "a real one");
+    assert_eq!(update(&mut list, entry(1, Ready, 8)), [entry(1, Ready, 20)], "the listed start is earlier");
+    assert_eq!(
+        list.set_overrides(&[], &[]),
+        [],
+        "the start time is kept when the replica is no longer named"
+    );
+    assert_eq!(update(&mut list, entry(1, Ready, 30)), [entry(1, Ready, 30)], "the listed start is later");
 }
 
 #[test]
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -1,5 +1,5 @@
-//! What the fleet has this process do: it drains in the stages that health checks show to balancers, serves again, shuts
-//! down to start with another file, and sends nothing new to replicas that operators have drained.
+//! Control of the router process by the fleet agent: draining in the stages that health checks show to load balancers,
+//! return to service, shutdown to start with a released file, and operator overrides of replicas.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -23,26 +23,26 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// This process as the fleet controls it.
+/// The fleet agent's control of this process.
 pub struct ProcessControl {
-    /// Its requests and connections.
+    /// Requests and connections of the router.
     pub components: Rc<Components>,
-    /// The state that balancers see.
+    /// Health state that load balancers see.
     pub board: Rc<Board>,
-    /// Its settings file: a released one is read in its place.
+    /// Path of the settings file, which a released one would replace.
     pub settings: PathBuf,
 }
 
 impl ProcessControl {
-    fn request_phase(&self, wish: DrainGoal, order: OperatorOrder) -> Result<(), ShuttingDown> {
-        if !self.board.want(wish, order) {
+    fn request_phase(&self, goal: DrainGoal, order: OperatorOrder) -> Result<(), ShuttingDown> {
+        if !self.board.want(goal, order) {
             return Err(ShuttingDown);
         }
         signals::follow(&self.components.lifecycle, self.board.phase());
         Ok(())
     }
 
-    /// Reads a settings file with this text in its place, and the files that it includes as they are.
+    /// Checks this text as the content of the settings file, with the included files as they are on disk.
     fn validate_settings(&self, text: &str) -> Result<(), InvalidArtifact> {
         let read = |path: &Path| match path == self.settings {
             true => Ok(text.to_string()),
@@ -52,7 +52,7 @@
             Ok(_) => Ok(()),
             Err(problems) => {
                 let first = problems.short().next();
-                Err(InvalidArtifact::Settings(first.unwrap_or_else(|| "not understood".into())))
+                Err(InvalidArtifact::Settings(first.unwrap_or_else(|| "the settings are invalid".into())))
             }
         }
     }
@@ -68,19 +68,19 @@
     }
 
     fn is_drained(&self) -> bool {
-        // Streams that were taken before are finished: the end itself waits for them as well.
+        // Streams accepted before the drain have finished too; the shutdown would wait for them as well.
         self.board.phase() == DrainPhase::Drained && self.components.with(|core, _| core.open_requests()) == 0
     }
 
     fn shut_down(&self) {
-        // It shuts down already: as wanted.
+        // An error means that the process is already shutting down.
         let _ = self.request_phase(DrainGoal::Exit, OperatorOrder::Drain);
     }
 
     fn advertised_status(&self) -> AdvertisedStatus {
         match (self.board.phase(), self.board.assessment().state) {
             (DrainPhase::ShuttingDown, _) => AdvertisedStatus::Ending,
-            // It has just started, or has lost all: whoever came would be turned away.
+            // No replica is ready, after the start or because all were lost: new requests would be rejected.
             (DrainPhase::Serving, _) if self.components.replicas.ready_count() == 0 => {
                 AdvertisedStatus::Starting
             }
@@ -95,7 +95,7 @@
             answered: counts.completed + counts.interrupted + counts.rejected + counts.failed,
             failed: counts.failed + counts.interrupted,
             late,
-            // A tenant over its quota says nothing of the release.
+            // Rejections of tenants over their quota are not attributable to a release.
             rejected: counts.rejected - counts.rejected_over_quota,
         }
     }
@@ -128,7 +128,8 @@
         let drained: Vec<_> = drained.iter().map(|id| name_hash::replica_id(id)).collect();
         self.components.with(|core, now| {
             let restored = restored.iter().map(|replica| {
-                // A clock that is ahead of ours makes no replica warm up for longer than one that starts now.
+                // Limited to the present: if the sender's clock is ahead, the slow start lasts no longer than that of a
+                // replica that starts now.
                 let at = replica.at.saturating_mul(NANOS_PER_MS).min(now);
                 Restoration { replica: name_hash::replica_id(&replica.id), at }
             });
@@ -148,7 +149,7 @@
                 Ok(_) => Ok(()),
                 Err(error) => Err(InvalidArtifact::Configuration(error.to_string())),
             },
-            // Of a program nothing is known before it starts.
+            // A program can't be validated without starting it.
             _ => Ok(()),
         }
     }
