--- a/router/src/fleet/bootstrap.rs
+++ b/router/src/fleet/bootstrap.rs
@@ -1,5 +1,5 @@
-//! How a member of the council takes part after its start: the others agree on its incarnation, or, where too few
-//! remember anything, all begin anew on the newest state that one of them has stored.
+//! Joining of a council member after its start. Normally the other members agree on its new incarnation. If too few
+//! members have a value to form a majority, all of them bootstrap from the newest state that one of them has stored.
 
 use std::rc::Rc;
 
@@ -17,38 +17,39 @@
 use super::settings::FleetSettings;
 use super::submission::CommandSubmitter;
 
-/// Has this member take part in the council.
+/// Task that joins this member to the council.
 pub struct CouncilJoin {
     /// The fleet's settings.
     pub settings: Rc<FleetSettings>,
     /// This router.
     pub local: Rc<LocalRouter>,
-    /// The council that it joins.
+    /// The council to join.
     pub council: Rc<Council>,
-    /// Numbers the ballots.
+    /// Supplies the ballots of bootstrap rounds.
     pub proposer: Rc<CommandProposer>,
-    /// Has the new incarnation agreed on.
+    /// Submits the command that admits the new incarnation.
     pub submitter: Rc<CommandSubmitter>,
-    /// Takes a first state.
+    /// Receives the bootstrapped state.
     pub state: Rc<KnownState>,
 }
 
-/// What the members answered to a prepare, for a first value.
-struct Survey {
-    /// By member; `None`: it did not answer.
+/// Replies of the members to the prepare request of a bootstrap round.
+struct PrepareReplies {
+    /// Report of each member, by member index; `None` for a member that did not reply.
     reports: Vec<Option<MemberReport<FleetState>>>,
-    /// What those without a value have on their disks.
+    /// States that members without an accepted value have stored on disk.
     stored: Vec<FleetState>,
 }
 
 impl CouncilJoin {
-    /// Tries again and again until this member takes part.
+    /// Retries until this member has joined the council.
     pub async fn run(self) {
         let interval = self.settings.heartbeat.interval;
         let own = self.settings.own_member_index().unwrap_or(0);
         let member = CouncilMember { member: own as MemberIndex, incarnation: self.local.incarnation() };
         while self.council.is_joining() {
-            // By whoever proposes for all: a round of its own would be overtaken by theirs, again and again.
+            // Submitted to the member that proposes for all routers: rounds of a second proposer would be superseded
+            // by its rounds repeatedly.
             match self.submitter.submit(&Command::JoinCouncil(member)).await {
                 Ok(_) => drop(self.submitter.read_in_time().await),
                 Err(_) => drop(timeout(self.settings.order_timeout, self.bootstrap()).await),
@@ -58,20 +59,21 @@
             }
             sleep(self.local.jittered(interval)).await;
         }
-        tracing::info!(target: "fleet", "joined the council");
+        tracing::info!(target: "fleet", "router joined the council");
     }
 
-    /// Has all members accept a first state, if too few remember to agree on anything. Any member without a value may: of
-    /// two at once one fails, as its prepare is no longer the last that all have answered.
+    /// Makes all members accept an initial state if too few of them have a value to form a majority. Any member without a
+    /// value may do this. If two do it at the same time, one fails: its prepare is no longer the last one that all members
+    /// have answered.
     async fn bootstrap(&self) {
         let ballot = self.proposer.next_ballot();
-        let Survey { reports, stored } = self.survey(ballot).await;
-        let newest = |held: Option<&FleetState>| {
-            FleetState::bootstrap(held.into_iter().chain(&stored).max_by_key(|state| state.version))
+        let PrepareReplies { reports, stored } = self.prepare_all(ballot).await;
+        let newest = |accepted: Option<&FleetState>| {
+            FleetState::bootstrap(accepted.into_iter().chain(&stored).max_by_key(|state| state.version))
         };
         let Some(value) = bootstrap_value(&reports, newest) else { return };
         let state = value.state.clone();
-        let mut answers = self.council.ask_all(&AcceptorRequest::Bootstrap(Proposal { ballot, value }));
+        let mut answers = self.council.send_to_all(&AcceptorRequest::Bootstrap(Proposal { ballot, value }));
         let mut accepted = 0;
         while let Some(CouncilAnswer { answer, .. }) = answers.recv().await {
             let reply = answer.map(|answer| answer.reply);
@@ -85,27 +87,27 @@
         }
     }
 
-    async fn survey(&self, ballot: Ballot) -> Survey {
-        let mut survey = Survey { reports: vec![None; self.council.size()], stored: vec![] };
-        let mut answers = self.council.ask_all(&AcceptorRequest::Prepare(ballot));
+    async fn prepare_all(&self, ballot: Ballot) -> PrepareReplies {
+        let mut replies = PrepareReplies { reports: vec![None; self.council.size()], stored: vec![] };
+        let mut answers = self.council.send_to_all(&AcceptorRequest::Prepare(ballot));
         while let Some(CouncilAnswer { member, answer, .. }) = answers.recv().await {
             let Some(MemberAnswer { reply, .. }) = answer else { continue };
             let report = match reply {
                 AcceptorReply::Uninitialized { incarnation, stored } => {
-                    survey.stored.extend(stored);
+                    replies.stored.extend(stored);
                     Some(MemberReport { incarnation, accepted: None })
                 }
                 AcceptorReply::Promised { incarnation, accepted } => {
                     Some(MemberReport { incarnation, accepted })
                 }
                 AcceptorReply::Superseded(higher) => {
-                    self.proposer.note_ballot(higher);
+                    self.proposer.observe_ballot(higher);
                     None
                 }
                 _ => None,
             };
-            survey.reports[usize::from(member)] = report;
+            replies.reports[usize::from(member)] = report;
         }
-        survey
+        replies
     }
 }
--- a/router/src/fleet/connection.rs
+++ b/router/src/fleet/connection.rs
@@ -1,6 +1,6 @@
-//! Connections to the members of the council: one each, kept open, with one call at a time and a timeout for each call.
+//! Persistent connections to the council members. Each connection makes one call at a time, with a timeout per call.
 //!
-//! A member that accepts connections and never answers costs its own calls their timeout and delays nobody else.
+//! A member that accepts connections but never replies makes its own calls time out and delays no call to other members.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -16,7 +16,7 @@
 
 use super::wire::{self, Call, Direction, Keys, MessageError, Reply};
 
-/// Calls that may wait for one member; a further one fails at once, as its reply would come too late to count.
+/// Maximum number of queued calls per member. Further calls fail at once: their replies would arrive too late to be used.
 const MAX_PENDING_CALLS: usize = 8;
 
 struct PendingCall {
@@ -24,16 +24,16 @@
     reply: oneshot::Sender<Reply>,
 }
 
-/// Why a call has no reply.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
     /// The member did not reply within the timeout.
-    #[error("timed out")]
+    #[error("no reply within the call timeout")]
     TimedOut,
-    /// A reply came that belongs to another call, or is of another version.
-    #[error("another call's answer")]
+    /// The reply has another sequence number than the call, or another message version.
+    #[error("the reply belongs to another call or has another message version")]
     Mismatched,
-    /// The message could not be sent, or the reply not be read.
+    /// The call could not be sent, or its reply could not be read.
     #[error("{0}")]
     Message(#[from] MessageError),
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// The connection to one member. Its task ends with it.
+/// Connection to one council member. Dropping it ends its task.
 pub struct CouncilConnection {
     calls: mpsc::Sender<PendingCall>,
     reachable: Rc<Cell<bool>>,
@@ -52,7 +52,7 @@
 }
 
 impl CouncilConnection {
-    /// Starts the task that makes the calls. It connects with the first of them.
+    /// Starts the task that makes the calls. It connects when it makes the first call.
     pub fn start(address: SocketAddr, keys: Rc<RefCell<Keys>>, call_timeout: Duration) -> CouncilConnection {
         let (calls, pending) = mpsc::channel(MAX_PENDING_CALLS);
         let reachable = Rc::new(Cell::new(false));
@@ -62,8 +62,9 @@
         CouncilConnection { calls, reachable, _task: task }
     }
 
-    /// Makes a call; `None`: there was no reply in time. The call is in the queue when this returns, and is made whether
-    /// the future is polled or not; one whose future has been dropped by its turn is passed over.
+    /// Makes a call and returns its reply; `None` if the queue is full, the call failed or it timed out. The call is queued
+    /// before this function returns and is made even if the future is not polled. A call whose future was dropped while it
+    /// was queued is skipped.
     pub fn call(&self, call: Call) -> impl Future<Output = Option<Reply>> + 'static {
         let (reply, replied) = oneshot::channel();
         let queued = self.calls.try_send(PendingCall { call, reply });
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Whether the last call had a reply.
+    /// Returns whether the last call received a reply.
     pub fn is_reachable(&self) -> bool {
         self.reachable.get()
     }
@@ -91,7 +92,7 @@
     async fn run(mut self, mut pending: mpsc::Receiver<PendingCall>) {
         while let Some(PendingCall { call, reply }) = pending.recv().await {
             if reply.is_closed() {
-                continue; // Nobody waits for it any more.
+                continue; // The caller has dropped its future.
             }
             match self.call(&call).await {
                 Ok(received) => {
@@ -102,7 +103,7 @@
                     if self.reachable.replace(false) {
                         tracing::warn!(target: "fleet", address = %self.address, %error, "council member not reachable");
                     }
-                    // What may still come on it would be taken for the reply to the next call.
+                    // A late reply on this stream would be read as the reply to the next call.
                     self.stream = None;
                 }
             }
--- a/router/src/fleet/heartbeat.rs
+++ b/router/src/fleet/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to all members of the council, each with a report of what this router does.
+//! Heartbeats to all council members, each with a report on this router's answers, applied state and running artifact.
 
 use std::rc::Rc;
 
@@ -17,49 +17,49 @@
 use super::tasks::TaskGroup;
 use super::wire::{HeartbeatReport, Request, Response};
 
-/// Sends this router's heartbeats and reports.
+/// Task that sends this router's heartbeats and reports.
 pub struct HeartbeatSender {
     /// The fleet's settings.
     pub settings: Rc<FleetSettings>,
     /// This router.
     pub local: Rc<LocalRouter>,
-    /// Source of its status and counts.
+    /// Source of the advertised status and the answer counts.
     pub control: Rc<dyn RouterControl>,
-    /// Source of the digest that it runs.
+    /// Source of the running digest.
     pub artifacts: Rc<Artifacts>,
-    /// Receives the heartbeats.
+    /// The council that receives the heartbeats.
     pub council: Rc<Council>,
-    /// Receives its own heartbeat, if it is a member.
+    /// Records this router's own heartbeat if it is a member.
     pub peers: Rc<PeerTable>,
-    /// Takes the versions that members reply.
+    /// Receives the state versions that members return.
     pub state: Rc<KnownState>,
-    /// Owns the calls.
+    /// Owns the tasks of the calls.
     pub tasks: Rc<TaskGroup>,
 }
 
 impl HeartbeatSender {
-    /// Sends them at the heartbeat interval. Never returns.
+    /// Sends a heartbeat to each member per heartbeat interval. Never returns.
     pub async fn run(self) {
         let sender = Rc::new(self);
         let mut ticks = interval(sender.settings.heartbeat.interval);
-        // After a pause of the process one heartbeat, not all that were missed.
+        // After a pause of the process, sends one heartbeat instead of all missed ones.
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            sender.peers.note_clock(sender.local.now());
+            sender.peers.observe_clock(sender.local.now());
             let status = sender.status();
             for member in 0..sender.council.size() {
-                let each = sender.clone();
+                let task_sender = sender.clone();
                 sender.tasks.spawn(async move {
-                    let version = each.send(member, status).await;
-                    each.state.note_version(version);
+                    let version = task_sender.send(member, status).await;
+                    task_sender.state.observe_version(version);
                 });
             }
         }
     }
 
-    /// A member that has restarted counts as out of service until it has joined: else the next one could restart as well,
-    /// and the council lose its majority.
+    /// Returns the status to advertise. A member that has restarted advertises `Starting` until it has joined: otherwise
+    /// the next member could restart too early, and the council would lose its majority.
     fn status(&self) -> AdvertisedStatus {
         match self.council.is_joining() {
             true => AdvertisedStatus::Starting,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// The version that the member has accepted; `None`: it has accepted none, or did not answer.
+    /// Sends a heartbeat and returns the state version that the member has accepted; `None` if it has accepted none or did
+    /// not reply.
     async fn send(&self, member: usize, status: AdvertisedStatus) -> Option<u64> {
         let report = self.report();
         let Some(connection) = self.council.connection(member) else {
@@ -95,7 +96,7 @@
 
     fn applied(&self, state: &FleetState) -> AppliedState {
         let drained = state.replicas.iter().filter(|(_, r)| matches!(r.stage, ReplicaStage::OutOfService(_)));
-        let in_use = drained.map(|(id, _)| id.clone()).filter(|id| self.control.has_in_flight(id));
-        AppliedState { version: state.version, in_flight: in_use.collect() }
+        let in_flight = drained.map(|(id, _)| id.clone()).filter(|id| self.control.has_in_flight(id));
+        AppliedState { version: state.version, in_flight: in_flight.collect() }
     }
 }
--- a/router/src/fleet/known_state.rs
+++ b/router/src/fleet/known_state.rs
@@ -1,4 +1,4 @@
-//! The newest fleet state that this router knows to be agreed on.
+//! The newest chosen fleet state that this router knows.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -11,18 +11,18 @@
 
 use super::control::{RestoredReplica, RouterControl};
 
-/// The newest known state. It never goes back to an older version.
+/// The newest known fleet state. Its version never decreases.
 pub struct KnownState {
     control: Rc<dyn RouterControl>,
     state: RefCell<Option<FleetState>>,
-    /// The newest version that any member has reported: a hint to read.
+    /// Highest version that any member has reported. A version above the known one triggers a read.
     latest_version_seen: Cell<u64>,
     changed: Notify,
     first_known: Notify,
 }
 
 impl KnownState {
-    /// Of a router that knows nothing yet.
+    /// Creates the holder without a known state.
     pub fn new(control: Rc<dyn RouterControl>) -> KnownState {
         KnownState {
             control,
@@ -33,22 +33,22 @@
         }
     }
 
-    /// A copy of it; `None`: nothing is known yet.
+    /// Returns a copy of the state; `None` before the first state is known.
     pub fn current(&self) -> Option<FleetState> {
         self.state.borrow().clone()
     }
 
-    /// Looks at it without a copy.
-    pub fn with<T>(&self, look: impl FnOnce(Option<&FleetState>) -> T) -> T {
-        look(self.state.borrow().as_ref())
+    /// Calls a function with a reference to the state and returns its result. Avoids a copy of the state.
+    pub fn with<T>(&self, read: impl FnOnce(Option<&FleetState>) -> T) -> T {
+        read(self.state.borrow().as_ref())
     }
 
-    /// Its version.
+    /// Returns the version of the state; `None` before the first state is known.
     pub fn version(&self) -> Option<u64> {
         self.with(|state| state.map(|s| s.version))
     }
 
-    /// Takes a state that was agreed on, if it is newer, and lays its replica drains over the endpoint list.
+    /// Stores a chosen state if it is newer than the known one, and updates the operator overrides of replicas.
     pub fn learn(&self, state: &FleetState) {
         if self.version().is_some_and(|known| known >= state.version) {
             return;
@@ -69,28 +69,30 @@
         self.control.set_replica_overrides(&drained, &restored);
     }
 
-    /// Notes the version that a member has accepted; `None`: it has accepted none, or did not answer.
-    pub fn note_version(&self, version: Option<u64>) {
+    /// Records the version that a member has accepted; `None` if it has accepted none or did not reply.
+    pub fn observe_version(&self, version: Option<u64>) {
         self.latest_version_seen.set(self.latest_version_seen.get().max(version.unwrap_or(0)));
         if version > self.version() {
             self.changed.notify_one();
         }
     }
 
-    /// Whether a member has reported a newer version than the known one.
+    /// Returns whether a member has reported a newer version than the known one.
     pub fn is_behind(&self) -> bool {
         Some(self.latest_version_seen.get()) > self.version()
     }
 
-    /// Waits for a change, or for so long. Cancel-safe: a change that comes meanwhile is not lost.
-    pub async fn changed_or_after(&self, longest: Duration) {
-        let _ = timeout(longest, self.changed.notified()).await;
+    /// Waits for a change of the state or a newer reported version, at most for `max_wait`. Cancel-safe: a change that
+    /// happens while nobody waits is kept for the next call.
+    pub async fn wait_for_change(&self, max_wait: Duration) {
+        let _ = timeout(max_wait, self.changed.notified()).await;
     }
 
-    /// Waits until a state is known, or for so long. A router that serves before would send to drained replicas.
-    pub async fn wait_for_first(&self, longest: Duration) {
-        if self.version().is_none() && timeout(longest, self.first_known.notified()).await.is_err() {
-            tracing::warn!(target: "fleet", "serving without a known fleet state: no majority of the council answers");
+    /// Waits until a state is known, at most for `max_wait`. A router that serves earlier would send requests to drained
+    /// replicas.
+    pub async fn wait_for_first(&self, max_wait: Duration) {
+        if self.version().is_none() && timeout(max_wait, self.first_known.notified()).await.is_err() {
+            tracing::warn!(target: "fleet", "router starts to serve without a fleet state: no majority of the council replied");
         }
     }
 }
--- a/router/src/fleet/peer_table.rs
+++ b/router/src/fleet/peer_table.rs
@@ -1,4 +1,5 @@
-//! What this router has heard of the others: their heartbeats and reports, and the last calls, against repeated ones.
+//! State of the other routers as received here: heartbeats and reports, and the numbers of the last calls, by which
+//! replayed calls are rejected.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,38 +11,38 @@
     AdvertisedStatus, FailureDetector, HeartbeatTiming, Incarnation, Nanos, RouterIndex,
 };
 
-use super::wire::{Call, HeartbeatReport, NotClearReplica, Request};
+use super::wire::{Call, HeartbeatReport, RemainingUse, Request};
 
-/// Routers that still use a drained replica, of which the indices are reported; the rest is a count.
-const MAX_NAMED_ROUTERS: usize = 8;
+/// Maximum number of routers that are listed by index as users of a drained replica; further ones are only counted.
+const MAX_LISTED_ROUTERS: usize = 8;
 
-/// A call that is of no router of the fleet, or not newer than one before.
+/// A call from an unknown router, or one that is not newer than an earlier call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("of no router of the fleet, or sent again")]
-pub struct StaleCall;
+#[error("the call is from an unknown router or was received before")]
+pub struct RejectedCall;
 
-/// Orders the calls of a router.
+/// Number of a call, which increases with every call of a router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct CallNumber {
     incarnation: Incarnation,
     sequence: u64,
 }
 
-/// The last calls of a router, by its two connections: what comes by one may overtake what was sent by the other.
+/// The last calls of a router, one per connection: a call on one connection may overtake a call on the other.
 #[derive(Debug, Clone, Copy, Default)]
 struct LastCalls {
-    submitted: CallNumber,
-    other: CallNumber,
+    last_submit: CallNumber,
+    last_other: CallNumber,
 }
 
-/// The last report of a router, and which of its incarnations made it.
+/// The last report of a router, with the incarnation that sent it.
 #[derive(Debug, Clone)]
 struct PeerReport {
     incarnation: Incarnation,
     report: HeartbeatReport,
 }
 
-/// What is known of each router, by its index.
+/// Received state of each router, by router index.
 pub struct PeerTable {
     failure_detector: RefCell<FailureDetector>,
     last_calls: RefCell<Vec<LastCalls>>,
@@ -49,47 +50,47 @@
 }
 
 impl PeerTable {
-    /// Of a fleet of so many routers, of which nothing has been heard.
-    pub fn new(timing: HeartbeatTiming, routers: usize) -> PeerTable {
+    /// Creates the table of a fleet with `router_count` routers.
+    pub fn new(timing: HeartbeatTiming, router_count: usize) -> PeerTable {
         PeerTable {
-            failure_detector: RefCell::new(FailureDetector::new(timing, routers, 0)),
-            last_calls: RefCell::new(vec![LastCalls::default(); routers]),
-            reports: RefCell::new(vec![None; routers]),
+            failure_detector: RefCell::new(FailureDetector::new(timing, router_count, 0)),
+            last_calls: RefCell::new(vec![LastCalls::default(); router_count]),
+            reports: RefCell::new(vec![None; router_count]),
         }
     }
 
-    /// Notes a call, so that it counts once. One that asks for the caller's incarnation is always accepted: the caller does
-    /// not know yet which numbers are new.
+    /// Accepts a call and records its number, so that a replay is rejected. A request for the caller's incarnation is
+    /// always accepted: the caller does not know yet which numbers are new.
     ///
     /// # Errors
     ///
-    /// It is of no router of the fleet, or not newer than the last one.
-    pub fn accept_call(&self, call: &Call) -> Result<(), StaleCall> {
+    /// The caller is not a router of the fleet, or the call is not newer than its last one.
+    pub fn accept_call(&self, call: &Call) -> Result<(), RejectedCall> {
         if matches!(call.request, Request::Incarnation) {
             return Ok(());
         }
         let mut last_calls = self.last_calls.borrow_mut();
-        let last = last_calls.get_mut(usize::from(call.from)).ok_or(StaleCall)?;
+        let last = last_calls.get_mut(usize::from(call.from)).ok_or(RejectedCall)?;
         let last = match call.request {
-            Request::Submit(_) => &mut last.submitted,
-            _ => &mut last.other,
+            Request::Submit(_) => &mut last.last_submit,
+            _ => &mut last.last_other,
         };
         let number = CallNumber { incarnation: call.incarnation, sequence: call.sequence };
         if number <= *last {
-            return Err(StaleCall);
+            return Err(RejectedCall);
         }
         *last = number;
         Ok(())
     }
 
-    /// The latest incarnation of a router that its calls have named; 0: none was heard.
-    pub fn latest_incarnation(&self, of: RouterIndex) -> Incarnation {
+    /// Returns the latest incarnation in the calls of a router; 0 if no call was received.
+    pub fn latest_incarnation(&self, router: RouterIndex) -> Incarnation {
         let last_calls = self.last_calls.borrow();
-        let last = last_calls.get(usize::from(of)).copied().unwrap_or_default();
-        last.submitted.incarnation.max(last.other.incarnation)
+        let last = last_calls.get(usize::from(router)).copied().unwrap_or_default();
+        last.last_submit.incarnation.max(last.last_other.incarnation)
     }
 
-    /// Notes a heartbeat with its report.
+    /// Records a heartbeat and its report.
     pub fn record_heartbeat(
         &self,
         now: Nanos,
@@ -98,7 +99,7 @@
         advertised: AdvertisedStatus,
         mut report: HeartbeatReport,
     ) {
-        // One of an earlier incarnation, or of no router of the fleet, says nothing.
+        // The failure detector ignores heartbeats of an earlier incarnation and of unknown routers.
         let _ = self.failure_detector.borrow_mut().record_heartbeat(now, from, incarnation, advertised);
         report.applied.in_flight.truncate(MAX_REPLICA_DRAINS);
         if let Some(last) = self.reports.borrow_mut().get_mut(usize::from(from)) {
@@ -106,32 +107,33 @@
         }
     }
 
-    /// Notes that the clock reads `now`: a pause of this process is not taken for silence of the others.
-    pub fn note_clock(&self, now: Nanos) {
+    /// Passes the current time to the failure detector, so that a pause of this process does not count as silence of the
+    /// other routers.
+    pub fn observe_clock(&self, now: Nanos) {
         self.failure_detector.borrow_mut().note_clock(now);
     }
 
-    /// Routers that this one takes to be out of service, however little it has heard.
+    /// Returns the routers that this one considers out of service, even if it has not listened long enough to vote.
     pub fn out_of_service(&self, now: Nanos) -> BTreeSet<RouterIndex> {
         self.failure_detector.borrow_mut().out_of_service(now).into_iter().collect()
     }
 
-    /// The same as a vote; `None`: it has not listened for long enough to tell.
+    /// Returns the routers that this one votes to be out of service; `None` if it has not listened long enough to tell.
     pub fn out_of_service_vote(&self, now: Nanos) -> Option<Vec<RouterIndex>> {
         let mut detector = self.failure_detector.borrow_mut();
         detector.note_clock(now);
         detector.can_detect_silence(now).then(|| detector.out_of_service(now))
     }
 
-    /// For each drained replica of a state: which routers still use it, as far as heard here.
-    pub fn replicas_not_clear(&self, now: Nanos, state: &FleetState) -> Vec<NotClearReplica> {
+    /// Returns, for each drained replica of a state, the routers that still use it according to the received reports.
+    pub fn remaining_uses(&self, now: Nanos, state: &FleetState) -> Vec<RemainingUse> {
         let (detector, reports) = (self.failure_detector.borrow(), self.reports.borrow());
         let uses: Vec<ReplicaUse> = (0..)
             .zip(reports.iter())
             .map(|(router, report): (RouterIndex, _)| {
-                // The report of an earlier incarnation says nothing of this one.
-                let alive = detector.live_peer(now, router).map(|peer| peer.incarnation);
-                let report = report.as_ref().filter(|r| Some(r.incarnation) == alive);
+                // The report of an earlier incarnation does not apply to the live one.
+                let live_incarnation = detector.live_peer(now, router).map(|peer| peer.incarnation);
+                let report = report.as_ref().filter(|r| Some(r.incarnation) == live_incarnation);
                 ReplicaUse {
                     applied: report.map(|r| &r.report.applied),
                     has_left: detector.has_left(now, router),
@@ -146,14 +148,14 @@
             .map(|(id, since)| {
                 let mut first_routers = routers_not_clear(id, since, &uses);
                 let router_count = first_routers.len();
-                first_routers.truncate(MAX_NAMED_ROUTERS);
-                NotClearReplica { replica: id.clone(), router_count, first_routers }
+                first_routers.truncate(MAX_LISTED_ROUTERS);
+                RemainingUse { replica: id.clone(), router_count, first_routers }
             })
             .collect()
     }
 
-    /// What a release is judged by: of each router its answers, `None` if it is not alive. `None` in all: this router
-    /// has just started or was paused, and would take for a crash what is none.
+    /// Returns the reports by which a release is assessed, by router index; `None` for a router that is not alive. The whole
+    /// result is `None` if this router has just started or was paused: it would mistake live routers for crashed ones.
     pub fn release_reports(&self, now: Nanos) -> Option<Vec<Option<RouterReport>>> {
         let mut detector = self.failure_detector.borrow_mut();
         detector.note_clock(now);
@@ -170,15 +172,15 @@
         Some(reports.collect())
     }
 
-    /// How many routers have reported that they run a digest.
+    /// Returns the number of routers that report each running digest.
     pub fn running_digests(&self) -> BTreeMap<String, usize> {
-        let mut running = BTreeMap::new();
+        let mut counts = BTreeMap::new();
         for report in self.reports.borrow().iter().flatten() {
             if let Some(digest) = &report.report.running_digest {
-                *running.entry(digest.clone()).or_default() += 1;
+                *counts.entry(digest.clone()).or_default() += 1;
             }
         }
-        running
+        counts
     }
 }
 
--- a/router/src/fleet/peer_table/tests.rs
+++ b/router/src/fleet/peer_table/tests.rs
@@ -23,9 +23,9 @@
 fn a_call_is_accepted_once() {
     let table = table();
     assert_eq!(table.accept_call(&heartbeat(7, 1)), Ok(()));
-    assert_eq!(table.accept_call(&heartbeat(7, 1)), Err(StaleCall));
+    assert_eq!(table.accept_call(&heartbeat(7, 1)), Err(RejectedCall));
     assert_eq!(table.accept_call(&heartbeat(7, 3)), Ok(()));
-    assert_eq!(table.accept_call(&heartbeat(7, 2)), Err(StaleCall), "overtaken");
+    assert_eq!(table.accept_call(&heartbeat(7, 2)), Err(RejectedCall), "overtaken");
 }
 
 #[test]
@@ -35,21 +35,21 @@
         |sequence| call(7, sequence, Request::Submit(tallypin_consensus::fleet_state::Command::Read));
     assert_eq!(table.accept_call(&heartbeat(7, 5)), Ok(()));
     assert_eq!(table.accept_call(&submit(4)), Ok(()));
-    assert_eq!(table.accept_call(&submit(4)), Err(StaleCall));
+    assert_eq!(table.accept_call(&submit(4)), Err(RejectedCall));
 }
 
 #[test]
 fn calls_of_an_earlier_incarnation_are_rejected() {
     let table = table();
     assert_eq!(table.accept_call(&heartbeat(8, 1)), Ok(()));
-    assert_eq!(table.accept_call(&heartbeat(7, 9)), Err(StaleCall));
+    assert_eq!(table.accept_call(&heartbeat(7, 9)), Err(RejectedCall));
     assert_eq!((table.latest_incarnation(1), table.latest_incarnation(0)), (8, 0));
 }
 
 #[test]
-fn calls_of_no_router_of_the_fleet_are_rejected() {
+fn calls_of_unknown_routers_are_rejected() {
     let table = table();
-    assert_eq!(table.accept_call(&Call { from: 2, ..heartbeat(7, 1) }), Err(StaleCall));
+    assert_eq!(table.accept_call(&Call { from: 2, ..heartbeat(7, 1) }), Err(RejectedCall));
     assert_eq!(table.latest_incarnation(2), 0);
 }
 
@@ -60,16 +60,16 @@
     report.counts.answered = 9;
     table.record_heartbeat(4 * S, 1, 8, AdvertisedStatus::Serving, HeartbeatReport::default());
     table.record_heartbeat(4 * S, 1, 7, AdvertisedStatus::Serving, report);
-    assert_eq!(table.release_reports(4 * S), None, "it has just started to listen");
+    assert_eq!(table.release_reports(4 * S), None, "the table has just started to listen");
     table.record_heartbeat(8 * S, 1, 8, AdvertisedStatus::Serving, HeartbeatReport::default());
     let reports = table.release_reports(8 * S).unwrap_or_default();
     assert!(reports.iter().flatten().all(|r| (r.incarnation, r.counts.answered) == (8, 0)), "{reports:?}");
 }
 
 #[test]
-fn a_router_may_ask_for_its_incarnation_by_any_number() {
+fn an_incarnation_request_is_accepted_with_any_sequence_number() {
     let table = table();
     assert_eq!(table.accept_call(&heartbeat(8, 1)), Ok(()));
     assert_eq!(table.accept_call(&call(0, 0, Request::Incarnation)), Ok(()));
-    assert_eq!(table.accept_call(&heartbeat(8, 2)), Ok(()), "and that changes nothing");
+    assert_eq!(table.accept_call(&heartbeat(8, 2)), Ok(()), "the request changes no number");
 }
--- a/router/src/fleet/proposer.rs
+++ b/router/src/fleet/proposer.rs
@@ -1,6 +1,6 @@
-//! A member's rounds of agreement: commands that wait are proposed together, in as few rounds as it takes.
+//! Proposal rounds of a council member. Queued commands are proposed in batches, one batch per round.
 //!
-//! All routers submit to one member, so that hundreds of them do not overtake each other's rounds.
+//! All routers submit to the same member, so that hundreds of proposers do not supersede each other's rounds.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,14 +19,14 @@
 use super::unix_ms;
 use super::wire::CommandOutcome;
 
-/// The first and the longest pause after a round that another has overtaken, doubled in between: two that overtake each
-/// other part.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
-const LONGEST_BACKOFF: Duration = Duration::from_millis(640);
-/// Commands that one round applies at the most: bounds the time that it takes.
-const MAX_BATCH: usize = 64;
-/// Commands that may wait: a few of every router of the largest fleet.
-const MAX_QUEUED: usize = 4096;
+/// Backoff after the first superseded round. It doubles with every further one, so that two competing proposers diverge.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Upper bound of the backoff after a superseded round.
+const MAX_BACKOFF: Duration = Duration::from_millis(640);
+/// Maximum number of commands per round. Bounds the duration of a round.
+const MAX_BATCH_COMMANDS: usize = 64;
+/// Maximum number of queued commands: a few from every router of the largest fleet.
+const MAX_QUEUED_COMMANDS: usize = 4096;
 
 struct QueuedCommand {
     command: Command,
@@ -46,7 +46,7 @@
 }
 
 impl CommandProposer {
-    /// With an empty queue.
+    /// Creates a proposer with an empty queue.
     pub fn new(
         settings: Rc<FleetSettings>,
         local: Rc<LocalRouter>,
@@ -66,19 +66,19 @@
         }
     }
 
-    /// Has a command proposed with the next round, and waits for its outcome. `None`: this router is no member, too many
-    /// wait, or no round ended in time.
+    /// Queues a command for the next round and waits for its outcome; `None` if this router is not a member, the queue is
+    /// full, or no round completed in time.
     pub async fn enqueue(&self, command: Command) -> Option<CommandOutcome> {
-        if !self.council.is_member() || self.queue.borrow().len() >= MAX_QUEUED {
+        if !self.council.is_member() || self.queue.borrow().len() >= MAX_QUEUED_COMMANDS {
             return None;
         }
-        let (outcome, decided) = oneshot::channel();
+        let (outcome, receiver) = oneshot::channel();
         self.queue.borrow_mut().push(QueuedCommand { command, outcome });
         self.queued.notify_one();
-        decided.await.ok()
+        receiver.await.ok()
     }
 
-    /// Proposes what is queued, again and again. Never returns.
+    /// Proposes the queued commands batch by batch. Never returns.
     pub async fn run(self: Rc<Self>) {
         loop {
             self.queued.notified().await;
@@ -89,7 +89,7 @@
                 }
                 let (commands, outcomes): (Vec<_>, Vec<_>) =
                     batch.into_iter().map(|queued| (queued.command, queued.outcome)).unzip();
-                // Without a result the senders are dropped, which the waiting take for no majority.
+                // Without a result the senders are dropped, and the callers of `enqueue` receive `None`.
                 if let Some(results) = self.propose(&commands).await {
                     for (outcome, result) in outcomes.into_iter().zip(results) {
                         let _ = outcome.send(result);
@@ -101,18 +101,18 @@
 
     fn next_batch(&self) -> Vec<QueuedCommand> {
         let mut queue = self.queue.borrow_mut();
-        // Nobody waits for these any more.
+        // Drops commands whose submitter no longer waits for the outcome.
         queue.retain(|queued| !queued.outcome.is_closed());
-        // Operators' orders first: a halt does not wait for what it is to stop.
+        // Operator orders come first, so that a halt does not wait for the commands it is meant to stop.
         queue.sort_by_key(|queued| !queued.command.is_operator_order());
-        let count = queue.len().min(MAX_BATCH);
+        let count = queue.len().min(MAX_BATCH_COMMANDS);
         queue.drain(..count).collect()
     }
 
-    /// Rounds until one is not overtaken; `None`: none was within the time of an order.
+    /// Runs rounds until one is not superseded; `None` if none completed within the order timeout.
     async fn propose(&self, commands: &[Command]) -> Option<Vec<CommandOutcome>> {
         let deadline = (Instant::now() + self.settings.order_timeout).into();
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         let joining = commands.iter().filter_map(|command| match command {
             Command::JoinCouncil(member) => Some(*member),
             _ => None,
@@ -124,12 +124,12 @@
                 return Some(results);
             }
             timeout_at(deadline, sleep(self.local.jittered(backoff))).await.ok()?;
-            backoff = (backoff * 2).min(LONGEST_BACKOFF);
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
-    /// One round. Its commands are applied one after the other, each accepted or rejected by itself. `None`: another round
-    /// has overtaken it, or no majority answered.
+    /// Runs one round. The commands are applied in order, each accepted or rejected separately. `None` if another round
+    /// superseded this one or no majority replied.
     async fn run_round(
         &self,
         mut round: Proposer<FleetState>,
@@ -137,10 +137,10 @@
     ) -> Option<Vec<CommandOutcome>> {
         let mut view = self.empty_view(commands);
         let mut results: Vec<Result<(), Rejection>> = vec![];
-        let mut answers = self.council.ask_all(&round.request());
+        let mut answers = self.council.send_to_all(&round.request());
         while let Some(CouncilAnswer { member, request, answer }) = answers.recv().await {
             let Some(answer) = answer else { continue };
-            self.note_answer(&answer, &mut view);
+            self.observe_answer(&answer, &mut view);
             match round.handle_reply(member, &request, answer.reply) {
                 RoundStep::Wait => {}
                 RoundStep::Superseded(_) => return None,
@@ -151,7 +151,7 @@
                         return Some(outcomes(results, &FleetState::default()));
                     }
                     round.propose(applied.state);
-                    answers = self.council.ask_all(&round.request());
+                    answers = self.council.send_to_all(&round.request());
                 }
                 RoundStep::Chosen(value) => {
                     let state = value.state.clone();
@@ -175,10 +175,10 @@
         }
     }
 
-    /// Adds a promise's view of who is out of service, and notes a ballot above the own one.
-    fn note_answer(&self, answer: &MemberAnswer, view: &mut CouncilView) {
+    /// Adds the out-of-service vote of a promise to the view, and records a ballot that superseded the own one.
+    fn observe_answer(&self, answer: &MemberAnswer, view: &mut CouncilView) {
         match (&answer.reply, &answer.out_of_service) {
-            (AcceptorReply::Superseded(ballot), _) => self.note_ballot(*ballot),
+            (AcceptorReply::Superseded(ballot), _) => self.observe_ballot(*ballot),
             (AcceptorReply::Promised { .. }, Some(out_of_service)) => {
                 view.informed_members += 1;
                 view.out_of_service.extend(out_of_service);
@@ -196,7 +196,7 @@
         AppliedCommands { state, results }
     }
 
-    /// Above all ballots that were heard of.
+    /// Returns a ballot above all known ballots.
     pub fn next_ballot(&self) -> Ballot {
         let own = Ballot { number: 0, proposer: self.local.index(), incarnation: self.local.incarnation() };
         let ballot = own.above(self.highest_ballot.get());
@@ -204,13 +204,13 @@
         ballot
     }
 
-    /// Notes a ballot that a member has promised.
-    pub fn note_ballot(&self, ballot: Ballot) {
+    /// Records a ballot that a member has promised.
+    pub fn observe_ballot(&self, ballot: Ballot) {
         self.highest_ballot.set(self.highest_ballot.get().max(ballot));
     }
 }
 
-/// A state with commands applied, and what became of each.
+/// The state after a batch of commands, and the result of each command.
 struct AppliedCommands {
     state: FleetState,
     results: Vec<Result<(), Rejection>>,
--- a/router/src/fleet/release_controller.rs
+++ b/router/src/fleet/release_controller.rs
@@ -1,7 +1,8 @@
-//! What members of the council submit on behalf of all: the next wave of a release or its end, replicas that are to leave
-//! service or whose time has come.
+//! Commands that council members submit on behalf of the fleet: the next wave of a release or its end, and replica drains
+//! that are to begin or have expired.
 //!
-//! Each member could. They take turns, so that one submits first, and the others after it if it does not.
+//! Every member evaluates which commands are due. Members take turns at submitting: if one member does not submit a due
+//! command, the next one does.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,23 +20,23 @@
 use super::submission::{CommandSubmitter, SubmitError};
 use super::unix_ms;
 
-/// Heartbeat intervals between the turns of two members: enough for the first one's command to be agreed on.
-const TURN_HEARTBEATS: u64 = 4;
+/// Length of a member's turn, in heartbeat intervals: long enough for a submitted command to be chosen.
+const HEARTBEATS_PER_TURN: u64 = 4;
 
-/// What a command is about: of two about the same only one is due at a time.
+/// What a due command affects. At most one command per target is due at a time.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Subject {
+enum CommandTarget {
     WaveCompleted,
     WaveFailed,
     Replica(String),
 }
 
 struct DueCommand {
-    subject: Subject,
+    target: CommandTarget,
     command: Command,
 }
 
-/// Submits what is due for all.
+/// Submits the due commands of the fleet.
 pub struct ReleaseController {
     settings: Rc<FleetSettings>,
     local: Rc<LocalRouter>,
@@ -43,12 +44,12 @@
     state: Rc<KnownState>,
     submitter: Rc<CommandSubmitter>,
     monitor: ReleaseMonitor,
-    /// When it is this member's turn to submit what is due.
-    turns: BTreeMap<Subject, Nanos>,
+    /// Time at which this member's next turn begins, by target of the due command.
+    turns: BTreeMap<CommandTarget, Nanos>,
 }
 
 impl ReleaseController {
-    /// One that watches from now on.
+    /// Creates the controller. It monitors releases from now on.
     pub fn new(
         settings: Rc<FleetSettings>,
         local: Rc<LocalRouter>,
@@ -60,14 +61,14 @@
         ReleaseController { settings, local, peers, state, submitter, monitor, turns }
     }
 
-    /// Looks at each heartbeat interval. Never returns.
+    /// Checks for due commands at each heartbeat interval. Never returns.
     pub async fn run(mut self) {
         loop {
             sleep(self.settings.heartbeat.interval).await;
             let due = self.due_commands();
-            self.turns.retain(|subject, _| due.iter().any(|d| d.subject == *subject));
-            for DueCommand { subject, command } in due {
-                if !self.is_own_turn(subject) {
+            self.turns.retain(|target, _| due.iter().any(|d| d.target == *target));
+            for DueCommand { target, command } in due {
+                if !self.is_own_turn(target) {
                     continue;
                 }
                 match self.submitter.submit(&command).await {
@@ -81,12 +82,12 @@
         }
     }
 
-    /// Whether it is this member's turn; if so, the next one is after all the others'.
-    fn is_own_turn(&mut self, subject: Subject) -> bool {
-        let turn = TURN_HEARTBEATS * self.settings.heartbeat.interval.as_nanos() as Nanos;
+    /// Returns whether it is this member's turn to submit a command. If so, its next turn follows those of all other members.
+    fn is_own_turn(&mut self, target: CommandTarget) -> bool {
+        let turn = HEARTBEATS_PER_TURN * self.settings.heartbeat.interval.as_nanos() as Nanos;
         let own = self.settings.own_member_index().unwrap_or(0) as u64;
         let now = self.local.now();
-        let next = self.turns.entry(subject).or_insert(now + own * turn);
+        let next = self.turns.entry(target).or_insert(now + own * turn);
         if now < *next {
             return false;
         }
@@ -99,29 +100,29 @@
         let now = self.local.now();
         let Some(reports) = self.peers.release_reports(now) else { return vec![] };
         let command = self.monitor.next_command(now, &state, &self.settings.limits, &reports);
-        let of_release = command.map(|command| {
-            let subject = match command {
-                Command::FailWave(_) => Subject::WaveFailed,
-                _ => Subject::WaveCompleted,
+        let release_command = command.map(|command| {
+            let target = match command {
+                Command::FailWave(_) => CommandTarget::WaveFailed,
+                _ => CommandTarget::WaveCompleted,
             };
-            DueCommand { subject, command }
+            DueCommand { target, command }
         });
-        of_release.into_iter().chain(due_replicas(&state)).collect()
+        release_command.into_iter().chain(due_replica_commands(&state)).collect()
     }
 }
 
-fn due_replicas(state: &FleetState) -> Vec<DueCommand> {
-    let now = unix_ms();
+fn due_replica_commands(state: &FleetState) -> Vec<DueCommand> {
+    let now_ms = unix_ms();
     let due = state.replicas.iter().filter(|(_, entry)| {
-        let time_is_over = entry.until.is_some_and(|until| now >= until);
+        let is_expired = entry.until.is_some_and(|until| now_ms >= until);
         match entry.stage {
-            ReplicaStage::Requested => state.halted.is_none() || time_is_over,
-            ReplicaStage::OutOfService(_) => time_is_over,
+            ReplicaStage::Requested => state.halted.is_none() || is_expired,
+            ReplicaStage::OutOfService(_) => is_expired,
             ReplicaStage::Restored(_) => false,
         }
     });
     due.map(|(id, _)| DueCommand {
-        subject: Subject::Replica(id.clone()),
+        target: CommandTarget::Replica(id.clone()),
         command: Command::AdvanceReplica(id.clone()),
     })
     .collect()
--- a/router/src/fleet/server.rs
+++ b/router/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! The listener for other routers' calls, and the reply to each.
+//! Server for the calls of other routers.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,48 +12,48 @@
 
 use super::council::{Council, MemberAnswer};
 use super::local_router::LocalRouter;
-use super::peer_table::{PeerTable, StaleCall};
+use super::peer_table::{PeerTable, RejectedCall};
 use super::proposer::CommandProposer;
 use super::settings::FleetSettings;
 use super::tasks::TaskGroup;
 use super::wire::{
-    self, Call, Direction, HeartbeatReport, Keys, MessageError, NotClearReplica, Reply, Request, Response,
+    self, Call, Direction, HeartbeatReport, Keys, MessageError, RemainingUse, Reply, Request, Response,
 };
 
-/// The pause after a failed accept: it fails at once, again and again, while descriptors are short.
+/// Pause after a failed accept. While file descriptors are exhausted, every accept fails at once.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
-/// Connections of one router: for commands, and for other calls.
+/// Connections from each router: one for commands and one for other calls.
 const CONNECTIONS_PER_ROUTER: usize = 2;
-/// Connections beyond those of all routers: a router that reconnects has one more for a moment.
+/// Connections allowed beyond those of all routers: a router that reconnects briefly has one more.
 const SPARE_CONNECTIONS: usize = 2;
 
 /// Why a connection was closed.
 #[derive(Debug, thiserror::Error)]
 enum ConnectionError {
-    /// There are too many.
+    /// The maximum number of connections is reached.
     #[error("too many connections")]
     TooMany,
-    /// A message was not read, or the connection failed.
+    /// A message could not be read or written.
     #[error("{0}")]
     Message(#[from] MessageError),
-    /// A call was of another version of the messages.
-    #[error("of a version that is not known")]
+    /// A call has an unknown message version.
+    #[error("the call has an unknown message version")]
     UnknownVersion,
-    /// A call was of no router of the fleet, or not new.
+    /// A call is from an unknown router, or is a replay.
     #[error("{0}")]
-    StaleCall(#[from] StaleCall),
-    /// The peer was silent for so long that it has ended, or has another connection by now.
-    #[error("idle")]
+    RejectedCall(#[from] RejectedCall),
+    /// The peer sent no call within the silence limit: its process has ended, or it uses another connection.
+    #[error("the connection was idle for the silence limit")]
     Idle,
 }
 
 impl ConnectionError {
-    /// Whether the peer sent what no router of the fleet sends.
+    /// Returns whether the peer sent a message that no correct router of the fleet sends.
     fn is_rejection(&self) -> bool {
         match self {
             ConnectionError::Message(error) => error.kind() == std::io::ErrorKind::InvalidData,
             ConnectionError::Idle => false,
-            ConnectionError::TooMany | ConnectionError::UnknownVersion | ConnectionError::StaleCall(_) => {
+            ConnectionError::TooMany | ConnectionError::UnknownVersion | ConnectionError::RejectedCall(_) => {
                 true
             }
         }
@@ -67,12 +67,13 @@
 }
 
 impl RejectedMessages {
-    /// How many there were.
+    /// Returns the number of rejected messages and connections.
     pub fn count(&self) -> u64 {
         self.count.get()
     }
 
-    /// Counts one. The log has the first and then each doubling: nobody outside the fleet can fill the disk with it.
+    /// Counts a rejection. It is logged only when the count is a power of two, so that senders outside the fleet can't
+    /// fill the disk with log lines.
     fn record(&self, peer: SocketAddr, reason: &ConnectionError) {
         let count = self.count.get() + 1;
         self.count.set(count);
@@ -86,39 +87,39 @@
 pub struct FleetServer {
     /// The fleet's settings.
     pub settings: Rc<FleetSettings>,
-    /// The keys of the fleet, replaced when their file changes.
+    /// Keys of the fleet. They are replaced when the key file changes.
     pub keys: Rc<RefCell<Keys>>,
     /// This router.
     pub local: Rc<LocalRouter>,
-    /// Answers for the acceptor.
+    /// Answers acceptor requests.
     pub council: Rc<Council>,
-    /// Takes heartbeats, and knows which calls are new.
+    /// Records heartbeats and rejects replayed calls.
     pub peers: Rc<PeerTable>,
-    /// Takes commands.
+    /// Proposes submitted commands.
     pub proposer: Rc<CommandProposer>,
-    /// Counts what is rejected.
+    /// Counts rejected messages and connections.
     pub rejected: Rc<RejectedMessages>,
-    /// Owns the connections.
+    /// Owns the tasks of the connections.
     pub tasks: Rc<TaskGroup>,
 }
 
-/// A response, with what goes beside one to a read.
+/// A response, with the remaining uses of drained replicas if it answers a read.
 struct Answer {
     response: Response,
-    not_clear: Vec<NotClearReplica>,
+    remaining_uses: Vec<RemainingUse>,
 }
 
 impl From<Response> for Answer {
     fn from(response: Response) -> Answer {
-        Answer { response, not_clear: vec![] }
+        Answer { response, remaining_uses: vec![] }
     }
 }
 
 impl FleetServer {
     /// Accepts connections. Never returns.
     pub async fn run(self, listener: TcpListener) {
-        let most = CONNECTIONS_PER_ROUTER * self.settings.routers.len() + SPARE_CONNECTIONS;
-        let permits = Arc::new(Semaphore::new(most));
+        let max_connections = CONNECTIONS_PER_ROUTER * self.settings.routers.len() + SPARE_CONNECTIONS;
+        let permits = Arc::new(Semaphore::new(max_connections));
         let server = Rc::new(self);
         loop {
             let Ok((stream, peer)) = listener.accept().await else {
@@ -129,11 +130,11 @@
                 server.rejected.record(peer, &ConnectionError::TooMany);
                 continue;
             };
-            let of_connection = server.clone();
+            let task_server = server.clone();
             server.tasks.spawn(async move {
-                if let Err(error) = of_connection.serve(stream).await {
+                if let Err(error) = task_server.serve(stream).await {
                     if error.is_rejection() {
-                        of_connection.rejected.record(peer, &error);
+                        task_server.rejected.record(peer, &error);
                     }
                 }
                 drop(permit);
@@ -141,20 +142,20 @@
         }
     }
 
-    /// Answers calls, one after the other, until one is rejected or the connection ends.
+    /// Answers the calls of one connection in order, until a call is rejected or the connection ends.
     async fn serve(&self, mut stream: TcpStream) -> Result<(), ConnectionError> {
         stream.set_nodelay(true).map_err(MessageError::from)?;
-        let longest_pause = self.settings.heartbeat.silence_limit;
+        let idle_timeout = self.settings.heartbeat.silence_limit;
         loop {
-            let read = timeout(longest_pause, wire::read(&mut stream)).await;
+            let read = timeout(idle_timeout, wire::read(&mut stream)).await;
             let bytes = read.map_err(|_| ConnectionError::Idle)??;
             let call: Call = self.keys.borrow().open(Direction::Call, &bytes)?;
             if call.version != wire::VERSION {
                 return Err(ConnectionError::UnknownVersion);
             }
             let sequence = call.sequence;
-            let Answer { response, not_clear } = self.answer(call).await?;
-            let reply = Reply { version: wire::VERSION, sequence, response, not_clear };
+            let Answer { response, remaining_uses } = self.answer(call).await?;
+            let reply = Reply { version: wire::VERSION, sequence, response, remaining_uses };
             let bytes = self.keys.borrow().seal(Direction::Reply, &reply)?;
             wire::write(&mut stream, &bytes).await.map_err(MessageError::from)?;
         }
@@ -170,12 +171,12 @@
                 Ok(Response::HeartbeatReceived(self.council.accepted_version()).into())
             }
             Request::Acceptor(request) => {
-                // One that is no member answers as to a call that is none.
-                let answer = self.council.answer_locally(request).ok_or(StaleCall)?;
-                let MemberAnswer { reply, out_of_service, not_clear } = answer;
-                Ok(Answer { response: Response::Acceptor(reply, out_of_service), not_clear })
+                // A router without an acceptor rejects acceptor requests like other invalid calls.
+                let answer = self.council.answer_locally(request).ok_or(RejectedCall)?;
+                let MemberAnswer { reply, out_of_service, remaining_uses } = answer;
+                Ok(Answer { response: Response::Acceptor(reply, out_of_service), remaining_uses })
             }
-            // Other connections are served meanwhile: it waits for agreement.
+            // Waits until a round completes. Calls on other connections are served meanwhile.
             Request::Submit(command) => Ok(Response::Submitted(self.proposer.enqueue(command).await).into()),
             Request::Incarnation => Ok(Response::Incarnation(self.peers.latest_incarnation(from)).into()),
         }
--- a/router/src/fleet/state_follower.rs
+++ b/router/src/fleet/state_follower.rs
@@ -1,6 +1,7 @@
-//! Follows the fleet state, and does this router's part of it: drain under its lease, return, install a release.
+//! Follows the fleet state and applies it to this router: drains it under its lease, returns it to service, installs a
+//! release.
 //!
-//! What is due is decided by `tallypin_consensus::drain_lease`; here it is carried out.
+//! `tallypin_consensus::drain_lease` decides the next step; this module executes it.
 
 use std::rc::Rc;
 
@@ -15,12 +16,12 @@
 use super::settings::FleetSettings;
 use super::submission::{CommandSubmitter, SubmitError};
 
-/// What follows a step.
+/// Whether to take another step at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     /// Another step may be due.
     Continue,
-    /// Nothing more until the state changes or time passes.
+    /// No step is due until the state changes or time passes.
     Wait,
 }
 
@@ -35,12 +36,12 @@
     state: Rc<KnownState>,
     lease_holder: LeaseHolder,
     phase: LocalPhase,
-    /// It has installed a release and shuts down.
+    /// The router has installed a release and is shutting down.
     shutting_down: bool,
 }
 
 impl StateFollower {
-    /// Of a router that serves.
+    /// Creates the follower of a router that is in service.
     pub fn new(
         settings: Rc<FleetSettings>,
         local: Rc<LocalRouter>,
@@ -65,12 +66,12 @@
         }
     }
 
-    /// Reads the state when a newer one is heard of, and takes the steps that are due. Never returns.
+    /// Reads the state when a member reports a newer version, and takes the steps that are due. Never returns.
     pub async fn run(mut self) {
         let interval = self.settings.heartbeat.interval;
         loop {
-            // Time matters as well: a lease may have expired, a rejected one may be asked for again.
-            self.state.changed_or_after(interval).await;
+            // Steps also become due by time alone: a lease expires, or a rejected lease request may be repeated.
+            self.state.wait_for_change(interval).await;
             let is_behind = self.state.is_behind() || self.council.accepted_version() > self.state.version();
             if is_behind && self.submitter.submit(&Command::Read).await.is_err() {
                 continue;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Takes one step, if one is due.
+    /// Takes the next step if one is due.
     async fn step(&mut self) -> Progress {
         let Some(state) = self.state.current() else { return Progress::Wait };
         let artifact = state.release.as_ref().map(|release| release.artifact.as_str());
@@ -87,7 +88,7 @@
         let now = self.local.now();
         match self.lease_holder.next_step(now, &state, self.phase, running) {
             NextStep::Wait => Progress::Wait,
-            // The clock was read above, and nothing was awaited since.
+            // The lease is still valid: `next_step` checked it at `now`, and nothing was awaited since.
             NextStep::BeginDrain => self.begin_drain(&state),
             NextStep::ResumeService => self.resume_service(&state),
             NextStep::InstallAndRestart(digest) => {
@@ -101,7 +102,7 @@
         if self.control.begin_drain().is_err() {
             return Progress::Wait;
         }
-        tracing::info!(target: "fleet", version = state.version, "drain begins under the drain lease");
+        tracing::info!(target: "fleet", version = state.version, "router begins to drain under its drain lease");
         self.phase = LocalPhase::OutOfService;
         Progress::Continue
     }
@@ -123,7 +124,7 @@
             return self.report_unfit(error).await;
         }
         self.shutting_down = true;
-        tracing::info!(target: "fleet", artifact, digest, "shutting down to start the released artifact");
+        tracing::info!(target: "fleet", artifact, digest, "router shuts down to start the released artifact");
         self.control.shut_down();
         Progress::Wait
     }
@@ -139,8 +140,8 @@
         }
         let submitted_at = self.local.now();
         let submitted = self.submitter.submit(&command).await;
-        let serves = matches!(command, Command::ReportServing(_) | Command::ReportUpToDate(_));
-        if let (true, Ok(_), Some(artifact)) = (serves, &submitted, artifact) {
+        let confirms_trial = matches!(command, Command::ReportServing(_) | Command::ReportUpToDate(_));
+        if let (true, Ok(_), Some(artifact)) = (confirms_trial, &submitted, artifact) {
             self.confirm(artifact).await;
         }
         if let Err(SubmitError::Rejected(reason)) = &submitted {
@@ -156,11 +157,11 @@
 
     async fn confirm(&self, artifact: &str) {
         if let Err(error) = self.artifacts.confirm(artifact).await {
-            tracing::warn!(target: "fleet", %error, "trial of the released artifact can't be ended");
+            tracing::warn!(target: "fleet", %error, "trial marker of the released artifact can't be removed");
         }
     }
 
-    /// Has it agreed on that this router can't run what is released.
+    /// Reports to the council that this router can't run the released artifact.
     async fn report_unfit(&self, error: ArtifactError) -> Progress {
         tracing::warn!(target: "fleet", %error, "released artifact can't be run");
         let report = UnfitReport { router: self.local.index(), cause: error.to_string() };
--- a/router/src/fleet/status_report.rs
+++ b/router/src/fleet/status_report.rs
@@ -1,6 +1,6 @@
-//! The answer to an order that was carried out: what is agreed on, and what this router knows of the others.
+//! The JSON answer to an executed order: the fleet state, and the state of the other routers as known to this one.
 //!
-//! Its keys are read by operators' scripts and must not change.
+//! Operators' scripts read its keys, so they must not change.
 
 use std::rc::Rc;
 
@@ -18,26 +18,26 @@
 use super::settings::FleetSettings;
 use super::submission::CommandSubmitter;
 
-/// Forms the answers.
+/// Builds the answers to orders.
 pub struct StatusReporter {
     /// The fleet's settings.
     pub settings: Rc<FleetSettings>,
     /// This router.
     pub local: Rc<LocalRouter>,
-    /// Which members answer, and whether this router is one.
+    /// Source of the reachable members, and of whether this router is a member.
     pub council: Rc<Council>,
-    /// What the others have reported.
+    /// Source of the digests that other routers run, and of the routers out of service.
     pub peers: Rc<PeerTable>,
-    /// What this router runs.
+    /// Source of the digest that this router runs.
     pub artifacts: Rc<Artifacts>,
-    /// Which routers still use a drained replica.
+    /// Source of the routers that still use a drained replica.
     pub submitter: Rc<CommandSubmitter>,
-    /// How many messages were rejected.
+    /// Source of the number of rejected messages.
     pub rejected: Rc<RejectedMessages>,
 }
 
 impl StatusReporter {
-    /// The answer to an order of this id.
+    /// Returns the answer to the order with this id.
     pub fn report(&self, id: &str, state: &FleetState) -> Value {
         let limits = &self.settings.limits;
         let mut report = json!({
@@ -62,7 +62,7 @@
         report
     }
 
-    /// The members of the council that answered last.
+    /// Returns the names of the council members that replied to their last call.
     pub fn reachable_members(&self) -> Vec<&str> {
         let members = self.settings.council.iter().enumerate();
         let reachable = members.filter(|(member, _)| self.council.is_reachable(*member));
@@ -96,14 +96,14 @@
                 report["since_ms"] = at.into();
             }
             ReplicaStage::OutOfService(_) => {
-                let not_clear = self.submitter.not_clear(id);
+                let remaining_use = self.submitter.remaining_use(id);
                 let names = |routers: &[RouterIndex]| -> Vec<&str> {
                     routers.iter().map(|router| self.name(*router)).collect()
                 };
                 report["stage"] = "out".into();
-                report["clear"] = not_clear.as_ref().is_some_and(|known| known.router_count == 0).into();
-                report["not_clear"] = not_clear.as_ref().map(|known| known.router_count).into();
-                report["first"] = not_clear.as_ref().map(|known| names(&known.first_routers)).into();
+                report["clear"] = remaining_use.as_ref().is_some_and(|known| known.router_count == 0).into();
+                report["not_clear"] = remaining_use.as_ref().map(|known| known.router_count).into();
+                report["first"] = remaining_use.as_ref().map(|known| names(&known.first_routers)).into();
             }
         }
         report
--- a/router/src/fleet/submission.rs
+++ b/router/src/fleet/submission.rs
@@ -1,4 +1,4 @@
-//! How this router has commands agreed on, and reads what is agreed on.
+//! Submission of this router's commands to the council, and reads of the chosen fleet state.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,16 +15,16 @@
 use super::local_router::LocalRouter;
 use super::proposer::CommandProposer;
 use super::settings::FleetSettings;
-use super::wire::{CommandOutcome, NotClearReplica, Request, Response};
+use super::wire::{CommandOutcome, RemainingUse, Request, Response};
 
 /// Why a command was not applied.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SubmitError {
-    /// It was decided that it is not.
+    /// The command was rejected when it was applied to the fleet state.
     #[error("{0}")]
     Rejected(#[from] Rejection),
-    /// No majority of the council answered in time. Whether it was agreed on is not known: a round that was cut off may be
-    /// completed by the next one.
+    /// No majority of the council answered in time. The command may still take effect: a later round may complete an
+    /// interrupted one.
     #[error("no majority of the council answered in time")]
     NoMajority,
 }
@@ -36,14 +36,15 @@
     council: Rc<Council>,
     proposer: Rc<CommandProposer>,
     state: Rc<KnownState>,
-    /// By member, `None` for this router. Apart from the council's: a command takes longer than other calls.
+    /// Connections for commands, by member; `None` for this router. Separate from the council's connections, as a command
+    /// takes longer than other calls.
     connections: Vec<Option<CouncilConnection>>,
-    /// By the last read: the drained replicas and who still uses them.
-    not_clear: RefCell<BTreeMap<String, NotClearReplica>>,
+    /// Drained replicas and the routers that still use them, by replica id, as of the last read.
+    remaining_uses: RefCell<BTreeMap<String, RemainingUse>>,
 }
 
 impl CommandSubmitter {
-    /// With connections of its own.
+    /// Creates a submitter with its own connections.
     pub fn new(
         settings: Rc<FleetSettings>,
         local: Rc<LocalRouter>,
@@ -59,16 +60,16 @@
             proposer,
             state,
             connections,
-            not_clear: RefCell::default(),
+            remaining_uses: RefCell::default(),
         }
     }
 
-    /// Has a command agreed on; the fleet state with it. All routers send to the first member that answers, which
+    /// Submits a command and returns the fleet state after it. All routers submit to the first member that replies, which
     /// proposes many commands in one round.
     ///
     /// # Errors
     ///
-    /// It was rejected, or no majority answered within the time of an order.
+    /// The command was rejected, or no majority answered within the order timeout.
     pub async fn submit(&self, command: &Command) -> Result<FleetState, SubmitError> {
         let deadline = (Instant::now() + self.settings.order_timeout).into();
         if *command == Command::Read {
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Members that answered last come first.
+    /// Submits a command to one member after the other until one replies. Members that replied to their last call come
+    /// first.
     async fn submit_to_any(&self, command: &Command) -> Option<CommandOutcome> {
         let (reachable, others): (Vec<usize>, Vec<usize>) =
             (0..self.council.size()).partition(|&member| self.council.is_reachable(member));
@@ -104,18 +106,19 @@
             return self.proposer.enqueue(command.clone()).await;
         };
         let call = self.local.next_call(Request::Submit(command.clone()), None);
-        // Either branch may be dropped: a call goes on in its connection, and the other one only waits.
+        // Dropping either branch is safe: a started call continues in the task of its connection, and
+        // `until_unreachable` only waits.
         tokio::select! {
             reply = connection.call(call) => match reply?.response {
                 Response::Submitted(outcome) => outcome,
                 _ => None,
             },
-            // Its replies to heartbeats show sooner that it is stalled.
+            // Missing replies to heartbeats show a stalled member sooner than the timeout of the command.
             () = self.until_unreachable(member) => None,
         }
     }
 
-    /// Waits until a member is seen not to answer, and has been called at least once more by then.
+    /// Waits until a member is unreachable. The initial wait lets at least one more heartbeat to it complete or time out.
     async fn until_unreachable(&self, member: usize) {
         let interval = self.settings.heartbeat.interval;
         sleep(interval + self.settings.reply_timeout).await;
@@ -124,25 +127,26 @@
         }
     }
 
-    /// What is agreed on, if a majority has accepted the same; `None`: a round can tell.
+    /// Reads the chosen fleet state; `None` if no majority reports the same accepted value. A proposal round can then
+    /// determine it.
     pub async fn read(&self) -> Option<FleetState> {
         let mut reports = vec![None; self.council.size()];
-        let mut not_clear = BTreeMap::new();
-        let mut answers = self.council.ask_all(&AcceptorRequest::Read);
+        let mut remaining_uses = BTreeMap::new();
+        let mut answers = self.council.send_to_all(&AcceptorRequest::Read);
         while let Some(CouncilAnswer { member, answer, .. }) = answers.recv().await {
             let Some(MemberAnswer {
                 reply: AcceptorReply::Current { incarnation, accepted },
-                not_clear: of_member,
+                remaining_uses: member_uses,
                 ..
             }) = answer
             else {
                 continue;
             };
             reports[usize::from(member)] = Some(MemberReport { incarnation, accepted });
-            keep_least(&mut not_clear, of_member);
+            merge_remaining_uses(&mut remaining_uses, member_uses);
             if let Some(chosen) = chosen_value(&reports) {
                 self.council.join(chosen.clone());
-                self.not_clear.replace(not_clear);
+                self.remaining_uses.replace(remaining_uses);
                 self.state.learn(&chosen.value.state);
                 return Some(chosen.value.state);
             }
@@ -150,23 +154,24 @@
         None
     }
 
-    /// The same within the time of an order.
+    /// Reads the chosen fleet state within the order timeout; `None` also if it expires.
     pub async fn read_in_time(&self) -> Option<FleetState> {
         timeout(self.settings.order_timeout, self.read()).await.ok().flatten()
     }
 
-    /// What the last read has shown of a drained replica.
-    pub fn not_clear(&self, replica: &str) -> Option<NotClearReplica> {
-        self.not_clear.borrow().get(replica).cloned()
+    /// Returns the routers that still use a drained replica, as of the last read.
+    pub fn remaining_use(&self, replica: &str) -> Option<RemainingUse> {
+        self.remaining_uses.borrow().get(replica).cloned()
     }
 }
 
-/// What one member has heard a router report is so, though another has not heard it: the least counts.
-fn keep_least(known: &mut BTreeMap<String, NotClearReplica>, more: Vec<NotClearReplica>) {
-    for new in more {
+/// Merges the remaining uses that one member reports, keeping the entry with the fewest routers per replica. A router that
+/// one member knows to have stopped using a replica has stopped, even if another member has not received its report.
+fn merge_remaining_uses(known: &mut BTreeMap<String, RemainingUse>, member_uses: Vec<RemainingUse>) {
+    for new in member_uses {
         match known.get_mut(&new.replica) {
-            Some(least) if least.router_count <= new.router_count => {}
-            Some(least) => *least = new,
+            Some(fewest) if fewest.router_count <= new.router_count => {}
+            Some(fewest) => *fewest = new,
             None => drop(known.insert(new.replica.clone(), new)),
         }
     }
--- a/router/src/fleet/wire.rs
+++ b/router/src/fleet/wire.rs
@@ -1,7 +1,7 @@
-//! The messages between the routers of a fleet, over TCP: a length, a keyed hash, JSON.
+//! Messages between the routers of a fleet, over TCP. A message consists of a length, a keyed hash, and a JSON body.
 //!
-//! What no key of the fleet has signed is not read. What is read is still untrusted in its size. Names in `serde`
-//! attributes are those of the wire and must not change: routers of several versions take part in one fleet.
+//! A body is parsed only if a key of the fleet signed it. Sizes in signed messages are still untrusted. Names in `serde`
+//! attributes are part of the wire format and must not change, as routers of several versions may form one fleet.
 
 mod framing;
 mod keys;
@@ -9,15 +9,13 @@
 
 pub use framing::{read, write};
 pub use keys::{Direction, KeyFileError, Keys};
-pub use messages::{
-    Call, CommandOutcome, HeartbeatReport, NotClearReplica, Reply, Request, Response, VERSION,
-};
+pub use messages::{Call, CommandOutcome, HeartbeatReport, RemainingUse, Reply, Request, Response, VERSION};
 
 use std::io;
 
-/// The longest body of a message, bytes: twice a fleet state with all routers that one fleet may have.
+/// Maximum size of a message body, in bytes: twice the size of a fleet state with the maximum number of routers.
 pub const MAX_BODY_BYTES: usize = 128 << 10;
-/// Bytes of the hash in front of the body.
+/// Size of the hash that precedes the body, in bytes.
 const HASH_BYTES: usize = 32;
 
 /// Why a message can't be read or written.
@@ -26,19 +24,19 @@
     /// The body is longer than `MAX_BODY_BYTES`.
     #[error("the message is too long")]
     TooLong,
-    /// The length in front has a value that no message has.
-    #[error("a length that no message has")]
+    /// The length field is outside the range of valid messages.
+    #[error("the message has an invalid length")]
     InvalidLength,
-    /// There are fewer bytes than those of the hash.
-    #[error("too short for a message")]
+    /// The message is shorter than its hash.
+    #[error("the message is shorter than its hash")]
     TooShort,
-    /// No key of this fleet signed it, for this direction.
-    #[error("signed by no key of this fleet")]
+    /// No key of this fleet signed the message for this direction.
+    #[error("the message is not signed by a key of this fleet")]
     NotSigned,
-    /// It is signed, and its body is no message of this version.
-    #[error("not understood: {0}")]
+    /// The signature is valid, and the body is not a message of this version.
+    #[error("the message is malformed: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// A message can't be put into JSON.
+    /// The message can't be encoded as JSON.
     #[error("{0}")]
     NotEncodable(#[source] serde_json::Error),
     /// The connection failed.
@@ -47,7 +45,7 @@
 }
 
 impl MessageError {
-    /// Its kind as that of an I/O error: `InvalidData` for what the peer should not have sent.
+    /// Returns the kind of the I/O error; `InvalidData` for invalid messages.
     pub fn kind(&self) -> io::ErrorKind {
         match self {
             MessageError::Connection(e) => e.kind(),
--- a/router/src/fleet/wire/framing.rs
+++ b/router/src/fleet/wire/framing.rs
@@ -1,4 +1,4 @@
-//! Messages on a stream: four bytes of length, big-endian, and as many bytes of hash and body.
+//! Framing of messages on a stream: a big-endian length of four bytes, followed by that many bytes of hash and body.
 
 use std::io;
 
@@ -6,17 +6,18 @@
 
 use super::{MessageError, HASH_BYTES, MAX_BODY_BYTES};
 
-/// Reads one message: what follows its length. Not cancel-safe: a read that is dropped leaves the stream inside a message.
+/// Reads one message and returns its hash and body. Not cancel-safe: dropping the future may leave the stream in the middle
+/// of a message.
 ///
 /// # Errors
 ///
-/// The length is none that a message has, or the stream failed or ended.
+/// The length is invalid, or the stream failed or ended.
 pub async fn read(from: &mut (impl AsyncRead + Unpin)) -> Result<Vec<u8>, MessageError> {
     let length = from.read_u32().await? as usize;
     if !(HASH_BYTES..=HASH_BYTES + MAX_BODY_BYTES).contains(&length) {
         return Err(MessageError::InvalidLength);
     }
-    // Grows with what is received: a length alone costs no memory.
+    // The buffer grows with the received bytes, so that a large length alone allocates no memory.
     let mut bytes = Vec::new();
     from.take(length as u64).read_to_end(&mut bytes).await?;
     match bytes.len() == length {
@@ -25,7 +26,7 @@
     }
 }
 
-/// Writes a message as `Keys::seal` gives it.
+/// Writes a message as returned by `Keys::seal`.
 ///
 /// # Errors
 ///
--- a/router/src/fleet/wire/keys.rs
+++ b/router/src/fleet/wire/keys.rs
@@ -1,37 +1,38 @@
-//! The keys that sign a fleet's messages.
+//! The keys that sign the messages of a fleet.
 
 use serde::{Deserialize, Serialize};
 
 use super::{MessageError, HASH_BYTES, MAX_BODY_BYTES};
 
-/// The shortest key, bytes: below it one could be guessed.
+/// Minimum length of a key, in bytes. A shorter key could be guessed.
 const MIN_KEY_BYTES: usize = 16;
-/// Keys in one file at the most: the one in use, and its successor or predecessor during a change.
+/// Maximum number of keys in the key file: the signing key, and its predecessor or successor during a key rotation.
 const MAX_KEYS: usize = 2;
-/// Keeps keys of this use apart from any other use of the same secret.
+/// Context string of the key derivation. Separates these keys from other uses of the same secret.
 const KEY_CONTEXT: &str = "tallypin fleet messages 1";
 
-/// Which way a message goes. It is signed with it: a call that is sent back is no reply.
+/// Direction of a message. It is covered by the signature, so that a call sent back does not pass as a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From the router that calls.
+    /// From the calling router.
     Call,
-    /// Back to it.
+    /// To the calling router.
     Reply,
 }
 
 /// Why a key file can't be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyFileError {
-    /// It holds none or too many.
-    #[error("holds {0} keys, wanted one, or two while they change")]
+    /// The file holds no key or too many.
+    #[error("the key file holds {0} keys instead of one, or two during a key rotation")]
     WrongCount(usize),
-    /// This one, counted from 1, is too short.
+    /// The key with this number, counted from 1, is too short.
     #[error("key {0} is shorter than {MIN_KEY_BYTES} bytes")]
     TooShort(usize),
 }
 
-/// The keys of a fleet. The first signs; all are accepted, so that a key can be changed router by router.
+/// The keys of a fleet. The first key signs, and signatures by any key are accepted, so that keys can be rotated router by
+/// router.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Keys {
     fleet: String,
@@ -45,11 +46,11 @@
 }
 
 impl Keys {
-    /// Reads the text of a key file: a key a line, one or two.
+    /// Parses the content of a key file: one or two keys, one per line.
     ///
     /// # Errors
     ///
-    /// There are none, too many, or one that is too short.
+    /// The file holds no key, too many keys, or a key that is too short.
     pub fn read(fleet: &str, text: &str) -> Result<Keys, KeyFileError> {
         let lines: Vec<&str> = text.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
         if lines.is_empty() || lines.len() > MAX_KEYS {
@@ -64,23 +65,23 @@
 
     fn hash(&self, key: &[u8; 32], direction: Direction, body: &[u8]) -> blake3::Hash {
         let mut hasher = blake3::Hasher::new_keyed(key);
-        // The length keeps a name and the bytes behind it apart.
+        // The length prefix makes the boundary between the name and the following bytes unambiguous.
         hasher.update(&(self.fleet.len() as u64).to_be_bytes()).update(self.fleet.as_bytes());
         hasher.update(&[u8::from(direction == Direction::Reply)]).update(body);
         hasher.finalize()
     }
 
-    /// The bytes of a message, with its length. The same message gives the same bytes.
+    /// Encodes and signs a message, with its length field. Deterministic: equal messages give equal bytes.
     ///
     /// # Errors
     ///
-    /// Its body is too long, or can't be put into JSON.
+    /// The body is too long, or can't be encoded as JSON.
     pub fn seal(&self, direction: Direction, message: &impl Serialize) -> Result<Vec<u8>, MessageError> {
         let body = serde_json::to_vec(message).map_err(MessageError::NotEncodable)?;
         if body.len() > MAX_BODY_BYTES {
             return Err(MessageError::TooLong);
         }
-        // `read` lets no file without a key pass.
+        // `read` rejects files without a key.
         let key = &self.keys[0];
         let mut bytes = ((HASH_BYTES + body.len()) as u32).to_be_bytes().to_vec();
         bytes.extend_from_slice(self.hash(key, direction, &body).as_bytes());
@@ -88,18 +89,18 @@
         Ok(bytes)
     }
 
-    /// The message in what follows a length.
+    /// Verifies and decodes a message, given its bytes without the length field.
     ///
     /// # Errors
     ///
-    /// No key of the fleet signed it for this direction, or its body is no message.
+    /// No key of the fleet signed the message for this direction, or its body is malformed.
     pub fn open<T: for<'a> Deserialize<'a>>(
         &self,
         direction: Direction,
         bytes: &[u8],
     ) -> Result<T, MessageError> {
         let (hash, body) = bytes.split_first_chunk::<HASH_BYTES>().ok_or(MessageError::TooShort)?;
-        // Compared in constant time by the library.
+        // `blake3::Hash` compares in constant time.
         let hash = blake3::Hash::from(*hash);
         if !self.keys.iter().any(|key| self.hash(key, direction, body) == hash) {
             return Err(MessageError::NotSigned);
--- a/router/src/fleet/wire/messages.rs
+++ b/router/src/fleet/wire/messages.rs
@@ -1,4 +1,4 @@
-//! What calls and replies carry.
+//! Content of calls and replies.
 
 use serde::{Deserialize, Serialize};
 use tallypin_consensus::fleet_state::{Command, FleetState, Rejection};
@@ -7,27 +7,27 @@
 use tallypin_consensus::replica_drains::AppliedState;
 use tallypin_membership::{AdvertisedStatus, Incarnation, RouterIndex};
 
-/// This version of the messages. Unknown fields are passed over; another version is not read.
+/// Version of the message format. Unknown fields are ignored; messages of another version are rejected.
 pub const VERSION: u8 = 1;
 
-/// A call to a member of the council.
+/// A call to a council member.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Call {
-    /// The version of this message.
+    /// Message version.
     #[serde(rename = "v")]
     pub version: u8,
-    /// The router that calls.
+    /// Index of the calling router.
     pub from: RouterIndex,
-    /// Its incarnation.
+    /// Incarnation of the calling router.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Above that of every call before in this incarnation: a repeated call is rejected.
+    /// Sequence number, which increases with every call of an incarnation. Repeated calls are rejected.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// What it asks.
+    /// The request.
     #[serde(rename = "what")]
     pub request: Request,
-    /// With a heartbeat: what it reports. Routers of the first version report nothing.
+    /// Report that accompanies a heartbeat. Routers of the first version send none.
     #[serde(default, rename = "tells", skip_serializing_if = "Option::is_none")]
     pub report: Option<HeartbeatReport>,
 }
@@ -35,46 +35,46 @@
 /// What a router reports with its heartbeats.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReport {
-    /// Its final answers since its start.
+    /// Counts of the router's final answers since its start.
     #[serde(default)]
     pub counts: AnswerCounts,
-    /// The fleet state that it goes by, and the drained replicas that it still uses.
+    /// Version of the fleet state that the router has applied, and the drained replicas that it still uses.
     #[serde(default, rename = "follows")]
     pub applied: AppliedState,
-    /// The digest of what it runs, of the kind that is, or was last, released.
+    /// Digest that the router runs of the artifact in the current or last release.
     #[serde(default, rename = "runs", skip_serializing_if = "Option::is_none")]
     pub running_digest: Option<String>,
 }
 
-/// A drained replica and the routers that still use it, as one member has heard.
+/// A drained replica and the routers that still use it, according to the reports that one member has received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NotClearReplica {
-    /// The replica's id.
+pub struct RemainingUse {
+    /// Id of the replica.
     #[serde(rename = "node")]
     pub replica: String,
-    /// How many routers still use it, or have not reported.
+    /// Number of routers that still use the replica or have not reported.
     #[serde(rename = "routers")]
     pub router_count: usize,
-    /// The first of them.
+    /// The first of these routers.
     #[serde(rename = "first")]
     pub first_routers: Vec<RouterIndex>,
 }
 
-/// What is asked.
+/// The request of a call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Request {
-    /// A heartbeat: the caller is alive, and this is its status.
+    /// A heartbeat, with the status of the caller.
     #[serde(rename = "beat")]
     Heartbeat(AdvertisedStatus),
-    /// To the member's acceptor.
+    /// A request to the member's acceptor.
     #[serde(rename = "ask")]
     Acceptor(AcceptorRequest<FleetState>),
-    /// To have a command agreed on.
+    /// Submits a command for the next round.
     #[serde(rename = "change")]
     Submit(Command),
-    /// Which incarnation of the caller is known: before its first other call. The only call that is not checked for
-    /// repetition.
+    /// Queries the latest known incarnation of the caller, before its first other call. The only request for which repeated
+    /// calls are accepted.
     #[serde(rename = "life")]
     Incarnation,
 }
@@ -82,37 +82,37 @@
 /// The reply to a call.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Reply {
-    /// The version of this message.
+    /// Message version.
     #[serde(rename = "v")]
     pub version: u8,
-    /// The sequence number of the call.
+    /// Sequence number of the call.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// What it says.
+    /// The response.
     #[serde(rename = "what")]
     pub response: Response,
-    /// With the current proposal: the drained replicas and who still uses them.
+    /// In the reply to a read: the drained replicas and the routers that still use them.
     #[serde(default, rename = "unclear", skip_serializing_if = "Vec::is_empty")]
-    pub not_clear: Vec<NotClearReplica>,
+    pub remaining_uses: Vec<RemainingUse>,
 }
 
-/// What became of a command: the fleet state with it, or why it was not applied.
+/// Outcome of a command: the fleet state after it, or the reason of its rejection.
 pub type CommandOutcome = Result<FleetState, Rejection>;
 
-/// What is replied.
+/// The response in a reply.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Response {
-    /// To a heartbeat: the version that this member accepted last; `None`: it has not joined.
+    /// Reply to a heartbeat: the state version that this member accepted last; `None` if it has not joined.
     #[serde(rename = "heard")]
     HeartbeatReceived(Option<u64>),
-    /// Of the acceptor, and which routers are out of service, if this member can tell.
+    /// Reply of the acceptor, and the routers that this member considers out of service; `None` if it can't tell.
     #[serde(rename = "answer")]
     Acceptor(AcceptorReply<FleetState>, Option<Vec<RouterIndex>>),
-    /// The latest incarnation of the caller that this member has heard of; 0: of none.
+    /// The latest incarnation of the caller that this member knows; 0 if it knows none.
     #[serde(rename = "life")]
     Incarnation(Incarnation),
-    /// What became of a command; `None`: not known, no majority answered this member in time.
+    /// Outcome of a submitted command; `None` if it is unknown because no majority answered this member in time.
     #[serde(rename = "changed")]
     Submitted(Option<CommandOutcome>),
 }
--- a/router/src/fleet/wire/tests.rs
+++ b/router/src/fleet/wire/tests.rs
@@ -16,33 +16,33 @@
     }
 }
 
-fn opened(keys: &Keys, way: Direction, bytes: &[u8]) -> Result<Call, String> {
-    keys.open(way, &bytes[4..]).map_err(|e| e.to_string())
+fn open(keys: &Keys, direction: Direction, bytes: &[u8]) -> Result<Call, String> {
+    keys.open(direction, &bytes[4..]).map_err(|e| e.to_string())
 }
 
 #[test]
-fn a_message_is_read_by_its_fleet_its_key_and_its_way_alone() {
+fn a_message_is_accepted_only_with_its_fleet_key_and_direction() {
     let keys = Keys::read("nord", KEY).unwrap();
     let bytes = keys.seal(Direction::Call, &call()).unwrap();
-    assert_eq!(opened(&keys, Direction::Call, &bytes).unwrap().sequence, 3);
-    let stranger = "signed by no key of this fleet";
-    assert_eq!(opened(&keys, Direction::Reply, &bytes).unwrap_err(), stranger, "sent back");
-    assert_eq!(opened(&Keys::read("sued", KEY).unwrap(), Direction::Call, &bytes).unwrap_err(), stranger);
+    assert_eq!(open(&keys, Direction::Call, &bytes).unwrap().sequence, 3);
+    let not_signed = "the message is not signed by a key of this fleet";
+    assert_eq!(open(&keys, Direction::Reply, &bytes).unwrap_err(), not_signed, "sent back");
+    assert_eq!(open(&Keys::read("sued", KEY).unwrap(), Direction::Call, &bytes).unwrap_err(), not_signed);
     let other = Keys::read("nord", "another key, also long enough").unwrap();
-    assert_eq!(opened(&other, Direction::Call, &bytes).unwrap_err(), stranger);
+    assert_eq!(open(&other, Direction::Call, &bytes).unwrap_err(), not_signed);
     let both = Keys::read("nord", &format!("another key, also long enough\n{KEY}\n")).unwrap();
-    assert!(opened(&both, Direction::Call, &bytes).is_ok(), "while keys change");
+    assert!(open(&both, Direction::Call, &bytes).is_ok(), "during a key rotation");
     for k in 4..bytes.len() {
-        let mut torn = bytes.clone();
-        torn[k] ^= 1;
-        assert!(opened(&keys, Direction::Call, &torn).is_err(), "byte {k} flipped");
-        assert!(opened(&keys, Direction::Call, &bytes[..k]).is_err(), "cut at {k}");
+        let mut corrupted = bytes.clone();
+        corrupted[k] ^= 1;
+        assert!(open(&keys, Direction::Call, &corrupted).is_err(), "bit flipped in byte {k}");
+        assert!(open(&keys, Direction::Call, &bytes[..k]).is_err(), "cut at {k}");
     }
 }
 
 #[test]
-fn keys_that_are_none_are_told() {
-    for (text, why) in [
+fn invalid_key_files_are_rejected_with_a_reason() {
+    for (text, expected) in [
         ("", "holds 0 keys"),
         ("short", "key 1 is shorter"),
         (
@@ -50,13 +50,13 @@
             "holds 3 keys",
         ),
     ] {
-        assert!(Keys::read("nord", text).unwrap_err().to_string().contains(why), "{text:?}");
+        assert!(Keys::read("nord", text).unwrap_err().to_string().contains(expected), "{text:?}");
     }
 }
 
-/// Bytes of the first version, as a router of it writes them: later ones must read these.
+/// Guards compatibility: bodies as routers of the first version write them must remain readable.
 #[test]
-fn the_first_versions_bytes_are_read() {
+fn messages_of_the_first_version_are_read() {
     let body = br#"{"v":1,"from":2,"life":7,"number":9,"what":{"ask":{"prepare":{"number":4,"by":2,"life":7}}},"later":1}"#;
     let call: Call = serde_json::from_slice(body).unwrap();
     assert!(matches!(call.request, Request::Acceptor(AcceptorRequest::Prepare(b)) if b.number == 4));
