--- a/router/src/fleet/agent.rs
+++ b/router/src/fleet/agent.rs
@@ -122,7 +122,7 @@
     /// Waits until the fleet state is known, at most for the order timeout. A router that serves earlier would send
     /// requests to drained replicas.
     pub async fn wait_for_first_state(&self) {
-        self.state.wait_for_first(self.settings.order_timeout).await;
+        self.state.wait_for_first_state(self.settings.order_timeout).await;
     }
 
     /// Executes an operator order and returns the JSON answer.
@@ -139,7 +139,7 @@
 }
 
 /// Returns a connection for each council member, by member index; `None` stands for this router.
-fn connect(
+fn council_connections(
     settings: &FleetSettings,
     keys: &Rc<RefCell<Keys>>,
     call_timeout: Duration,
@@ -152,7 +152,7 @@
 }
 
 /// Creates this router's acceptor with the state that an earlier incarnation stored; `None` if it is not a member.
-async fn acceptor(settings: &FleetSettings, incarnation: Incarnation) -> Option<Acceptor<FleetState>> {
+async fn create_acceptor(settings: &FleetSettings, incarnation: Incarnation) -> Option<Acceptor<FleetState>> {
     settings.own_member_index()?;
     let stored = match settings.own_state_file() {
         Some(path) => persistence::read_stored(path, settings.name.clone()).await,
@@ -168,11 +168,11 @@
         control: Rc<dyn RouterControl>,
     ) -> Result<AgentComponents, StartError> {
         let (settings, keys) = (Rc::new(settings), Rc::new(RefCell::new(keys)));
-        let connections = connect(&settings, &keys, settings.reply_timeout);
+        let connections = council_connections(&settings, &keys, settings.reply_timeout);
         // Half of the order timeout leaves time to submit to a second member if the first does not reply.
-        let command_connections = connect(&settings, &keys, settings.order_timeout / 2);
+        let command_connections = council_connections(&settings, &keys, settings.order_timeout / 2);
         let incarnation = incarnation::choose(&connections, settings.own_index).await;
-        let acceptor = acceptor(&settings, incarnation).await;
+        let acceptor = create_acceptor(&settings, incarnation).await;
         let artifacts = Artifacts::open(&settings.release_files, control.clone());
         let artifacts = Rc::new(artifacts.map_err(StartError::ReleaseFile)?);
         let tasks = Rc::new(TaskGroup::default());
--- a/router/src/fleet/control.rs
+++ b/router/src/fleet/control.rs
@@ -31,7 +31,7 @@
     /// Id of the replica in the endpoint list.
     pub id: String,
     /// Time of its return to service, Unix ms, at which its slow start begins.
-    pub at: UnixMs,
+    pub restored_at_ms: UnixMs,
 }
 
 /// Operations and observations that the router process offers to the fleet agent.
--- a/router/src/fleet/known_state.rs
+++ b/router/src/fleet/known_state.rs
@@ -62,7 +62,9 @@
         for (id, entry) in &state.replicas {
             match entry.stage {
                 ReplicaStage::OutOfService(_) => drained.push(id.clone()),
-                ReplicaStage::Restored(at) => restored.push(RestoredReplica { id: id.clone(), at }),
+                ReplicaStage::Restored(restored_at_ms) => {
+                    restored.push(RestoredReplica { id: id.clone(), restored_at_ms })
+                }
                 ReplicaStage::Requested => {}
             }
         }
@@ -90,7 +92,7 @@
 
     /// Waits until a state is known, at most for `max_wait`. A router that serves earlier would send requests to drained
     /// replicas.
-    pub async fn wait_for_first(&self, max_wait: Duration) {
+    pub async fn wait_for_first_state(&self, max_wait: Duration) {
         if self.version().is_none() && timeout(max_wait, self.first_known.notified()).await.is_err() {
             tracing::warn!(target: "fleet", "router starts to serve without a fleet state: no majority of the council replied");
         }
--- a/router/src/fleet/peer_table.rs
+++ b/router/src/fleet/peer_table.rs
@@ -18,7 +18,7 @@
 
 /// A call from an unknown router, or one that is not newer than an earlier call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the call is from an unknown router or was received before")]
+#[error("the call is from an unknown router or is not newer than an earlier call")]
 pub struct RejectedCall;
 
 /// Number of a call, which increases with every call of a router.
--- a/router/src/fleet/status_report.rs
+++ b/router/src/fleet/status_report.rs
@@ -26,7 +26,7 @@
     pub local: Rc<LocalRouter>,
     /// Source of the reachable members, and of whether this router is a member.
     pub council: Rc<Council>,
-    /// Source of the digests that other routers run, and of the routers out of service.
+    /// Source of the running digests that routers report, and of the routers out of service.
     pub peers: Rc<PeerTable>,
     /// Source of the digest that this router runs.
     pub artifacts: Rc<Artifacts>,
--- a/router/src/operator_override.rs
+++ b/router/src/operator_override.rs
@@ -13,7 +13,7 @@
     /// The replica.
     pub replica: ReplicaId,
     /// Time of its return to service, in ns, at which its slow start begins.
-    pub at: Nanos,
+    pub restored_at: Nanos,
 }
 
 /// The endpoint list as received, and the operator overrides. Its size is bounded by the list and the fleet state.
@@ -52,7 +52,7 @@
         // Restorations that are no longer named are kept while the replica is listed: a start time that moves back would
         // look like another start.
         self.restored_at.retain(|replica, _| self.received.contains_key(replica));
-        self.restored_at.extend(restored.iter().map(|restored| (restored.replica, restored.at)));
+        self.restored_at.extend(restored.iter().map(|restored| (restored.replica, restored.restored_at)));
         let changed = before.into_iter().filter_map(|before| {
             let now = self.overridden(self.received.get(&before.replica)?.clone());
             (now != before).then_some(now)
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -130,8 +130,8 @@
             let restored = restored.iter().map(|replica| {
                 // Limited to the present: if the sender's clock is ahead, the slow start lasts no longer than that of a
                 // replica that starts now.
-                let at = replica.at.saturating_mul(NANOS_PER_MS).min(now);
-                Restoration { replica: name_hash::replica_id(&replica.id), at }
+                let restored_at = replica.restored_at_ms.saturating_mul(NANOS_PER_MS).min(now);
+                Restoration { replica: name_hash::replica_id(&replica.id), restored_at }
             });
             core.override_replicas(now, &drained, &restored.collect::<Vec<_>>());
         });
