--- a/consensus/src/drain_lease.rs
+++ b/consensus/src/drain_lease.rs
@@ -1,9 +1,9 @@
-//! What one router does about its own drain: it asks for the lease, drains under it, and returns.
+//! One router's side of its own drain: it requests the lease, drains under it, and returns to service.
 //!
-//! The lease is granted by [`crate::fleet_state`], and expires by the router's own monotonic clock, counted from when it
-//! was asked for. A router looks at that clock immediately before it begins to drain, so that one that was stopped in
-//! between finds its lease expired when it continues, and returns it. The limits hold without any expiry: an entry counts
-//! until its router ends it. What waits for the expiry is the answer to a halt, where the holder can't be reached.
+//! [`crate::fleet_state`] grants the lease. It expires by the router's own monotonic clock, counted from the time of the
+//! request. A router checks that clock immediately before it begins to drain, so a process that was suspended in between
+//! finds its lease expired when it resumes, and returns it. The limits do not depend on the expiry: a drain entry counts
+//! until its router ends it. Only the answer to a halt waits for the expiry, if the lease holder is unreachable.
 
 use std::time::Duration;
 
@@ -16,51 +16,51 @@
 /// The timing of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// How long the lease may be used after it was asked for.
+    /// Time after the request during which the lease may be used.
     pub duration: Duration,
-    /// How far the clocks of two routers may drift apart, as the fraction 1/`drift_divisor` of the duration.
+    /// Maximum clock drift between two routers, as the fraction 1/`drift_divisor` of the duration.
     pub drift_divisor: u32,
-    /// How long after a rejection the lease is asked for again.
+    /// Delay after a rejection before the lease is requested again.
     pub retry_after: Duration,
 }
 
 impl LeaseTiming {
-    /// After this time, by the clock of any router, no lease that was asked for before can be used any more.
+    /// Returns the time after which, by any router's clock, no lease that was requested before it can be used any more.
     pub fn safe_expiry(&self) -> Duration {
         self.duration + 2 * (self.duration / self.drift_divisor.max(1))
     }
 }
 
-/// What the router itself does at present.
+/// Whether the local router serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LocalPhase {
-    /// It serves.
+    /// The router serves requests.
     Serving,
-    /// It has begun to drain, or has drained.
+    /// The router has begun to drain, or has drained.
     OutOfService,
 }
 
-/// What the router has to do next.
+/// The next action of the local router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing for now.
+    /// No action is due.
     Wait,
     /// Submit this command, and hand its outcome to [`LeaseHolder::record_outcome`].
     Submit(Command),
-    /// Begin to drain at once: the lease was checked against the clock.
+    /// Begin to drain immediately: the lease has not expired.
     BeginDrain,
-    /// Serve again.
+    /// Return to service.
     ResumeService,
-    /// Once drained, install the file of this digest and restart.
+    /// Once drained, install the file with this digest and restart.
     InstallAndRestart(String),
 }
 
-/// What became of a submitted command.
+/// The outcome of a submitted command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// It was applied.
+    /// The command was applied.
     Applied,
-    /// It was rejected, or no majority answered in time.
+    /// The command was rejected, or no majority answered in time.
     NotApplied,
 }
 
@@ -70,22 +70,22 @@
     timing: LeaseTiming,
     router: RouterIndex,
     incarnation: Incarnation,
-    /// When the granted lease was asked for.
+    /// Time of the request for the lease that was granted.
     requested_at: Option<Nanos>,
-    /// When the last request was rejected.
+    /// Time of the last rejection.
     rejected_at: Option<Nanos>,
 }
 
 impl LeaseHolder {
-    /// The side of a router that has just started: it knows of no lease.
+    /// Creates the state of a router that has just started and holds no lease.
     pub fn new(timing: LeaseTiming, router: RouterIndex, incarnation: Incarnation) -> LeaseHolder {
         LeaseHolder { timing, router, incarnation, requested_at: None, rejected_at: None }
     }
 
-    /// What to do by the newest fleet state that is known here.
+    /// Returns the next action, given the newest fleet state that this router knows.
     ///
-    /// `now` is the router's monotonic clock. `running_digest` is that of the file that it runs, of the kind that is being
-    /// released; `None`: its settings have no such file.
+    /// `now` is the router's monotonic clock. `running_digest` is the digest of the running file of the artifact that is
+    /// being released; `None` if the settings have no such file.
     pub fn next_step(
         &self,
         now: Nanos,
@@ -114,7 +114,7 @@
             (DrainStage::Returning(_), LocalPhase::Serving) => {
                 NextStep::Submit(Command::ReportServing(self.identity()))
             }
-            // An earlier incarnation drained; this one has started since.
+            // An earlier incarnation drained, and the router has restarted since.
             (DrainStage::Leased(of) | DrainStage::OutOfService(of), LocalPhase::Serving)
                 if of != self.incarnation =>
             {
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Records what became of a command of [`NextStep::Submit`]. `submitted_at` is the time before it was sent, from which
-    /// the lease is counted.
+    /// Records the outcome of a command of [`NextStep::Submit`]. `submitted_at` is the time before the command was sent; the
+    /// lease is counted from it.
     pub fn record_outcome(
         &mut self,
         submitted_at: Nanos,
@@ -175,9 +175,9 @@
     }
 }
 
-/// Whether a halt may be answered that was agreed on this long ago: no router can begin to drain any more.
+/// Returns whether a halt that was agreed on `agreed_ago` is in effect: no router can begin to drain any more.
 pub fn halt_is_effective(timing: &LeaseTiming, agreed_ago: Duration, state: &FleetState) -> bool {
-    // A router that is to return may have held its lease until a moment ago, and not know yet that it lost it.
+    // A router in `Returning` may have held its lease until a moment ago, and may not know yet that it was withdrawn.
     let may_drain = |stage| matches!(stage, DrainStage::Leased(_) | DrainStage::Returning(_));
     let none_may_drain = !state.drains.values().any(|drain| may_drain(drain.stage));
     none_may_drain || agreed_ago > timing.safe_expiry()
--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -1,17 +1,17 @@
 //! The state that a fleet agrees on: which routers and replicas are out of service by order, whether any drain may begin,
 //! and the release that is in progress.
 //!
-//! [`FleetState::apply`] decides each [`Command`] where it is proposed, against the [`DrainLimits`] and against what a
-//! majority of the council has heard of each router ([`CouncilView`]). It is a pure function: the register of
-//! [`crate::register`] holds its results.
+//! [`FleetState::apply`] decides each [`Command`] at the proposer, against the [`DrainLimits`] and against what a majority
+//! of the council knows of each router ([`CouncilView`]). It is a pure function; its results are stored in the register of
+//! [`crate::register`].
 //!
 //! Invariants, tested in `tests/fleet` and beside this module:
 //!
-//! 1. A drain lease is granted only if with it no more routers are out of service than the limits allow, in the fleet and
-//!    in the router's zone. Routers count that are out by order, and those that any member of a majority of the council
-//!    considers out.
+//! 1. A drain lease is granted only if the routers out of service, this one included, stay within the limits of the fleet
+//!    and of the router's zone. Routers that are out by order count, and so do those that any member of a majority of the
+//!    council considers out.
 //! 2. While the fleet is halted no lease is granted.
-//! 3. An operator's order runs once, whoever sends it and however often.
+//! 3. An operator's order is executed once, however often and from wherever it is sent.
 //! 4. A rejected command changes nothing.
 
 mod command;
@@ -34,37 +34,37 @@
 use crate::release::Release;
 use crate::replica_drains::ReplicaEntries;
 
-/// How many orders are remembered, so that one that is sent again does not run again.
-pub(crate) const MAX_REMEMBERED_ORDERS: usize = 64;
-/// The longest id of an order, and the longest cause of a halt, in bytes.
+/// Number of recent order ids that are kept, so that an order that is sent again is not executed again.
+pub(crate) const MAX_RECENT_ORDERS: usize = 64;
+/// Maximum length of an order's id and of the cause of a halt, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64;
-/// The longest cause of a failed check that is stored, in characters; what is longer is cut.
+/// Maximum length of the stored cause of a failed check, in characters; longer ones are truncated.
 pub const MAX_CAUSE_CHARS: usize = 200;
 
-/// Versions that are skipped when some may be lost: far more than can be chosen while a majority restarts.
+/// Number of versions skipped when some may be lost: far more than can be chosen while a majority restarts.
 const VERSION_GAP_AFTER_LOSS: u64 = 1_000_000;
-/// The cause of the halt of a fleet that begins with nothing known.
-const HALTED_AT_FIRST: &str = "the council's memory begins anew";
-/// The cause of the halt of a fleet that continues from an older state.
-const HALTED_AFTER_LOSS: &str = "most of the council's memory was lost, what was agreed on last may be";
+/// Cause of the halt of a fleet that starts without any known state. It is stored in the fleet state.
+const NEW_COUNCIL_HALT_CAUSE: &str = "the council's memory begins anew";
+/// Cause of the halt of a fleet that continues from a state that may be outdated. It is stored in the fleet state.
+const MEMORY_LOSS_HALT_CAUSE: &str = "most of the council's memory was lost, what was agreed on last may be";
 
-/// What the fleet agrees on.
+/// The state that the fleet agrees on.
 ///
-/// Serialized names are those of the wire and of the stored file, as with [`Command`]. Fields with defaults are absent
-/// from what earlier versions wrote.
+/// Serialized names are those of the wire and of the stored file, as in [`Command`]. Fields with defaults are absent from
+/// files of earlier versions.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct FleetState {
-    /// Raised by one with each change.
+    /// Incremented by each change.
     pub version: u64,
-    /// Why no drain may begin; `None`: drains may begin.
+    /// Cause of the halt, during which no drain may begin; `None` if drains may begin.
     pub halted: Option<String>,
-    /// The routers that are out of service by order, or are to be. At most one entry each.
+    /// The routers that are out of service by order, or are to leave service. At most one entry per router.
     #[serde(rename = "entries")]
     pub drains: BTreeMap<RouterIndex, DrainEntry>,
-    /// The ids of the latest orders, the oldest first.
+    /// The ids of the latest orders, oldest first.
     #[serde(rename = "orders")]
     pub recent_orders: VecDeque<String>,
-    /// The replicas that are out of service by order, are to be, or were put back recently, by id.
+    /// The replicas, by id, that are out of service by order, are to leave service, or were restored recently.
     #[serde(default, rename = "nodes")]
     pub replicas: ReplicaEntries,
     /// The release in progress, or the last one.
@@ -73,27 +73,27 @@
 }
 
 impl FleetState {
-    /// The state with which a council begins whose memory is lost, built on what is still known, if anything.
+    /// Creates the first state of a council that has lost its memory, based on the last `known` state, if there is one.
     ///
-    /// What was agreed on since `known` may be lost, so that the state is halted until an operator resumes. Its version is
-    /// above any that may be lost, as routers follow the newest version that they have heard of.
+    /// Changes since `known` may be lost, so the state is halted until an operator resumes. Its version is above any that
+    /// may be lost, because routers follow the newest version that they have received.
     pub fn bootstrap(known: Option<&FleetState>) -> FleetState {
         let cause = match known {
-            None => HALTED_AT_FIRST,
-            // A first state that not all members had accepted yet, or that nobody has resumed.
-            Some(known) if known.halted.as_deref() == Some(HALTED_AT_FIRST) => HALTED_AT_FIRST,
-            Some(_) => HALTED_AFTER_LOSS,
+            None => NEW_COUNCIL_HALT_CAUSE,
+            // `known` is itself a first state that not all members had accepted, or that no operator has resumed.
+            Some(known) if known.halted.as_deref() == Some(NEW_COUNCIL_HALT_CAUSE) => NEW_COUNCIL_HALT_CAUSE,
+            Some(_) => MEMORY_LOSS_HALT_CAUSE,
         };
         let known = known.cloned().unwrap_or_default();
         let version = known.version.saturating_add(VERSION_GAP_AFTER_LOSS);
         FleetState { version, halted: Some(cause.into()), ..known }
     }
 
-    /// The state after a command. One that has no effect, such as an order that has run before, returns the same state.
+    /// Returns the state after a command. A command without effect, such as a repeated order, returns the same state.
     ///
     /// # Errors
     ///
-    /// Why the command is rejected. The state stays as it is.
+    /// Returns why the command is rejected. The state is unchanged.
     pub fn apply(
         &self,
         command: &Command,
@@ -119,12 +119,12 @@
 
     fn remember_order(&mut self, order: &str) {
         self.recent_orders.push_back(order.into());
-        if self.recent_orders.len() > MAX_REMEMBERED_ORDERS {
+        if self.recent_orders.len() > MAX_RECENT_ORDERS {
             self.recent_orders.pop_front();
         }
     }
 
-    /// Carries a command out on a copy of the state, which the caller drops when the command is rejected.
+    /// Executes a command on a copy of the state, which the caller drops when the command is rejected.
     fn execute(
         &mut self,
         command: &Command,
--- a/consensus/src/fleet_state/command.rs
+++ b/consensus/src/fleet_state/command.rs
@@ -1,7 +1,7 @@
-//! The commands that change the fleet state, in the JSON form that goes over the wire.
+//! The commands that change the fleet state, in their JSON form on the wire.
 //!
-//! Names in `serde` attributes are those of the wire. They predate the names in this crate and must not change: routers
-//! of several versions take part in one fleet.
+//! Names in `serde` attributes are those of the wire and must not change: routers of several versions take part in one
+//! fleet.
 
 use serde::{Deserialize, Serialize};
 use tallypin_membership::{Incarnation, RouterIndex};
@@ -12,27 +12,27 @@
 use crate::release::ReleasePlan;
 use crate::replica_drains::UnixMs;
 
-/// A change that is requested of the fleet state.
+/// A requested change of the fleet state.
 ///
-/// Operators' orders carry an id and run at most once, however often they are sent. The other commands come from routers,
-/// each about itself, and from members of the council on behalf of all.
+/// Operators' orders carry an id and are executed at most once, however often they are sent. The other commands are sent by
+/// routers about themselves, and by members of the council on behalf of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Command {
-    /// Changes nothing: a round with it returns the agreed state.
+    /// Changes nothing: a round with this command returns the agreed state.
     #[serde(rename = "look")]
     Read,
     /// Changes nothing in the fleet state: a restarted member of the council joins with its new incarnation.
     #[serde(rename = "join")]
     JoinCouncil(CouncilMember),
-    /// Operator: these routers are to drain.
+    /// Operator: drain these routers.
     Drain {
         /// The order's id.
         order: String,
         /// The routers.
         routers: Vec<RouterIndex>,
     },
-    /// Operator: these routers are to return to service.
+    /// Operator: return these routers to service.
     #[serde(rename = "putback")]
     Restore {
         /// The order's id.
@@ -44,7 +44,7 @@
     Halt {
         /// The order's id.
         order: String,
-        /// The cause that rejected commands report.
+        /// Cause of the halt, reported with each command that it rejects.
         cause: String,
     },
     /// Operator: drains may begin again.
@@ -52,7 +52,7 @@
         /// The order's id.
         order: String,
     },
-    /// Operator: these replicas are to leave service.
+    /// Operator: take these replicas out of service.
     #[serde(rename = "takeout")]
     DrainReplicas {
         /// The order's id.
@@ -60,10 +60,10 @@
         /// The replicas' ids.
         #[serde(rename = "nodes")]
         replicas: Vec<String>,
-        /// When they return to service without another order; `None`: never.
+        /// When the replicas return to service without another order; `None` means never.
         until: Option<UnixMs>,
     },
-    /// Operator: these replicas are to return to service.
+    /// Operator: return these replicas to service.
     #[serde(rename = "putbacknodes")]
     RestoreReplicas {
         /// The order's id.
@@ -72,48 +72,48 @@
         #[serde(rename = "nodes")]
         replicas: Vec<String>,
     },
-    /// Council: this replica leaves service if the limits allow it, or returns if its time has come.
+    /// Council: the replica leaves service if the limits allow it, or returns to service at the end of its period.
     #[serde(rename = "node")]
     AdvanceReplica(String),
     /// Operator: release a file, wave by wave.
     #[serde(rename = "release")]
     BeginRelease(ReleaseOrder),
-    /// Operator: undo the release.
+    /// Operator: roll back the release.
     #[serde(rename = "undo")]
     RollBack {
         /// The order's id.
         order: String,
-        /// The cause that the release reports.
+        /// Cause of the roll-back, reported with the release.
         cause: String,
     },
-    /// Council: all routers of this wave are back and its checks hold, so that the next wave begins.
+    /// Council: all routers of this wave are back and its checks pass, so the next wave begins.
     #[serde(rename = "wave")]
     CompleteWave(usize),
     /// Council: a check of this wave has failed.
     #[serde(rename = "fail")]
     FailWave(WaveFailure),
-    /// Router: it already runs the released file and need not drain.
+    /// Router: the sender already runs the released file and need not drain.
     #[serde(rename = "has")]
     ReportUpToDate(RouterIndex),
-    /// Router: it can't run the released file.
+    /// Router: the sender can't run the released file.
     #[serde(rename = "unfit")]
     ReportUnfit(UnfitReport),
-    /// Router: it has restarted in this incarnation without running the released file.
+    /// Router: the sender has restarted in this incarnation without running the released file.
     #[serde(rename = "again")]
     RetryRelease(RouterIncarnation),
-    /// Router: it asks for the drain lease, for a release.
+    /// Router: the sender requests the drain lease for a release.
     #[serde(rename = "leavefrom")]
     AcquireReleaseLease(ReleaseLeaseRequest),
-    /// Router: it asks for the drain lease.
+    /// Router: the sender requests the drain lease.
     #[serde(rename = "leave")]
     AcquireLease(RouterIncarnation),
-    /// Router: it has begun to drain under its lease.
+    /// Router: the sender has begun to drain under its lease.
     #[serde(rename = "going")]
     UseLease(RouterIncarnation),
-    /// Router: it has not used its lease and no longer can.
+    /// Router: the sender has not used its lease before the expiry.
     #[serde(rename = "giveup")]
     ReturnLease(RouterIncarnation),
-    /// Router: it was out of service and serves again.
+    /// Router: the sender was out of service and serves again.
     #[serde(rename = "serves")]
     ReportServing(RouterIncarnation),
 }
@@ -123,14 +123,14 @@
 pub struct ReleaseOrder {
     /// The order's id.
     pub order: String,
-    /// Which of a router's files is replaced.
+    /// The name of the file of each router that is replaced.
     #[serde(rename = "what")]
     pub artifact: String,
     /// The digest of the released file.
     pub digest: String,
     /// The routers of each wave.
     pub waves: Vec<Vec<RouterIndex>>,
-    /// The checks that each wave has to pass.
+    /// The checks that each wave must pass.
     pub plan: ReleasePlan,
 }
 
@@ -150,11 +150,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(RouterIndex, Incarnation, String)", into = "(RouterIndex, Incarnation, String)")]
 pub struct ReleaseLeaseRequest {
-    /// The router that asks.
+    /// The router that requests the lease.
     pub router: RouterIndex,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The digest of the file that it runs now, to which a roll-back returns.
+    /// The digest of the file that the router runs now, which a roll-back restores.
     pub running_digest: String,
 }
 
@@ -166,7 +166,7 @@
 pub struct WaveFailure {
     /// The wave, from 0.
     pub wave: usize,
-    /// What failed. Stored in the fleet state up to [`super::MAX_CAUSE_CHARS`].
+    /// The failed check. The fleet state stores up to [`super::MAX_CAUSE_CHARS`] characters of it.
     pub cause: String,
 }
 
@@ -178,19 +178,19 @@
 pub struct UnfitReport {
     /// The router.
     pub router: RouterIndex,
-    /// Why it can't.
+    /// Why the router can't run the file.
     pub cause: String,
 }
 
 json_array!(UnfitReport { router: RouterIndex, cause: String });
 
 impl Command {
-    /// Whether it is an operator's order. Orders go before what routers ask for: a halt must not wait for a lease.
+    /// Whether the command is an operator's order. Orders precede routers' requests: a halt must not wait for a lease.
     pub fn is_operator_order(&self) -> bool {
         self.order_id().is_some()
     }
 
-    /// The id of an operator's order; `None`: it is none.
+    /// Returns the id of an operator's order; `None` for other commands.
     pub(super) fn order_id(&self) -> Option<&str> {
         match self {
             Command::Drain { order, .. }
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Checks the texts that an operator has chosen and that the fleet state stores.
+    /// Checks the lengths of the operator's texts that the fleet state stores.
     pub(super) fn check_texts(&self) -> Result<(), Rejection> {
         let texts = match self {
             Command::Halt { cause, .. } | Command::RollBack { cause, .. } => vec![cause],
--- a/consensus/src/fleet_state/limits.rs
+++ b/consensus/src/fleet_state/limits.rs
@@ -1,4 +1,4 @@
-//! How many routers may be out of service at once, and what the council must have seen before one more may go.
+//! Limits on the number of routers out of service at once, and the council's view that is required before another may leave.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,25 +7,25 @@
 use super::{FleetState, Rejection};
 use crate::replica_drains::{ReplicaLimits, ReplicaView, UnixMs};
 
-/// The configured limits. All routers of a fleet have the same.
+/// The configured limits, which are the same on all routers of a fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainLimits {
-    /// The name of each router, by [`RouterIndex`], for causes.
+    /// The name of each router, by [`RouterIndex`], used in causes.
     pub names: Vec<String>,
-    /// The zone of each router, by [`RouterIndex`]. Its length is the size of the fleet.
+    /// The zone of each router, by [`RouterIndex`]. The length is the size of the fleet.
     pub zones: Vec<u16>,
-    /// How many routers may be out of service at once, in all.
+    /// Maximum number of routers out of service at once in the fleet.
     pub total: usize,
-    /// How many may be in any one zone.
+    /// Maximum number of routers out of service at once in any one zone.
     pub per_zone: usize,
-    /// The members of the council. Planned drains never take away the majority of those that remember.
+    /// The members of the council. Planned drains never remove the majority that remembers the register.
     pub council: Vec<RouterIndex>,
-    /// The limits of replicas; `None`: no replica may leave service by order.
+    /// The limits of replicas; `None` if no replica may leave service by order.
     pub replicas: Option<ReplicaLimits>,
 }
 
 impl DrainLimits {
-    /// The name of a router, or its index in words where the fleet has none of this index.
+    /// Returns the name of a router, or `router INDEX` if the fleet has no router of this index.
     pub(crate) fn name(&self, router: RouterIndex) -> String {
         self.names.get(usize::from(router)).cloned().unwrap_or_else(|| format!("router {router}"))
     }
@@ -38,29 +38,29 @@
         }
     }
 
-    /// How many members of the council may be out at once: a minority, and at least one, or none could be restarted.
+    /// Maximum number of council members out at once: a minority, but at least one, so that members can be restarted.
     fn council_limit(&self) -> usize {
         (self.council.len().saturating_sub(1) / 2).max(1)
     }
 }
 
-/// What a majority of the council has seen when a command is applied.
+/// What a majority of the council knows of routers and replicas when a command is applied.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CouncilView {
-    /// Members that replied and have listened for long enough to know who is silent.
+    /// Number of members that replied and have listened for long enough to know which routers are silent.
     pub informed_members: usize,
-    /// How many members are a majority.
+    /// Number of members that make a majority.
     pub majority: usize,
-    /// Routers that any of these members considers out of service.
+    /// Routers that any of the informed members considers out of service.
     pub out_of_service: BTreeSet<RouterIndex>,
-    /// The replicas by id, from a recent endpoint list; `None`: the proposer has none.
+    /// The replicas by id, from a recent endpoint list; `None` if the proposer has no recent list.
     pub replicas: Option<BTreeMap<String, ReplicaView>>,
     /// The proposer's wall clock.
     pub unix_ms: UnixMs,
 }
 
 impl CouncilView {
-    /// Checks that a majority knows who is silent.
+    /// Checks that a majority of the council knows which routers are silent.
     pub(super) fn check_complete(&self) -> Result<(), Rejection> {
         match self.informed_members < self.majority {
             true => Err(Rejection::ViewIncomplete),
@@ -70,13 +70,13 @@
 }
 
 impl FleetState {
-    /// The routers that count as out of service: by order, or as the council sees them.
+    /// Returns the routers that count as out of service: by order, or in the council's view.
     pub fn out_of_service(&self, view: &CouncilView) -> BTreeSet<RouterIndex> {
         let ordered = self.drains.iter().filter(|(_, drain)| drain.stage.counts_as_out());
         ordered.map(|(&router, _)| router).chain(view.out_of_service.iter().copied()).collect()
     }
 
-    /// Checks that any drain may begin at all.
+    /// Checks that drains may begin: the fleet is not halted and the view is complete.
     pub(super) fn check_may_begin(&self, view: &CouncilView) -> Result<(), Rejection> {
         match &self.halted {
             Some(cause) => Err(Rejection::Halted(cause.clone())),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Checks that this router may leave service as well.
+    /// Checks that this router may leave service in addition to those that are out.
     ///
     /// Failures count like planned drains: no drain begins while failures fill a limit.
     pub(super) fn check_limits(
@@ -103,7 +103,7 @@
         if others.iter().filter(|&&other| zone(other) == zone(router)).count() >= limits.per_zone {
             return Err(Rejection::ZoneLimitReached(limits.per_zone));
         }
-        // A member forgets when it restarts, and counts as out until it takes part again.
+        // A restarted member has lost its memory and counts as out until it has joined again.
         let council_limit = limits.council_limit();
         let is_member = |of: &RouterIndex| limits.council.contains(of);
         if is_member(&router) && others.iter().filter(|&other| is_member(other)).count() >= council_limit {
--- a/consensus/src/fleet_state/release_orders.rs
+++ b/consensus/src/fleet_state/release_orders.rs
@@ -1,4 +1,4 @@
-//! The course of a release: begun by order, wave by wave, to its end or back.
+//! The course of a release: it begins by an operator's order and proceeds wave by wave until it is done or rolled back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 };
 use crate::release::{Release, ReleasePhase, MAX_ATTEMPTS, MAX_WAVES};
 
-/// At least so many routers of a wave are requested to drain at once, however low the limits are.
+/// Minimum number of routers of a wave that are requested to drain at once, however low the limits are.
 const MIN_REQUESTED_AT_ONCE: usize = 4;
 
 impl FleetState {
@@ -23,7 +23,7 @@
             return Err(Rejection::ReleaseInProgress(active.order.clone()));
         }
         let routers = check_waves(&release.waves, limits)?;
-        // A router that an operator has drained must not return with the release.
+        // A router that an operator has drained must not return to service because of the release.
         if let Some((&router, drain)) = self.drains.iter().find(|(router, _)| routers.contains(router)) {
             let held = HeldRouter { router: limits.name(router), order: drain.order.clone() };
             return Err(Rejection::HeldByOtherOrder(held));
@@ -42,10 +42,10 @@
         Ok(())
     }
 
-    /// Requests the routers of the present wave to drain, for the released file or for the one that they ran before.
+    /// Requests routers of the current wave to drain, for the released file or for the one that they ran before.
     ///
-    /// Only a few more at a time than the limits let go at once: else all routers of a large wave would ask for the lease
-    /// with every change, and the state that is sent would hold them all.
+    /// At most twice as many as the limits allow are requested at once: otherwise all routers of a large wave would request
+    /// the lease with every change, and the transmitted state would contain all of them.
     pub(super) fn request_wave(&mut self, limits: &DrainLimits) {
         let Some(release) = self.release.as_mut().filter(|release| release.is_active()) else { return };
         let wave = release.waves.get(release.wave).map_or(&[][..], Vec::as_slice);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Ends a wave of which all routers are back, and with the last one the release or its roll-back.
+    /// Ends a wave whose routers are all back. The last wave ends the release or its roll-back.
     pub(super) fn complete_wave(&mut self, wave: usize) -> Result<(), Rejection> {
         let present = self.release.as_mut().filter(|release| release.wave == wave && release.is_active());
         let release = present.ok_or(Rejection::NothingToChange)?;
@@ -122,7 +122,7 @@
         let drain = self.release_drain(router)?.clone();
         self.fail_release(&format!("{}: {}", limits.name(router), report.cause));
         match drain.stage {
-            // While the release is rolled back it can do no more, and serves as it is.
+            // A router that is unfit during the roll-back keeps serving with the file that it runs.
             DrainStage::Requested => drop(self.drains.remove(&router)),
             DrainStage::Leased(incarnation) | DrainStage::OutOfService(incarnation) => {
                 let (stage, attempts) =
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// A router has restarted without running what it was to run: it drains once more, a few times at most.
+    /// Requests another drain of a router that has restarted without running its target file, up to [`MAX_ATTEMPTS`] times.
     pub(super) fn retry_release(
         &mut self,
         reporter: RouterIncarnation,
@@ -157,13 +157,13 @@
         Ok(())
     }
 
-    /// The drain of a router that is part of a release or of its roll-back.
+    /// Returns the drain of a router that is part of a release or of its roll-back.
     fn release_drain(&mut self, router: RouterIndex) -> Result<&mut DrainEntry, Rejection> {
         let drain = self.drains.get_mut(&router).filter(|drain| drain.target_digest.is_some());
         drain.ok_or(Rejection::NothingToChange)
     }
 
-    /// A check has failed: the release is halted or rolled back, as its plan says. A roll-back goes on.
+    /// Halts or rolls back the release after a failed check, as its plan states. A roll-back in progress continues.
     fn fail_release(&mut self, cause: &str) {
         let cause: String = cause.chars().take(MAX_CAUSE_CHARS).collect();
         let running = self.release.as_mut().filter(|release| release.phase == ReleasePhase::Running);
@@ -177,8 +177,8 @@
         self.cancel_requested(&order);
     }
 
-    /// Routers that have not left yet stay, those that are out return as they are. Then wave by wave, the last one first,
-    /// all that ran the released file drain to run the previous one.
+    /// Cancels drains that have not begun and returns drained routers to service as they are. Then all routers that ran the
+    /// released file drain again, the last wave first, to run their previous file.
     fn begin_roll_back(&mut self, cause: &str) {
         let Some(release) = self.release.as_mut() else { return };
         (release.phase, release.started) = (ReleasePhase::RollingBack(cause.into()), 0);
@@ -191,13 +191,13 @@
         }
     }
 
-    /// Drops the drains of an order that have not begun.
+    /// Removes the drains of an order that have not begun.
     fn cancel_requested(&mut self, order: &str) {
         self.drains.retain(|_, drain| drain.order != order || drain.stage != DrainStage::Requested);
     }
 }
 
-/// The routers of all waves, each of them known and named once.
+/// Returns the routers of all waves, and checks that each is known and named once.
 fn check_waves(waves: &[Vec<RouterIndex>], limits: &DrainLimits) -> Result<BTreeSet<RouterIndex>, Rejection> {
     let named = || waves.iter().flatten().copied();
     let routers: BTreeSet<RouterIndex> = named().collect();
--- a/consensus/src/fleet_state/replica_orders.rs
+++ b/consensus/src/fleet_state/replica_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to take replicas out of service and to put them back.
+//! Orders to take replicas out of service and to return them to service.
 
 use super::{CouncilView, DrainLimits, FleetState, Rejection};
 use crate::replica_drains::{
@@ -22,7 +22,7 @@
                 return Err(Rejection::UnknownReplica(id.chars().take(MAX_REPLICA_ID_BYTES).collect()));
             }
             match self.replicas.get_mut(id) {
-                // One that is out of service stays so, for the time that was stated last.
+                // A replica that is already out stays out, until the end of the period that was ordered last.
                 Some(drain) if !matches!(drain.stage, ReplicaStage::Restored(_)) => drain.until = until,
                 _ => {
                     let requested =
@@ -31,7 +31,7 @@
                 }
             }
         }
-        self.forget_restored(view.unix_ms);
+        self.remove_expired_restored(view.unix_ms);
         match self.replicas.len() > MAX_REPLICA_DRAINS {
             true => Err(Rejection::TooManyReplicas),
             false => Ok(()),
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Takes a replica out of service if the limits allow it, or puts it back if its time has come.
+    /// Takes a replica out of service if the limits allow it, or returns it to service at the end of its period.
     pub(super) fn advance_replica(
         &mut self,
         id: &str,
@@ -63,7 +63,7 @@
                 let listed = view.replicas.as_ref().ok_or(Rejection::EndpointListStale)?;
                 let limits = limits.replicas.as_ref().ok_or(Rejection::ReplicaOrdersDisabled)?;
                 check_limits(id, &self.replicas, limits, listed).map_err(Rejection::ReplicaLimitReached)?;
-                // The version that this change will have.
+                // Version of the fleet state after this change.
                 let since = self.version.saturating_add(1);
                 let drain = self.replicas.get_mut(id).ok_or(Rejection::NothingToChange)?;
                 drain.stage = ReplicaStage::OutOfService(since);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Puts a replica back: one that had not left yet as if nothing had been, any other one warming up.
+    /// Returns a replica to service, with a slow start if it had left service.
     fn restore_replica(&mut self, id: &str, now: UnixMs) -> Result<(), Rejection> {
         let drain = self.replicas.get_mut(id).ok_or(Rejection::NothingToChange)?;
         match drain.stage {
@@ -86,8 +86,8 @@
         Ok(())
     }
 
-    /// Drops entries of replicas that were put back long enough ago to be warm everywhere.
-    fn forget_restored(&mut self, now: UnixMs) {
+    /// Removes entries of replicas that were restored long enough ago to have completed their slow start on all routers.
+    fn remove_expired_restored(&mut self, now: UnixMs) {
         let is_old = |restored: UnixMs| now.saturating_sub(restored) > RESTORED_RETENTION_MS;
         self.replicas
             .retain(|_, drain| !matches!(drain.stage, ReplicaStage::Restored(restored) if is_old(restored)));
--- a/consensus/src/fleet_state/router_drains.rs
+++ b/consensus/src/fleet_state/router_drains.rs
@@ -1,4 +1,4 @@
-//! Orders to drain routers, and what each router reports about its own drain.
+//! Orders to drain routers, and the routers' reports about their own drains.
 
 use serde::{Deserialize, Serialize};
 use tallypin_membership::{Incarnation, RouterIndex};
@@ -6,20 +6,20 @@
 use super::{CouncilView, DrainLimits, FleetState, Rejection, ReleaseLeaseRequest, RouterIncarnation};
 use crate::release::{ReleasePhase, MAX_ATTEMPTS};
 
-/// How far a router has come on its way out of service and back.
+/// The stage of a router's drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DrainStage {
-    /// It is to drain as soon as the limits allow it.
+    /// The router is to drain as soon as the limits allow it.
     #[serde(rename = "wanted")]
     Requested,
-    /// It holds the drain lease in this incarnation, and has not reported that it drains.
+    /// The router holds the drain lease in this incarnation, and has not reported that it drains.
     #[serde(rename = "leave")]
     Leased(Incarnation),
-    /// It drains, or has drained, as this incarnation has reported.
+    /// This incarnation has reported that the router drains or has drained.
     #[serde(rename = "out")]
     OutOfService(Incarnation),
-    /// It is to return, and counts as out of service until it reports that it serves.
+    /// The router is to return, and counts as out of service until it reports that it serves.
     #[serde(rename = "back")]
     Returning(Incarnation),
 }
@@ -34,20 +34,20 @@
 /// The drain of one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainEntry {
-    /// How far it has come.
+    /// The stage of the drain.
     pub stage: DrainStage,
-    /// The id of the order that it follows.
+    /// The id of the order behind the drain.
     pub order: String,
-    /// In a release: the digest of the file that it is to run when it returns.
+    /// In a release, the digest of the file that the router is to run when it returns.
     #[serde(default, rename = "to", skip_serializing_if = "Option::is_none")]
     pub target_digest: Option<String>,
-    /// How often it has returned without running that file.
+    /// Number of times that the router returned without running that file.
     #[serde(default, rename = "tries")]
     pub attempts: u8,
 }
 
 impl DrainEntry {
-    /// A drain that has just been ordered.
+    /// Creates a drain that has been ordered and has not begun.
     pub(super) fn requested(order: &str, target_digest: Option<&String>) -> DrainEntry {
         DrainEntry {
             stage: DrainStage::Requested,
@@ -67,7 +67,7 @@
     ) -> Result<(), Rejection> {
         for &router in routers {
             limits.check_known(router)?;
-            // A drain that exists stays as it is, in any stage: one that is returning is not drained again by this order.
+            // An existing drain is kept in any stage: a router that is returning is not drained again by this order.
             self.drains.entry(router).or_insert_with(|| DrainEntry::requested(order, None));
         }
         Ok(())
@@ -112,7 +112,7 @@
         let &ReleaseLeaseRequest { router, incarnation, .. } = request;
         self.grant_lease(RouterIncarnation { router, incarnation }, limits, view)?;
         if let Some(release) = &mut self.release {
-            // Only the first one is what it ran before the release: with a later attempt it may run something else.
+            // Only the first request has the file from before the release: on a later attempt another file may be running.
             let previous = release.previous_digests.entry(router);
             previous.or_insert_with(|| request.running_digest.clone());
         }
@@ -129,7 +129,7 @@
         self.advance(router, DrainStage::Leased(incarnation), DrainStage::Requested)
     }
 
-    /// Ends a router's drain: it was to return, or has restarted since it went.
+    /// Ends the drain of a router that was to return, or that has restarted since it drained.
     pub(super) fn report_serving(
         &mut self,
         reporter: RouterIncarnation,
@@ -143,7 +143,7 @@
         };
         let drain = self.drains.get(&router).filter(|drain| may_end(drain.stage));
         let drain = drain.ok_or(Rejection::NothingToChange)?;
-        // In a release others must see it ready before the next router goes.
+        // In a release, a majority must see the router ready before the next one leaves service.
         if drain.target_digest.is_some() {
             view.check_complete()?;
             if view.out_of_service.contains(&router) {
@@ -156,7 +156,7 @@
         Ok(())
     }
 
-    /// A router that returns while its release is rolled back may run the released file: it drains once more.
+    /// Requests another drain of a router that returns during a roll-back, as it may run the released file.
     fn roll_back_router(&mut self, router: RouterIndex, ended: &DrainEntry) {
         let Some(release) = &self.release else { return };
         let rolls_back =
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Moves a router's drain on, if it is in this stage.
+    /// Moves a router's drain from one stage to another; rejects the command if the drain is in a different stage.
     fn advance(&mut self, router: RouterIndex, from: DrainStage, to: DrainStage) -> Result<(), Rejection> {
         let drain = self.drains.get_mut(&router).filter(|drain| drain.stage == from);
         drain.ok_or(Rejection::NothingToChange)?.stage = to;
--- a/consensus/src/fleet_state/tests.rs
+++ b/consensus/src/fleet_state/tests.rs
@@ -28,7 +28,7 @@
     Command::AcquireLease(of(router, 7))
 }
 
-/// Applies a command while the council hears all routers.
+/// Applies a command while no router is silent.
 fn apply(state: &FleetState, command: &Command) -> Result<FleetState, Rejection> {
     state.apply(command, &limits(), &view(&[]))
 }
@@ -54,7 +54,7 @@
     let with_out = |out: &[RouterIndex]| state.apply(&lease(0), &limits(), &view(out));
     assert_eq!(with_out(&[2]), Err(Rejection::ZoneLimitReached(1)), "2 has crashed");
     assert_eq!(with_out(&[3, 4]), Err(Rejection::FleetLimitReached(2)));
-    assert!(with_out(&[0]).is_ok(), "itself counts once");
+    assert!(with_out(&[0]).is_ok(), "the router itself is not counted twice");
 }
 
 #[test]
@@ -63,7 +63,7 @@
     let limits = DrainLimits { total: 4, per_zone: 4, council: vec![0, 1, 3], ..limits() };
     let with_member_out = |command| state.apply(&command, &limits, &view(&[3]));
     assert_eq!(with_member_out(lease(0)), Err(Rejection::CouncilLimitReached(1)));
-    assert!(with_member_out(lease(4)).is_ok(), "of no council");
+    assert!(with_member_out(lease(4)).is_ok(), "not a member of the council");
 }
 
 #[test]
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn nothing_begins_while_halted_and_what_has_begun_may_end() {
+fn no_drain_begins_while_halted_and_a_drain_in_progress_may_end() {
     let state = apply(&draining(), &lease(0)).unwrap();
     let halt = Command::Halt { order: "h".into(), cause: "late answers".into() };
     let state = apply(&state, &halt).unwrap();
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn an_order_runs_once() {
+fn an_order_is_executed_once() {
     let state = draining();
     let again = Command::Drain { order: "d".into(), routers: vec![2] };
     assert_eq!(apply(&state, &again).as_ref(), Ok(&state));
 }
 
 #[test]
-fn an_order_that_is_wrong_is_rejected() {
+fn an_invalid_order_is_rejected() {
     let unknown = Command::Drain { order: "e".into(), routers: vec![2, 9] };
     assert_eq!(apply(&draining(), &unknown), Err(Rejection::UnknownRouter(9)));
     let long = Command::Halt { order: "h".into(), cause: "x".repeat(MAX_TEXT_BYTES + 1) };
@@ -105,18 +105,18 @@
     for k in 0..200 {
         state = apply(&state, &Command::Resume { order: format!("r{k}") }).unwrap();
     }
-    assert!(state.recent_orders.len() <= MAX_REMEMBERED_ORDERS);
+    assert!(state.recent_orders.len() <= MAX_RECENT_ORDERS);
 }
 
 #[test]
-fn an_earlier_incarnation_speaks_for_no_later_one() {
+fn a_command_of_another_incarnation_is_rejected() {
     let state = apply(&draining(), &lease(0)).unwrap();
     assert_eq!(apply(&state, &Command::UseLease(of(0, 8))), Err(Rejection::NothingToChange));
     assert_eq!(
         apply(&state, &Command::ReportServing(of(0, 7))),
         Err(Rejection::NothingToChange),
-        "it holds the lease"
+        "this incarnation holds the lease"
     );
     let back = apply(&state, &Command::ReportServing(of(0, 8))).unwrap();
-    assert!(!back.drains.contains_key(&0), "restarted, and serves");
+    assert!(!back.drains.contains_key(&0), "the router has restarted and serves");
 }
--- a/consensus/src/json_array.rs
+++ b/consensus/src/json_array.rs
@@ -1,6 +1,6 @@
-//! Structs that are JSON arrays on the wire, where an earlier version had tuples.
+//! Structs that are JSON arrays on the wire, for compatibility with versions that used tuples.
 
-/// Implements the conversions from and to the tuple of all fields, for `#[serde(from = .., into = ..)]`.
+/// Implements the conversions between a struct and the tuple of its fields, for `#[serde(from = .., into = ..)]`.
 macro_rules! json_array {
     ($name:ident { $($field:ident: $kind:ty),+ }) => {
         impl From<($($kind),+)> for $name {
--- a/consensus/src/register/acceptor.rs
+++ b/consensus/src/register/acceptor.rs
@@ -7,21 +7,22 @@
 
 /// One member's promise and last accepted proposal.
 ///
-/// All of it is volatile. After a restart an acceptor takes no part until a round that was chosen without it names its
-/// new incarnation ([`Acceptor::join`]), or until the whole council accepts a first value ([`AcceptorRequest::Bootstrap`]).
+/// The state is volatile. A restarted acceptor takes no part until a round that was chosen without it names its new
+/// incarnation ([`Acceptor::join`]), or until the whole council accepts a first value ([`AcceptorRequest::Bootstrap`]).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Acceptor<D> {
     incarnation: Incarnation,
     joined: bool,
     promised: Ballot,
     accepted: Option<Proposal<D>>,
-    /// What an earlier incarnation left on disk: reported until this one has joined, never counted.
+    /// The state that an earlier incarnation stored on disk. It is reported until this incarnation has joined, and never
+    /// counts as accepted.
     stored: Option<D>,
     defect: Option<Defect>,
 }
 
 impl<D: Clone + PartialEq> Acceptor<D> {
-    /// An acceptor that has just started and remembers nothing.
+    /// Creates an acceptor that has just started, with empty memory.
     pub fn new(incarnation: Incarnation) -> Acceptor<D> {
         Acceptor {
             incarnation,
@@ -33,32 +34,31 @@
         }
     }
 
-    /// The same with the state that was found on disk, which it reports until it has joined.
+    /// Sets the state that was found on disk, which the acceptor reports until it has joined.
     pub fn with_stored(self, stored: Option<D>) -> Acceptor<D> {
         Acceptor { stored, ..self }
     }
 
-    /// The same with a deliberate defect.
+    /// Enables a deliberate defect.
     #[cfg(feature = "defects")]
     pub fn with_defect(self, defect: Option<Defect>) -> Acceptor<D> {
         let joined = self.joined || defect == Some(Defect::JoinsAtOnce);
         Acceptor { defect, joined, ..self }
     }
 
-    /// Whether it takes part in rounds.
+    /// Whether the acceptor takes part in rounds.
     pub fn joined(&self) -> bool {
         self.joined
     }
 
-    /// The value that it accepted last. It can be newer or older than the chosen one, and is a hint to read, no more.
+    /// Returns the value accepted last. It can be newer or older than the chosen value, so it is only a hint to read.
     pub fn accepted(&self) -> Option<&RegisterValue<D>> {
         self.accepted.as_ref().map(|proposal| &proposal.value)
     }
 
     /// Handles one request.
     ///
-    /// Requests may arrive late, repeatedly and in any order: the reply and the new state stay within the promises
-    /// that were given.
+    /// Requests may arrive late, repeatedly and in any order: the reply and the new state keep the promises given before.
     pub fn handle(&mut self, request: AcceptorRequest<D>) -> AcceptorReply<D> {
         match request {
             AcceptorRequest::Bootstrap(proposal) => self.bootstrap(proposal),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes part from now on, if this chosen proposal names this incarnation; else nothing changes.
+    /// Joins the council if this chosen proposal names this incarnation; otherwise nothing changes.
     ///
     /// The proposal must have been chosen by a majority that does not include this member.
     pub fn join(&mut self, chosen: Proposal<D>) {
@@ -85,8 +85,8 @@
 
     fn bootstrap(&mut self, proposal: Proposal<D>) -> AcceptorReply<D> {
         let ballot = proposal.ballot;
-        // The value was computed from what all members replied to a `Prepare` with this ballot. A member that has promised
-        // anything since, or runs in another incarnation by now, must not accept it.
+        // The value was computed from all members' replies to a `Prepare` with this ballot. A member that has promised
+        // another ballot since, or has restarted, must not accept it.
         if ballot == self.promised && proposal.value.incarnations.contains(&self.incarnation) {
             (self.joined, self.accepted) = (true, Some(proposal));
         }
@@ -106,7 +106,7 @@
         AcceptorReply::Promised { incarnation: self.incarnation, accepted: self.accepted.clone() }
     }
 
-    /// Before it has joined, a promise counts for `Bootstrap` alone.
+    /// Handles a `Prepare` before the acceptor has joined: its promise counts only for `Bootstrap`.
     fn prepare_uninitialized(&mut self, ballot: Ballot) -> AcceptorReply<D> {
         if ballot < self.promised {
             return AcceptorReply::Superseded(self.promised);
--- a/consensus/src/register/ballot.rs
+++ b/consensus/src/register/ballot.rs
@@ -9,7 +9,7 @@
 /// rounds within an incarnation, and its index and incarnation break ties.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Higher than that of every ballot that the proposer had heard of when it began the round.
+    /// Higher than the number of every ballot that the proposer had seen when it began the round.
     pub number: u64,
     /// The router that proposes.
     #[serde(rename = "by")]
@@ -20,9 +20,9 @@
 }
 
 impl Ballot {
-    /// The same proposer's next ballot, higher than both this one and `seen`.
+    /// Returns the same proposer's next ballot, higher than both this one and `seen`.
     ///
-    /// The number saturates at `u64::MAX`, from where on no new round can be told apart and nothing more is chosen.
+    /// The number saturates at `u64::MAX`. From there on rounds can't be distinguished, and nothing more is chosen.
     pub fn above(self, seen: Ballot) -> Ballot {
         Ballot { number: self.number.max(seen.number).saturating_add(1), ..self }
     }
--- a/consensus/src/register/defect.rs
+++ b/consensus/src/register/defect.rs
@@ -1,18 +1,18 @@
-//! Deliberate defects, compiled in by the feature `defects` alone, which the tests of this crate have to detect.
+//! Deliberate defects that the tests of this crate must detect. They are compiled in only with the feature `defects`.
 
 /// A deliberate defect of an acceptor or a proposer; a test enables one at a time.
 #[cfg(feature = "defects")]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Defect {
-    /// A promise counts whatever incarnation gave it.
+    /// A promise of any incarnation counts.
     AnyIncarnation,
-    /// One member less than a majority is enough.
+    /// One member less than a majority suffices.
     OneShortOfMajority,
-    /// An acceptor forgets what it has promised.
+    /// An acceptor does not store its promises.
     ForgetsPromise,
-    /// The proposer builds on the oldest accepted value that was reported, not on the newest.
+    /// The proposer builds on the oldest reported value instead of the newest.
     BuildsOnOldest,
-    /// An acceptor that has restarted takes part at once, and its replies count.
+    /// A restarted acceptor takes part immediately, and its replies count.
     JoinsAtOnce,
     /// An acceptor accepts older values after newer ones.
     AcceptsOlder,
@@ -20,7 +20,7 @@
     CountsDuplicates,
 }
 
-/// Without the feature there is no defect to enable, and the checks for one are compiled away.
+/// Without the feature `defects` no defect can be enabled, and the checks for one are compiled away.
 #[cfg(not(feature = "defects"))]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Defect {}
--- a/consensus/src/register/lookup.rs
+++ b/consensus/src/register/lookup.rs
@@ -1,13 +1,13 @@
-//! What follows from the reports of several members: the chosen value, without a round, and the first value of a council
-//! that has lost its memory.
+//! Evaluates the reports of several members: finds the chosen value without a round, and creates the first value of a
+//! council that has lost its memory.
 
 use super::{MemberReport, MemberReports, Proposal, RegisterValue};
 
-/// The chosen proposal, if the reports prove one: a majority, in the incarnations that count, accepted it last.
+/// Returns the chosen proposal, if the reports prove it: a majority, in the incarnations that count, accepted it last.
 ///
-/// Whatever was chosen before the members were asked, at least one of a majority would have reported. Reading promises
-/// nothing, so any number of readers can poll without superseding a round that changes something. `None`: the reports
-/// don't prove it, and a round is needed.
+/// At least one member of any majority reports a value that was chosen before the request. Reading makes no promises, so
+/// any number of readers can poll without superseding a round in progress. Returns `None` if the reports prove no proposal;
+/// then a round is needed.
 pub fn chosen_value<D: Clone>(reports: &MemberReports<D>) -> Option<Proposal<D>> {
     let accepted = reports.iter().flatten().filter_map(|report| report.accepted.as_ref());
     accepted.clone().find(|proposal| is_chosen(proposal, reports)).cloned()
@@ -23,11 +23,11 @@
     reports.iter().enumerate().filter(agrees).count() * 2 > reports.len()
 }
 
-/// The value with which a council begins anew when too few members remember to choose anything ever again.
+/// Returns the first value of a council that starts again because too few members remember the register.
 ///
-/// `reports` has, by member, its incarnation and what it accepted last, if it has joined. `None`: a majority remembers,
-/// or a member has not replied. `rebuild` receives the newest state that any member reports, which may be older than the
-/// one that was chosen last: it has to return a state in which nothing begins before an operator has looked.
+/// `reports` has, by member, its incarnation and the proposal that it accepted last, if it has joined. Returns `None` if a
+/// majority remembers, or if a member has not replied. `rebuild` receives the newest state that any member reports, which
+/// may be older than the last chosen one: it must return a state in which nothing begins before an operator resumes.
 pub fn bootstrap_value<D: Clone>(
     reports: &MemberReports<D>,
     rebuild: impl FnOnce(Option<&D>) -> D,
--- a/consensus/src/register/messages.rs
+++ b/consensus/src/register/messages.rs
@@ -1,7 +1,7 @@
-//! What proposers and acceptors send each other, in the JSON form that goes over the wire.
+//! The messages between proposers and acceptors, in their JSON form on the wire.
 //!
-//! Names in `serde` attributes are those of the wire. They predate the names in this crate and must not change: routers
-//! of several versions take part in one fleet.
+//! Names in `serde` attributes are those of the wire and must not change: routers of several versions take part in one
+//! fleet.
 
 use serde::{Deserialize, Serialize, Serializer};
 use tallypin_membership::Incarnation;
@@ -12,16 +12,16 @@
 /// An acceptor's position in the council, from 0.
 pub type MemberIndex = u8;
 
-/// The largest number of members that a council may have.
+/// Maximum number of members of a council.
 pub const MAX_MEMBERS: usize = 7;
 
 /// A member of the council in one of its incarnations; a JSON array of the two on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(MemberIndex, Incarnation)", into = "(MemberIndex, Incarnation)")]
 pub struct CouncilMember {
-    /// Its position in the council.
+    /// The member's position in the council.
     pub member: MemberIndex,
-    /// The incarnation that is meant.
+    /// The member's incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -30,10 +30,10 @@
 /// The content of the register: the agreed state, and the incarnations of the acceptors whose replies count.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RegisterValue<D> {
-    /// By [`MemberIndex`]: the incarnation in which each member takes part.
+    /// The incarnation in which each member takes part, by [`MemberIndex`].
     #[serde(rename = "lives")]
     pub incarnations: Vec<Incarnation>,
-    /// What the routers agree on.
+    /// The state that the routers agree on.
     #[serde(rename = "document")]
     pub state: D,
 }
@@ -42,9 +42,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Deserialize)]
 #[serde(from = "(Ballot, RegisterValue<D>)")]
 pub struct Proposal<D> {
-    /// The round that proposed it.
+    /// The ballot of the round that proposed the value.
     pub ballot: Ballot,
-    /// What was proposed.
+    /// The proposed value.
     pub value: RegisterValue<D>,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// What a proposer asks of an acceptor.
+/// A proposer's request to an acceptor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AcceptorRequest<D> {
@@ -78,7 +78,7 @@
     Bootstrap(Proposal<D>),
 }
 
-/// What an acceptor replies.
+/// An acceptor's reply.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AcceptorReply<D> {
@@ -88,16 +88,16 @@
         /// The acceptor's incarnation.
         #[serde(rename = "life")]
         incarnation: Incarnation,
-        /// The proposal that it accepted last, if any.
+        /// The proposal that the acceptor accepted last, if any.
         #[serde(rename = "taken")]
         accepted: Option<Proposal<D>>,
     },
     /// To `Prepare`: promised.
     Promised {
-        /// The incarnation that promises. The promise is void for any other one.
+        /// The incarnation that promises. The promise is void for any other incarnation.
         #[serde(rename = "life")]
         incarnation: Incarnation,
-        /// The proposal that it accepted last, if any.
+        /// The proposal that the acceptor accepted last, if any.
         #[serde(rename = "taken")]
         accepted: Option<Proposal<D>>,
     },
@@ -108,34 +108,34 @@
         #[serde(rename = "life")]
         incarnation: Incarnation,
     },
-    /// Rejected: this higher ballot has been promised.
+    /// Rejected: the acceptor has promised this higher ballot.
     #[serde(rename = "newer")]
     Superseded(Ballot),
-    /// The acceptor has restarted, remembers nothing and takes no part yet.
+    /// The acceptor has restarted, has no memory and takes no part yet.
     #[serde(rename = "blank")]
     Uninitialized {
         /// The acceptor's incarnation.
         #[serde(rename = "life")]
         incarnation: Incarnation,
-        /// The state that an earlier incarnation stored on disk. It may be old, and counts only towards a `Bootstrap`.
+        /// The state that an earlier incarnation stored on disk. It may be outdated, and is used only for a `Bootstrap`.
         #[serde(default = "none", skip_serializing_if = "Option::is_none")]
         stored: Option<D>,
     },
 }
 
-/// The default of an absent `stored`; `Option::default` would require `D: Default` of the derived implementation.
+/// Default of an absent `stored`. `Option::default` would make the derived implementation require `D: Default`.
 fn none<D>() -> Option<D> {
     None
 }
 
-/// What one acceptor has reported to a proposer.
+/// One acceptor's report to a proposer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct MemberReport<D> {
     /// The incarnation that reports.
     pub incarnation: Incarnation,
-    /// The proposal that it accepted last; `None`: it has accepted none.
+    /// The proposal that the acceptor accepted last; `None` if it has accepted none.
     pub accepted: Option<Proposal<D>>,
 }
 
-/// What each member of the council has reported, by [`MemberIndex`]; `None`: no reply.
+/// The reports of the members of the council, by [`MemberIndex`]; `None` for members that have not replied.
 pub type MemberReports<D> = [Option<MemberReport<D>>];
--- a/consensus/src/register/proposer.rs
+++ b/consensus/src/register/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: one round that reads the register, changes the value and has the change accepted.
+//! The proposer: one round that reads the register, changes the value and gets the change accepted.
 
 use tallypin_membership::Incarnation;
 
@@ -7,16 +7,16 @@
     AcceptorReply, AcceptorRequest, Ballot, CouncilMember, MemberIndex, MemberReport, Proposal, RegisterValue,
 };
 
-/// What a round needs next.
+/// The next step of a round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RoundStep<D> {
-    /// More replies.
+    /// Wait for more replies.
     Wait,
-    /// A changed version of this state: the round continues with [`Proposer::propose`].
+    /// Change this state and continue with [`Proposer::propose`].
     Propose(D),
-    /// Nothing: this value has been chosen.
+    /// The round is over: this value has been chosen.
     Chosen(RegisterValue<D>),
-    /// Nothing: it lost to this higher ballot. Its value may still be chosen, by a later round that builds on it.
+    /// The round is over: a higher ballot was promised. Its value may still be chosen by a later round that builds on it.
     Superseded(Ballot),
 }
 
@@ -28,19 +28,19 @@
 pub struct Proposer<D> {
     ballot: Ballot,
     members: usize,
-    /// Restarted members that join with this round. They have no say in it.
+    /// Restarted members that join with this round. Their replies do not count in it.
     joining: Vec<CouncilMember>,
-    /// The replies to the present request, by member.
+    /// The replies to the current request, by member.
     reports: Vec<Option<MemberReport<D>>>,
     /// The proposed value, once the first phase is over.
     proposed: Option<RegisterValue<D>>,
-    /// Replies that were counted twice, by the defect `CountsDuplicates`.
+    /// Number of replies counted twice because of the defect `CountsDuplicates`.
     duplicates: usize,
     defect: Option<Defect>,
 }
 
 impl<D: Clone + PartialEq> Proposer<D> {
-    /// A round with this ballot before a council of so many members.
+    /// Creates a round with this ballot for a council of this number of members.
     pub fn new(ballot: Ballot, members: usize) -> Proposer<D> {
         Proposer {
             ballot,
@@ -53,23 +53,23 @@
         }
     }
 
-    /// A round with which restarted members join in their new incarnations.
+    /// Creates a round in which restarted members join in their new incarnations.
     pub fn joining(ballot: Ballot, members: usize, joining: Vec<CouncilMember>) -> Proposer<D> {
         Proposer { joining, ..Proposer::new(ballot, members) }
     }
 
-    /// The same with a deliberate defect.
+    /// Enables a deliberate defect.
     #[cfg(feature = "defects")]
     pub fn with_defect(self, defect: Option<Defect>) -> Proposer<D> {
         Proposer { defect, ..self }
     }
 
-    /// Its ballot.
+    /// Returns the ballot of the round.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// The request that goes to all members in the present phase.
+    /// Returns the request to send to all members in the current phase.
     pub fn request(&self) -> AcceptorRequest<D> {
         match &self.proposed {
             None => AcceptorRequest::Prepare(self.ballot),
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Begins the second phase with this changed state, after [`RoundStep::Propose`]. Before that it has no effect.
+    /// Begins the second phase with this changed state, after [`RoundStep::Propose`]. An earlier call has no effect.
     pub fn propose(&mut self, state: D) {
         let Some(newest) = self.newest() else { return };
         let mut incarnations = newest.value.incarnations.clone();
@@ -145,8 +145,8 @@
         }
     }
 
-    /// The newest proposal that any member has reported, whether or not its incarnation counts: what is reported was
-    /// accepted by someone.
+    /// Returns the newest proposal that any member has reported, whether or not its incarnation counts: every reported
+    /// proposal was accepted by an acceptor.
     fn newest(&self) -> Option<&Proposal<D>> {
         let accepted = self.reports.iter().flatten().filter_map(|report| report.accepted.as_ref());
         match defect!(self, BuildsOnOldest) {
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Whether a majority has replied in the incarnations that count. What a member promised in any other one it may
-    /// have forgotten.
+    /// Whether a majority has replied in the incarnations that count. A member may have lost the promises that it gave in
+    /// another incarnation.
     fn has_majority(&self, incarnations: &[Incarnation]) -> bool {
         let counts = |(member, report): &(usize, &Option<MemberReport<D>>)| {
             report.as_ref().is_some_and(|report| {
--- a/consensus/src/register/tests.rs
+++ b/consensus/src/register/tests.rs
@@ -18,8 +18,8 @@
     members
 }
 
-/// Plays a round, which adds one, before those members that `reach` says; what it ends with.
-fn play(members: &mut Members, mut round: Proposer<u64>, reach: &[usize]) -> RoundStep<u64> {
+/// Runs a round that adds one to the value, with the members that `reach` lists; returns its last step.
+fn run_round(members: &mut Members, mut round: Proposer<u64>, reach: &[usize]) -> RoundStep<u64> {
     loop {
         let request = round.request();
         let mut last = RoundStep::Wait;
@@ -40,7 +40,7 @@
     }
 }
 
-/// What each member reports of itself.
+/// The report of each member.
 fn reports(members: &Members) -> Vec<Option<MemberReport<u64>>> {
     let report = |member: &Acceptor<u64>| match member.clone().handle(AcceptorRequest::Read) {
         AcceptorReply::Current { incarnation, accepted } => Some(MemberReport { incarnation, accepted }),
@@ -65,53 +65,53 @@
 }
 
 #[test]
-fn a_majority_changes_it_and_a_minority_does_not() {
+fn a_majority_changes_the_value_and_a_minority_does_not() {
     let mut members = bootstrapped(5);
-    let step = play(&mut members, Proposer::new(ballot(2, 0), 5), &[0, 1, 2]);
+    let step = run_round(&mut members, Proposer::new(ballot(2, 0), 5), &[0, 1, 2]);
     assert!(matches!(step, RoundStep::Chosen(value) if value.state > 0));
-    let step = play(&mut members, Proposer::new(ballot(3, 1), 5), &[2, 3, 4]);
+    let step = run_round(&mut members, Proposer::new(ballot(3, 1), 5), &[2, 3, 4]);
     assert!(matches!(&step, RoundStep::Chosen(value) if value.state == 2), "built on the first: {step:?}");
-    assert_eq!(play(&mut members, Proposer::new(ballot(4, 2), 5), &[0, 1]), RoundStep::Wait);
-    let late = play(&mut members, Proposer::new(ballot(2, 3), 5), &[2, 3, 4]);
-    assert_eq!(late, RoundStep::Superseded(ballot(3, 1)), "an older round learns of the newer");
+    assert_eq!(run_round(&mut members, Proposer::new(ballot(4, 2), 5), &[0, 1]), RoundStep::Wait);
+    let late = run_round(&mut members, Proposer::new(ballot(2, 3), 5), &[2, 3, 4]);
+    assert_eq!(late, RoundStep::Superseded(ballot(3, 1)), "an older round is superseded by the newer one");
 }
 
 #[test]
 fn a_restarted_member_takes_part_only_after_a_majority_without_it_has_named_its_incarnation() {
     let mut members = bootstrapped(3);
-    play(&mut members, Proposer::new(ballot(2, 0), 3), &[0, 1]);
+    run_round(&mut members, Proposer::new(ballot(2, 0), 3), &[0, 1]);
     members[0] = Acceptor::new(100);
-    let step = play(&mut members, Proposer::new(ballot(3, 1), 3), &[0, 2]);
-    assert_eq!(step, RoundStep::Wait, "one, and one that is uninitialized");
+    let step = run_round(&mut members, Proposer::new(ballot(3, 1), 3), &[0, 2]);
+    assert_eq!(step, RoundStep::Wait, "one of the two is uninitialized");
     let joining = vec![CouncilMember { member: 0, incarnation: 100 }];
     let alone = Proposer::joining(ballot(4, 0), 3, joining.clone());
-    assert_eq!(play(&mut members, alone, &[0, 1]), RoundStep::Wait, "itself does not count");
-    let joined = play(&mut members, Proposer::joining(ballot(5, 0), 3, joining), &[1, 2]);
+    assert_eq!(run_round(&mut members, alone, &[0, 1]), RoundStep::Wait, "the joining member does not count");
+    let joined = run_round(&mut members, Proposer::joining(ballot(5, 0), 3, joining), &[1, 2]);
     let RoundStep::Chosen(value) = joined else { panic!("{joined:?}") };
-    assert_eq!((value.incarnations[0], value.state), (100, 2), "what was agreed on before is kept");
+    assert_eq!((value.incarnations[0], value.state), (100, 2), "the chosen state is kept");
     members[0].join(Proposal { ballot: ballot(5, 0), value });
-    let step = play(&mut members, Proposer::new(ballot(6, 2), 3), &[0, 2]);
+    let step = run_round(&mut members, Proposer::new(ballot(6, 2), 3), &[0, 2]);
     assert!(matches!(step, RoundStep::Chosen(value) if value.state == 3));
 }
 
 #[test]
-fn the_first_value_wants_a_report_of_each_member() {
+fn the_first_value_requires_a_report_of_each_member() {
     let uninitialized = |incarnation| Some(MemberReport { incarnation, accepted: None });
     let value = bootstrap_value(&[uninitialized(1), None, uninitialized(3)], |_| 0);
-    assert_eq!(value, None::<RegisterValue<u64>>, "one has not answered");
+    assert_eq!(value, None::<RegisterValue<u64>>, "one member has not replied");
 }
 
-/// A council of three in which two have restarted since, and the first value that it begins anew with.
+/// A council of three of which two have restarted, and the value with which it starts again.
 fn with_lost_memory() -> (Members, RegisterValue<u64>) {
     let mut members = bootstrapped(3);
-    let step = play(&mut members, Proposer::new(ballot(2, 1), 3), &[1, 2, 0]);
+    let step = run_round(&mut members, Proposer::new(ballot(2, 1), 3), &[1, 2, 0]);
     assert!(matches!(step, RoundStep::Chosen(_)));
     members[0] = Acceptor::new(8);
     assert_eq!(bootstrap_value(&reports(&members), |_| 0), None, "two of three remember");
-    // Two have forgotten: the value of the third is kept, and nothing is agreed on but by all.
+    // Two members have lost their memory: the value of the third is kept, and only all three can accept a first value.
     members[1] = Acceptor::new(9);
-    assert_eq!(play(&mut members, Proposer::new(ballot(5, 2), 3), &[0, 1, 2]), RoundStep::Wait);
-    let value = bootstrap_value(&reports(&members), |held| held.copied().unwrap_or(0) + 100)
+    assert_eq!(run_round(&mut members, Proposer::new(ballot(5, 2), 3), &[0, 1, 2]), RoundStep::Wait);
+    let value = bootstrap_value(&reports(&members), |known| known.copied().unwrap_or(0) + 100)
         .expect("one of three remembers");
     assert_eq!(value, RegisterValue { incarnations: vec![8, 9, 2], state: 101 });
     (members, value)
@@ -123,21 +123,21 @@
     let superseded = AcceptorReply::Superseded(ballot(5, 2));
     assert!(
         members.iter_mut().all(|member| member.handle(bootstrap(6, &value)) == superseded),
-        "none was asked"
+        "no member has promised this ballot"
     );
     prepare_all(&mut members, ballot(6, 0));
-    // One hears another since: it does not accept what was decided before, and the others accept it in vain.
+    // One member has promised another ballot since and does not accept the value, so the others' acceptance has no effect.
     members[2].handle(AcceptorRequest::Prepare(ballot(7, 1)));
     assert_eq!(members[2].handle(bootstrap(6, &value)), AcceptorReply::Superseded(ballot(7, 1)));
 }
 
 #[test]
-fn a_council_goes_on_from_the_first_value_that_all_members_accept() {
+fn a_council_continues_from_the_first_value_that_all_members_accept() {
     let (mut members, value) = with_lost_memory();
     prepare_all(&mut members, ballot(8, 0));
     let accepted = |reply| matches!(reply, AcceptorReply::Accepted { .. });
     assert!(members.iter_mut().all(|member| accepted(member.handle(bootstrap(8, &value)))));
-    let RoundStep::Chosen(now) = play(&mut members, Proposer::new(ballot(9, 1), 3), &[1, 2]) else {
+    let RoundStep::Chosen(now) = run_round(&mut members, Proposer::new(ballot(9, 1), 3), &[1, 2]) else {
         panic!()
     };
     assert_eq!(now.state, 102);
--- a/consensus/src/release_monitor.rs
+++ b/consensus/src/release_monitor.rs
@@ -1,7 +1,7 @@
-//! When a wave of a release is complete and when it has failed, as one member of the council sees it.
+//! Decides, for one member of the council, when a wave of a release is complete and when it has failed.
 //!
-//! Every member monitors and may submit the command: the fleet state applies it once. A member that takes over begins to
-//! observe anew, which makes a release slower and never less strict.
+//! Every member monitors and may submit the command: the fleet state applies it once. A member that takes over observes the
+//! wave from the beginning, which makes a release slower, but never less strict.
 
 mod answer_counts;
 mod comparison;
@@ -17,27 +17,27 @@
 use crate::fleet_state::{Command, DrainLimits, DrainStage, FleetState, WaveFailure};
 use crate::release::{Release, ReleasePhase};
 
-/// What a member has heard of a router that is not silent.
+/// A router's report that a member has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouterReport {
     /// The router's incarnation.
     pub incarnation: Incarnation,
-    /// What that incarnation has answered.
+    /// The answers of that incarnation.
     pub counts: AnswerCounts,
 }
 
 /// One member's observation of the release in progress.
 #[derive(Debug, Default)]
 pub struct ReleaseMonitor {
-    /// What the rest of this is about; it starts anew with each wave.
+    /// The observed wave. The other fields are reset with each wave.
     wave: Option<ObservedWave>,
-    /// Since when each router of the wave is out of service.
+    /// When each router of the wave went out of service.
     out_since: BTreeMap<RouterIndex, Nanos>,
     /// Set while all routers of the wave are back.
     baseline: Option<Baseline>,
 }
 
-/// A wave of one release, on its way forwards or back.
+/// A wave of a release or of its roll-back.
 #[derive(Debug, PartialEq, Eq)]
 struct ObservedWave {
     order: String,
@@ -45,7 +45,7 @@
     rolls_back: bool,
 }
 
-/// What had been reported when all routers of a wave were back.
+/// The routers' reports at the time when all routers of a wave were back.
 #[derive(Debug)]
 struct Baseline {
     since: Nanos,
@@ -53,9 +53,9 @@
 }
 
 impl ReleaseMonitor {
-    /// The command to submit, if any: that the wave is complete, or that it has failed.
+    /// Returns the command to submit, if the wave is complete or has failed.
     ///
-    /// `now` is this member's monotonic clock. `reports` is by [`RouterIndex`]; `None`: the router is silent.
+    /// `now` is this member's monotonic clock. `reports` is by [`RouterIndex`]; `None` for a silent router.
     pub fn next_command(
         &mut self,
         now: Nanos,
@@ -95,19 +95,19 @@
         }
         let observed = elapsed(now, baseline.since);
         let observed_enough = observed >= Duration::from_millis(release.plan.watch_ms)
-            // With too few answers to compare it waits, however long.
+            // Without enough answers for a comparison the wave is observed for longer, without a limit.
             && comparison.released.answered >= release.plan.min_answers;
         observed_enough.then_some(Command::CompleteWave(release.wave))
     }
 
-    /// Starts anew if the wave is another one.
+    /// Resets the monitor if `wave` is not the observed one.
     fn observe(&mut self, wave: ObservedWave) {
         if self.wave.as_ref() != Some(&wave) {
             *self = ReleaseMonitor { wave: Some(wave), ..ReleaseMonitor::default() };
         }
     }
 
-    /// A router that has been out of service for longer than `ready_within`.
+    /// Returns a router that has been out of service for longer than `ready_within`, if there is one.
     fn overdue(
         &mut self,
         now: Nanos,
@@ -123,8 +123,8 @@
     }
 }
 
-/// A released router that has restarted since the baseline, or has become silent. Routers that an operator drains are not
-/// looked at.
+/// Returns a released router that has restarted or become silent since the baseline, if there is one. Routers with a drain
+/// entry are skipped.
 fn lost_router(
     release: &Release,
     state: &FleetState,
--- a/consensus/src/release_monitor/answer_counts.rs
+++ b/consensus/src/release_monitor/answer_counts.rs
@@ -1,23 +1,23 @@
-//! What a router has answered.
+//! Counts of a router's answers.
 
 use serde::{Deserialize, Serialize};
 
-/// A router's final answers since it started.
+/// Counts of a router's final answers since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AnswerCounts {
     /// All answers.
     pub answered: u64,
-    /// Those that failed, before their first event or after it.
+    /// Answers that failed, before or after their first event.
     pub failed: u64,
-    /// First events that came after more than half of the time that the client waits.
+    /// First events that were sent after more than half of the client's waiting time.
     pub late: u64,
-    /// Requests that were rejected, except for those over a tenant's quota.
+    /// Rejected requests, except those over a tenant's quota.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
 
 impl AnswerCounts {
-    /// What has been added since `earlier`.
+    /// Returns the counts added since `earlier`.
     pub(super) fn since(self, earlier: AnswerCounts) -> AnswerCounts {
         AnswerCounts {
             answered: self.answered.saturating_sub(earlier.answered),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both counts.
     pub(super) fn plus(self, other: AnswerCounts) -> AnswerCounts {
         AnswerCounts {
             answered: self.answered.saturating_add(other.answered),
--- a/consensus/src/release_monitor/comparison.rs
+++ b/consensus/src/release_monitor/comparison.rs
@@ -1,9 +1,9 @@
-//! Whether released routers answer worse than the others.
+//! Compares the answers of the released routers with those of the other routers.
 
 use super::{AnswerCounts, RouterReport};
 use crate::release::{Release, ReleasePlan};
 
-/// What was answered since a baseline, by routers that run the released file and by the others.
+/// Counts of answers since a baseline, of the routers that run the released file and of the others.
 #[derive(Debug, Default)]
 pub(super) struct Comparison {
     pub(super) released: AnswerCounts,
@@ -11,7 +11,7 @@
 }
 
 impl Comparison {
-    /// Counts the routers that are in the same incarnation as at the baseline. Both slices are by router.
+    /// Counts the answers of the routers whose incarnation is the same as at the baseline. Both slices are by router.
     pub(super) fn new(
         release: &Release,
         baseline: &[Option<RouterReport>],
@@ -32,7 +32,7 @@
         comparison
     }
 
-    /// Why the released routers fail the checks of the plan; `None`: they don't, or there are too few answers to compare.
+    /// Returns why the released routers fail the checks of the plan; `None` if they pass or have too few answers.
     pub(super) fn failure(&self, plan: &ReleasePlan) -> Option<String> {
         let (released, others) = (self.released, self.others);
         if released.answered < plan.min_answers.max(1) {
--- a/consensus/src/replica_drains.rs
+++ b/consensus/src/replica_drains.rs
@@ -1,7 +1,7 @@
-//! Replicas that operators take out of service: how far each has come, how many may be out at once, and when one is free
-//! of requests.
+//! Replicas that operators take out of service: the stage of each drain, the limits, and when a replica has no requests
+//! left.
 //!
-//! The pages and the wire call a replica a "model node". A replica counts towards a limit only while it is listed.
+//! The documentation and the wire call a replica a "model node". A replica counts towards a limit only while it is listed.
 
 mod clearing;
 mod limits;
@@ -14,29 +14,29 @@
 pub(crate) use limits::check_limits;
 pub use limits::{Limit, ReplicaLimitExceeded, ReplicaLimits, ReplicaView};
 
-/// How many replicas may be out by order, or be about to leave or to return, at once. Bounds the fleet state.
+/// Maximum number of replica entries in the fleet state, in any stage. It bounds the size of the state.
 pub const MAX_REPLICA_DRAINS: usize = 128;
-/// The longest id of a replica that an order may name, in bytes.
+/// Maximum length of a replica's id in an order, in bytes.
 pub(crate) const MAX_REPLICA_ID_BYTES: usize = 128;
-/// How long a replica that was put back stays in the fleet state, in ms: longer than any slow start, so that a router that
-/// starts meanwhile warms it up as well.
+/// Time for which a restored replica stays in the fleet state, in ms. It exceeds any slow start, so that a router that
+/// starts in the meantime applies the slow start as well.
 pub(crate) const RESTORED_RETENTION_MS: u64 = 600_000;
 
-/// Unix time in ms, in which routers tell each other points in time. Clocks that differ by seconds make a slow start last
-/// seconds less or more, and end a stated period by as much sooner or later.
+/// Unix time in ms, used for points in time in messages between routers. A clock difference of some seconds changes the
+/// length of a slow start, and the end of an ordered period, by the same amount.
 pub type UnixMs = u64;
 
-/// How far a replica has come on its way out of service and back.
+/// The stage of a replica's drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReplicaStage {
-    /// It is to leave service as soon as the limits allow it.
+    /// The replica is to leave service as soon as the limits allow it.
     #[serde(rename = "wanted")]
     Requested,
-    /// It receives no new request, since this version of the fleet state.
+    /// The replica receives no new requests since this version of the fleet state.
     #[serde(rename = "out")]
     OutOfService(u64),
-    /// It was put back at this time, and warms up.
+    /// The replica was returned to service at this time, with a slow start.
     #[serde(rename = "back")]
     Restored(UnixMs),
 }
@@ -44,11 +44,11 @@
 /// The drain of one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaEntry {
-    /// How far it has come.
+    /// The stage of the drain.
     pub stage: ReplicaStage,
-    /// The id of the order that it follows.
+    /// The id of the order behind the drain.
     pub order: String,
-    /// When it returns to service without another order; `None`: never.
+    /// When the replica returns to service without another order; `None` means never.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub until: Option<UnixMs>,
 }
--- a/consensus/src/replica_drains/clearing.rs
+++ b/consensus/src/replica_drains/clearing.rs
@@ -1,24 +1,24 @@
-//! When a replica that is out of service is clear: no router sends to it or waits for it any more.
+//! Decides when a replica that is out of service is clear: no router sends requests to it or has any in flight there.
 
 use serde::{Deserialize, Serialize};
 use tallypin_membership::RouterIndex;
 
-/// What one router reports of the replicas that are out by order.
+/// One router's report on the replicas that are out by order.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AppliedState {
     /// The version of the fleet state that the router applies.
     pub version: u64,
-    /// The replicas, out by that state, where it has requests in flight.
+    /// The replicas out by that state at which the router has requests in flight.
     #[serde(rename = "open")]
     pub in_flight: Vec<String>,
 }
 
-/// What is known of one router's use of replicas that are out by order.
+/// One router's use of the replicas that are out by order, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaUse<'a> {
-    /// What it reported last in its present incarnation; `None`: nothing yet.
+    /// The last report of the router's current incarnation; `None` if there is none yet.
     pub applied: Option<&'a AppliedState>,
-    /// Whether it is known to have ended, so that nothing of it is in flight.
+    /// Whether the router is known to have ended, so that none of its requests is in flight.
     pub has_left: bool,
 }
 
@@ -31,8 +31,10 @@
     }
 }
 
-/// The routers that keep a replica from being clear, which went out with version `since` of the fleet state: all that have
-/// not reported that they apply that version and have nothing in flight there. `uses` is by [`RouterIndex`].
+/// Returns the routers that prevent a replica from being clear.
+///
+/// The replica is out since version `since` of the fleet state. A router is clear once it has reported that it applies that
+/// version and has no request in flight at the replica. `uses` is by [`RouterIndex`].
 pub fn routers_not_clear(replica: &str, since: u64, uses: &[ReplicaUse<'_>]) -> Vec<RouterIndex> {
     (0..).zip(uses).filter(|(_, of)| of.may_use(replica, since)).map(|(router, _)| router).collect()
 }
--- a/consensus/src/replica_drains/limits.rs
+++ b/consensus/src/replica_drains/limits.rs
@@ -1,4 +1,4 @@
-//! How many replicas may be out of service at once.
+//! Limits on the number of replicas out of service at once.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,17 +7,17 @@
 
 use super::{ReplicaEntries, ReplicaStage};
 
-/// How many, as a number or as a percentage of those that are listed.
+/// A maximum, as a number or as a percentage of the listed replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Limit {
-    /// This many.
+    /// A number of replicas.
     Count(usize),
-    /// This many of 100, rounded down: 10 % of 5 is none.
+    /// A percentage, rounded down: 10 % of 5 replicas is none.
     Percent(usize),
 }
 
 impl Limit {
-    /// How many of `total` that is.
+    /// Returns the limit as a number of replicas, given the number of replicas in the group.
     pub fn of(self, total: usize) -> usize {
         match self {
             Limit::Count(count) => count,
@@ -26,42 +26,42 @@
     }
 }
 
-/// How many replicas may be out of service at once.
+/// Maximum number of replicas out of service at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaLimits {
-    /// Of all that are listed.
+    /// Limit among all listed replicas.
     pub total: Limit,
-    /// Of those in any one zone.
+    /// Limit among the replicas of any one zone.
     pub per_zone: Limit,
-    /// Of those of any one kind of machine.
+    /// Limit among the replicas of any one kind of machine.
     pub per_kind: Limit,
 }
 
-/// A listed replica as a router sees it.
+/// A listed replica, as the proposing router sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaView {
-    /// Its zone.
+    /// The replica's zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// The replica's kind of machine.
     pub kind: String,
-    /// Whether it counts as out for another reason than an order: it drains, is ejected as an outlier, or warms up.
+    /// Whether the replica counts as out for a reason other than an order: it drains, is ejected as an outlier, or warms up.
     #[serde(rename = "out")]
     pub out_of_service: bool,
 }
 
-/// A replica may not leave service, as too many like it would be out.
+/// A replica may not leave service, because too many of its group would be out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaLimitExceeded {
-    /// The group whose limit is reached: all, a zone or a kind; or the list, for a replica that is not on it.
+    /// The group whose limit is reached: all, a zone or a kind; or the list, for a replica that is not listed.
     #[serde(rename = "of")]
     pub group: String,
-    /// How many of the group may be out.
+    /// Maximum number of replicas of the group that may be out.
     #[serde(rename = "most")]
     pub limit: usize,
-    /// How many are in the group.
+    /// Number of replicas in the group.
     #[serde(rename = "all")]
     pub total: usize,
-    /// The ids of those that are out.
+    /// The ids of the replicas of the group that are out.
     #[serde(rename = "out")]
     pub out_of_service: Vec<String>,
 }
@@ -71,19 +71,19 @@
         let ReplicaLimitExceeded { group, limit, total, out_of_service } = self;
         write!(f, "{limit} of {total} model nodes of {group} may be out at once; ")?;
         match out_of_service.is_empty() {
-            true => f.write_str("that is none"),
-            false => write!(f, "out are {}", out_of_service.join(", ")),
+            true => f.write_str("none of them may leave"),
+            false => write!(f, "currently out: {}", out_of_service.join(", ")),
         }
     }
 }
 
 impl std::error::Error for ReplicaLimitExceeded {}
 
-/// Checks that one more replica may leave service, given those that are out by order and those that are out otherwise.
+/// Checks that another replica may leave service, given those that are out by order or for another reason.
 ///
 /// # Errors
 ///
-/// The first of the limits that it would exceed, in all, by zone or by kind; or that the replica is not listed.
+/// Returns the first limit that the replica would exceed (total, zone, kind), or that the replica is not listed.
 pub(crate) fn check_limits(
     replica: &str,
     entries: &ReplicaEntries,
--- a/consensus/src/replica_drains/tests.rs
+++ b/consensus/src/replica_drains/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Ten replicas: by turns in zones a and b, the first five of kind new, the others of kind old.
+/// Ten replicas: alternating between zones a and b, the first five of kind new, the others of kind old.
 fn listed(out: &[&str]) -> BTreeMap<String, ReplicaView> {
     let replica = |n: usize| {
         let id = format!("n{n}");
@@ -26,7 +26,7 @@
     ReplicaLimits { total: Limit::Count(9), per_zone: Limit::Count(9), per_kind: Limit::Percent(50) };
 
 #[test]
-fn what_fails_and_what_is_ordered_out_fills_the_limit_of_all() {
+fn failed_replicas_and_those_out_by_order_count_towards_the_total_limit() {
     assert_eq!(check_limits("n0", &ordered_out(&["n1"]), &BY_ALL, &listed(&["n7"])), Ok(()));
     assert_eq!(
         (
@@ -46,9 +46,9 @@
     assert_eq!((full.group.as_str(), full.limit, full.total), ("kind new", 2, 5));
 }
 
-/// What is out twice counts once, itself not at all, and what is not listed any more not either.
+/// A replica that is out for two reasons counts once. The replica to drain and unlisted replicas do not count.
 #[test]
-fn each_listed_replica_counts_once_and_itself_not_at_all() {
+fn each_other_listed_replica_counts_once() {
     let ordered = ordered_out(&["n1", "gone", "n0"]);
     assert_eq!(check_limits("n0", &ordered, &BY_KIND, &listed(&["n0", "n1"])), Ok(()));
     assert!(check_limits("n77", &ordered_out(&[]), &BY_KIND, &listed(&[])).is_err(), "not listed");
--- a/router/tests/fleet/releases.rs
+++ b/router/tests/fleet/releases.rs
@@ -17,7 +17,7 @@
     let said = fleet.order(2, &format!("--id v2 {order}"));
     assert_eq!((&said["code"], &said["release"]["phase"]), (&0.into(), &"running".into()), "{said}");
     let busy = fleet.order(1, &order);
-    assert!(busy["why"].as_str().unwrap().contains("release v2 is on"), "{busy}");
+    assert!(busy["why"].as_str().unwrap().contains("release v2 is ongoing"), "{busy}");
     fleet.until_within("r3 is out", 2, || fleet.stage(1, 3) == "out");
     assert_eq!(starts(&fleet), [1, 1, 1, 1, 1], "r3 first, and alone");
     fleet.kill(0);
