--- a/router/src/checks/agent.rs
+++ b/router/src/checks/agent.rs
@@ -1,4 +1,4 @@
-//! Agent checks: one line to each connection, which then closes.
+//! HAProxy agent checks: the router sends one line on each connection and closes it.
 
 use std::time::Duration;
 
@@ -10,60 +10,63 @@
 use super::listen::Call;
 use crate::front::linger;
 
-/// Answers one check.
+/// Answers the agent check of one connection.
 pub async fn answer(mut call: Call) {
-    let by = Instant::now() + call.budget();
+    let deadline = Instant::now() + call.time_limit();
     let (wait, maxconn) = call
         .board
-        .of_checks(|c| c.agent.map(|a| (a.send_wait, a.maxconn)))
+        .check_setting(|c| c.agent.map(|a| (a.send_wait, a.maxconn)))
         .flatten()
         .unwrap_or((Duration::ZERO, false));
-    let mut idle = call.rest();
+    let mut idle = call.mark_idle();
     let service = tokio::select! {
         biased;
-        line = timeout(wait, first_line(&mut call)), if !wait.is_zero() => line.unwrap_or(AgentRequest::Incomplete),
-        // Its place is wanted: what it has not said by now it need not say.
+        line = timeout(wait, read_request(&mut call)), if !wait.is_zero() => line.unwrap_or(AgentRequest::Incomplete),
+        // The connection must make room for another one: the check is answered without waiting for the service name.
         () = idle.close_requested() => AgentRequest::Incomplete,
         () = std::future::ready(()), if wait.is_zero() => AgentRequest::Incomplete,
     };
     let says = match service {
-        // A balancer that sends nothing asks about the router.
+        // A balancer that sends no service name checks the router as a whole.
         AgentRequest::Incomplete => None,
         AgentRequest::Service(name) if name.is_empty() || call.board.services().contains(&name) => None,
         AgentRequest::Service(name) => Some(AgentReply::unknown_service(&name)),
         AgentRequest::Invalid => Some(AgentReply::unknown_service("of that name")),
     };
-    let known = says.is_none();
+    let is_known = says.is_none();
     let says = says.unwrap_or_else(|| {
-        let now = call.board.assessment();
-        let room = call.context.limits.max_clients * usize::from(now.weight) / 100;
-        AgentReply::from_assessment(&now, maxconn.then(|| u32::try_from(room.max(1)).unwrap_or(u32::MAX)))
+        let assessment = call.board.assessment();
+        let limit = call.context.limits.max_clients * usize::from(assessment.weight) / 100;
+        AgentReply::from_assessment(
+            &assessment,
+            maxconn.then(|| u32::try_from(limit.max(1)).unwrap_or(u32::MAX)),
+        )
     });
     let line = Bytes::from(format!("{says}\n"));
-    let told = timeout_at(by, call.wire.write(line)).await;
-    if known && matches!(told, Ok(Ok(()))) {
-        call.board.asked(call.ip, CheckProtocol::Agent);
+    let sent = timeout_at(deadline, call.wire.write(line)).await;
+    if is_known && matches!(sent, Ok(Ok(()))) {
+        call.board.record_check(call.ip, CheckProtocol::Agent);
     } else {
-        call.board.spoilt();
+        call.board.record_invalid_check();
     }
-    tracing::debug!(target: "checks", client = %call.ip, %says, "agent check");
-    // What the balancer may have sent is read before the close, which would else reset the line away. Whoever
-    // stays on after its answer holds no place that is wanted.
+    tracing::debug!(target: "checks", client = %call.ip, %says, "agent check answered");
+    // Data that the balancer may have sent is read before the close: unread data would reset the connection and lose the
+    // reply. The connection counts as idle while it lingers, so it can make room for another one.
     tokio::select! {
-        _ = timeout_at(by, linger(call.wire, call.context.limits.close_linger)) => {}
+        _ = timeout_at(deadline, linger(call.wire, call.context.limits.close_linger)) => {}
         () = idle.close_requested() => {}
     }
 }
 
-/// The line that the balancer may send first.
-async fn first_line(call: &mut Call) -> AgentRequest {
+/// Reads the line that the balancer may send first.
+async fn read_request(call: &mut Call) -> AgentRequest {
     loop {
         match parse_request(&call.wire.unread) {
             AgentRequest::Incomplete => {}
             line => return line,
         }
         if !matches!(call.wire.read_more().await, Ok(true)) {
-            // It has closed its sending side, as some do: what it sent is all there is.
+            // Some balancers close their sending side without a line end: the bytes received so far are the line.
             call.wire.unread.extend_from_slice(b"\n");
             return parse_request(&call.wire.unread);
         }
--- a/router/src/checks/context.rs
+++ b/router/src/checks/context.rs
@@ -1,4 +1,4 @@
-//! What checks and operators' orders need of their router.
+//! The parts of the router that health checks and operators' orders use.
 
 use std::rc::Rc;
 
@@ -12,26 +12,26 @@
 use crate::peers::Peers;
 use crate::replica::ReplicaPool;
 
-/// What checks and operators' orders need of their router.
+/// The parts of the router that health checks and operators' orders use.
 pub struct CheckContext {
-    /// Sizes, counts and times.
+    /// The configured limits: sizes, counts and times.
     pub limits: Rc<Limits>,
-    /// How many routers the deployment has.
+    /// Number of routers of the deployment.
     pub router_count: u32,
-    /// How far a shutdown has come; checks enter its stages up to the closing of the listeners.
+    /// The stage of a shutdown. A drain enters its stages up to the closing of the listeners.
     pub lifecycle: Rc<Lifecycle>,
-    /// Whose connections carry a PROXY preface.
+    /// The interface to balancers, with the PROXY protocol policy.
     pub outward: Rc<Outward>,
     /// The client connections.
     pub clients: Rc<Clients>,
-    /// The replicas and the connections to them.
+    /// The replicas, and the connections to them.
     pub replicas: Rc<ReplicaPool>,
-    /// The other routers, if there are any to talk to.
+    /// The other routers, if there are any.
     pub peers: Option<Rc<Peers>>,
-    /// When the endpoint list was last heard.
+    /// The state of the endpoint list, with the time of its last update.
     pub endpoint_list: Rc<EndpointListState>,
     /// The memory for request bodies.
     pub body_budget: BodyBudget,
-    /// Counts and views of the core.
+    /// The dispatcher, for the counts and views of the core.
     pub dispatcher: Rc<Dispatcher>,
 }
--- a/router/src/checks/control.rs
+++ b/router/src/checks/control.rs
@@ -1,5 +1,5 @@
-//! The operator's orders over a Unix socket: one line of words in, one line of JSON out. The file's permissions
-//! are the guard.
+//! The control socket for operators' orders: a Unix socket that takes one line of text and answers with one line of JSON.
+//! Access is controlled by the permissions of the socket file.
 
 use std::future::Future;
 use std::io;
@@ -20,38 +20,39 @@
 use super::{Board, CheckContext};
 use crate::installation::ControlSettings;
 
-/// The longest line, and the longest of an order to the fleet, which names its routers.
-const LONGEST: usize = 256;
-const LONGEST_TO_FLEET: u64 = 16 << 10;
-/// A line must be whole within this.
-const BUDGET: Duration = Duration::from_secs(1);
-/// Connections at once.
-const MOST: usize = 4;
+/// Maximum length of an order, in bytes.
+const MAX_ORDER_BYTES: usize = 256;
+/// Maximum length of an order to the fleet, which lists routers, in bytes.
+const MAX_FLEET_ORDER_BYTES: u64 = 16 << 10;
+/// Time within which an order must be received, and within which its answer must be written.
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of connections at once.
+const MAX_CONNECTIONS: usize = 4;
 
-/// Who carries out orders to the fleet; it answers within a time of its own.
+/// Executes orders to the fleet. It applies a time limit of its own.
 pub type ToFleet = Rc<dyn Fn(String) -> Pin<Box<dyn Future<Output = Value>>>>;
 
-/// An order.
+/// An operator's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Tell the state.
+    /// Show the router's state.
     Show,
-    /// Drain, and stay or end.
+    /// Drain the router.
     Drain {
-        /// End when drained.
+        /// Whether the program exits once the router is drained.
         end: bool,
     },
-    /// Serve again.
+    /// Return the router to service.
     Ready,
-    /// Out of service.
+    /// Take the router out of service for maintenance.
     Maint,
-    /// Want so much weight at the most, percent.
+    /// Limit the advertised weight, in percent.
     Weight(u8),
-    /// An order to the fleet: the words behind `fleet`.
+    /// Execute an order to the fleet: the text after `fleet`.
     Fleet(String),
 }
 
-/// Reads a line.
+/// Parses an order.
 pub fn read(line: &str) -> Result<Command, String> {
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
     match words[..] {
@@ -62,12 +63,12 @@
         ["maint"] => Ok(Command::Maint),
         ["weight", share] => {
             let digits = share.strip_suffix('%').unwrap_or("");
-            let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-            let share = digits.parse().ok().filter(|n| plain && (1..=100).contains(n));
-            share.map(Command::Weight).ok_or("weight takes a share from 1% to 100%".into())
+            let is_number = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
+            let percent = digits.parse().ok().filter(|n| is_number && (1..=100).contains(n));
+            percent.map(Command::Weight).ok_or("weight takes a share from 1% to 100%".into())
         }
         ["fleet", ref words @ ..] => Ok(Command::Fleet(words.join(" "))),
-        [] => Err("no order".into()),
+        [] => Err("the order is empty".into()),
         _ => {
             Err("no such order; there are show, drain, drain end, ready, maint, weight N% and fleet ORDER"
                 .into())
@@ -75,7 +76,7 @@
     }
 }
 
-/// The socket, gone with this.
+/// The bound control socket. Dropping it removes the socket file.
 pub struct Control {
     listener: UnixListener,
     path: PathBuf,
@@ -88,47 +89,48 @@
 }
 
 impl Control {
-    /// Binds the socket. One that a router left behind is replaced; one that still answers is an error.
+    /// Binds the socket. A socket file left by an ended router is replaced; one on which a router listens is an error.
     pub async fn bind(settings: &ControlSettings) -> io::Result<Control> {
         let path = settings.socket.clone();
-        let of = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
+        let with_path = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
         if UnixStream::connect(&path).await.is_ok() {
-            return Err(of(io::Error::new(io::ErrorKind::AddrInUse, "another router answers there")));
+            return Err(with_path(io::Error::new(io::ErrorKind::AddrInUse, "another router answers there")));
         }
-        // Under another name until its permissions stand: for a moment it would else be anybody's.
-        let mut hidden = path.clone().into_os_string();
-        hidden.push(format!(".{}", std::process::id()));
-        let hidden = Path::new(&hidden);
-        let _ = std::fs::remove_file(hidden);
-        let listener = UnixListener::bind(hidden).map_err(of)?;
-        let moved = std::fs::set_permissions(hidden, std::fs::Permissions::from_mode(settings.mode))
-            .and_then(|()| std::fs::rename(hidden, &path));
-        if let Err(e) = moved {
-            let _ = std::fs::remove_file(hidden);
-            return Err(of(e));
+        // The socket is bound under a temporary name until its permissions are set: otherwise any user could connect in
+        // between.
+        let mut temporary = path.clone().into_os_string();
+        temporary.push(format!(".{}", std::process::id()));
+        let temporary = Path::new(&temporary);
+        let _ = std::fs::remove_file(temporary);
+        let listener = UnixListener::bind(temporary).map_err(with_path)?;
+        let renamed = std::fs::set_permissions(temporary, std::fs::Permissions::from_mode(settings.mode))
+            .and_then(|()| std::fs::rename(temporary, &path));
+        if let Err(e) = renamed {
+            let _ = std::fs::remove_file(temporary);
+            return Err(with_path(e));
         }
         Ok(Control { listener, path })
     }
 
-    /// Takes orders. Ends never.
+    /// Accepts connections and executes their orders. Never returns.
     pub async fn serve(self, context: Rc<CheckContext>, board: Rc<Board>, fleet: Option<ToFleet>) {
-        let places = std::sync::Arc::new(Semaphore::new(MOST));
+        let permits = std::sync::Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
-            let Ok(place) = places.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             let Ok((stream, _)) = self.listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 continue;
             };
             let (context, board, fleet) = (context.clone(), board.clone(), fleet.clone());
             tokio::task::spawn_local(async move {
-                let _ = one(stream, &context, &board, fleet).await;
-                drop(place);
+                let _ = serve_connection(stream, &context, &board, fleet).await;
+                drop(permit);
             });
         }
     }
 }
 
-async fn one(
+async fn serve_connection(
     mut stream: UnixStream,
     context: &Rc<CheckContext>,
     board: &Rc<Board>,
@@ -137,8 +139,8 @@
     let (reader, mut writer) = stream.split();
     let mut line = String::new();
     let read_line =
-        timeout(BUDGET, BufReader::new(reader.take(LONGEST_TO_FLEET)).read_line(&mut line)).await?;
-    let fits = line.len() <= LONGEST || line.starts_with("fleet ");
+        timeout(IO_TIMEOUT, BufReader::new(reader.take(MAX_FLEET_ORDER_BYTES)).read_line(&mut line)).await?;
+    let fits = line.len() <= MAX_ORDER_BYTES || line.starts_with("fleet ");
     let answer = match read_line {
         Ok(_) if fits && line.ends_with('\n') => match read(&line) {
             Ok(Command::Fleet(words)) => match fleet {
@@ -147,58 +149,64 @@
                     json!({"done": false, "why": "this router is of no fleet: the settings have no section `fleet`"})
                 }
             },
-            Ok(command) => obey(command, context, board),
+            Ok(command) => execute(command, context, board),
             Err(why) => json!({"done": false, "why": why}),
         },
-        _ => json!({"done": false, "why": "no whole line of text"}),
+        _ => json!({"done": false, "why": "the order is not one complete line of text"}),
     };
-    timeout(BUDGET, writer.write_all(format!("{answer}\n").as_bytes())).await?
+    timeout(IO_TIMEOUT, writer.write_all(format!("{answer}\n").as_bytes())).await?
 }
 
-/// Carries an order out.
-pub fn obey(command: Command, context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
-    let (wish, order) = match command {
+/// Executes an order, and returns its answer.
+pub fn execute(command: Command, context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
+    let (goal, order) = match command {
         Command::Show => return show(context, board),
         Command::Weight(most) => {
-            board.bound_weight(most);
-            tracing::info!(target: "control", most, "weight bounded by the operator");
+            board.set_max_weight(most);
+            tracing::info!(target: "control", most, "operator limited the weight");
             return json!({"done": true, "most": most});
         }
         Command::Drain { end: false } => (DrainGoal::Drain, OperatorOrder::Drain),
         Command::Drain { end: true } => (DrainGoal::DrainThenExit, OperatorOrder::Drain),
         Command::Ready => (DrainGoal::Serve, OperatorOrder::Ready),
         Command::Maint => (DrainGoal::Drain, OperatorOrder::Maintenance),
-        Command::Fleet(_) => return json!({"done": false, "why": "not an order to one router"}),
+        Command::Fleet(_) => {
+            return json!({"done": false, "why": "the order is for the fleet, not for one router"})
+        }
     };
-    if !board.want(wish, order) {
-        return json!({"done": false, "why": "too late: the router is ending"});
+    if !board.want(goal, order) {
+        return json!({"done": false, "why": "too late: the router is shutting down"});
     }
     super::signals::follow(&context.lifecycle, board.phase());
-    tracing::info!(target: "control", order = ?order, wish = ?wish, "ordered by the operator");
-    let untold = board.askers().iter().filter(|a| !a.notified).count();
-    let waits = if board.phase() == DrainPhase::Notifying { untold } else { 0 };
-    json!({"done": true, "state": board.assessment().state.name(), "balancers_to_tell": waits})
+    tracing::info!(target: "control", order = ?order, wish = ?goal, "operator order accepted");
+    let unnotified = board.askers().iter().filter(|checker| !checker.notified).count();
+    let pending = if board.phase() == DrainPhase::Notifying { unnotified } else { 0 };
+    json!({"done": true, "state": board.assessment().state.name(), "balancers_to_tell": pending})
 }
 
 fn show(context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
-    let now = board.assessment();
+    let assessment = board.assessment();
     let ms = |d: Duration| d.as_millis() as u64;
-    let asker = |a: &tallypin_health::checkers::CheckerStatus| {
-        json!({"from": a.id.ip.to_string(), "by": a.id.protocol.name(), "asked_ms_ago": ms(a.last_check_ago),
-            "interval_ms": a.interval.map(ms), "told": a.notified})
+    let checker = |c: &tallypin_health::checkers::CheckerStatus| {
+        json!({"from": c.id.ip.to_string(), "by": c.id.protocol.name(), "asked_ms_ago": ms(c.last_check_ago),
+            "interval_ms": c.interval.map(ms), "told": c.notified})
     };
-    let parts: Vec<Value> =
-        board.parts().iter().map(|p| json!({"name": p.name, "well": p.healthy, "note": p.note})).collect();
-    let (answered, spoilt) = board.checks();
-    let tallies = context.dispatcher.with(|core, _| core.counts().clone());
+    let components: Vec<Value> = board
+        .components()
+        .iter()
+        .map(|c| json!({"name": c.name, "well": c.healthy, "note": c.note}))
+        .collect();
+    let (answered, invalid) = board.check_counts();
+    let counts = context.dispatcher.with(|core, _| core.counts().clone());
     json!({
-        "done": true, "state": now.state.name(), "weight": now.weight, "cause": now.cause.description(),
-        "most": board.bound(), "phase": board.phase().name(),
+        "done": true, "state": assessment.state.name(), "weight": assessment.weight,
+        "cause": assessment.cause.description(),
+        "most": board.max_weight(), "phase": board.phase().name(),
         "untold": board.untold(),
-        "balancers": board.askers().iter().map(asker).collect::<Vec<_>>(), "parts": parts,
-        "checks": {"answered": answered, "spoilt": spoilt},
+        "balancers": board.askers().iter().map(checker).collect::<Vec<_>>(), "parts": components,
+        "checks": {"answered": answered, "spoilt": invalid},
         "clients": context.clients.open(), "open": context.dispatcher.with(|core, _| core.open_requests()),
-        "taken": tallies.accepted, "served": tallies.completed, "refused": tallies.rejected,
-        "failed": tallies.failed, "broken": tallies.interrupted, "left": tallies.client_disconnects,
+        "taken": counts.accepted, "served": counts.completed, "refused": counts.rejected,
+        "failed": counts.failed, "broken": counts.interrupted, "left": counts.client_disconnects,
     })
 }
--- a/router/src/checks/grpc.rs
+++ b/router/src/checks/grpc.rs
@@ -1,5 +1,5 @@
-//! gRPC health checking and load reports out of band, over HTTP/2 in cleartext with `h2`. One message a call:
-//! what a framework would add is routing, which three paths don't need.
+//! gRPC health checking and out-of-band load reports, over cleartext HTTP/2 with `h2`. Each request is a single message and
+//! there are four methods, so no gRPC framework is used.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,11 +22,11 @@
 
 /// Answers the calls of one connection.
 pub async fn answer(mut call: Call) {
-    let budget = call.budget();
-    let mut idle = call.rest();
+    let time_limit = call.time_limit();
+    let mut idle = call.mark_idle();
     let Call { board, wire, ip, client, .. } = call;
     let mut builder = h2::server::Builder::new();
-    // A check is small: whoever needs more than this is none.
+    // Checks and their answers are small, so these limits suffice.
     builder.max_concurrent_streams(64).max_header_list_size(8 << 10).max_frame_size(16 << 10);
     builder
         .initial_window_size(16 << 10)
@@ -34,119 +34,121 @@
         .max_send_buffer_size(16 << 10);
     let handshake = tokio::select! {
         biased;
-        done = timeout(budget, builder.handshake::<_, Bytes>(wire.stream)) => done,
+        result = timeout(time_limit, builder.handshake::<_, Bytes>(wire.stream)) => result,
         () = idle.close_requested() => return,
     };
-    let Ok(Ok(mut connection)) = handshake else { return board.spoilt() };
-    let open = Rc::new(Open::default());
+    let Ok(Ok(mut connection)) = handshake else { return board.record_invalid_check() };
+    let open_calls = Rc::new(OpenCalls::default());
     let mut idle = Some(idle);
     loop {
-        // Between calls its place may be wanted; a watch that stands is a call.
-        if open.calls.get() == 0 && idle.is_none() {
+        // Without an open call the connection is idle and may be closed to make room. A watch counts as an open call.
+        if open_calls.count.get() == 0 && idle.is_none() {
             idle = Some(client.idle());
         }
-        let rest = board.of_checks(|c| c.idle).unwrap_or(budget);
+        let idle_timeout = board.check_setting(|c| c.idle).unwrap_or(time_limit);
         let accepted = tokio::select! {
             biased;
             accepted = connection.accept() => accepted,
-            () = open.less.notified() => continue,
-            () = room_wanted(&mut idle) => break,
-            () = tokio::time::sleep(rest), if idle.is_some() => break,
+            () = open_calls.call_ended.notified() => continue,
+            () = close_requested(&mut idle) => break,
+            () = tokio::time::sleep(idle_timeout), if idle.is_some() => break,
         };
         let Some(Ok((request, respond))) = accepted else { return };
         idle = None;
-        let one = One { board: board.clone(), ip, _open: open.clone().enter(), budget };
-        tokio::task::spawn_local(one.answer(request, respond));
+        let handler = CallHandler { board: board.clone(), ip, _open: open_calls.clone().enter(), time_limit };
+        tokio::task::spawn_local(handler.answer(request, respond));
     }
     connection.graceful_shutdown();
-    // What is on its way is finished, and then the connection.
-    let _ = timeout(budget, std::future::poll_fn(|cx| connection.poll_closed(cx))).await;
+    // Calls in flight are finished before the connection closes.
+    let _ = timeout(time_limit, std::future::poll_fn(|cx| connection.poll_closed(cx))).await;
 }
 
-async fn room_wanted(idle: &mut Option<crate::clients::IdleGuard>) {
+async fn close_requested(idle: &mut Option<crate::clients::IdleGuard>) {
     match idle {
         Some(idle) => idle.close_requested().await,
         None => std::future::pending().await,
     }
 }
 
-/// The calls of a connection that are open.
+/// The open calls of a connection.
 #[derive(Default)]
-struct Open {
-    calls: std::cell::Cell<usize>,
-    less: Notify,
+struct OpenCalls {
+    count: std::cell::Cell<usize>,
+    call_ended: Notify,
 }
 
-struct Entered(Rc<Open>);
+/// Counts a call as open until it is dropped.
+struct OpenCallGuard(Rc<OpenCalls>);
 
-impl Open {
-    fn enter(self: Rc<Self>) -> Entered {
-        self.calls.set(self.calls.get() + 1);
-        Entered(self)
+impl OpenCalls {
+    fn enter(self: Rc<Self>) -> OpenCallGuard {
+        self.count.set(self.count.get() + 1);
+        OpenCallGuard(self)
     }
 }
 
-impl Drop for Entered {
+impl Drop for OpenCallGuard {
     fn drop(&mut self) {
-        self.0.calls.set(self.0.calls.get() - 1);
-        self.0.less.notify_one();
+        self.0.count.set(self.0.count.get() - 1);
+        self.0.call_ended.notify_one();
     }
 }
 
-/// A stream that stays open, counted among all of them.
-struct Standing(Rc<Board>);
+/// Counts a long-lived stream, of a watch or of load reports, towards the limit of all connections until it is dropped.
+struct StreamGuard(Rc<Board>);
 
-impl Standing {
-    fn enter(board: &Rc<Board>) -> Option<Standing> {
-        let most = board.of_checks(|c| c.grpc.map_or(0, |g| g.watches)).unwrap_or(0);
-        (board.streams.get() < most).then(|| {
-            board.streams.set(board.streams.get() + 1);
-            Standing(board.clone())
+impl StreamGuard {
+    /// Counts another stream; `None` if the limit is reached.
+    fn enter(board: &Rc<Board>) -> Option<StreamGuard> {
+        let max_streams = board.check_setting(|c| c.grpc.map_or(0, |g| g.watches)).unwrap_or(0);
+        (board.open_streams.get() < max_streams).then(|| {
+            board.open_streams.set(board.open_streams.get() + 1);
+            StreamGuard(board.clone())
         })
     }
 }
 
-impl Drop for Standing {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
-        self.0.streams.set(self.0.streams.get() - 1);
+        self.0.open_streams.set(self.0.open_streams.get() - 1);
     }
 }
 
-/// One call.
-struct One {
+/// Handles one call.
+struct CallHandler {
     board: Rc<Board>,
     ip: std::net::IpAddr,
-    /// Held while the call is open.
-    _open: Entered,
-    budget: Duration,
+    /// Counts the call as open while it is handled.
+    _open: OpenCallGuard,
+    time_limit: Duration,
 }
 
-/// The call can't be gone on with; its client has left.
-struct Left;
+/// The client has closed the call or the connection.
+struct ClientGone;
 
-impl From<h2::Error> for Left {
+impl From<h2::Error> for ClientGone {
     fn from(_: h2::Error) -> Self {
-        Left
+        ClientGone
     }
 }
 
-impl One {
+impl CallHandler {
     async fn answer(self, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
         let (head, body) = request.into_parts();
-        let kind = head.headers.get("content-type").and_then(|v| v.to_str().ok()).unwrap_or("");
-        if head.method != Method::POST || !kind.starts_with("application/grpc") {
+        let content_type = head.headers.get("content-type").and_then(|v| v.to_str().ok()).unwrap_or("");
+        if head.method != Method::POST || !content_type.starts_with("application/grpc") {
             let status = if head.method != Method::POST { 405 } else { 415 };
-            self.board.spoilt();
+            self.board.record_invalid_check();
             let mut response = Response::new(());
             *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
             let _ = respond.send_response(response, true);
             return;
         }
-        let bytes = match timeout(self.budget, whole(body)).await {
+        let bytes = match timeout(self.time_limit, read_body(body)).await {
             Ok(Ok(bytes)) => bytes,
-            Ok(Err(Left)) => return,
+            Ok(Err(ClientGone)) => return,
             Err(_) => {
-                self.board.spoilt();
+                self.board.record_invalid_check();
                 return respond.send_reset(h2::Reason::CANCEL);
             }
         };
@@ -154,96 +156,102 @@
             grpc_health::CHECK => self.check(bytes, respond),
             grpc_health::LIST => self.list(bytes, respond),
             grpc_health::WATCH => self.watch(bytes, respond).await,
-            load_report::STREAM if self.reports().is_some() => self.stream_reports(bytes, respond).await,
+            load_report::STREAM if self.report_intervals().is_some() => {
+                self.stream_reports(bytes, respond).await
+            }
             _ => self.fail(&mut respond, GrpcStatusCode::Unimplemented, "no such method"),
         };
     }
 
-    fn reports(&self) -> Option<(Duration, Duration)> {
-        self.board.of_checks(|c| c.grpc.and_then(|g| g.reports)).flatten()
+    /// Returns the minimum and maximum interval of load reports; `None` if they are not enabled.
+    fn report_intervals(&self) -> Option<(Duration, Duration)> {
+        self.board.check_setting(|c| c.grpc.and_then(|g| g.reports)).flatten()
     }
 
-    /// An answer that is only an error: everything in the head.
+    /// Sends an error without a message: its status is in the response head.
     fn fail(
         &self,
         respond: &mut SendResponse<Bytes>,
         code: GrpcStatusCode,
         why: &'static str,
-    ) -> Result<(), Left> {
-        self.board.spoilt();
-        let mut response = begun();
+    ) -> Result<(), ClientGone> {
+        self.board.record_invalid_check();
+        let mut response = response_head();
         response.headers_mut().extend(trailers(code, why));
         respond.send_response(response, true)?;
         Ok(())
     }
 
-    fn check(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), Left> {
-        let asked = match grpc_health::decode_frame::<HealthCheckRequest>(&mut bytes) {
-            Ok(asked) => asked.unwrap_or_default(),
+    fn check(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), ClientGone> {
+        let request = match grpc_health::decode_frame::<HealthCheckRequest>(&mut bytes) {
+            Ok(request) => request.unwrap_or_default(),
             Err(_) => {
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthCheckRequest")
             }
         };
         let state = self.board.assessment().state;
-        let Some(now) = grpc_health::service_status(&asked.service, self.board.services(), state) else {
+        let Some(status) = grpc_health::service_status(&request.service, self.board.services(), state) else {
             return self.fail(&mut respond, GrpcStatusCode::NotFound, "no such service");
         };
-        self.board.asked(self.ip, CheckProtocol::Grpc);
-        let message = grpc_health::encode_frame(&HealthCheckResponse { status: now as i32 });
-        finish(respond.send_response(begun(), false)?, message)
+        self.board.record_check(self.ip, CheckProtocol::Grpc);
+        let message = grpc_health::encode_frame(&HealthCheckResponse { status: status as i32 });
+        send_message(respond.send_response(response_head(), false)?, message)
     }
 
-    fn list(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), Left> {
+    fn list(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), ClientGone> {
         if grpc_health::decode_frame::<HealthListRequest>(&mut bytes).is_err() {
             return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthListRequest");
         }
         let status = ServingStatus::from(self.board.assessment().state) as i32;
         let names = self.board.services().iter().cloned().chain([String::new()]);
         let statuses = names.map(|name| (name, HealthCheckResponse { status })).collect();
-        self.board.asked(self.ip, CheckProtocol::Grpc);
-        finish(
-            respond.send_response(begun(), false)?,
+        self.board.record_check(self.ip, CheckProtocol::Grpc);
+        send_message(
+            respond.send_response(response_head(), false)?,
             grpc_health::encode_frame(&HealthListResponse { statuses }),
         )
     }
 
-    async fn watch(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), Left> {
-        let asked = match grpc_health::decode_frame::<HealthCheckRequest>(&mut bytes) {
-            Ok(asked) => asked.unwrap_or_default(),
+    async fn watch(&self, mut bytes: BytesMut, mut respond: SendResponse<Bytes>) -> Result<(), ClientGone> {
+        let request = match grpc_health::decode_frame::<HealthCheckRequest>(&mut bytes) {
+            Ok(request) => request.unwrap_or_default(),
             Err(_) => {
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthCheckRequest")
             }
         };
-        let Some(_standing) = Standing::enter(&self.board) else {
+        let Some(_stream_guard) = StreamGuard::enter(&self.board) else {
             return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many watches");
         };
-        let (mut now, mut watch) = (self.board.follow(), WatchState::default());
-        let mut stream = respond.send_response(begun(), false)?;
-        let _gone = Gone { board: self.board.clone(), ip: self.ip };
+        let (mut assessment, mut watch) = (self.board.subscribe(), WatchState::default());
+        let mut stream = respond.send_response(response_head(), false)?;
+        let _watcher_guard = WatcherGuard { board: self.board.clone(), ip: self.ip };
         loop {
-            let state = now.borrow_and_update().state;
+            let state = assessment.borrow_and_update().state;
             let services = self.board.services();
             let status = |state| {
-                grpc_health::service_status(&asked.service, services, state)
+                grpc_health::service_status(&request.service, services, state)
                     .unwrap_or(ServingStatus::ServiceUnknown)
             };
             if watch.would_notify(status(state)) {
-                // Only when there is room for it: a watcher that reads slowly is told the newest then, and
-                // nothing queues up meanwhile. Every message has the same size, the smallest but one.
-                room(&mut stream, grpc_health::encode_frame(&HealthCheckResponse { status: 1 }).len())
-                    .await?;
-                let newest = status(now.borrow_and_update().state);
+                // A message is sent once the stream has capacity for it: a slow watcher then receives the newest state, and
+                // no messages queue up. Messages of all states except `Unknown` have the same size.
+                wait_for_capacity(
+                    &mut stream,
+                    grpc_health::encode_frame(&HealthCheckResponse { status: 1 }).len(),
+                )
+                .await?;
+                let newest = status(assessment.borrow_and_update().state);
                 if let Some(response) = watch.notify(newest) {
                     stream.send_data(grpc_health::encode_frame(&response), false)?;
-                    self.board.asked(self.ip, CheckProtocol::Watch);
+                    self.board.record_check(self.ip, CheckProtocol::Watch);
                 }
             }
             tokio::select! {
-                changed = now.changed() => if changed.is_err() {
+                changed = assessment.changed() => if changed.is_err() {
                     stream.send_trailers(trailers(GrpcStatusCode::Unavailable, "ending"))?;
                     return Ok(());
                 },
-                _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => return Err(Left),
+                _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => return Err(ClientGone),
             }
         }
     }
@@ -252,43 +260,43 @@
         &self,
         mut bytes: BytesMut,
         mut respond: SendResponse<Bytes>,
-    ) -> Result<(), Left> {
-        let asked = match grpc_health::decode_frame::<OrcaLoadReportRequest>(&mut bytes) {
-            Ok(asked) => asked.unwrap_or_default(),
+    ) -> Result<(), ClientGone> {
+        let request = match grpc_health::decode_frame::<OrcaLoadReportRequest>(&mut bytes) {
+            Ok(request) => request.unwrap_or_default(),
             Err(_) => {
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no OrcaLoadReportRequest")
             }
         };
-        let Some(_standing) = Standing::enter(&self.board) else {
+        let Some(_stream_guard) = StreamGuard::enter(&self.board) else {
             return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many streams");
         };
-        let mut stream = respond.send_response(begun(), false)?;
+        let mut stream = respond.send_response(response_head(), false)?;
         loop {
-            let message = grpc_health::encode_frame(&self.board.report());
-            room(&mut stream, message.len()).await?;
+            let message = grpc_health::encode_frame(&self.board.load_report());
+            wait_for_capacity(&mut stream, message.len()).await?;
             stream.send_data(message, false)?;
-            let (least, most) = self.reports().ok_or(Left)?;
+            let (min_interval, max_interval) = self.report_intervals().ok_or(ClientGone)?;
             tokio::select! {
-                () = tokio::time::sleep(asked.interval(least, most)) => {}
-                _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => return Err(Left),
+                () = tokio::time::sleep(request.interval(min_interval, max_interval)) => {}
+                _ = std::future::poll_fn(|cx| stream.poll_reset(cx)) => return Err(ClientGone),
             }
         }
     }
 }
 
-/// Dropped when a watch ends: its watcher need not be told of a drain any more.
-struct Gone {
+/// Removes the watcher when its watch ends: it need not be notified of a drain any more.
+struct WatcherGuard {
     board: Rc<Board>,
     ip: std::net::IpAddr,
 }
 
-impl Drop for Gone {
+impl Drop for WatcherGuard {
     fn drop(&mut self) {
-        self.board.left(self.ip);
+        self.board.remove_watcher(self.ip);
     }
 }
 
-fn begun() -> Response<()> {
+fn response_head() -> Response<()> {
     let mut response = Response::new(());
     response.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
     response
@@ -303,41 +311,41 @@
     map
 }
 
-/// The one message of an answer, and its end. It is small: the window of a new stream holds it.
-fn finish(mut stream: SendStream<Bytes>, message: Bytes) -> Result<(), Left> {
+/// Sends the only message of a response and ends the stream. The message is small enough for the window of a new stream.
+fn send_message(mut stream: SendStream<Bytes>, message: Bytes) -> Result<(), ClientGone> {
     stream.send_data(message, false)?;
     stream.send_trailers(trailers(GrpcStatusCode::Ok, ""))?;
     Ok(())
 }
 
-/// Waits until so much can be sent at once, or the client has left.
-async fn room(stream: &mut SendStream<Bytes>, size: usize) -> Result<(), Left> {
+/// Waits until the stream has capacity for `size` bytes, or until the client has closed it.
+async fn wait_for_capacity(stream: &mut SendStream<Bytes>, size: usize) -> Result<(), ClientGone> {
     stream.reserve_capacity(size);
     while stream.capacity() < size {
-        let more = std::future::poll_fn(|cx| {
+        let capacity = std::future::poll_fn(|cx| {
             if stream.poll_reset(cx).is_ready() {
                 return std::task::Poll::Ready(None);
             }
             stream.poll_capacity(cx)
         });
-        match more.await {
+        match capacity.await {
             Some(Ok(_)) => {}
-            _ => return Err(Left),
+            _ => return Err(ClientGone),
         }
     }
     Ok(())
 }
 
-/// The body of a call, which is one small message.
-async fn whole(mut body: RecvStream) -> Result<BytesMut, Left> {
-    let mut all = BytesMut::new();
+/// Reads the body of a call: one small message in its frame of 5 bytes.
+async fn read_body(mut body: RecvStream) -> Result<BytesMut, ClientGone> {
+    let mut bytes = BytesMut::new();
     while let Some(data) = body.data().await {
         let data = data?;
-        if all.len() + data.len() > grpc_health::MAX_MESSAGE_BYTES + 5 {
-            return Err(Left);
+        if bytes.len() + data.len() > grpc_health::MAX_MESSAGE_BYTES + 5 {
+            return Err(ClientGone);
         }
-        all.extend_from_slice(&data);
+        bytes.extend_from_slice(&data);
         body.flow_control().release_capacity(data.len())?;
     }
-    Ok(all)
+    Ok(bytes)
 }
--- a/router/src/checks/http.rs
+++ b/router/src/checks/http.rs
@@ -1,4 +1,4 @@
-//! Checks over HTTP/1: one after the other on a connection, each within its budget.
+//! Health checks over HTTP/1.1: a connection carries one check after another, each within its time limit.
 
 use bytes::{Buf, Bytes};
 use tallypin_health::checkers::CheckProtocol;
@@ -9,135 +9,147 @@
 use crate::front::{linger, Rejection};
 use crate::http::{reason_phrase, BodyFraming, BodyPart, BodyReader, HttpError, MessageHead, StartLine};
 
-/// The largest body of a check that is read over; checks have none.
-const BODY: u64 = 4 << 10;
+/// Maximum size of a check's body, in bytes. A body is read and ignored.
+const MAX_BODY_BYTES: u64 = 4 << 10;
 
 /// Answers the checks of one connection.
 pub async fn answer(mut call: Call) {
     loop {
-        let budget = call.budget();
-        let mut idle = call.rest();
+        let time_limit = call.time_limit();
+        let mut idle = call.mark_idle();
         if call.wire.unread.is_empty() {
             call.wire.release_buffer();
-            let rest = call.board.of_checks(|c| c.idle).unwrap_or(budget);
-            let more = tokio::select! {
+            let idle_timeout = call.board.check_setting(|c| c.idle).unwrap_or(time_limit);
+            let received = tokio::select! {
                 biased;
-                more = timeout(rest, call.wire.read_more()) => more,
+                received = timeout(idle_timeout, call.wire.read_more()) => received,
                 () = idle.close_requested() => return,
             };
-            if !matches!(more, Ok(Ok(true))) {
+            if !matches!(received, Ok(Ok(true))) {
                 return;
             }
         }
-        // Half a check holds a place no better than none: a whole one is read at once.
-        let read = tokio::select! {
+        // A connection with an incomplete check still counts as idle and may be closed to make room for another one. A
+        // complete check is read first, because the selection is biased.
+        let outcome = tokio::select! {
             biased;
-            read = timeout(budget, read(&mut call)) => read,
-            () = idle.close_requested() => return call.board.spoilt(),
+            outcome = timeout(time_limit, read(&mut call)) => outcome,
+            () = idle.close_requested() => return call.board.record_invalid_check(),
         };
         drop(idle);
-        let Ok(read) = read else {
-            call.board.spoilt();
-            let _ = timeout(budget, say(&mut call, refusal(408), false, false)).await;
+        let Ok(outcome) = outcome else {
+            call.board.record_invalid_check();
+            let _ = timeout(time_limit, write_response(&mut call, error_response(408), false, false)).await;
             return;
         };
-        let (answer, bodiless, keeps) = match read {
-            Read::Gone => return,
-            Read::Bad(bad) => {
-                call.board.spoilt();
-                (refusal(Rejection::from(bad).status()), false, false)
+        let (response, is_head, keep_alive) = match outcome {
+            ReadOutcome::Closed => return,
+            ReadOutcome::Invalid(error) => {
+                call.board.record_invalid_check();
+                (error_response(Rejection::from(error).status()), false, false)
             }
-            Read::Asked(head) => {
-                let bodiless = matches!(&head.start_line, StartLine::Request(m, _) if &m[..] == b"HEAD");
-                (decide(&call, &head), bodiless, head.keeps_alive())
+            ReadOutcome::Request(head) => {
+                let is_head = matches!(&head.start_line, StartLine::Request(m, _) if &m[..] == b"HEAD");
+                (respond(&call, &head), is_head, head.keeps_alive())
             }
         };
-        if !matches!(timeout(budget, say(&mut call, answer, bodiless, keeps)).await, Ok(Ok(()))) {
+        if !matches!(
+            timeout(time_limit, write_response(&mut call, response, is_head, keep_alive)).await,
+            Ok(Ok(()))
+        ) {
             return;
         }
-        if !keeps {
-            let _ = timeout(budget, linger(call.wire, call.context.limits.close_linger)).await;
+        if !keep_alive {
+            let _ = timeout(time_limit, linger(call.wire, call.context.limits.close_linger)).await;
             return;
         }
     }
 }
 
-enum Read {
-    Asked(MessageHead),
-    Bad(HttpError),
-    Gone,
+enum ReadOutcome {
+    Request(MessageHead),
+    Invalid(HttpError),
+    Closed,
 }
 
-async fn read(call: &mut Call) -> Read {
+async fn read(call: &mut Call) -> ReadOutcome {
     let limits = call.context.limits.clone();
     let head = loop {
         match MessageHead::parse_request(&mut call.wire.unread, &limits) {
             Ok(Some(head)) => break head,
             Ok(None) if matches!(call.wire.read_more().await, Ok(true)) => {}
-            Ok(None) => return Read::Gone,
-            Err(bad) => return Read::Bad(bad),
+            Ok(None) => return ReadOutcome::Closed,
+            Err(error) => return ReadOutcome::Invalid(error),
         }
     };
     let framing = match head.framing() {
-        Ok(BodyFraming::Undeclared) => return Read::Asked(head),
-        Ok(BodyFraming::Length(n)) if n > BODY => return Read::Bad(HttpError::BodyTooLarge),
+        Ok(BodyFraming::Undeclared) => return ReadOutcome::Request(head),
+        Ok(BodyFraming::Length(n)) if n > MAX_BODY_BYTES => {
+            return ReadOutcome::Invalid(HttpError::BodyTooLarge)
+        }
         Ok(framing) => framing,
-        Err(bad) => return Read::Bad(bad),
+        Err(error) => return ReadOutcome::Invalid(error),
     };
-    let (mut body, mut all) = (BodyReader::new(framing, BODY), 0);
+    let (mut body, mut size) = (BodyReader::new(framing, MAX_BODY_BYTES), 0);
     loop {
         match body.next_part(&mut call.wire.unread) {
             Ok(Some(BodyPart::Data(data))) => {
-                all += data.len() as u64;
-                if all > BODY {
-                    return Read::Bad(HttpError::BodyTooLarge);
+                size += data.len() as u64;
+                if size > MAX_BODY_BYTES {
+                    return ReadOutcome::Invalid(HttpError::BodyTooLarge);
                 }
             }
-            Ok(Some(BodyPart::End)) => return Read::Asked(head),
+            Ok(Some(BodyPart::End)) => return ReadOutcome::Request(head),
             Ok(None) if matches!(call.wire.read_more().await, Ok(true)) => {}
-            Ok(None) => return Read::Gone,
-            Err(bad) => return Read::Bad(bad),
+            Ok(None) => return ReadOutcome::Closed,
+            Err(error) => return ReadOutcome::Invalid(error),
         }
     }
 }
 
-fn refusal(status: u16) -> CheckResponse {
+/// Returns a plain text response with the reason phrase of the status as its body.
+fn error_response(status: u16) -> CheckResponse {
     let fields = "Content-Type: text/plain; charset=utf-8\r\n".to_string();
     CheckResponse { status, fields, body: format!("{}\n", reason_phrase(status).to_lowercase()) }
 }
 
-fn decide(call: &Call, head: &MessageHead) -> CheckResponse {
-    let StartLine::Request(method, target) = &head.start_line else { return refusal(400) };
+fn respond(call: &Call, head: &MessageHead) -> CheckResponse {
+    let StartLine::Request(method, target) = &head.start_line else { return error_response(400) };
     let (Ok(method), Ok(target)) = (std::str::from_utf8(method), std::str::from_utf8(target)) else {
-        return refusal(400);
+        return error_response(400);
     };
     let accept = head.text_value("accept").ok().flatten();
-    let (now, parts) = (call.board.assessment(), call.board.parts());
-    let answer = call
+    let (assessment, components) = (call.board.assessment(), call.board.components());
+    let response = call
         .board
-        .of_checks(|c| c.policy.answer(CheckRequest { method, target, accept }, &now, &parts))
+        .check_setting(|c| c.policy.answer(CheckRequest { method, target, accept }, &assessment, &components))
         .flatten();
-    let Some(answer) = answer else {
-        call.board.spoilt();
-        return refusal(404);
+    let Some(response) = response else {
+        call.board.record_invalid_check();
+        return error_response(404);
     };
-    // Whether it lives is asked by whoever would restart it, not by a balancer that has to hear of a drain.
-    if !target.starts_with("/livez") && answer.status != 405 {
-        call.board.asked(call.ip, CheckProtocol::Http);
+    // `/livez` is polled by a supervisor that restarts the router, not by a balancer that must be notified of a drain.
+    if !target.starts_with("/livez") && response.status != 405 {
+        call.board.record_check(call.ip, CheckProtocol::Http);
     }
     if let Some(sent) = head.text_value("x-haproxy-server-state").ok().flatten().and_then(parse_server_state)
     {
         tracing::debug!(target: "checks", client = %call.ip, held = sent.state, name = sent.name,
-            balancer = sent.node, "a balancer says how it holds this router");
+            balancer = sent.node, "balancer reported its state of this router");
     }
-    answer
+    response
 }
 
-async fn say(call: &mut Call, answer: CheckResponse, bodiless: bool, keeps: bool) -> std::io::Result<()> {
-    let CheckResponse { status, fields, body } = answer;
-    let last = if keeps { "" } else { "Connection: close\r\n" };
+async fn write_response(
+    call: &mut Call,
+    response: CheckResponse,
+    is_head: bool,
+    keep_alive: bool,
+) -> std::io::Result<()> {
+    let CheckResponse { status, fields, body } = response;
+    let last = if keep_alive { "" } else { "Connection: close\r\n" };
     let (why, length) = (reason_phrase(status), body.len());
     let head = format!("HTTP/1.1 {status} {why}\r\n{fields}{last}Content-Length: {length}\r\n\r\n");
-    let body = if bodiless { String::new() } else { body };
+    let body = if is_head { String::new() } else { body };
     call.wire.write(Bytes::from(head).chain(Bytes::from(body))).await
 }
--- a/router/src/checks/listen.rs
+++ b/router/src/checks/listen.rs
@@ -1,4 +1,5 @@
-//! A listener for checks: it takes connections within the checks' own budget, and moves when the settings do.
+//! A listener for checks: it accepts connections within a limit of its own, and moves to another address when the settings
+//! change.
 
 use std::future::Future;
 use std::io;
@@ -16,81 +17,88 @@
 use crate::installation::CheckSettings;
 use crate::outward::Door;
 
-/// A connection that may carry checks.
+/// A connection that carries health checks.
 pub struct Call {
-    /// The router; what clients do is none of a check's business.
+    /// The parts of the router that checks use.
     pub context: Rc<CheckContext>,
-    /// What is told.
+    /// The health that checks report.
     pub board: Rc<Board>,
     /// The connection.
     pub wire: BufferedConnection,
-    /// Who asks.
+    /// The address of the balancer.
     pub ip: IpAddr,
-    /// Its place among the check connections.
+    /// The connection's entry among the open check connections.
     pub client: Client,
-    /// It has asked nothing yet; told when its place is needed.
+    /// Marks a new connection as idle until its first check. It resolves when the connection must make room for another.
     pub idle: Option<IdleGuard>,
 }
 
 impl Call {
-    /// A check must be whole, and answered, within this.
-    pub fn budget(&self) -> Duration {
-        self.board.of_checks(|c| c.budget).unwrap_or_default()
+    /// Returns the time within which a check must be complete, and then within which it must be answered.
+    pub fn time_limit(&self) -> Duration {
+        self.board.check_setting(|c| c.budget).unwrap_or_default()
     }
 
-    /// It carries nothing from now on, until the result is dropped.
-    pub fn rest(&mut self) -> IdleGuard {
+    /// Marks the connection as idle until the result is dropped.
+    pub fn mark_idle(&mut self) -> IdleGuard {
         self.idle.take().unwrap_or_else(|| self.client.idle())
     }
 }
 
-/// Binds an address and takes connections there; also says where that is.
+/// Binds an address and accepts connections there. Returns the bound address and the task.
 pub async fn start<F: Future<Output = ()> + 'static>(
     context: &Rc<CheckContext>,
     board: &Rc<Board>,
-    at: SocketAddr,
-    place: impl Fn(&CheckSettings) -> Option<SocketAddr> + 'static,
+    address: SocketAddr,
+    address_of: impl Fn(&CheckSettings) -> Option<SocketAddr> + 'static,
     answer: impl Fn(Call) -> F + Copy + 'static,
 ) -> io::Result<(SocketAddr, AbortHandle)> {
-    let listener = bind_with_retry(async || bind(at).await).await?;
+    let listener = bind_with_retry(async || bind(address).await).await?;
     let bound = listener.local_addr()?;
-    let task = tokio::task::spawn_local(keep(context.clone(), board.clone(), listener, at, place, answer));
+    let task = tokio::task::spawn_local(serve(
+        context.clone(),
+        board.clone(),
+        listener,
+        address,
+        address_of,
+        answer,
+    ));
     Ok((bound, task.abort_handle()))
 }
 
-/// Binds an address.
-async fn bind(at: SocketAddr) -> io::Result<TcpListener> {
-    TcpListener::bind(at).await.map_err(|e| io::Error::new(e.kind(), format!("{at}: {e}")))
+async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    TcpListener::bind(address).await.map_err(|e| io::Error::new(e.kind(), format!("{address}: {e}")))
 }
 
-/// Takes connections until the router is at its very end: a balancer that asks during the drain is answered.
-async fn keep<F: Future<Output = ()> + 'static>(
+/// Accepts connections until the process ends, so that checks are also answered during a drain.
+async fn serve<F: Future<Output = ()> + 'static>(
     context: Rc<CheckContext>,
     board: Rc<Board>,
     mut listener: TcpListener,
-    mut at: SocketAddr,
-    place: impl Fn(&CheckSettings) -> Option<SocketAddr>,
+    mut address: SocketAddr,
+    address_of: impl Fn(&CheckSettings) -> Option<SocketAddr>,
     answer: impl Fn(Call) -> F + Copy + 'static,
 ) {
-    let mut changed = board.changed.subscribe();
+    let mut settings_version = board.settings_version.subscribe();
     loop {
-        // Those that were told to close do so as soon as their tasks run: no descriptor beyond the budget.
-        while board.places.open() > board.most_places {
-            board.places.connection_closed().await;
+        // Connections that were asked to close do so as soon as their tasks run. No further one is accepted before that,
+        // so the number of descriptors stays within the limit.
+        while board.connections.open() > board.max_open_connections {
+            board.connections.connection_closed().await;
         }
         let accepted = tokio::select! {
             biased;
-            moved = changed.changed() => {
-                if moved.is_err() { return }
-                let wanted = board.of_checks(&place).flatten().unwrap_or(at);
-                if wanted != at {
-                    match bind(wanted).await {
-                        // What the old one had accepted goes on; whoever asks there again finds it gone.
+            changed = settings_version.changed() => {
+                if changed.is_err() { return }
+                let new_address = board.check_setting(&address_of).flatten().unwrap_or(address);
+                if new_address != address {
+                    match bind(new_address).await {
+                        // Accepted connections continue; the old address accepts no further ones.
                         Ok(new) => {
-                            tracing::info!(target: "checks", from = %at, to = %wanted, "check listener moved");
-                            (listener, at) = (new, wanted);
+                            tracing::info!(target: "checks", from = %address, to = %new_address, "check listener moved");
+                            (listener, address) = (new, new_address);
                         }
-                        Err(e) => tracing::error!(target: "checks", why = %e, kept = %at, "check listener not moved"),
+                        Err(e) => tracing::error!(target: "checks", why = %e, kept = %address, "check listener not moved"),
                     }
                 }
                 continue;
@@ -98,24 +106,24 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, from)) => take(&context, &board, stream, from, answer),
-            // Out of descriptors for a moment: checks have their own reserve, so this passes.
+            Ok((stream, peer)) => handle_connection(&context, &board, stream, peer, answer),
+            // The process is out of descriptors. This passes, because check connections have a reserve of their own.
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     }
 }
 
-fn take<F: Future<Output = ()> + 'static>(
+fn handle_connection<F: Future<Output = ()> + 'static>(
     context: &Rc<CheckContext>,
     board: &Rc<Board>,
     stream: TcpStream,
-    from: SocketAddr,
+    peer: SocketAddr,
     answer: impl Fn(Call) -> F + Copy + 'static,
 ) {
-    let (client, mut idle) = board.places.register();
+    let (client, mut idle) = board.connections.register();
     if client.over_limit {
-        // All are in the middle of a check, each of which ends within its budget.
-        board.spoilt();
+        // All other connections are in the middle of a check, which ends within its time limit.
+        board.record_invalid_check();
         return;
     }
     let (context, board, mut wire) = (context.clone(), board.clone(), BufferedConnection::new(stream));
@@ -125,12 +133,12 @@
             origin = context.outward.origin(Door::Checks, &mut wire) => origin,
             () = idle.close_requested() => None,
         };
-        let Some(origin) = origin else { return board.spoilt() };
-        let ip = origin.client.unwrap_or(from).ip();
-        let (ending, call) = (board.clone(), Call { context, board, wire, ip, client, idle: Some(idle) });
+        let Some(origin) = origin else { return board.record_invalid_check() };
+        let ip = origin.client.unwrap_or(peer).ip();
+        let (monitor, call) = (board.clone(), Call { context, board, wire, ip, client, idle: Some(idle) });
         tokio::select! {
             () = answer(call) => {}
-            () = ending.ended() => {}
+            () = monitor.stopped() => {}
         }
     });
 }
--- a/router/src/checks/mod.rs
+++ b/router/src/checks/mod.rs
@@ -1,5 +1,5 @@
-//! What balancers in front ask, and what an operator orders: the listeners around `tallypin_health`, which
-//! decides. Nothing here is started unless the settings say so.
+//! Health checks of balancers and orders of operators: the listeners and measurements around `tallypin_health`, which
+//! makes the decisions. Nothing is started here unless the settings enable it.
 
 pub mod agent;
 mod context;
@@ -30,283 +30,291 @@
 use crate::installation::{CheckSettings, HealthSettings, Installation};
 use crate::outward::Outward;
 
-/// What is told to balancers at any moment, and by whom they are told it. It knows nothing of requests.
+/// The health of the router as balancers see it, the balancers that check it, and the drain in progress.
 pub struct Board {
-    start: Instant,
-    /// What the settings say of checks; they may change while it runs.
-    checks: RefCell<Option<CheckSettings>>,
-    /// Told when they have changed.
-    changed: watch::Sender<u64>,
-    health: RefCell<HealthSettings>,
+    started_at: Instant,
+    /// The settings of the checks. They may change at runtime.
+    check_settings: RefCell<Option<CheckSettings>>,
+    /// Incremented when the settings change.
+    settings_version: watch::Sender<u64>,
+    health_settings: RefCell<HealthSettings>,
     assessor: RefCell<HealthAssessor>,
-    askers: RefCell<CheckerRegistry>,
-    plan: RefCell<DrainSequence>,
-    /// As measured last.
+    checkers: RefCell<CheckerRegistry>,
+    drain: RefCell<DrainSequence>,
+    /// The last measurement.
     signals: Cell<Signals>,
-    most: Cell<u8>,
-    order: Cell<OperatorOrder>,
-    ending: Cell<bool>,
-    now: watch::Sender<Assessment>,
-    phase: watch::Sender<DrainPhase>,
-    /// True once nothing is told any more.
-    over: watch::Sender<bool>,
-    report: RefCell<OrcaLoadReport>,
-    parts: RefCell<Vec<Component>>,
-    outward: Rc<Outward>,
-    /// The names that services have, besides the empty one.
+    /// The operator's limit on the weight, in percent.
+    max_weight: Cell<u8>,
+    operator_order: Cell<OperatorOrder>,
+    shutting_down: Cell<bool>,
+    assessment: watch::Sender<Assessment>,
+    drain_phase: watch::Sender<DrainPhase>,
+    /// True once checks are no longer answered.
+    has_stopped: watch::Sender<bool>,
+    load_report: RefCell<OrcaLoadReport>,
+    components: RefCell<Vec<Component>>,
+    balancers: Rc<Outward>,
+    /// The names of the services, without the empty name.
     services: Vec<String>,
-    /// Check connections have a budget of their own, whatever clients hold.
-    places: Rc<Clients>,
-    /// Connections open at once, those told to close and the newest among them.
-    most_places: usize,
-    streams: Cell<usize>,
-    answered: Cell<u64>,
-    spoilt: Cell<u64>,
+    /// The check connections. Their limit is independent of the limit on client connections.
+    connections: Rc<Clients>,
+    /// Maximum number of open check connections, including those that were asked to close.
+    max_open_connections: usize,
+    open_streams: Cell<usize>,
+    answered_checks: Cell<u64>,
+    invalid_checks: Cell<u64>,
 }
 
 impl Board {
-    /// A board that says *degraded, started a moment ago* until it is told more.
-    pub fn new(installation: &Installation, outward: Rc<Outward>) -> Rc<Board> {
+    /// Creates the health of a router that has just started: *degraded* with the cause *slow start* until measured.
+    pub fn new(installation: &Installation, balancers: Rc<Outward>) -> Rc<Board> {
         let health = installation.health.clone();
         let assessor = HealthAssessor::new(health.figures);
-        let checks = installation.checks.clone();
-        let connections = checks.as_ref().map_or(0, |c| c.connections);
+        let check_settings = installation.checks.clone();
+        let max_connections = check_settings.as_ref().map_or(0, |c| c.connections);
         let mut services = vec!["platform".to_string()];
         services.extend(installation.messages.is_some().then(|| "messages".to_string()));
         Rc::new(Board {
-            start: Instant::now(),
-            changed: watch::Sender::new(0),
-            now: watch::Sender::new(assessor.current()),
-            phase: watch::Sender::new(DrainPhase::Serving),
-            over: watch::Sender::new(false),
+            started_at: Instant::now(),
+            settings_version: watch::Sender::new(0),
+            assessment: watch::Sender::new(assessor.current()),
+            drain_phase: watch::Sender::new(DrainPhase::Serving),
+            has_stopped: watch::Sender::new(false),
             assessor: RefCell::new(assessor),
-            askers: RefCell::new(CheckerRegistry::new(health.askers)),
-            plan: RefCell::new(DrainSequence::new(health.drain)),
+            checkers: RefCell::new(CheckerRegistry::new(health.askers)),
+            drain: RefCell::new(DrainSequence::new(health.drain)),
             signals: Cell::default(),
-            most: Cell::new(100),
-            order: Cell::new(OperatorOrder::Ready),
-            ending: Cell::new(false),
-            report: RefCell::default(),
-            parts: RefCell::default(),
-            outward,
+            max_weight: Cell::new(100),
+            operator_order: Cell::new(OperatorOrder::Ready),
+            shutting_down: Cell::new(false),
+            load_report: RefCell::default(),
+            components: RefCell::default(),
+            balancers,
             services,
-            // Whoever has asked nothing for a moment makes room for one that may: 500 that connect and say
-            // nothing keep no balancer out.
-            places: Clients::new(connections, std::time::Duration::ZERO),
-            most_places: connections + 2,
-            streams: Cell::new(0),
-            answered: Cell::new(0),
-            spoilt: Cell::new(0),
-            checks: RefCell::new(checks),
-            health: RefCell::new(health),
+            // A connection without a check makes room for a new one at any time, so many silent connections can't keep a
+            // balancer out.
+            connections: Clients::new(max_connections, std::time::Duration::ZERO),
+            max_open_connections: max_connections + 2,
+            open_streams: Cell::new(0),
+            answered_checks: Cell::new(0),
+            invalid_checks: Cell::new(0),
+            check_settings: RefCell::new(check_settings),
+            health_settings: RefCell::new(health),
         })
     }
 
-    /// The age of the program, as decisions have it.
+    /// Returns the time since the start of the program.
     pub fn age(&self) -> Age {
-        self.start.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// The age at an instant.
+    /// Returns the time from the start of the program to an instant.
     pub fn age_at(&self, at: Instant) -> Age {
-        at.saturating_duration_since(self.start)
+        at.saturating_duration_since(self.started_at)
     }
 
-    /// State, weight and cause now.
+    /// Returns the current state, weight and cause.
     pub fn assessment(&self) -> Assessment {
-        *self.now.borrow()
+        *self.assessment.borrow()
     }
 
-    /// The state, to be followed.
-    pub fn follow(&self) -> watch::Receiver<Assessment> {
-        self.now.subscribe()
+    /// Subscribes to changes of the assessment.
+    pub fn subscribe(&self) -> watch::Receiver<Assessment> {
+        self.assessment.subscribe()
     }
 
-    /// The names of services, besides the empty one.
+    /// Returns the names of the services, without the empty name.
     pub fn services(&self) -> &[String] {
         &self.services
     }
 
-    /// The load report now.
-    pub fn report(&self) -> OrcaLoadReport {
-        self.report.borrow().clone()
+    /// Returns the current load report.
+    pub fn load_report(&self) -> OrcaLoadReport {
+        self.load_report.borrow().clone()
     }
 
-    /// The parts of a verbose page.
-    pub fn parts(&self) -> Vec<Component> {
-        self.parts.borrow().clone()
+    /// Returns the components that a verbose health page lists.
+    pub fn components(&self) -> Vec<Component> {
+        self.components.borrow().clone()
     }
 
-    /// Takes over other settings, as far as they can be while it runs.
+    /// Applies those settings that can change at runtime.
     pub fn adopt(&self, installation: &Installation) {
         let health = &installation.health;
         self.assessor.borrow_mut().reconfigure(health.figures);
-        self.askers.borrow_mut().reconfigure(health.askers);
-        self.plan.borrow_mut().reconfigure(health.drain);
-        let every = self.health().every;
-        *self.health.borrow_mut() = HealthSettings { every, ..health.clone() };
-        // Which listeners there are is decided at the start; where they are is not.
-        let mut checks = self.checks.borrow_mut();
-        if let (Some(old), Some(new)) = (checks.as_mut(), &installation.checks) {
+        self.checkers.borrow_mut().reconfigure(health.askers);
+        self.drain.borrow_mut().reconfigure(health.drain);
+        let every = self.health_settings().every;
+        *self.health_settings.borrow_mut() = HealthSettings { every, ..health.clone() };
+        // The set of listeners is fixed at the start; their addresses are not.
+        let mut check_settings = self.check_settings.borrow_mut();
+        if let (Some(old), Some(new)) = (check_settings.as_mut(), &installation.checks) {
             let (agent, http, grpc) = (old.agent, old.http, old.grpc);
             *old = CheckSettings { connections: old.connections, ..new.clone() };
             old.agent = agent.and(new.agent).or(agent);
             old.http = http.and(new.http).or(http);
             old.grpc = grpc.and(new.grpc).or(grpc);
         }
-        drop(checks);
-        self.changed.send_modify(|n| *n += 1);
+        drop(check_settings);
+        self.settings_version.send_modify(|n| *n += 1);
     }
 
-    /// Something of the settings of checks.
-    pub(crate) fn of_checks<R>(&self, get: impl FnOnce(&CheckSettings) -> R) -> Option<R> {
-        self.checks.borrow().as_ref().map(get)
+    /// Reads a value from the settings of the checks; `None` if checks are not enabled.
+    pub(crate) fn check_setting<R>(&self, get: impl FnOnce(&CheckSettings) -> R) -> Option<R> {
+        self.check_settings.borrow().as_ref().map(get)
     }
 
-    pub(crate) fn health(&self) -> HealthSettings {
-        self.health.borrow().clone()
+    pub(crate) fn health_settings(&self) -> HealthSettings {
+        self.health_settings.borrow().clone()
     }
 
-    /// What was measured, and what is told in consequence.
-    pub fn measured(&self, signals: Signals, report: OrcaLoadReport, parts: Vec<Component>) {
-        *self.parts.borrow_mut() = parts;
-        *self.report.borrow_mut() = report;
+    /// Records a measurement and updates the assessment.
+    pub fn record_measurement(
+        &self,
+        signals: Signals,
+        load_report: OrcaLoadReport,
+        components: Vec<Component>,
+    ) {
+        *self.components.borrow_mut() = components;
+        *self.load_report.borrow_mut() = load_report;
         self.signals.set(signals);
         self.assess(signals);
     }
 
     fn assess(&self, signals: Signals) {
         let signals = Signals {
-            order: self.order.get(),
-            max_weight: self.most.get(),
-            shutting_down: self.ending.get(),
+            order: self.operator_order.get(),
+            max_weight: self.max_weight.get(),
+            shutting_down: self.shutting_down.get(),
             ..signals
         };
-        let told = self.assessor.borrow_mut().step(self.age(), &signals);
-        self.outward.tell(told);
-        // In the report that goes out with it, not in the next one.
-        let weight = f64::from(told.weight) / 100.0;
-        self.report.borrow_mut().named_metrics.insert("weight".into(), weight);
-        let before = self.now.send_replace(told);
-        if before.state != told.state {
-            tracing::info!(target: "checks", state = %told.state, weight = told.weight,
-                why = told.cause.description(), "state told to balancers");
+        let assessment = self.assessor.borrow_mut().step(self.age(), &signals);
+        self.balancers.set_assessment(assessment);
+        // The load report carries the weight of the assessment that is published with it.
+        let weight = f64::from(assessment.weight) / 100.0;
+        self.load_report.borrow_mut().named_metrics.insert("weight".into(), weight);
+        let before = self.assessment.send_replace(assessment);
+        if before.state != assessment.state {
+            tracing::info!(target: "checks", state = %assessment.state, weight = assessment.weight,
+                why = assessment.cause.description(), "health state changed");
         }
-        let fields = self.of_checks(|c| {
-            let envoy = if c.policy.envoy { envoy_fields(told.state) } else { "" };
-            let load = c.report.map(|form| self.report.borrow().header_field(form)).unwrap_or_default();
+        let fields = self.check_setting(|c| {
+            let envoy = if c.policy.envoy { envoy_fields(assessment.state) } else { "" };
+            let load = c.report.map(|form| self.load_report.borrow().header_field(form)).unwrap_or_default();
             format!("{envoy}{load}")
         });
-        self.outward.say(&fields.unwrap_or_default());
+        self.balancers.set_fields(&fields.unwrap_or_default());
     }
 
-    /// Someone has asked, and is told the state as it is now.
-    pub fn asked(&self, ip: IpAddr, kind: CheckProtocol) {
-        self.answered.set(self.answered.get() + 1);
-        self.askers
+    /// Records an answered check. The balancer has received the current state with the answer.
+    pub fn record_check(&self, ip: IpAddr, kind: CheckProtocol) {
+        self.answered_checks.set(self.answered_checks.get() + 1);
+        self.checkers
             .borrow_mut()
             .record_check(self.age(), CheckerId { ip: ip.to_canonical(), protocol: kind });
     }
 
-    /// A watcher has gone.
-    pub fn left(&self, ip: IpAddr) {
-        self.askers.borrow_mut().remove(CheckerId { ip: ip.to_canonical(), protocol: CheckProtocol::Watch });
+    /// Removes a balancer whose gRPC watch has ended.
+    pub fn remove_watcher(&self, ip: IpAddr) {
+        self.checkers
+            .borrow_mut()
+            .remove(CheckerId { ip: ip.to_canonical(), protocol: CheckProtocol::Watch });
     }
 
-    /// A check that was none, or was not whole in time.
-    pub fn spoilt(&self) {
-        self.spoilt.set(self.spoilt.get() + 1);
+    /// Counts a check that was invalid or not complete in time.
+    pub fn record_invalid_check(&self) {
+        self.invalid_checks.set(self.invalid_checks.get() + 1);
     }
 
-    /// Checks answered, and those that were none.
-    pub fn checks(&self) -> (u64, u64) {
-        (self.answered.get(), self.spoilt.get())
+    /// Returns the numbers of answered and of invalid checks.
+    pub fn check_counts(&self) -> (u64, u64) {
+        (self.answered_checks.get(), self.invalid_checks.get())
     }
 
-    /// Waits until nothing is told any more.
-    pub(crate) async fn ended(&self) {
-        let _ = self.over.subscribe().wait_for(|over| *over).await;
+    /// Waits until checks are no longer answered.
+    pub(crate) async fn stopped(&self) {
+        let _ = self.has_stopped.subscribe().wait_for(|stopped| *stopped).await;
     }
 
-    /// Who has asked of late.
+    /// Returns the balancers that check this router, the most recent first.
     pub fn askers(&self) -> Vec<CheckerStatus> {
-        self.askers.borrow().statuses(self.age())
+        self.checkers.borrow().statuses(self.age())
     }
 
-    /// The operator's bound on the weight, 1 to 100.
-    pub fn bound_weight(&self, most: u8) {
-        self.most.set(most.clamp(1, 100));
+    /// Sets the operator's limit on the weight, 1 to 100 percent.
+    pub fn set_max_weight(&self, percent: u8) {
+        self.max_weight.set(percent.clamp(1, 100));
     }
 
-    /// The bound.
-    pub fn bound(&self) -> u8 {
-        self.most.get()
+    /// Returns the operator's limit on the weight, in percent.
+    pub fn max_weight(&self) -> u8 {
+        self.max_weight.get()
     }
 
-    /// The operator's order.
-    pub fn order(&self) -> OperatorOrder {
-        self.order.get()
+    /// Returns the operator's last order.
+    pub fn operator_order(&self) -> OperatorOrder {
+        self.operator_order.get()
     }
 
-    /// Something else is wanted of the router. False: too late.
-    pub fn want(&self, wish: DrainGoal, order: OperatorOrder) -> bool {
+    /// Sets the goal of the drain. Returns false if the router is already shutting down.
+    pub fn want(&self, goal: DrainGoal, order: OperatorOrder) -> bool {
         let now = self.age();
-        if !self.plan.borrow_mut().set_goal(now, wish) {
+        if !self.drain.borrow_mut().set_goal(now, goal) {
             return false;
         }
-        self.order.set(order);
-        self.ending.set(wish == DrainGoal::Exit);
-        let mut askers = self.askers.borrow_mut();
-        match wish {
-            DrainGoal::Serve => askers.cancel_drain(),
-            _ => askers.begin_drain(now),
+        self.operator_order.set(order);
+        self.shutting_down.set(goal == DrainGoal::Exit);
+        let mut checkers = self.checkers.borrow_mut();
+        match goal {
+            DrainGoal::Serve => checkers.cancel_drain(),
+            _ => checkers.begin_drain(now),
         }
-        drop(askers);
-        // Told from this moment on, not from the next measurement.
+        drop(checkers);
+        // Balancers see the new state immediately instead of after the next measurement.
         self.assess(self.signals.get());
-        self.phase.send_replace(self.plan.borrow().phase());
+        self.drain_phase.send_replace(self.drain.borrow().phase());
         true
     }
 
-    /// The drain goes on.
-    pub fn go_on(&self) -> DrainPhase {
+    /// Advances the drain and returns its phase.
+    pub fn advance_drain(&self) -> DrainPhase {
         let now = self.age();
-        let all_told = self.askers.borrow().all_notified(now);
-        let phase = self.plan.borrow_mut().advance(now, all_told);
-        self.phase.send_if_modified(|p| std::mem::replace(p, phase) != phase);
+        let all_notified = self.checkers.borrow().all_notified(now);
+        let phase = self.drain.borrow_mut().advance(now, all_notified);
+        self.drain_phase.send_if_modified(|p| std::mem::replace(p, phase) != phase);
         phase
     }
 
-    /// The phase of a drain.
+    /// Returns the phase of the drain.
     pub fn phase(&self) -> DrainPhase {
-        self.plan.borrow().phase()
+        self.drain.borrow().phase()
     }
 
-    /// The phase, to be followed.
+    /// Subscribes to changes of the drain's phase.
     pub fn phases(&self) -> watch::Receiver<DrainPhase> {
-        self.phase.subscribe()
+        self.drain_phase.subscribe()
     }
 
-    /// Whether the telling ended with someone untold.
+    /// Whether the drain proceeded before all balancers were notified, because the notification time was over.
     pub fn untold(&self) -> bool {
-        self.plan.borrow().notify_timed_out()
+        self.drain.borrow().notify_timed_out()
     }
 }
 
-/// What was started, and where; dropped, it ends.
-pub struct Listening {
-    /// Agent checks.
+/// The running check listeners and their addresses. Dropping this stops them.
+pub struct CheckListeners {
+    /// Address for agent checks.
     pub agent: Option<SocketAddr>,
-    /// Checks over HTTP.
+    /// Address for checks over HTTP.
     pub http: Option<SocketAddr>,
-    /// gRPC.
+    /// Address for checks over gRPC.
     pub grpc: Option<SocketAddr>,
     tasks: Vec<AbortHandle>,
-    over: watch::Sender<bool>,
+    has_stopped: watch::Sender<bool>,
 }
 
-impl Listening {
-    /// Ends it; when this returns its addresses are free.
+impl CheckListeners {
+    /// Stops the listeners. Their addresses are free when this returns.
     pub async fn stop(self) {
         self.tasks.iter().for_each(AbortHandle::abort);
         while !self.tasks.iter().all(AbortHandle::is_finished) {
@@ -315,38 +323,44 @@
     }
 }
 
-impl Drop for Listening {
+impl Drop for CheckListeners {
     fn drop(&mut self) {
-        self.over.send_replace(true);
+        self.has_stopped.send_replace(true);
         self.tasks.iter().for_each(AbortHandle::abort);
     }
 }
 
-/// Binds everything that the settings ask for and starts it; an address that is taken is an error, as a
-/// balancer that can't ask would take the router for dead.
-pub async fn start(context: &Rc<CheckContext>, board: &Rc<Board>) -> io::Result<Listening> {
+/// Starts the check listeners of the settings and the measurements.
+///
+/// An address that can't be bound is an error: a balancer that can't reach the checks would consider the router down.
+pub async fn start(context: &Rc<CheckContext>, board: &Rc<Board>) -> io::Result<CheckListeners> {
     let (agent, http, grpc) = board
-        .of_checks(|c| (c.agent.map(|a| a.listen), c.http, c.grpc.map(|g| g.listen)))
+        .check_setting(|c| (c.agent.map(|a| a.listen), c.http, c.grpc.map(|g| g.listen)))
         .unwrap_or_default();
-    let mut all =
-        Listening { agent: None, http: None, grpc: None, tasks: Vec::new(), over: board.over.clone() };
-    if let Some(at) = agent {
-        let place = |c: &CheckSettings| c.agent.map(|a| a.listen);
-        let (bound, task) = listen::start(context, board, at, place, agent::answer).await?;
-        (all.agent, all.tasks) = (Some(bound), vec![task]);
-    }
-    if let Some(at) = http {
-        let (bound, task) = listen::start(context, board, at, |c| c.http, http::answer).await?;
-        all.http = Some(bound);
-        all.tasks.push(task);
-    }
-    if let Some(at) = grpc {
-        let place = |c: &CheckSettings| c.grpc.map(|g| g.listen);
-        let (bound, task) = listen::start(context, board, at, place, grpc::answer).await?;
-        all.grpc = Some(bound);
-        all.tasks.push(task);
-    }
-    let measuring = signals::keep(context.clone(), board.clone());
-    all.tasks.push(tokio::task::spawn_local(measuring).abort_handle());
-    Ok(all)
+    let mut listeners = CheckListeners {
+        agent: None,
+        http: None,
+        grpc: None,
+        tasks: Vec::new(),
+        has_stopped: board.has_stopped.clone(),
+    };
+    if let Some(address) = agent {
+        let address_of = |c: &CheckSettings| c.agent.map(|a| a.listen);
+        let (bound, task) = listen::start(context, board, address, address_of, agent::answer).await?;
+        (listeners.agent, listeners.tasks) = (Some(bound), vec![task]);
+    }
+    if let Some(address) = http {
+        let (bound, task) = listen::start(context, board, address, |c| c.http, http::answer).await?;
+        listeners.http = Some(bound);
+        listeners.tasks.push(task);
+    }
+    if let Some(address) = grpc {
+        let address_of = |c: &CheckSettings| c.grpc.map(|g| g.listen);
+        let (bound, task) = listen::start(context, board, address, address_of, grpc::answer).await?;
+        listeners.grpc = Some(bound);
+        listeners.tasks.push(task);
+    }
+    let measuring = signals::measure_periodically(context.clone(), board.clone());
+    listeners.tasks.push(tokio::task::spawn_local(measuring).abort_handle());
+    Ok(listeners)
 }
--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -1,5 +1,5 @@
-//! What is measured for the state told to balancers: the model nodes, the router's own means, what became of
-//! requests, and how late the one thread comes to what is due.
+//! Measures the signals behind the health state: the replicas, the router's own resources, the outcome of requests, and
+//! the delay of the event loop.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -14,29 +14,30 @@
 use crate::core::RequestCounts;
 use crate::lifecycle::{Lifecycle, Stage};
 
-/// The thread's lateness is looked at so often: a longer stretch of work than this shows.
-const LATENESS: Duration = Duration::from_millis(10);
+/// Interval at which the delay of the event loop is sampled. A longer stretch of work on the thread is always detected.
+const DELAY_SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Measures again and again, and carries a drain on. Ends never.
-pub async fn keep(context: Rc<CheckContext>, board: Rc<Board>) {
-    let mut seen = Seen::new(&context);
-    let (mut late, mut measured) = (Duration::ZERO, Instant::now());
+/// Measures the signals and advances the drain, once per interval of the settings. Never returns.
+pub async fn measure_periodically(context: Rc<CheckContext>, board: Rc<Board>) {
+    let mut last = LastMeasurement::new(&context);
+    let (mut max_delay, mut measured_at) = (Duration::ZERO, Instant::now());
     loop {
-        let due = Instant::now() + LATENESS;
+        let due = Instant::now() + DELAY_SAMPLE_INTERVAL;
         tokio::time::sleep_until(due.into()).await;
-        late = late.max(Instant::now().saturating_duration_since(due));
-        let every = board.health().every;
-        if measured.elapsed() < every {
+        max_delay = max_delay.max(Instant::now().saturating_duration_since(due));
+        let interval = board.health_settings().every;
+        if measured_at.elapsed() < interval {
             continue;
         }
-        let passed = std::mem::replace(&mut measured, Instant::now()).elapsed();
-        let (signals, report, parts) = seen.measure(&context, &board, std::mem::take(&mut late), passed);
-        board.measured(signals, report, parts);
-        follow(&context.lifecycle, board.go_on());
+        let elapsed = std::mem::replace(&mut measured_at, Instant::now()).elapsed();
+        let (signals, load_report, components) =
+            last.measure(&context, &board, std::mem::take(&mut max_delay), elapsed);
+        board.record_measurement(signals, load_report, components);
+        follow(&context.lifecycle, board.advance_drain());
     }
 }
 
-/// Puts the phase of a drain into effect on clients. The end of the program is `shutdown`'s.
+/// Applies the phase of a drain to the client connections. `crate::shutdown` closes the listeners and ends the program.
 pub fn follow(lifecycle: &Lifecycle, phase: DrainPhase) {
     let stage = match phase {
         DrainPhase::Serving => Stage::Serving,
@@ -50,22 +51,24 @@
     }
 }
 
-/// What was seen at the last measurement.
-struct Seen {
-    tallies: RequestCounts,
-    processor: Option<f64>,
-    /// Requests and errors a second, smoothed.
+/// Counters at the last measurement, and smoothed rates.
+struct LastMeasurement {
+    counts: RequestCounts,
+    /// Processor time of the process, in seconds.
+    cpu_time: Option<f64>,
+    /// Requests and errors per second, smoothed.
     rates: (f64, f64),
-    cpu: f64,
+    /// Processor utilization, smoothed; 1 is one core.
+    cpu_utilization: f64,
 }
 
-impl Seen {
-    fn new(context: &Rc<CheckContext>) -> Seen {
-        Seen {
-            tallies: context.dispatcher.with(|core, _| core.counts().clone()),
-            processor: processor(),
+impl LastMeasurement {
+    fn new(context: &Rc<CheckContext>) -> LastMeasurement {
+        LastMeasurement {
+            counts: context.dispatcher.with(|core, _| core.counts().clone()),
+            cpu_time: process_cpu_seconds(),
             rates: (0.0, 0.0),
-            cpu: 0.0,
+            cpu_utilization: 0.0,
         }
     }
 
@@ -73,15 +76,15 @@
         &mut self,
         context: &Rc<CheckContext>,
         board: &Board,
-        late: Duration,
-        passed: Duration,
+        max_delay: Duration,
+        elapsed: Duration,
     ) -> (Signals, OrcaLoadReport, Vec<Component>) {
-        let (view, tallies, open) = context
+        let (view, counts, open_requests) = context
             .dispatcher
             .with(|core, now| (core.view(now), core.counts().clone(), core.open_requests()));
-        let before = std::mem::replace(&mut self.tallies, tallies);
-        let since = |get: fn(&RequestCounts) -> u64| get(&self.tallies) - get(&before);
-        let fleet = ReplicaSummary {
+        let before = std::mem::replace(&mut self.counts, counts);
+        let since = |get: fn(&RequestCounts) -> u64| get(&self.counts) - get(&before);
+        let summary = ReplicaSummary {
             ready: view.len(),
             warming_up: view.iter().filter(|n| n.is_warming_up).count(),
             ejected: view.iter().filter(|n| n.ejected_for > 0).count(),
@@ -94,18 +97,21 @@
             },
             list_silent_for: context.endpoint_list.silence(),
         };
-        let health = board.health();
-        let gateways = context.router_count.max(1) as usize;
-        let free = |used: usize, most: usize| 1.0 - used.min(most) as f64 / most.max(1) as f64;
-        let (links, idle) = context.replicas.connection_counts();
+        let health = board.health_settings();
+        let routers = context.router_count.max(1) as usize;
+        let free = |used: usize, limit: usize| 1.0 - used.min(limit) as f64 / limit.max(1) as f64;
+        let (connections, idle) = context.replicas.connection_counts();
         let signals = Signals {
-            replicas: fleet,
-            in_flight: open,
-            capacity: health.node_room * fleet.ready / gateways,
+            replicas: summary,
+            in_flight: open_requests,
+            capacity: health.node_room * summary.ready / routers,
             clients_free: free(context.clients.open(), context.limits.max_clients),
             bodies_free: context.body_budget.available() as f64 / context.limits.body_budget.max(1) as f64,
-            replica_connections_free: free(links - idle.min(links), context.limits.max_replica_connections),
-            event_loop_delay: late,
+            replica_connections_free: free(
+                connections - idle.min(connections),
+                context.limits.max_replica_connections,
+            ),
+            event_loop_delay: max_delay,
             accepted: since(|t| t.accepted),
             rejected_no_capacity: since(|t| t.rejected - t.rejected_over_quota),
             rejected_quota: since(|t| t.rejected_over_quota),
@@ -114,28 +120,33 @@
             peer_serving_at: context.peers.as_ref().and_then(|p| p.served_at()).map(|at| board.age_at(at)),
             ..Signals::default()
         };
-        let seconds = passed.as_secs_f64().max(1e-3);
+        let seconds = elapsed.as_secs_f64().max(1e-3);
         let failed = since(|t| t.failed) + since(|t| t.interrupted);
-        let share = (seconds / 2.0).min(1.0);
-        self.rates.0 += (signals.accepted as f64 / seconds - self.rates.0) * share;
-        self.rates.1 += (failed as f64 / seconds - self.rates.1) * share;
-        let now = processor();
-        if let (Some(now), Some(before)) = (now, self.processor) {
-            self.cpu += ((now - before) / seconds - self.cpu) * share;
+        // Weight of the new sample in the smoothed rates: they follow within about 2 s.
+        let sample_weight = (seconds / 2.0).min(1.0);
+        self.rates.0 += (signals.accepted as f64 / seconds - self.rates.0) * sample_weight;
+        self.rates.1 += (failed as f64 / seconds - self.rates.1) * sample_weight;
+        let now = process_cpu_seconds();
+        if let (Some(now), Some(before)) = (now, self.cpu_time) {
+            self.cpu_utilization += ((now - before) / seconds - self.cpu_utilization) * sample_weight;
         }
-        self.processor = now;
-        (signals, self.report(&signals), parts(&signals, board.health().figures.max_list_silence))
+        self.cpu_time = now;
+        (
+            signals,
+            self.load_report(&signals),
+            components(&signals, board.health_settings().figures.max_list_silence),
+        )
     }
 
-    fn report(&self, s: &Signals) -> OrcaLoadReport {
+    fn load_report(&self, s: &Signals) -> OrcaLoadReport {
         let round = |x: f64| (x * 1000.0).round() / 1000.0;
-        let carry = s.capacity as f64 * s.replicas.usable_capacity;
-        let crowd = if carry > 0.0 { s.in_flight as f64 / carry } else { 0.0 };
-        let most = crowd.max(1.0 - s.clients_free).max(1.0 - s.replica_connections_free);
+        let usable_capacity = s.capacity as f64 * s.replicas.usable_capacity;
+        let utilization = if usable_capacity > 0.0 { s.in_flight as f64 / usable_capacity } else { 0.0 };
+        let highest = utilization.max(1.0 - s.clients_free).max(1.0 - s.replica_connections_free);
         OrcaLoadReport {
-            cpu_utilization: round(self.cpu),
+            cpu_utilization: round(self.cpu_utilization),
             mem_utilization: round(1.0 - s.bodies_free),
-            application_utilization: round(most),
+            application_utilization: round(highest),
             rps_fractional: round(self.rates.0),
             eps: round(self.rates.1),
             utilization: BTreeMap::from([
@@ -151,18 +162,26 @@
     }
 }
 
-fn parts(s: &Signals, list_late: Duration) -> Vec<Component> {
-    let f = &s.replicas;
+fn components(s: &Signals, max_list_silence: Duration) -> Vec<Component> {
+    let replicas = &s.replicas;
     let percent = |share: f64| format!("{:.0}% free", share * 100.0);
     let ms = s.event_loop_delay.as_secs_f64() * 1e3;
-    let list = f.list_silent_for.map_or("followed".into(), |d| format!("silent for {} ms", d.as_millis()));
+    let list =
+        replicas.list_silent_for.map_or("followed".into(), |d| format!("silent for {} ms", d.as_millis()));
     vec![
         Component {
             name: "nodes",
-            healthy: f.ready > 0 && f.usable_capacity > 0.5,
-            note: format!("{} ready, {} cold, {} excluded", f.ready, f.warming_up, f.ejected),
+            healthy: replicas.ready > 0 && replicas.usable_capacity > 0.5,
+            note: format!(
+                "{} ready, {} cold, {} excluded",
+                replicas.ready, replicas.warming_up, replicas.ejected
+            ),
+        },
+        Component {
+            name: "list",
+            healthy: replicas.list_silent_for.is_none_or(|silence| silence <= max_list_silence),
+            note: list,
         },
-        Component { name: "list", healthy: f.list_silent_for.is_none_or(|d| d <= list_late), note: list },
         Component { name: "clients", healthy: s.clients_free > 0.1, note: percent(s.clients_free) },
         Component { name: "bodies", healthy: s.bodies_free > 0.1, note: percent(s.bodies_free) },
         Component {
@@ -174,9 +193,9 @@
     ]
 }
 
-/// The processor time of this process, seconds; `None` where the system does not tell it so.
-fn processor() -> Option<f64> {
-    // proc(5): fields 14 and 15 behind the name, in ticks, of which there are 100 a second.
+/// Returns the processor time of this process in seconds; `None` on systems without `/proc/self/stat`.
+fn process_cpu_seconds() -> Option<f64> {
+    // proc(5): fields 14 and 15 are the user and system time in ticks of 10 ms. The name in field 2 may contain spaces.
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
     let (_, rest) = stat.rsplit_once(')')?;
     let mut fields = rest.split_ascii_whitespace().skip(11);
--- a/router/src/outward.rs
+++ b/router/src/outward.rs
@@ -1,5 +1,5 @@
-//! What a router tells the balancers in front of it with its ordinary answers, and whose word it takes for where
-//! a client is. Empty unless settings say otherwise, and then nothing is added to an answer.
+//! The router's interface to the balancers in front of it: the header fields that ordinary responses carry for them, and
+//! the PROXY protocol by which they name the client of a connection. Both are off unless the settings enable them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,35 +12,35 @@
 
 use crate::http::BufferedConnection;
 
-/// Who takes connections.
+/// The kind of a listener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Door {
-    /// The platform's front.
+    /// The listener of the platform's front.
     Platform,
-    /// The messages API.
+    /// The listener of the messages API.
     Messages,
-    /// The check listeners.
+    /// The listeners for health checks.
     Checks,
 }
 
-/// Who may put a PROXY preface before a connection, and where one is wanted.
+/// The senders that may use the PROXY protocol, and the listeners that require it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Gate {
-    /// The balancers' networks.
+    /// The networks of the balancers.
     pub senders: TrustedSenders,
-    /// The platform's front wants it.
+    /// Whether the platform's front requires a PROXY header.
     pub platform: bool,
-    /// The messages API wants it.
+    /// Whether the messages API requires a PROXY header.
     pub messages: bool,
-    /// The check listeners want it.
+    /// Whether the check listeners require a PROXY header.
     pub checks: bool,
-    /// It must be whole within this.
+    /// Time after the accept within which the PROXY header must be complete.
     pub within: Duration,
 }
 
 impl Gate {
-    fn wants(&self, door: Door) -> bool {
-        match door {
+    fn requires_header(&self, listener: Door) -> bool {
+        match listener {
             Door::Platform => self.platform,
             Door::Messages => self.messages,
             Door::Checks => self.checks,
@@ -48,95 +48,96 @@
     }
 }
 
-/// Whose a connection is.
+/// The origin of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Origin {
-    /// The client, as far as is known: as a preface tells it, or else the peer.
+    /// The client's address, from the PROXY header or else from the socket; `None` if the listener requires no PROXY header.
     pub client: Option<SocketAddr>,
 }
 
-/// What is told with answers, and the gate.
+/// The header fields and the health state for balancers, and the PROXY protocol policy.
 #[derive(Debug, Default)]
 pub struct Outward {
-    /// Fields that ordinary answers carry, each with its line end.
+    /// Header fields that ordinary responses carry, each with its line end.
     fields: RefCell<Rc<str>>,
-    gate: RefCell<Gate>,
-    /// What balancers are told, where that is decided; answers for the state on the fronts go by it too.
-    told: Cell<Option<Assessment>>,
-    /// Connections closed for a preface that was none.
-    unread: Cell<u64>,
+    proxy_protocol: RefCell<Gate>,
+    /// The advertised assessment, if health checks are enabled. The health pages of the fronts use it as well.
+    assessment: Cell<Option<Assessment>>,
+    /// Number of connections closed because of a missing or invalid PROXY header.
+    invalid_headers: Cell<u64>,
 }
 
 impl Outward {
-    /// The fields that ordinary answers carry now.
+    /// Returns the header fields that ordinary responses carry, each with its line end.
     pub fn fields(&self) -> Rc<str> {
         self.fields.borrow().clone()
     }
 
-    /// Other fields from now on.
-    pub fn say(&self, fields: &str) {
+    /// Replaces the header fields that ordinary responses carry.
+    pub fn set_fields(&self, fields: &str) {
         if **self.fields.borrow() != *fields {
             *self.fields.borrow_mut() = fields.into();
         }
     }
 
-    /// What balancers are told, where that is decided.
+    /// Returns the assessment that balancers receive; `None` if health checks are not enabled.
     pub fn told(&self) -> Option<Assessment> {
-        self.told.get()
+        self.assessment.get()
     }
 
-    /// Balancers are told something else from now on.
-    pub fn tell(&self, told: Assessment) {
-        self.told.set(Some(told));
+    /// Replaces the assessment that balancers receive.
+    pub fn set_assessment(&self, assessment: Assessment) {
+        self.assessment.set(Some(assessment));
     }
 
-    /// Another gate from now on; connections that stand are not looked at again.
-    pub fn guard(&self, gate: Gate) {
-        *self.gate.borrow_mut() = gate;
+    /// Replaces the PROXY protocol policy for new connections.
+    pub fn guard(&self, policy: Gate) {
+        *self.proxy_protocol.borrow_mut() = policy;
     }
 
-    /// Connections closed for a preface that was none, so far.
-    pub fn unread(&self) -> u64 {
-        self.unread.get()
+    /// Returns the number of connections closed because of a missing or invalid PROXY header.
+    pub fn invalid_headers(&self) -> u64 {
+        self.invalid_headers.get()
     }
 
-    /// Finds out whose a connection is, taking the preface off it where one is due; `None`: it is to be closed.
-    pub async fn origin(&self, door: Door, wire: &mut BufferedConnection) -> Option<Origin> {
-        let (wanted, within) = {
-            let gate = self.gate.borrow();
-            (gate.wants(door), gate.within)
+    /// Determines the origin of a connection, and removes its PROXY header if the listener requires one. Returns `None` if
+    /// the connection is to be closed.
+    pub async fn origin(&self, listener: Door, wire: &mut BufferedConnection) -> Option<Origin> {
+        let (required, within) = {
+            let policy = self.proxy_protocol.borrow();
+            (policy.requires_header(listener), policy.within)
         };
-        if !wanted {
+        if !required {
             return Some(Origin { client: None });
         }
         let peer = wire.stream.peer_addr().ok()?;
-        // From anybody else it is no preface but an attempt to be someone: it stays where it is, and is no
-        // request either.
-        if !self.gate.borrow().senders.contains(peer.ip()) {
+        // A PROXY header from an untrusted sender may be forged. It is left in the stream, where it fails to parse as a
+        // request.
+        if !self.proxy_protocol.borrow().senders.contains(peer.ip()) {
             return Some(Origin { client: Some(peer) });
         }
-        let found = timeout(within, read_preface(wire)).await;
-        let why = match found {
+        let result = timeout(within, read_proxy_header(wire)).await;
+        let why = match result {
             Ok(Ok(client)) => {
                 return Some(Origin { client: client.or(Some(peer)) });
             }
             Ok(Err(why)) => why,
-            Err(_) => "no whole PROXY preface in time",
+            Err(_) => "PROXY header was not complete in time",
         };
-        self.unread.set(self.unread.get() + 1);
-        tracing::debug!(target: "front", %peer, why, "connection closed");
+        self.invalid_headers.set(self.invalid_headers.get() + 1);
+        tracing::debug!(target: "front", %peer, why, "connection closed: no valid PROXY header");
         None
     }
 }
 
-/// Takes a preface off the front; `None` inside: it names nobody.
-async fn read_preface(wire: &mut BufferedConnection) -> Result<Option<SocketAddr>, &'static str> {
+/// Reads and removes the PROXY header. Returns the client's address; `Ok(None)` if the header names none.
+async fn read_proxy_header(wire: &mut BufferedConnection) -> Result<Option<SocketAddr>, &'static str> {
     use bytes::Buf;
     loop {
         match proxy_protocol::parse(&wire.unread) {
             ProxyHeader::Incomplete => match wire.read_more().await {
                 Ok(true) => {}
-                _ => return Err("closed before its PROXY preface"),
+                _ => return Err("connection closed before its PROXY header was complete"),
             },
             ProxyHeader::Proxied(length, client) => {
                 wire.unread.advance(length);
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -14,8 +14,8 @@
 use tallypin_health::assessment::{HealthState, OperatorOrder};
 use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
 use tallypin_health::{grpc_health, load_report};
-use tallypin_router::checks::control::{obey, Command, Control};
-use tallypin_router::checks::{self, Board, Listening};
+use tallypin_router::checks::control::{execute, Command, Control};
+use tallypin_router::checks::{self, Board, CheckListeners};
 use tallypin_router::components::Components;
 use tallypin_router::dialect::Dialect::Chat;
 use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
@@ -39,7 +39,7 @@
     front: SocketAddr,
     messages: SocketAddr,
     /// Always there but while it stops.
-    listening: Option<Listening>,
+    listening: Option<CheckListeners>,
     installation: Installation,
     fronts: Vec<AbortHandle>,
 }
@@ -109,7 +109,7 @@
 
 impl Checked {
     async fn until(&self, so: impl Fn(HealthState) -> bool) {
-        let _ = self.board.follow().wait_for(|now| so(now.state)).await;
+        let _ = self.board.subscribe().wait_for(|now| so(now.state)).await;
     }
 
     async fn phase(&self, phase: DrainPhase) {
@@ -177,7 +177,7 @@
         });
         until(|| !told.borrow().is_empty()).await;
         assert_eq!(router.says().await, "up ready 100%");
-        obey(Command::Drain { end: false }, &router.components.check_context(), &router.board);
+        execute(Command::Drain { end: false }, &router.components.check_context(), &router.board);
         // Whoever asks now is told now, on connections of before and after.
         assert_eq!(router.says().await, "up drain");
         assert_eq!(probe::grpc(at, "").await.unwrap().words, "NOT_SERVING");
@@ -191,7 +191,7 @@
         let (code, head, _, whole) = client.ask("").await;
         assert!(code == 200 && whole && field(&head, "connection") == Some("close"), "{head}");
         // Taken back half way.
-        assert_eq!(obey(Command::Ready, &router.components.check_context(), &router.board)["done"], true);
+        assert_eq!(execute(Command::Ready, &router.components.check_context(), &router.board)["done"], true);
         assert_eq!(router.says().await, "up ready 100%");
         assert_eq!(status(&mut checker, "/healthz").await.0, 200);
         until(|| *told.borrow() == [1, 2, 1]).await;
@@ -200,7 +200,7 @@
         assert!(code == 200 && field(&head, "connection").is_none());
         // And begun again, to the end this time: idle connections close, new ones are served until then.
         assert_eq!(
-            obey(Command::Drain { end: false }, &router.components.check_context(), &router.board)["done"],
+            execute(Command::Drain { end: false }, &router.components.check_context(), &router.board)["done"],
             true
         );
         router.says().await;
@@ -211,7 +211,7 @@
         assert_eq!(Client::to(router.front).await.ask("").await.0, 200);
         let over = router.end();
         assert_eq!(
-            obey(Command::Ready, &router.components.check_context(), &router.board)["done"],
+            execute(Command::Ready, &router.components.check_context(), &router.board)["done"],
             false,
             "the signal stays"
         );
@@ -502,10 +502,10 @@
             );
             assert_eq!(field(&head, "x-envoy-degraded"), None);
         }
-        obey(Command::Maint, &router.components.check_context(), &router.board);
+        execute(Command::Maint, &router.components.check_context(), &router.board);
         let (_, head, ..) = Client::to(router.front).await.ask("").await;
         assert_eq!(field(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
-        let report = router.board.report();
+        let report = router.board.load_report();
         assert!(report.named_metrics.contains_key("open") && report.utilization.contains_key("clients"));
     });
 }
@@ -598,7 +598,7 @@
                 assert_eq!(all, b"", "{bytes:?}");
             }
         }
-        assert_eq!(router.components.outward.unread(), 9);
+        assert_eq!(router.components.outward.invalid_headers(), 9);
         // Whoever may not send one can be nobody else by it.
         let gate = gate.replace("from 127.0.0.1", "from 10.0.0.0/8");
         let new = installation(&config(), &quick(&ANYWHERE, &[("health {", &gate)]));
@@ -640,12 +640,14 @@
         assert_eq!(ask("maint").await["state"], "maint");
         assert_eq!(router.says().await, "stopped maint #in maintenance");
         assert_eq!(ask("ready").await["state"], "up");
-        for (order, why) in [("dance", "no such order"), ("weight 0%", "1% to 100%"), ("", "no order")] {
+        for (order, why) in
+            [("dance", "no such order"), ("weight 0%", "1% to 100%"), ("", "the order is empty")]
+        {
             let answer = ask(order).await;
             assert!(answer["done"] == false && answer["why"].as_str().unwrap().contains(why), "{answer}");
         }
         let long = ask(&"x".repeat(300)).await;
-        assert_eq!(long["why"], "no whole line of text");
+        assert_eq!(long["why"], "the order is not one complete line of text");
         serving.abort();
         until(|| !socket.exists()).await;
     });
@@ -793,13 +795,13 @@
             let places = routers[number].places();
             if random.u8(..4) == 0 {
                 // Ordered, and taken back half way.
-                obey(
+                execute(
                     Command::Drain { end: true },
                     &routers[number].components.check_context(),
                     &routers[number].board,
                 );
                 tokio::time::sleep(Duration::from_millis(random.u64(0..10))).await;
-                obey(Command::Ready, &routers[number].components.check_context(), &routers[number].board);
+                execute(Command::Ready, &routers[number].components.check_context(), &routers[number].board);
                 balancer.until(number, |h| h.up && h.ready).await;
             }
             routers[number].end().await.unwrap();
