--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -28,7 +28,7 @@
 
 pub use command::{Command, ReleaseLeaseRequest, ReleaseOrder, RouterIncarnation, UnfitReport, WaveFailure};
 pub use limits::{CouncilView, DrainLimits};
-pub use rejection::{HeldRouter, Rejection};
+pub use rejection::{ConflictingDrain, Rejection};
 pub use router_drains::{DrainEntry, DrainStage};
 
 use crate::release::Release;
--- a/consensus/src/fleet_state/command.rs
+++ b/consensus/src/fleet_state/command.rs
@@ -140,7 +140,7 @@
 pub struct RouterIncarnation {
     /// The router.
     pub router: RouterIndex,
-    /// Its incarnation.
+    /// The router's incarnation.
     pub incarnation: Incarnation,
 }
 
@@ -152,7 +152,7 @@
 pub struct ReleaseLeaseRequest {
     /// The router that requests the lease.
     pub router: RouterIndex,
-    /// Its incarnation.
+    /// The router's incarnation.
     pub incarnation: Incarnation,
     /// The digest of the file that the router runs now, which a roll-back restores.
     pub running_digest: String,
--- a/consensus/src/fleet_state/rejection.rs
+++ b/consensus/src/fleet_state/rejection.rs
@@ -57,13 +57,13 @@
     #[serde(rename = "no-list")]
     #[error("this router has no recent node list")]
     EndpointListStale,
-    /// The endpoint list has no replica of this id, or no order holds the replica.
+    /// The endpoint list has no replica of this id, or no order has taken the replica out.
     #[serde(rename = "unknown-node")]
     #[error("no model node `{0}` is listed, or out by order")]
     UnknownReplica(String),
-    /// The orders hold more replicas than [`MAX_REPLICA_DRAINS`].
+    /// The fleet state would have more than [`MAX_REPLICA_DRAINS`] replica entries.
     #[serde(rename = "too-many")]
-    #[error("orders may hold at most {MAX_REPLICA_DRAINS} model nodes")]
+    #[error("at most {MAX_REPLICA_DRAINS} model nodes may be out by order")]
     TooManyReplicas,
     /// The release of this order is in progress.
     #[serde(rename = "busy")]
@@ -72,7 +72,7 @@
     /// A router is out of service, or about to leave service, by another order.
     #[serde(rename = "taken")]
     #[error("router {} is out, or about to leave, by order {}", .0.router, .0.order)]
-    HeldByOtherOrder(HeldRouter),
+    ConflictingOrder(ConflictingDrain),
     /// The waves name a router twice, one of them is empty, or there is none or more than [`MAX_WAVES`].
     #[serde(rename = "waves")]
     #[error("a release must have 1 to {MAX_WAVES} waves, none of them empty, and each router once")]
@@ -83,14 +83,14 @@
     NotSeenServing,
 }
 
-/// A router that another order holds; a JSON array of the two on the wire.
+/// A router that is drained by another order; a JSON array of the two on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
-pub struct HeldRouter {
+pub struct ConflictingDrain {
     /// The router's name.
     pub router: String,
     /// The order's id.
     pub order: String,
 }
 
-json_array!(HeldRouter { router: String, order: String });
+json_array!(ConflictingDrain { router: String, order: String });
--- a/consensus/src/fleet_state/release_orders.rs
+++ b/consensus/src/fleet_state/release_orders.rs
@@ -5,8 +5,8 @@
 use tallypin_membership::RouterIndex;
 
 use super::{
-    DrainEntry, DrainLimits, DrainStage, FleetState, HeldRouter, Rejection, ReleaseOrder, RouterIncarnation,
-    UnfitReport, WaveFailure, MAX_CAUSE_CHARS,
+    ConflictingDrain, DrainEntry, DrainLimits, DrainStage, FleetState, Rejection, ReleaseOrder,
+    RouterIncarnation, UnfitReport, WaveFailure, MAX_CAUSE_CHARS,
 };
 use crate::release::{Release, ReleasePhase, MAX_ATTEMPTS, MAX_WAVES};
 
@@ -25,8 +25,8 @@
         let routers = check_waves(&release.waves, limits)?;
         // A router that an operator has drained must not return to service because of the release.
         if let Some((&router, drain)) = self.drains.iter().find(|(router, _)| routers.contains(router)) {
-            let held = HeldRouter { router: limits.name(router), order: drain.order.clone() };
-            return Err(Rejection::HeldByOtherOrder(held));
+            let conflict = ConflictingDrain { router: limits.name(router), order: drain.order.clone() };
+            return Err(Rejection::ConflictingOrder(conflict));
         }
         self.release = Some(Box::new(Release {
             order: release.order.clone(),
--- a/consensus/src/release.rs
+++ b/consensus/src/release.rs
@@ -58,7 +58,7 @@
     RolledBack(String),
 }
 
-/// A release, as the fleet state holds it.
+/// A release, as stored in the fleet state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The id of the order that began the release.
--- a/consensus/tests/recorded/forms.rs
+++ b/consensus/tests/recorded/forms.rs
@@ -6,7 +6,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 use serde_json::from_str;
 use tallypin_consensus::fleet_state::{
-    Command, DrainEntry, FleetState, HeldRouter, Rejection, ReleaseLeaseRequest, ReleaseOrder,
+    Command, ConflictingDrain, DrainEntry, FleetState, Rejection, ReleaseLeaseRequest, ReleaseOrder,
     RouterIncarnation, UnfitReport, WaveFailure,
 };
 use tallypin_consensus::register::{
@@ -100,7 +100,7 @@
         Rejection::UnknownReplica("n9".into()),
         Rejection::TooManyReplicas,
         Rejection::ReleaseInProgress("v2".into()),
-        Rejection::HeldByOtherOrder(HeldRouter { router: "north".into(), order: "d".into() }),
+        Rejection::ConflictingOrder(ConflictingDrain { router: "north".into(), order: "d".into() }),
         Rejection::InvalidWaves,
         Rejection::NotSeenServing,
     ]
--- a/health/src/agent_check.rs
+++ b/health/src/agent_check.rs
@@ -1,85 +1,85 @@
-//! The agent check of HAProxy: one line of words, as the `agent-check` keyword of its configuration manual
-//! (section 5.2) describes them. Written for routers, read for the stand-in balancer and the check program.
+//! The agent check of HAProxy: one line of keywords, as described for `agent-check` in section 5.2 of its configuration
+//! manual. Routers write such lines; the check program and the simulated balancer of the tests parse them.
 
 use std::fmt;
 
 use crate::assessment::{Assessment, HealthState};
 
-/// The administrative state that a line asks for.
+/// The administrative state that a line requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdminState {
-    /// Take back an earlier `drain` or `maint`.
+    /// Revoke an earlier `drain` or `maint`.
     Ready,
-    /// Only sessions that are there already.
+    /// Send no new sessions; existing ones continue.
     Drain,
-    /// No traffic and no checks.
+    /// Send no traffic and no checks.
     Maintenance,
 }
 
-/// The operational state that a line tells.
+/// The operational state that a line reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OperationalState {
-    /// It works.
+    /// The server works.
     Up,
-    /// It does not.
+    /// The server does not work.
     Down,
-    /// It does not, as a check has found.
+    /// The server does not work: a check has failed.
     Failed,
-    /// It does not, as it was stopped.
+    /// The server does not work: it was stopped.
     Stopped,
 }
 
-/// What a line says. What it does not say stays as it was.
+/// The content of a line. The balancer keeps its value for each field that is `None`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AgentReply {
-    /// The share of the weight that stands in the balancer's configuration, percent.
+    /// Weight, in percent of the weight in the balancer's configuration.
     pub percent: Option<u16>,
-    /// The most connections.
+    /// Maximum number of connections.
     pub maxconn: Option<u32>,
     /// The administrative state.
     pub admin: Option<AdminState>,
-    /// The operational state,
+    /// The operational state.
     pub operation: Option<OperationalState>,
-    /// and why: only beside `down`, `failed` and `stopped`.
+    /// Reason of the operational state, only with `down`, `failed` and `stopped`.
     pub reason: Option<String>,
 }
 
-/// The longest line that is read; HAProxy's own buffer is far larger, and no line needs it.
+/// Maximum length of a line, in bytes. HAProxy's buffer is far larger, but no line needs it.
 pub const MAX_LINE_BYTES: usize = 256;
-/// The longest reason that is written.
+/// Maximum length of a written reason, in characters.
 const MAX_REASON_CHARS: usize = 80;
 
-/// Why a line can't be read.
+/// Why a line can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentReplyError {
-    /// It has no end yet.
+    /// The line has no end yet.
     Incomplete,
-    /// It is longer than any.
+    /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
-    /// This word is none of the grammar.
+    /// This word is not part of the grammar.
     UnknownWord(String),
-    /// It holds no word.
+    /// The line has no words.
     Empty,
 }
 
 impl fmt::Display for AgentReplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            AgentReplyError::Incomplete => write!(f, "the line has no end"),
-            AgentReplyError::TooLong => write!(f, "the line is longer than {MAX_LINE_BYTES} bytes"),
-            AgentReplyError::UnknownWord(word) => write!(f, "`{word}` is no word of an agent check"),
-            AgentReplyError::Empty => write!(f, "the line is empty"),
+            AgentReplyError::Incomplete => write!(f, "agent check line has no end"),
+            AgentReplyError::TooLong => write!(f, "agent check line is longer than {MAX_LINE_BYTES} bytes"),
+            AgentReplyError::UnknownWord(word) => write!(f, "agent check line has the unknown word `{word}`"),
+            AgentReplyError::Empty => write!(f, "agent check line is empty"),
         }
     }
 }
 
 impl AgentReply {
-    /// Reads a line: it ends at the first CR or LF, its words are parted by spaces, tabs or commas. `closed`: no
-    /// more will come, which ends it too.
+    /// Parses a line. It ends at the first CR or LF, or at the end of the stream if the stream is `closed`. Its words are
+    /// separated by spaces, tabs or commas.
     ///
     /// # Errors
     ///
-    /// [`AgentReplyError::Incomplete`] while more may come; the others for a line that is none of an agent check.
+    /// [`AgentReplyError::Incomplete`] if more bytes are needed; the other errors if the line is not an agent check's.
     pub fn parse(bytes: &[u8], closed: bool) -> Result<AgentReply, AgentReplyError> {
         let end = bytes.iter().position(|b| matches!(b, b'\r' | b'\n'));
         let line = match end {
@@ -89,35 +89,35 @@
             _ => return Err(AgentReplyError::TooLong),
         };
         let line = String::from_utf8_lossy(line);
-        // The reason runs to the end of the line, spaces and all.
+        // The reason extends to the end of the line and may contain separators.
         let (words, reason) = match line.split_once('#') {
             Some((words, reason)) => (words, Some(reason.trim().to_string())),
             None => (&line[..], None),
         };
-        let mut says = AgentReply::default();
-        let mut any = false;
+        let mut reply = AgentReply::default();
+        let mut has_words = false;
         for word in words.split([' ', '\t', ',']).filter(|w| !w.is_empty()) {
-            any = true;
-            says.word(word)?;
+            has_words = true;
+            reply.apply_word(word)?;
         }
-        if !any {
+        if !has_words {
             return Err(AgentReplyError::Empty);
         }
-        let failing = !matches!(says.operation, None | Some(OperationalState::Up));
-        says.reason = reason.filter(|r| failing && !r.is_empty());
-        Ok(says)
+        let failing = !matches!(reply.operation, None | Some(OperationalState::Up));
+        reply.reason = reason.filter(|r| failing && !r.is_empty());
+        Ok(reply)
     }
 
-    fn word(&mut self, word: &str) -> Result<(), AgentReplyError> {
+    fn apply_word(&mut self, word: &str) -> Result<(), AgentReplyError> {
         let number = |digits: &str| -> Option<u32> {
             digits.parse().ok().filter(|_| digits.bytes().all(|b| b.is_ascii_digit()))
         };
-        let bad = || AgentReplyError::UnknownWord(word.chars().take(40).collect());
+        let unknown = || AgentReplyError::UnknownWord(word.chars().take(40).collect());
         if let Some(digits) = word.strip_suffix('%') {
             let percent = number(digits).and_then(|n| u16::try_from(n).ok());
-            self.percent = Some(percent.ok_or_else(bad)?);
+            self.percent = Some(percent.ok_or_else(unknown)?);
         } else if let Some(digits) = word.strip_prefix("maxconn:") {
-            self.maxconn = Some(number(digits).ok_or_else(bad)?);
+            self.maxconn = Some(number(digits).ok_or_else(unknown)?);
         } else {
             match word.to_ascii_lowercase().as_str() {
                 "ready" => self.admin = Some(AdminState::Ready),
@@ -127,20 +127,19 @@
                 "down" => self.operation = Some(OperationalState::Down),
                 "failed" => self.operation = Some(OperationalState::Failed),
                 "stopped" => self.operation = Some(OperationalState::Stopped),
-                _ => return Err(bad()),
+                _ => return Err(unknown()),
             }
         }
         Ok(())
     }
 
-    /// What a router says. `maxconn` is told where settings ask for it.
+    /// Returns the reply of a router in this state. `maxconn` is sent only while the router serves.
     pub fn from_assessment(assessment: &Assessment, maxconn: Option<u32>) -> AgentReply {
         let Assessment { state, weight, cause } = *assessment;
         let (admin, operation) = match state {
-            // Both words, always: a balancer keeps an earlier `drain` or `down` until the word that takes it
-            // back comes.
+            // Both states are always sent: a balancer keeps an earlier `drain` or `down` until it is revoked.
             HealthState::Up | HealthState::Degraded => (AdminState::Ready, OperationalState::Up),
-            // Up: what it has is to be finished, not cut off.
+            // The operational state stays `up`, so that the balancer does not cut off existing sessions.
             HealthState::Draining => (AdminState::Drain, OperationalState::Up),
             HealthState::Maintenance => (AdminState::Maintenance, OperationalState::Stopped),
             HealthState::Down => (AdminState::Ready, OperationalState::Down),
@@ -155,7 +154,7 @@
         }
     }
 
-    /// What is said of something that is not known here.
+    /// Returns the reply to a check of an unknown service.
     pub fn unknown_service(service: &str) -> AgentReply {
         let reason = format!("no service {service}");
         AgentReply {
@@ -188,7 +187,7 @@
             first = false;
         }
         if let Some(reason) = &self.reason {
-            // Whatever comes from outside must not end the line early.
+            // A reason may contain text from the client's request, which must not end the line early.
             let plain = reason.chars().filter(|c| c.is_ascii_graphic() || *c == ' ').take(MAX_REASON_CHARS);
             write!(f, " #{}", plain.collect::<String>())?;
         }
@@ -196,25 +195,25 @@
     }
 }
 
-/// The line that a balancer may send first: what it asks about.
+/// The line that a balancer may send first, naming the service to check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentRequest {
-    /// No end yet.
+    /// The line has no end yet.
     Incomplete,
-    /// The name of a service; empty: the router.
+    /// The name of a service; the empty name is the router as a whole.
     Service(String),
-    /// No name of anything.
+    /// The line is not a valid name.
     Invalid,
 }
 
-/// Reads it. An HTTP request by mistake, or noise, is told from a name.
+/// Parses the line that a balancer may send first. HTTP requests and random bytes are recognized as invalid names.
 pub fn parse_request(bytes: &[u8]) -> AgentRequest {
     let Some(end) = bytes.iter().position(|b| matches!(b, b'\r' | b'\n')) else {
         return if bytes.len() > MAX_LINE_BYTES { AgentRequest::Invalid } else { AgentRequest::Incomplete };
     };
-    let name = |b: &u8| b.is_ascii_alphanumeric() || b"-_./:".contains(b);
+    let is_name_byte = |b: &u8| b.is_ascii_alphanumeric() || b"-_./:".contains(b);
     match std::str::from_utf8(&bytes[..end.min(MAX_LINE_BYTES)]).map(str::trim) {
-        Ok(word) if word.bytes().all(|b| name(&b)) => AgentRequest::Service(word.into()),
+        Ok(name) if name.bytes().all(|b| is_name_byte(&b)) => AgentRequest::Service(name.into()),
         _ => AgentRequest::Invalid,
     }
 }
--- a/health/src/assessment.rs
+++ b/health/src/assessment.rs
@@ -1,111 +1,112 @@
-//! State and weight from what was measured.
+//! Derives the router's health state and weight from measurements.
 //!
-//! What is common to all routers (the fleet cold, full or gone, the node list late) makes a router say
-//! *degraded* at the most: all would say *down* together, and leave the balancer nobody. *Down* takes trouble
-//! that is the router's own, and the proof of it is a witness: another router that serves now, well after this
-//! one last could. Two routers can't be each other's witness, as each would have to serve and not to serve.
+//! A condition that is common to all routers (all replicas warming up, at capacity or gone, or a late endpoint list) makes a
+//! router at most *degraded*: if all routers were *down* together, the balancer would have none left. *Down* requires a
+//! problem of this router alone. The evidence is another router that reports that it serves well after this one last
+//! received an answer. Two routers can't both be down on each other's evidence, as one of them must be serving.
 
 use std::time::Duration;
 
-use crate::Age;
+use crate::Uptime;
 
 pub use crate::state::{Assessment, HealthCause, HealthState};
 
-/// What an operator has ordered.
+/// An operator's order to one router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum OperatorOrder {
-    /// Serve.
+    /// Serve requests.
     #[default]
     Ready,
-    /// Finish what is there, take nothing new.
+    /// Finish requests in flight, accept no new ones.
     Drain,
-    /// Out of service.
+    /// Stay out of service.
     Maintenance,
 }
 
-/// The model nodes as this router sees them.
+/// The replicas as this router sees them.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ReplicaSummary {
-    /// Nodes of the list that take work.
+    /// Number of listed replicas that accept requests.
     pub ready: usize,
-    /// Those of them that are cold.
+    /// Number of ready replicas that are warming up.
     pub warming_up: usize,
-    /// Those of them that this router excludes.
+    /// Number of ready replicas that this router has ejected as outliers.
     pub ejected: usize,
-    /// The share of the ready nodes' capacity that can be used: cold nodes count with what they can do at the
-    /// moment, excluded ones not at all. 0 to 1.
+    /// Usable share of the ready replicas' capacity, 0 to 1. Replicas that warm up count with their current capacity,
+    /// ejected ones don't count.
     pub usable_capacity: f64,
-    /// The node list has said nothing for so long; `None` while it is followed.
+    /// Time since the last update of the endpoint list; `None` while the list is being received.
     pub list_silent_for: Option<Duration>,
 }
 
-/// What was measured since the last step, and what stands now.
+/// The measurements since the last step, and the current state of the router's resources.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Signals {
     /// The operator's order.
     pub order: OperatorOrder,
-    /// The most weight that the operator allows, 1 to 100.
+    /// Maximum weight that the operator allows, in percent, 1 to 100.
     pub max_weight: u8,
-    /// The program has been told to end.
+    /// Whether the program is shutting down.
     pub shutting_down: bool,
-    /// The model nodes.
+    /// The replicas.
     pub replicas: ReplicaSummary,
-    /// Open requests.
+    /// Requests in flight.
     pub in_flight: usize,
-    /// Open requests that the fleet, warm and whole, is worth to one router.
+    /// Number of requests in flight that this router's share of all ready replicas can carry when none is warming up or
+    /// ejected.
     pub capacity: usize,
-    /// Free share of the places for clients, 0 to 1.
+    /// Free share of the client connections, 0 to 1.
     pub clients_free: f64,
-    /// Free share of the budget for bodies, 0 to 1.
+    /// Free share of the memory for request bodies, 0 to 1.
     pub bodies_free: f64,
-    /// Free share of the connections to model nodes, 0 to 1.
+    /// Free share of the connections to replicas, 0 to 1.
     pub replica_connections_free: f64,
-    /// How late the one thread came to what was due, at the worst.
+    /// Longest delay of the event loop.
     pub event_loop_delay: Duration,
-    /// Requests taken since the last step.
+    /// Requests received since the last step.
     pub accepted: u64,
-    /// Refused for want of room.
+    /// Requests rejected since the last step for lack of capacity.
     pub rejected_no_capacity: u64,
-    /// Refused as over a partner's share: says nothing of the router.
+    /// Requests rejected since the last step as over a tenant's quota. They don't affect the router's health.
     pub rejected_quota: u64,
-    /// Attempts that ended well, or at least were answered by a node.
+    /// Attempts since the last step that a replica answered, with success or with an error.
     pub answered: u64,
-    /// Attempts that no node answered: refused, reset, timed out.
+    /// Attempts since the last step that no replica answered: refused, reset or timed out.
     pub unanswered: u64,
-    /// When another router last told that it serves.
-    pub peer_serving_at: Option<Age>,
+    /// When another router last reported that it serves.
+    pub peer_serving_at: Option<Uptime>,
 }
 
-/// The limits that the decision goes by.
+/// The limits by which state and weight are decided.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AssessmentLimits {
-    /// The least weight of a router that serves, 0 to 1.
+    /// Minimum weight of a router that serves, 0 to 1.
     pub min_weight: f64,
-    /// A router just started reaches its weight in so long.
+    /// Time in which the weight of a started router rises to its full value.
     pub slow_start: Duration,
-    /// The weight changes by so much a second at the most, 0 to 1.
+    /// Maximum change of the weight per second, 0 to 1.
     pub max_change_per_s: f64,
-    /// A difference below this changes nothing, 0 to 1.
+    /// Deviation of the measured weight that causes no change, 0 to 1.
     pub dead_band: f64,
-    /// What is measured is smoothed over so long.
+    /// Time constant for smoothing the measurements.
     pub smoothing: Duration,
-    /// Below this weight the state is degraded; it is up again at so much more as `band` doubled.
+    /// Weight below which the state is degraded, 0 to 1. The state is up again at this weight plus twice `dead_band`.
     pub degraded_below: f64,
-    /// A state is kept for so long at least; orders and the end don't wait.
+    /// Minimum time in a state. Orders and the shutdown take effect immediately.
     pub min_dwell: Duration,
-    /// Free shares above this are ample.
+    /// Free share of a resource above which it does not reduce the weight, 0 to 1.
     pub ample_free_share: f64,
-    /// The thread may be so late without harm.
+    /// Maximum delay of the event loop that does not reduce the weight.
     pub max_event_loop_delay: Duration,
-    /// The node list may be lost for so long without a word of it.
+    /// Maximum age of the endpoint list that does not degrade the state.
     pub max_list_silence: Duration,
-    /// So many attempts without an answer in a row, none answered between, are no chance.
+    /// Number of consecutive unanswered attempts from which the replicas count as unresponsive.
     pub max_unanswered: u64,
-    /// A witness must have served so long after the own last answer.
+    /// Minimum time from this router's last answer to a peer's report that it serves, for the report to count as evidence.
     pub peer_serving_after: Duration,
-    /// And have been heard within this.
+    /// Maximum age of a peer's report that it serves.
     pub peer_report_max_age: Duration,
-    /// A router that is down tries again after this.
+    /// Time after which a router that is down tries again.
     pub down_retry_after: Duration,
 }
 
@@ -130,88 +131,89 @@
     }
 }
 
-/// Decides state and weight, step by step.
+/// Decides state and weight, in steps.
 #[derive(Debug, Clone)]
 pub struct HealthAssessor {
     limits: AssessmentLimits,
-    started: Option<Age>,
-    last: Option<Age>,
-    /// What was measured, smoothed; 0 to 1.
+    started: Option<Uptime>,
+    last_step: Option<Uptime>,
+    /// The measured weight, smoothed; 0 to 1.
     smoothed: f64,
-    /// The weight before the operator's bound and the slow start.
+    /// The weight before the operator's limit and the slow start are applied; 0 to 1.
     weight: f64,
-    refusing: f64,
-    /// Attempts without an answer since the last one with.
+    /// The share of requests rejected for lack of capacity, smoothed; 0 to 1.
+    rejected_share: f64,
+    /// Number of unanswered attempts since the last answered one.
     unanswered: u64,
-    last_answered: Age,
-    down_since: Option<Age>,
+    last_answered: Uptime,
+    down_since: Option<Uptime>,
     current: Assessment,
-    state_since: Age,
+    state_since: Uptime,
 }
 
-/// A gap longer than this between two steps counts as this: what was not measured moves nothing.
+/// Maximum time between two steps that is taken into account, so that a pause does not cause a large change.
 const MAX_STEP: Duration = Duration::from_secs(1);
 
 impl HealthAssessor {
-    /// Nothing measured yet: it starts at the floor.
+    /// Creates an assessor without measurements, at the minimum weight.
     pub fn new(limits: AssessmentLimits) -> HealthAssessor {
         let weight = percent(limits.min_weight);
         HealthAssessor {
             started: None,
-            last: None,
+            last_step: None,
             smoothed: 1.0,
             weight: 1.0,
-            refusing: 0.0,
+            rejected_share: 0.0,
             unanswered: 0,
-            last_answered: Age::ZERO,
+            last_answered: Uptime::ZERO,
             down_since: None,
             current: Assessment { state: HealthState::Degraded, weight, cause: HealthCause::SlowStart },
-            state_since: Age::ZERO,
+            state_since: Uptime::ZERO,
             limits,
         }
     }
 
-    /// New limits; what was measured stays.
+    /// Replaces the limits and keeps the measurements.
     pub fn reconfigure(&mut self, limits: AssessmentLimits) {
         self.limits = limits;
     }
 
-    /// What was decided last.
+    /// Returns the last assessment.
     pub fn current(&self) -> Assessment {
         self.current
     }
 
-    /// Takes what was measured, and decides.
-    pub fn step(&mut self, now: Age, signals: &Signals) -> Assessment {
-        let f = self.limits;
-        let passed = now.saturating_sub(self.last.unwrap_or(now)).min(MAX_STEP).as_secs_f64();
-        self.last = Some(now);
+    /// Updates the assessment with new measurements.
+    pub fn step(&mut self, now: Uptime, signals: &Signals) -> Assessment {
+        let limits = self.limits;
+        let elapsed_s = now.saturating_sub(self.last_step.unwrap_or(now)).min(MAX_STEP).as_secs_f64();
+        self.last_step = Some(now);
         if self.started.is_none() && signals.replicas.ready > 0 {
             self.started = Some(now);
         }
-        let (target, mut cause) = self.target(signals, passed);
-        self.follow(target, passed);
-        if self.unanswered_for(now, signals) {
+        let (target, mut cause) = self.target(signals, elapsed_s);
+        self.adjust_weight(target, elapsed_s);
+        if self.count_unanswered(now, signals) {
             cause = HealthCause::ReplicasUnresponsive;
         }
         let mut weight = self.weight;
         let age = self.started.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let risen = match f.slow_start.as_secs_f64() {
-            long if long > 0.0 => (age.as_secs_f64() / long).min(1.0),
+        let ramp = match limits.slow_start.as_secs_f64() {
+            duration if duration > 0.0 => (age.as_secs_f64() / duration).min(1.0),
             _ => f64::from(u8::from(self.started.is_some())),
         };
-        if risen < weight {
+        if ramp < weight {
             (weight, cause) =
-                (risen, if cause == HealthCause::Healthy { HealthCause::SlowStart } else { cause });
+                (ramp, if cause == HealthCause::Healthy { HealthCause::SlowStart } else { cause });
         }
-        let most = f64::from(signals.max_weight.clamp(1, 100)) / 100.0;
-        if most < weight {
+        let max_weight = f64::from(signals.max_weight.clamp(1, 100)) / 100.0;
+        if max_weight < weight {
             (weight, cause) =
-                (most, if cause == HealthCause::Healthy { HealthCause::OperatorWeight } else { cause });
+                (max_weight, if cause == HealthCause::Healthy { HealthCause::OperatorWeight } else { cause });
         }
         let state = self.state(now, signals, cause);
-        // An order and the end are no matter of degree.
-        let (state, cause, at_once) = match (signals.shutting_down, signals.order) {
+        // An order or the shutdown determines the state regardless of the measurements.
+        let (state, cause, immediate) = match (signals.shutting_down, signals.order) {
             (true, _) => (HealthState::Draining, HealthCause::ShuttingDown, true),
             (_, OperatorOrder::Maintenance) => {
                 (HealthState::Maintenance, HealthCause::OperatorMaintenance, true)
@@ -224,91 +226,93 @@
             ),
         };
         let before = self.current.state;
-        let ordered = !before.serves() && before != HealthState::Down;
-        let may = at_once || ordered || now.saturating_sub(self.state_since) >= f.min_dwell;
-        if state != before && may {
+        let by_order = !before.serves() && before != HealthState::Down;
+        let may_change = immediate || by_order || now.saturating_sub(self.state_since) >= limits.min_dwell;
+        if state != before && may_change {
             self.state_since = now;
             self.current.state = state;
         }
         self.current.cause = cause;
-        self.current.weight = percent(weight.max(f.min_weight));
+        self.current.weight = percent(weight.max(limits.min_weight));
         self.current
     }
 
-    /// What the router's own means allow, and the scarcest of them.
-    fn target(&mut self, s: &Signals, passed: f64) -> (f64, HealthCause) {
-        let f = &self.limits;
-        let ample = |free: f64| {
-            if f.ample_free_share > 0.0 {
-                (free / f.ample_free_share).clamp(0.0, 1.0)
+    /// Returns the weight that the router's scarcest resource allows, with its cause.
+    fn target(&mut self, s: &Signals, elapsed_s: f64) -> (f64, HealthCause) {
+        let limits = &self.limits;
+        let resource_factor = |free: f64| {
+            if limits.ample_free_share > 0.0 {
+                (free / limits.ample_free_share).clamp(0.0, 1.0)
             } else {
                 1.0
             }
         };
-        let late = match (s.event_loop_delay, f.max_event_loop_delay) {
-            (late, most) if late <= most => 1.0,
-            (late, most) => (most.as_secs_f64() / late.as_secs_f64()).clamp(0.0, 1.0),
+        let delay_factor = match (s.event_loop_delay, limits.max_event_loop_delay) {
+            (delay, max_delay) if delay <= max_delay => 1.0,
+            (delay, max_delay) => (max_delay.as_secs_f64() / delay.as_secs_f64()).clamp(0.0, 1.0),
         };
-        // Who was over its share would have been refused anywhere.
-        let asked = s.accepted.saturating_sub(s.rejected_quota);
-        if asked > 0 {
-            let share = (s.rejected_no_capacity as f64 / asked as f64).min(1.0);
-            self.refusing += (share - self.refusing) * (passed / 2.0).min(1.0);
+        // Requests over a tenant's quota are left out, as every router would reject them.
+        let within_quota = s.accepted.saturating_sub(s.rejected_quota);
+        if within_quota > 0 {
+            let share = (s.rejected_no_capacity as f64 / within_quota as f64).min(1.0);
+            self.rejected_share += (share - self.rejected_share) * (elapsed_s / 2.0).min(1.0);
         } else {
-            self.refusing *= 1.0 - (passed / 4.0).min(1.0);
+            self.rejected_share *= 1.0 - (elapsed_s / 4.0).min(1.0);
         }
-        let carry = s.capacity as f64 * s.replicas.usable_capacity.clamp(0.0, 1.0);
-        let crowd = if carry > 0.0 { s.in_flight as f64 / carry } else { 0.0 };
-        let excluded = match s.replicas.ready {
+        let usable_capacity = s.capacity as f64 * s.replicas.usable_capacity.clamp(0.0, 1.0);
+        let utilization = if usable_capacity > 0.0 { s.in_flight as f64 / usable_capacity } else { 0.0 };
+        let not_ejected = match s.replicas.ready {
             0 => 1.0,
             ready => 1.0 - s.replicas.ejected.min(ready) as f64 / ready as f64,
         };
         let factors = [
-            (late, HealthCause::EventLoopLate),
-            (ample(s.clients_free), HealthCause::ClientSlotsExhausted),
-            (ample(s.bodies_free), HealthCause::BodyBudgetExhausted),
-            (ample(s.replica_connections_free), HealthCause::ReplicaConnectionsExhausted),
-            (excluded, HealthCause::ReplicasEjected),
-            (1.0 - self.refusing / 2.0, HealthCause::SheddingLoad),
-            // From three quarters on, down to a quarter at twice of what can be carried.
-            ((1.75 - crowd).clamp(0.25, 1.0), HealthCause::AtCapacity),
+            (delay_factor, HealthCause::EventLoopLate),
+            (resource_factor(s.clients_free), HealthCause::ClientSlotsExhausted),
+            (resource_factor(s.bodies_free), HealthCause::BodyBudgetExhausted),
+            (resource_factor(s.replica_connections_free), HealthCause::ReplicaConnectionsExhausted),
+            (not_ejected, HealthCause::ReplicasEjected),
+            (1.0 - self.rejected_share / 2.0, HealthCause::SheddingLoad),
+            // The factor falls from 1 at a utilization of 0.75 to its minimum of 0.25 at 1.5.
+            ((1.75 - utilization).clamp(0.25, 1.0), HealthCause::AtCapacity),
         ];
-        let least =
+        let lowest =
             factors.into_iter().fold((1.0, HealthCause::Healthy), |a, b| if b.0 < a.0 { b } else { a });
-        // What is common to all routers is told, and lowers no weight.
-        let lost = s.replicas.list_silent_for.is_some_and(|d| d > f.max_list_silence);
-        let common = match s.replicas {
+        // A condition that is common to all routers is reported as the cause, but does not reduce the weight.
+        let list_late = s.replicas.list_silent_for.is_some_and(|d| d > limits.max_list_silence);
+        let common_cause = match s.replicas {
             ReplicaSummary { ready: 0, .. } => Some(HealthCause::NoReadyReplica),
-            _ if lost => Some(HealthCause::EndpointListLate),
+            _ if list_late => Some(HealthCause::EndpointListLate),
             ReplicaSummary { ready, warming_up: cold, .. } if cold >= ready => {
                 Some(HealthCause::ReplicasWarmingUp)
             }
             _ => None,
         };
-        match common {
-            Some(cause) if least.0 > f.degraded_below => (least.0, cause),
-            _ => least,
+        match common_cause {
+            Some(cause) if lowest.0 > limits.degraded_below => (lowest.0, cause),
+            _ => lowest,
         }
     }
 
-    /// Follows a target: smoothed, with play, and no faster than the step. The play is what keeps noise from
-    /// moving the weight: it changes only when what is measured leaves a band around it, and then only so far.
-    fn follow(&mut self, target: f64, passed: f64) {
-        let f = &self.limits;
-        let share = match f.smoothing.as_secs_f64() {
-            long if long > 0.0 => 1.0 - (-passed / long).exp(),
+    /// Moves the weight towards a target, smoothed and with a limited rate.
+    ///
+    /// A dead band keeps noise from changing the weight: it changes only when the smoothed target leaves the band around it,
+    /// and then only to the edge of the band.
+    fn adjust_weight(&mut self, target: f64, elapsed_s: f64) {
+        let limits = &self.limits;
+        let share = match limits.smoothing.as_secs_f64() {
+            time_constant if time_constant > 0.0 => 1.0 - (-elapsed_s / time_constant).exp(),
             _ => 1.0,
         };
         self.smoothed += (target - self.smoothed) * share;
-        // Stretched a little, so that the play does not keep it from either end.
-        let wanted = self.smoothed * (1.0 + 2.0 * f.dead_band) - f.dead_band;
-        let within = self.weight.clamp(wanted - f.dead_band, wanted + f.dead_band).clamp(0.0, 1.0);
-        let most = f.max_change_per_s * passed;
-        self.weight += (within - self.weight).clamp(-most, most);
+        // The range is stretched by the dead band on both sides, so that the weight can reach 0 and 1.
+        let center = self.smoothed * (1.0 + 2.0 * limits.dead_band) - limits.dead_band;
+        let weight = self.weight.clamp(center - limits.dead_band, center + limits.dead_band).clamp(0.0, 1.0);
+        let max_change = limits.max_change_per_s * elapsed_s;
+        self.weight += (weight - self.weight).clamp(-max_change, max_change);
     }
 
-    /// Counts what no node answered; true if that is no chance any more.
-    fn unanswered_for(&mut self, now: Age, s: &Signals) -> bool {
+    /// Counts consecutive unanswered attempts; true if the replicas count as unresponsive.
+    fn count_unanswered(&mut self, now: Uptime, s: &Signals) -> bool {
         if s.answered > 0 {
             (self.unanswered, self.last_answered) = (0, now);
         } else {
@@ -317,41 +321,43 @@
         self.unanswered >= self.limits.max_unanswered
     }
 
-    fn state(&mut self, now: Age, s: &Signals, cause: HealthCause) -> HealthState {
-        let f = &self.limits;
-        let proof = s.peer_serving_at.is_some_and(|at| {
-            at >= self.last_answered.saturating_add(f.peer_serving_after)
-                && now.saturating_sub(at) <= f.peer_report_max_age
+    fn state(&mut self, now: Uptime, s: &Signals, cause: HealthCause) -> HealthState {
+        let limits = &self.limits;
+        let peer_serves = s.peer_serving_at.is_some_and(|at| {
+            at >= self.last_answered.saturating_add(limits.peer_serving_after)
+                && now.saturating_sub(at) <= limits.peer_report_max_age
         });
         match self.down_since {
-            // After a while it has to be tried: a router that is down gets no requests that could show more.
-            Some(since) if now.saturating_sub(since) >= f.down_retry_after => {
+            // A router that is down receives no requests that could show its recovery, so it must try again after a while.
+            Some(since) if now.saturating_sub(since) >= limits.down_retry_after => {
                 (self.down_since, self.unanswered, self.last_answered) = (None, 0, now);
             }
-            // Without the witness nobody else may be left.
-            Some(_) if s.peer_serving_at.is_none_or(|at| now.saturating_sub(at) > f.peer_report_max_age) => {
+            // Without a recent report of a peer, this router may be the only one left.
+            Some(_)
+                if s.peer_serving_at.is_none_or(|at| now.saturating_sub(at) > limits.peer_report_max_age) =>
+            {
                 self.down_since = None;
             }
             Some(_) => return HealthState::Down,
-            None if self.unanswered >= f.max_unanswered && proof => {
+            None if self.unanswered >= limits.max_unanswered && peer_serves => {
                 self.down_since = Some(now);
                 return HealthState::Down;
             }
             None => {}
         }
-        let serious = matches!(
+        let is_degrading = matches!(
             cause,
             HealthCause::ReplicasUnresponsive
                 | HealthCause::NoReadyReplica
                 | HealthCause::ReplicasWarmingUp
                 | HealthCause::EndpointListLate
         );
-        // Up again only when it is clearly so.
-        let line = match self.current.state {
-            HealthState::Up => f.degraded_below,
-            _ => (f.degraded_below + 2.0 * f.dead_band).min(1.0),
+        // Hysteresis: a degraded router needs a higher weight to be up again.
+        let threshold = match self.current.state {
+            HealthState::Up => limits.degraded_below,
+            _ => (limits.degraded_below + 2.0 * limits.dead_band).min(1.0),
         };
-        if serious || self.weight < line || self.started.is_none() {
+        if is_degrading || self.weight < threshold || self.started.is_none() {
             HealthState::Degraded
         } else {
             HealthState::Up
--- a/health/src/checkers.rs
+++ b/health/src/checkers.rs
@@ -1,11 +1,12 @@
-//! The balancers that ask: who they are, how often each asks, and which of them have yet to hear of a drain.
+//! The checkers, which are the balancers that send health checks: their check intervals, and which of them have been
+//! notified of a drain.
 
 use std::net::IpAddr;
 use std::time::Duration;
 
-use crate::Age;
+use crate::Uptime;
 
-/// By which protocol something asks.
+/// The protocol of a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CheckProtocol {
     /// The agent check.
@@ -14,12 +15,12 @@
     Http,
     /// gRPC `Check` or `List`.
     Grpc,
-    /// gRPC `Watch`: told as it happens.
+    /// gRPC `Watch`, which is notified of each change.
     Watch,
 }
 
 impl CheckProtocol {
-    /// Its name.
+    /// Returns the protocol's name, as `show` prints it.
     pub fn name(self) -> &'static str {
         match self {
             CheckProtocol::Agent => "agent",
@@ -30,27 +31,28 @@
     }
 }
 
-/// Who asks: a balancer may ask by several protocols, and each counts by itself.
+/// Identifies a checker. A balancer that uses several protocols is one checker per protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CheckerId {
-    /// From where.
+    /// The balancer's address.
     pub ip: IpAddr,
-    /// How.
+    /// The protocol of its checks.
     pub protocol: CheckProtocol,
 }
 
-/// The limits that this goes by.
+/// The limits by which checkers are tracked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CheckerLimits {
-    /// So many askers are known at once; the one silent for longest makes room.
+    /// Maximum number of checkers. A new one replaces the one that has been silent for longest.
     pub max_checkers: usize,
-    /// Whoever has been silent for so many of its intervals has stopped asking,
+    /// Number of its intervals after which a silent checker counts as gone.
     pub silent_intervals: u32,
-    /// and for an asker that asked only once, the interval is taken for this.
+    /// Interval assumed for a checker that has sent only one check.
     pub default_interval: Duration,
-    /// No interval is taken for longer than this: a balancer that asks so seldom is not waited for.
+    /// Maximum interval. A drain does not wait for balancers that check less often.
     pub max_interval: Duration,
-    /// An asker by HTTP or gRPC has heard of a drain when it was told so often: balancers count failures.
+    /// Number of answers after which an HTTP or gRPC checker counts as notified of a drain. Balancers require a number of
+    /// failed checks before they take a server out.
     pub notifications: u32,
 }
 
@@ -69,61 +71,62 @@
 #[derive(Debug, Clone, PartialEq)]
 struct Checker {
     id: CheckerId,
-    last_check: Age,
-    /// The longest of late, smoothed downwards: what counts is when it will have asked once more for sure.
+    last_check: Uptime,
+    /// The check interval. It follows longer intervals immediately and shorter ones slowly, so that another check can be
+    /// expected within it.
     interval: Option<Duration>,
-    /// How often it was told of the drain that goes on.
+    /// Number of answers since the drain began.
     notified: u32,
 }
 
-/// One asker, for showing.
+/// The status of a checker, as `show` prints it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CheckerStatus {
-    /// Who.
+    /// Identity of the checker.
     pub id: CheckerId,
-    /// Asked last so long ago.
+    /// Time since its last check.
     pub last_check_ago: Duration,
-    /// Asks so often, as far as is known.
+    /// Interval between its checks; `None` until it is known.
     pub interval: Option<Duration>,
-    /// Has heard of the drain that goes on.
+    /// Whether the checker has been notified of the drain in progress.
     pub notified: bool,
 }
 
-/// All askers of late.
+/// The known checkers.
 #[derive(Debug, Clone)]
 pub struct CheckerRegistry {
     limits: CheckerLimits,
     checkers: Vec<Checker>,
-    /// Since when a drain is told.
-    draining_since: Option<Age>,
+    /// When the drain in progress began; `None` without a drain.
+    draining_since: Option<Uptime>,
 }
 
 impl CheckerRegistry {
-    /// Nobody has asked.
+    /// Creates a registry without checkers.
     pub fn new(limits: CheckerLimits) -> CheckerRegistry {
         CheckerRegistry { limits, checkers: Vec::new(), draining_since: None }
     }
 
-    /// New limits.
+    /// Replaces the limits.
     pub fn reconfigure(&mut self, limits: CheckerLimits) {
         self.limits = limits;
     }
 
-    /// Someone has asked, and was told the state as it is now.
-    pub fn record_check(&mut self, now: Age, id: CheckerId) {
+    /// Records an answered check. The checker has received the current state with the answer.
+    pub fn record_check(&mut self, now: Uptime, id: CheckerId) {
         let draining = self.draining_since.is_some();
         if let Some(checker) = self.checkers.iter_mut().find(|checker| checker.id == id) {
             let since = now.saturating_sub(checker.last_check);
-            // Two workers of one balancer that ask close together are one asker with the longer interval. A
-            // long silence is no interval: it had stopped.
-            let forgot = match checker.interval {
+            // Two workers of one balancer that check in quick succession count as one checker with the longer interval. A
+            // longer silence than `max_gap` is not an interval: the checker had stopped.
+            let max_gap = match checker.interval {
                 Some(known) => {
                     known.saturating_mul(self.limits.silent_intervals).max(self.limits.default_interval)
                 }
                 None => self.limits.max_interval,
             };
             checker.interval = match checker.interval {
-                _ if since > forgot => None,
+                _ if since > max_gap => None,
                 None => Some(since),
                 Some(before) if since >= before => Some(since),
                 Some(before) => Some(before - (before - since) / 8),
@@ -144,20 +147,20 @@
         self.checkers.push(Checker { id, last_check: now, interval: None, notified: u32::from(draining) });
     }
 
-    /// A watcher has gone: nobody is there to be told.
+    /// Removes a checker, such as a watcher whose watch has ended.
     pub fn remove(&mut self, id: CheckerId) {
         self.checkers.retain(|checker| checker.id != id);
     }
 
-    /// From now on a drain is told.
-    pub fn begin_drain(&mut self, now: Age) {
+    /// Begins a drain, of which no checker has been notified yet.
+    pub fn begin_drain(&mut self, now: Uptime) {
         if self.draining_since.is_none() {
             self.draining_since = Some(now);
             self.checkers.iter_mut().for_each(|checker| checker.notified = 0);
         }
     }
 
-    /// The drain was taken back.
+    /// Cancels the drain.
     pub fn cancel_drain(&mut self) {
         self.draining_since = None;
         self.checkers.iter_mut().for_each(|checker| checker.notified = 0);
@@ -167,28 +170,28 @@
         checker.interval.unwrap_or(self.limits.default_interval).min(self.limits.max_interval)
     }
 
-    fn is_active(&self, checker: &Checker, now: Age) -> bool {
+    fn is_active(&self, checker: &Checker, now: Uptime) -> bool {
         let silent = now.saturating_sub(checker.last_check);
         checker.id.protocol == CheckProtocol::Watch
             || silent <= self.interval(checker).saturating_mul(self.limits.silent_intervals)
     }
 
     fn is_notified(&self, checker: &Checker) -> bool {
-        let times = match checker.id.protocol {
-            // What these say takes effect at once.
+        let required = match checker.id.protocol {
+            // Balancers apply the state from these protocols immediately.
             CheckProtocol::Agent | CheckProtocol::Watch => 1,
             CheckProtocol::Http | CheckProtocol::Grpc => self.limits.notifications.max(1),
         };
-        checker.notified >= times
+        checker.notified >= required
     }
 
-    /// Whether everyone who still asks has heard of the drain.
-    pub fn all_notified(&self, now: Age) -> bool {
+    /// Whether all active checkers have been notified of the drain.
+    pub fn all_notified(&self, now: Uptime) -> bool {
         self.checkers.iter().all(|checker| self.is_notified(checker) || !self.is_active(checker, now))
     }
 
-    /// Who has asked of late, the latest first.
-    pub fn statuses(&self, now: Age) -> Vec<CheckerStatus> {
+    /// Returns the status of the active checkers, the one with the latest check first.
+    pub fn statuses(&self, now: Uptime) -> Vec<CheckerStatus> {
         let mut all: Vec<CheckerStatus> = self
             .checkers
             .iter()
--- a/health/src/drain_sequence.rs
+++ b/health/src/drain_sequence.rs
@@ -1,27 +1,27 @@
-//! How a drain goes: first every balancer is told, while everything else goes on; then connections are
-//! parted from; then, if the program is to end, the listeners close.
+//! The phases of a drain: first all balancers are notified while requests are served as usual, then client connections are
+//! closed, and then, if the program is to exit, the listeners are closed.
 
 use std::time::Duration;
 
-use crate::Age;
+use crate::Uptime;
 
-/// How far a drain has come.
+/// The phase of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainPhase {
-    /// None is on.
+    /// No drain is in progress.
     Serving,
-    /// Balancers are being told; whoever comes is served as ever.
+    /// Balancers are being notified; all requests are served.
     Notifying,
-    /// They have been told: answers carry `Connection: close`, idle connections close, listeners stand.
+    /// Responses carry `Connection: close` and idle connections are closed; the listeners stay open.
     ClosingConnections,
-    /// Drained by order, and staying: it can be taken back.
+    /// The router is drained and keeps running; the drain can be revoked.
     Drained,
-    /// The listeners close; what was taken is finished.
+    /// The listeners are closed; accepted requests are finished.
     ShuttingDown,
 }
 
 impl DrainPhase {
-    /// Its name, as operators are told it.
+    /// Returns the phase's name, as operators see it.
     pub fn name(self) -> &'static str {
         match self {
             DrainPhase::Serving => "serving",
@@ -33,29 +33,30 @@
     }
 }
 
-/// What is wanted.
+/// The goal of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainGoal {
-    /// To serve.
+    /// Serve requests.
     Serve,
-    /// To drain, and stay.
+    /// Drain and keep running.
     Drain,
-    /// To drain, then to end; may be taken back until the listeners close.
+    /// Drain, then exit. It can be revoked until the listeners close.
     DrainThenExit,
-    /// To end: the signal, which nothing takes back.
+    /// Exit after a termination signal. It can't be revoked.
     Exit,
 }
 
-/// The timing that this goes by.
+/// The timing of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainTiming {
-    /// Balancers are told for so long at least, even if none has asked of late: one may be between two checks.
+    /// Minimum duration of the notification, even without known checkers: a balancer may be between two checks.
     pub min_notify: Duration,
-    /// And for so long at the most: one that has died would never ask.
+    /// Maximum duration of the notification, as a failed balancer would never check again.
     pub max_notify: Duration,
-    /// From the last telling to the parting: what a balancer had on its way when it was told arrives.
+    /// Time between the last notification and the closing of connections. Requests that a balancer sent before it was
+    /// notified arrive within it.
     pub settle: Duration,
-    /// The parting takes so long: connections in use carry one more answer, which says that it is the last.
+    /// Duration of the closing of connections. Connections in use carry one more response, with `Connection: close`.
     pub close_connections: Duration,
 }
 
@@ -70,48 +71,49 @@
     }
 }
 
-/// A drain.
+/// The state of a drain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainSequence {
     timing: DrainTiming,
     phase: DrainPhase,
-    since: Age,
-    /// Since when all have been told.
-    notified_at: Option<Age>,
+    /// When the phase began.
+    since: Uptime,
+    /// When all active balancers had been notified.
+    notified_at: Option<Uptime>,
     goal: DrainGoal,
-    /// The telling was ended by its limit: someone who asks has not heard.
+    /// Whether the notification was ended by its maximum duration, with balancers not notified.
     notify_timed_out: bool,
 }
 
 impl DrainSequence {
-    /// No drain.
+    /// Creates the sequence of a serving router.
     pub fn new(timing: DrainTiming) -> DrainSequence {
         let (phase, goal) = (DrainPhase::Serving, DrainGoal::Serve);
-        DrainSequence { timing, phase, since: Age::ZERO, notified_at: None, goal, notify_timed_out: false }
+        DrainSequence { timing, phase, since: Uptime::ZERO, notified_at: None, goal, notify_timed_out: false }
     }
 
-    /// New timing.
+    /// Replaces the timing.
     pub fn reconfigure(&mut self, timing: DrainTiming) {
         self.timing = timing;
     }
 
-    /// The phase.
+    /// Returns the phase.
     pub fn phase(&self) -> DrainPhase {
         self.phase
     }
 
-    /// What is wanted.
+    /// Returns the goal.
     pub fn goal(&self) -> DrainGoal {
         self.goal
     }
 
-    /// Whether the limit of the telling came before all had heard.
+    /// Whether the notification reached its maximum duration before all balancers were notified.
     pub fn notify_timed_out(&self) -> bool {
         self.notify_timed_out
     }
 
-    /// Something else is wanted. False: it can't be had any more.
-    pub fn set_goal(&mut self, now: Age, goal: DrainGoal) -> bool {
+    /// Sets the goal. Returns false if the shutdown can't be revoked any more.
+    pub fn set_goal(&mut self, now: Uptime, goal: DrainGoal) -> bool {
         if self.goal == DrainGoal::Exit || self.phase == DrainPhase::ShuttingDown {
             return goal == self.goal || goal == DrainGoal::Exit;
         }
@@ -124,13 +126,13 @@
         true
     }
 
-    fn enter(&mut self, now: Age, phase: DrainPhase) {
+    fn enter(&mut self, now: Uptime, phase: DrainPhase) {
         (self.phase, self.since, self.notified_at) = (phase, now, None);
         self.notify_timed_out &= phase != DrainPhase::Serving;
     }
 
-    /// Goes on; `all_notified`: every balancer that asks has heard.
-    pub fn advance(&mut self, now: Age, all_notified: bool) -> DrainPhase {
+    /// Advances the drain and returns its phase. `all_notified`: all active balancers have been notified.
+    pub fn advance(&mut self, now: Uptime, all_notified: bool) -> DrainPhase {
         let (timing, age) = (self.timing, now.saturating_sub(self.since));
         match self.phase {
             DrainPhase::Notifying => {
--- a/health/src/grpc_health.rs
+++ b/health/src/grpc_health.rs
@@ -1,5 +1,5 @@
-//! gRPC health checking, version 1 (`grpc/health/v1/health.proto`): its messages, their framing, and what a
-//! watch tells. One service name a front; the empty name is the router.
+//! gRPC health checking, version 1 (`grpc/health/v1/health.proto`): the messages, their framing, and the state of a watch.
+//! Each front is a service; the empty service name is the router as a whole.
 
 use std::collections::BTreeMap;
 
@@ -9,68 +9,68 @@
 use crate::assessment::HealthState;
 
 /// The path of `Check`.
-pub const CHECK: &str = "/grpc.health.v1.Health/Check";
+pub const CHECK_PATH: &str = "/grpc.health.v1.Health/Check";
 /// The path of `Watch`.
-pub const WATCH: &str = "/grpc.health.v1.Health/Watch";
+pub const WATCH_PATH: &str = "/grpc.health.v1.Health/Watch";
 /// The path of `List`.
-pub const LIST: &str = "/grpc.health.v1.Health/List";
+pub const LIST_PATH: &str = "/grpc.health.v1.Health/List";
 
-/// Status codes of gRPC that are used here.
+/// The gRPC status codes in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum GrpcStatusCode {
     /// No error.
     Ok = 0,
-    /// The message can't be read.
+    /// The message can't be decoded.
     InvalidArgument = 3,
-    /// No such service.
+    /// The service is unknown.
     NotFound = 5,
-    /// Too many watches.
+    /// The limit of streams is reached.
     ResourceExhausted = 8,
-    /// No such method.
+    /// The method is unknown.
     Unimplemented = 12,
-    /// The router ends.
+    /// The router is shutting down.
     Unavailable = 14,
 }
 
-/// The question.
+/// The request of `Check` and `Watch`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HealthCheckRequest {
-    /// The service.
+    /// The name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
 }
 
-/// The state of a service.
+/// The serving status of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum ServingStatus {
-    /// Not known.
+    /// The status is unknown.
     Unknown = 0,
-    /// It serves.
+    /// The service accepts requests.
     Serving = 1,
-    /// It does not.
+    /// The service does not accept requests.
     NotServing = 2,
-    /// There is no such service; only in watches.
+    /// The service is unknown; used only in watches.
     ServiceUnknown = 3,
 }
 
-/// The answer.
+/// The response of `Check` and `Watch`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HealthCheckResponse {
-    /// The state.
+    /// The serving status.
     #[prost(enumeration = "ServingStatus", tag = "1")]
     pub status: i32,
 }
 
-/// The question for all services.
+/// The request of `List`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HealthListRequest {}
 
-/// The answer to it.
+/// The response of `List`.
 #[derive(Clone, PartialEq, Message)]
 pub struct HealthListResponse {
-    /// By service.
+    /// The serving status by service name.
     #[prost(btree_map = "string, message", tag = "1")]
     pub statuses: BTreeMap<String, HealthCheckResponse>,
 }
@@ -85,35 +85,35 @@
     }
 }
 
-/// The largest message that is read, bytes.
+/// Maximum size of a received message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 10;
 
-/// Why a frame can't be read.
+/// Why a frame can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is compressed, and no compression was agreed.
+    /// The frame is compressed, but no compression was negotiated.
     CompressedFrame,
-    /// It is larger than any.
+    /// The message is larger than [`MAX_MESSAGE_BYTES`].
     FrameTooLarge,
-    /// Its message can't be decoded.
+    /// The message is not valid.
     InvalidMessage,
 }
 
-/// A message in its frame: a flag, its length, itself.
+/// Encodes a message in its frame: compression flag, length, message.
 pub fn encode_frame(message: &impl Message) -> Bytes {
     let mut bytes = BytesMut::with_capacity(5 + message.encoded_len());
     bytes.put_u8(0);
     bytes.put_u32(message.encoded_len() as u32);
-    // It fails only for want of room, and this grows.
+    // Encoding fails only if the buffer is too small, and this buffer grows.
     let _ = message.encode(&mut bytes);
     bytes.freeze()
 }
 
-/// Takes a framed message off the front of `buf`; `None` until it is complete.
+/// Removes a framed message from the start of `buf` and decodes it; `None` until the frame is complete.
 ///
 /// # Errors
 ///
-/// A frame that is compressed, too large, or holds no message of this kind.
+/// Returns an error if the frame is compressed, too large, or holds no message of this type.
 pub fn decode_frame<M: Message + Default>(buf: &mut BytesMut) -> Result<Option<M>, DecodeError> {
     let Some((&[flag, a, b, c, d], _)) = buf.split_first_chunk::<5>() else { return Ok(None) };
     if flag != 0 {
@@ -130,25 +130,25 @@
     M::decode(buf.split_to(length)).map(Some).map_err(|_| DecodeError::InvalidMessage)
 }
 
-/// What a service's state is, if there is such a service. `services`: the names besides the empty one.
+/// Returns the status of a service; `None` if it is unknown. `services` has the names of all services but the empty one.
 pub fn service_status(service: &str, services: &[String], state: HealthState) -> Option<ServingStatus> {
     let known = service.is_empty() || services.iter().any(|s| s == service);
     known.then(|| state.into())
 }
 
-/// What a watch has told. It holds one state, not a queue: a watcher that reads slowly gets the newest.
+/// The last status that a watch has sent. It holds one status, not a queue: a slow watcher receives only the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct WatchState {
     notified: Option<ServingStatus>,
 }
 
 impl WatchState {
-    /// Whether this is not what was told last.
+    /// Whether this status differs from the one sent last.
     pub fn would_notify(&self, now: ServingStatus) -> bool {
         self.notified != Some(now)
     }
 
-    /// What is to be told now, if anything: each change once, in order.
+    /// Returns the message to send, if the status has changed, and records it as sent.
     pub fn notify(&mut self, now: ServingStatus) -> Option<HealthCheckResponse> {
         if self.notified.replace(now) == Some(now) {
             return None;
--- a/health/src/lib.rs
+++ b/health/src/lib.rs
@@ -1,12 +1,12 @@
-//! How healthy a router is, how much weight it wants, and how each common balancer is told so. Nothing here does I/O: the
-//! time and what was measured are handed in, and what is to be said or done comes out.
+//! The health of a router, the weight that it advertises, and the protocols by which common balancers check both. The crate
+//! does no input or output: callers pass in the time and the measurements, and carry out the results.
 //!
-//! - [`assessment`] decides state and weight; [`state`] has the states and their causes.
-//! - [`agent_check`], [`http_check`], [`grpc_health`] and [`load_report`] are the protocols by which balancers ask.
-//! - [`checkers`] knows which balancers ask; [`drain_sequence`] decides how a drain goes.
-//! - [`proxy_protocol`] reads the PROXY protocol; [`exit_code`] is for check programs.
+//! - [`assessment`] decides state and weight; [`state`] defines the states and their causes.
+//! - [`agent_check`], [`http_check`], [`grpc_health`] and [`load_report`] implement the protocols of the checks.
+//! - [`checkers`] tracks the balancers that send checks; [`drain_sequence`] decides the phases of a drain.
+//! - [`proxy_protocol`] parses the PROXY protocol; [`exit_code`] defines the exit codes of check programs.
 //!
-//! `docs/HEALTH-DESIGN.md` has the options weighed.
+//! `docs/HEALTH-DESIGN.md` compares this design with its alternatives.
 
 pub mod agent_check;
 pub mod assessment;
@@ -19,5 +19,5 @@
 pub mod proxy_protocol;
 pub mod state;
 
-/// Time since the start of the program, by a clock that only goes forward.
-pub type Age = std::time::Duration;
+/// Time since the start of the program, by a monotonic clock.
+pub type Uptime = std::time::Duration;
--- a/health/src/proxy_protocol.rs
+++ b/health/src/proxy_protocol.rs
@@ -1,53 +1,53 @@
-//! The PROXY protocol, versions 1 and 2 (the specification that comes with HAProxy, `proxy-protocol.txt`): what
-//! a balancer puts before a connection to say whose it is. The parsing is `ppp`'s; here stands where a preface
-//! ends, how long it may be, and who may send one.
+//! The PROXY protocol, versions 1 and 2 (`proxy-protocol.txt` of HAProxy): a header by which a balancer names the client at
+//! the start of a connection. The crate `ppp` parses headers; this module finds their ends, limits their length, and decides
+//! who may send them.
 
 use std::net::{IpAddr, SocketAddr};
 
 use ipnet::IpNet;
 use ppp::{v1, v2};
 
-/// What the start of a connection says.
+/// The result of parsing the start of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxyHeader {
-    /// Not whole yet.
+    /// The header is not complete yet.
     Incomplete,
-    /// It has so many bytes, and the connection is from there.
+    /// A header of this length in bytes, and the client's address.
     Proxied(usize, SocketAddr),
-    /// It has so many bytes and names nobody: a check by the balancer itself (`LOCAL`), or an address that is
-    /// not known or not of this network.
+    /// A header of this length in bytes that names no client: a check by the balancer itself (`LOCAL`), or an address that is
+    /// unknown or not an IP address.
     Local(usize),
-    /// There is none, or it can't be read.
+    /// The header is missing or malformed, with the reason.
     Invalid(&'static str),
 }
 
 /// The signature of version 2.
 const SIGNATURE: &[u8; 12] = b"\r\n\r\n\0\r\nQUIT\n";
-/// The longest line of version 1, its end included.
+/// Maximum length of a version 1 header, in bytes, with its line end.
 const MAX_V1_LINE_BYTES: usize = 107;
-/// The longest preface of version 2 that is read: addresses, and extensions of moderate length.
+/// Maximum length of a version 2 header, in bytes: addresses, and extensions of moderate length.
 pub const MAX_HEADER_BYTES: usize = 4 << 10;
 
-/// Reads the start of a connection.
+/// Parses the start of a connection.
 pub fn parse(bytes: &[u8]) -> ProxyHeader {
-    let starts = |with: &[u8]| {
-        let n = with.len().min(bytes.len());
-        bytes[..n] == with[..n]
+    let may_start_with = |prefix: &[u8]| {
+        let n = prefix.len().min(bytes.len());
+        bytes[..n] == prefix[..n]
     };
-    if starts(SIGNATURE) {
-        version_2(bytes)
-    } else if starts(b"PROXY ") {
-        version_1(bytes)
+    if may_start_with(SIGNATURE) {
+        parse_v2(bytes)
+    } else if may_start_with(b"PROXY ") {
+        parse_v1(bytes)
     } else {
-        ProxyHeader::Invalid("no PROXY preface where one is wanted")
+        ProxyHeader::Invalid("required PROXY header is missing")
     }
 }
 
-fn version_1(bytes: &[u8]) -> ProxyHeader {
+fn parse_v1(bytes: &[u8]) -> ProxyHeader {
     let end = bytes.windows(2).take(MAX_V1_LINE_BYTES - 1).position(|w| w == b"\r\n");
     let Some(end) = end else {
         return if bytes.len() >= MAX_V1_LINE_BYTES {
-            ProxyHeader::Invalid("a PROXY line without an end")
+            ProxyHeader::Invalid("PROXY version 1 header has no line end")
         } else {
             ProxyHeader::Incomplete
         };
@@ -55,53 +55,54 @@
     let length = end + 2;
     match v1::Header::try_from(&bytes[..length]) {
         Ok(header) => match header.addresses {
-            v1::Addresses::Tcp4(a) => from(length, a.source_address.into(), a.source_port),
-            v1::Addresses::Tcp6(a) => from(length, a.source_address.into(), a.source_port),
+            v1::Addresses::Tcp4(a) => proxied(length, a.source_address.into(), a.source_port),
+            v1::Addresses::Tcp6(a) => proxied(length, a.source_address.into(), a.source_port),
             v1::Addresses::Unknown => ProxyHeader::Local(length),
         },
-        Err(_) => ProxyHeader::Invalid("a PROXY line that can't be read"),
+        Err(_) => ProxyHeader::Invalid("PROXY version 1 header is malformed"),
     }
 }
 
-fn version_2(bytes: &[u8]) -> ProxyHeader {
+fn parse_v2(bytes: &[u8]) -> ProxyHeader {
     let Some((_, rest)) = bytes.split_first_chunk::<16>() else { return ProxyHeader::Incomplete };
-    let claimed = usize::from(u16::from_be_bytes([bytes[14], bytes[15]]));
-    let length = 16 + claimed;
+    let payload_length = usize::from(u16::from_be_bytes([bytes[14], bytes[15]]));
+    let length = 16 + payload_length;
     if length > MAX_HEADER_BYTES {
-        return ProxyHeader::Invalid("a PROXY preface that is too long");
+        return ProxyHeader::Invalid("PROXY version 2 header is too long");
     }
-    if rest.len() < claimed {
+    if rest.len() < payload_length {
         return ProxyHeader::Incomplete;
     }
     match v2::Header::try_from(&bytes[..length]) {
-        // The balancer's own connection: what addresses it may hold are to be skipped.
+        // The balancer's own connection: the addresses in the header must be ignored.
         Ok(header) if header.command == v2::Command::Local => ProxyHeader::Local(length),
         Ok(header) => match header.addresses {
-            v2::Addresses::IPv4(a) => from(length, a.source_address.into(), a.source_port),
-            v2::Addresses::IPv6(a) => from(length, a.source_address.into(), a.source_port),
+            v2::Addresses::IPv4(a) => proxied(length, a.source_address.into(), a.source_port),
+            v2::Addresses::IPv6(a) => proxied(length, a.source_address.into(), a.source_port),
             v2::Addresses::Unspecified | v2::Addresses::Unix(_) => ProxyHeader::Local(length),
         },
-        Err(_) => ProxyHeader::Invalid("a PROXY preface that can't be read"),
+        Err(_) => ProxyHeader::Invalid("PROXY version 2 header is malformed"),
     }
 }
 
-fn from(length: usize, ip: IpAddr, port: u16) -> ProxyHeader {
+fn proxied(length: usize, ip: IpAddr, port: u16) -> ProxyHeader {
     ProxyHeader::Proxied(length, SocketAddr::new(ip, port))
 }
 
-/// Who may, and then must, send a preface. One that anybody could send would let anybody be anyone.
+/// The networks whose connections must begin with a PROXY header. Headers from other senders are not trusted, as they could
+/// claim any client address.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct TrustedSenders {
     networks: Vec<IpNet>,
 }
 
 impl TrustedSenders {
-    /// The networks of the balancers.
+    /// Creates the list from the networks of the balancers.
     pub fn new(networks: Vec<IpNet>) -> TrustedSenders {
         TrustedSenders { networks }
     }
 
-    /// Whether connections from there begin with a preface.
+    /// Whether connections from this address begin with a PROXY header.
     pub fn contains(&self, ip: IpAddr) -> bool {
         let ip = ip.to_canonical();
         self.networks.iter().any(|n| n.contains(&ip))
--- a/health/src/state.rs
+++ b/health/src/state.rs
@@ -1,29 +1,29 @@
-//! The state of a router as balancers are told it, its weight, and the cause.
+//! The health state of a router as balancers see it, its weight, and the cause.
 
 use std::fmt;
 
-/// The state told to balancers.
+/// The health state that balancers see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum HealthState {
-    /// All is well.
+    /// The router serves normally.
     Up,
-    /// It serves, not as well as it should.
+    /// The router serves with reduced quality.
     Degraded,
-    /// It finishes what it has and wants nothing new.
+    /// The router finishes requests in flight and should receive no new ones.
     Draining,
-    /// It is out of service by order.
+    /// The router is out of service by order.
     Maintenance,
-    /// It can't serve, and another router can.
+    /// The router can't serve, and another router can.
     Down,
 }
 
 impl HealthState {
-    /// New requests are welcome.
+    /// Whether the router should receive new requests.
     pub fn serves(self) -> bool {
         matches!(self, HealthState::Up | HealthState::Degraded)
     }
 
-    /// The state's name.
+    /// Returns the state's name in checks and answers.
     pub fn name(self) -> &'static str {
         match self {
             HealthState::Up => "up",
@@ -41,49 +41,49 @@
     }
 }
 
-/// Why.
+/// The cause of a health state and weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthCause {
-    /// Nothing is wrong.
+    /// No problem is known.
     Healthy,
-    /// It has just started and takes up work gradually.
+    /// The router has just started and its weight rises.
     SlowStart,
-    /// The operator allows so much.
+    /// The operator limits the weight.
     OperatorWeight,
-    /// The operator's drain.
+    /// The operator drains the router.
     OperatorDrain,
-    /// The operator's maintenance.
+    /// The operator has taken the router out for maintenance.
     OperatorMaintenance,
-    /// The program is ending.
+    /// The program is shutting down.
     ShuttingDown,
-    /// The thread is late.
+    /// The event loop is delayed.
     EventLoopLate,
-    /// Places for clients run out.
+    /// Client connections are close to their limit.
     ClientSlotsExhausted,
-    /// Room for bodies runs out.
+    /// Memory for request bodies is close to its limit.
     BodyBudgetExhausted,
-    /// Connections to model nodes run out.
+    /// Connections to replicas are close to their limit.
     ReplicaConnectionsExhausted,
-    /// It excludes many model nodes.
+    /// The router has ejected many replicas as outliers.
     ReplicasEjected,
-    /// It refuses much for want of room.
+    /// The router rejects many requests for lack of capacity.
     SheddingLoad,
-    /// Its requests are as many as the fleet can carry now.
+    /// The requests in flight reach the capacity of the replicas.
     AtCapacity,
-    /// All model nodes are cold.
+    /// All replicas are warming up.
     ReplicasWarmingUp,
-    /// The node list is late.
+    /// The endpoint list is late.
     EndpointListLate,
-    /// No model node takes work.
+    /// No replica accepts requests.
     NoReadyReplica,
-    /// No model node answers.
+    /// No replica answers.
     ReplicasUnresponsive,
-    /// No model node answers this router, and another router serves.
+    /// No replica answers this router, and another router serves.
     IsolatedFromReplicas,
 }
 
 impl HealthCause {
-    /// In words.
+    /// Returns the text of the cause in checks and answers.
     pub fn description(self) -> &'static str {
         match self {
             HealthCause::Healthy => "well",
@@ -108,13 +108,13 @@
     }
 }
 
-/// State, weight and cause.
+/// The health of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assessment {
-    /// The state.
+    /// The health state.
     pub state: HealthState,
-    /// The weight wanted, 1 to 100.
+    /// The weight in percent, 1 to 100.
     pub weight: u8,
-    /// The cause.
+    /// The cause of state and weight.
     pub cause: HealthCause,
 }
--- a/router/src/checks/agent.rs
+++ b/router/src/checks/agent.rs
@@ -7,21 +7,21 @@
 use tallypin_health::checkers::CheckProtocol;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use super::listen::Call;
+use super::listen::CheckConnection;
 use crate::front::linger;
 
 /// Answers the agent check of one connection.
-pub async fn answer(mut call: Call) {
-    let deadline = Instant::now() + call.time_limit();
-    let (wait, maxconn) = call
+pub async fn answer(mut conn: CheckConnection) {
+    let deadline = Instant::now() + conn.time_limit();
+    let (wait, maxconn) = conn
         .board
         .check_setting(|c| c.agent.map(|a| (a.send_wait, a.maxconn)))
         .flatten()
         .unwrap_or((Duration::ZERO, false));
-    let mut idle = call.mark_idle();
+    let mut idle = conn.mark_idle();
     let service = tokio::select! {
         biased;
-        line = timeout(wait, read_request(&mut call)), if !wait.is_zero() => line.unwrap_or(AgentRequest::Incomplete),
+        line = timeout(wait, read_request(&mut conn)), if !wait.is_zero() => line.unwrap_or(AgentRequest::Incomplete),
         // The connection must make room for another one: the check is answered without waiting for the service name.
         () = idle.close_requested() => AgentRequest::Incomplete,
         () = std::future::ready(()), if wait.is_zero() => AgentRequest::Incomplete,
@@ -29,46 +29,46 @@
     let says = match service {
         // A balancer that sends no service name checks the router as a whole.
         AgentRequest::Incomplete => None,
-        AgentRequest::Service(name) if name.is_empty() || call.board.services().contains(&name) => None,
+        AgentRequest::Service(name) if name.is_empty() || conn.board.services().contains(&name) => None,
         AgentRequest::Service(name) => Some(AgentReply::unknown_service(&name)),
         AgentRequest::Invalid => Some(AgentReply::unknown_service("of that name")),
     };
     let is_known = says.is_none();
     let says = says.unwrap_or_else(|| {
-        let assessment = call.board.assessment();
-        let limit = call.context.limits.max_clients * usize::from(assessment.weight) / 100;
+        let assessment = conn.board.assessment();
+        let limit = conn.context.limits.max_clients * usize::from(assessment.weight) / 100;
         AgentReply::from_assessment(
             &assessment,
             maxconn.then(|| u32::try_from(limit.max(1)).unwrap_or(u32::MAX)),
         )
     });
     let line = Bytes::from(format!("{says}\n"));
-    let sent = timeout_at(deadline, call.wire.write(line)).await;
+    let sent = timeout_at(deadline, conn.wire.write(line)).await;
     if is_known && matches!(sent, Ok(Ok(()))) {
-        call.board.record_check(call.ip, CheckProtocol::Agent);
+        conn.board.record_check(conn.ip, CheckProtocol::Agent);
     } else {
-        call.board.record_invalid_check();
+        conn.board.record_invalid_check();
     }
-    tracing::debug!(target: "checks", client = %call.ip, %says, "agent check answered");
+    tracing::debug!(target: "checks", client = %conn.ip, %says, "agent check answered");
     // Data that the balancer may have sent is read before the close: unread data would reset the connection and lose the
     // reply. The connection counts as idle while it lingers, so it can make room for another one.
     tokio::select! {
-        _ = timeout_at(deadline, linger(call.wire, call.context.limits.close_linger)) => {}
+        _ = timeout_at(deadline, linger(conn.wire, conn.context.limits.close_linger)) => {}
         () = idle.close_requested() => {}
     }
 }
 
 /// Reads the line that the balancer may send first.
-async fn read_request(call: &mut Call) -> AgentRequest {
+async fn read_request(conn: &mut CheckConnection) -> AgentRequest {
     loop {
-        match parse_request(&call.wire.unread) {
+        match parse_request(&conn.wire.unread) {
             AgentRequest::Incomplete => {}
             line => return line,
         }
-        if !matches!(call.wire.read_more().await, Ok(true)) {
+        if !matches!(conn.wire.read_more().await, Ok(true)) {
             // Some balancers close their sending side without a line end: the bytes received so far are the line.
-            call.wire.unread.extend_from_slice(b"\n");
-            return parse_request(&call.wire.unread);
+            conn.wire.unread.extend_from_slice(b"\n");
+            return parse_request(&conn.wire.unread);
         }
     }
 }
--- a/router/src/checks/grpc.rs
+++ b/router/src/checks/grpc.rs
@@ -17,14 +17,14 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::listen::Call;
+use super::listen::CheckConnection;
 use super::Board;
 
 /// Answers the calls of one connection.
-pub async fn answer(mut call: Call) {
-    let time_limit = call.time_limit();
-    let mut idle = call.mark_idle();
-    let Call { board, wire, ip, client, .. } = call;
+pub async fn answer(mut conn: CheckConnection) {
+    let time_limit = conn.time_limit();
+    let mut idle = conn.mark_idle();
+    let CheckConnection { board, wire, ip, client, .. } = conn;
     let mut builder = h2::server::Builder::new();
     // Checks and their answers are small, so these limits suffice.
     builder.max_concurrent_streams(64).max_header_list_size(8 << 10).max_frame_size(16 << 10);
@@ -153,10 +153,10 @@
             }
         };
         let _ = match head.uri.path() {
-            grpc_health::CHECK => self.check(bytes, respond),
-            grpc_health::LIST => self.list(bytes, respond),
-            grpc_health::WATCH => self.watch(bytes, respond).await,
-            load_report::STREAM if self.report_intervals().is_some() => {
+            grpc_health::CHECK_PATH => self.check(bytes, respond),
+            grpc_health::LIST_PATH => self.list(bytes, respond),
+            grpc_health::WATCH_PATH => self.watch(bytes, respond).await,
+            load_report::STREAM_PATH if self.report_intervals().is_some() => {
                 self.stream_reports(bytes, respond).await
             }
             _ => self.fail(&mut respond, GrpcStatusCode::Unimplemented, "no such method"),
--- a/router/src/checks/http.rs
+++ b/router/src/checks/http.rs
@@ -5,7 +5,7 @@
 use tallypin_health::http_check::{parse_server_state, CheckRequest, CheckResponse};
 use tokio::time::timeout;
 
-use super::listen::Call;
+use super::listen::CheckConnection;
 use crate::front::{linger, Rejection};
 use crate::http::{reason_phrase, BodyFraming, BodyPart, BodyReader, HttpError, MessageHead, StartLine};
 
@@ -13,16 +13,16 @@
 const MAX_BODY_BYTES: u64 = 4 << 10;
 
 /// Answers the checks of one connection.
-pub async fn answer(mut call: Call) {
+pub async fn answer(mut conn: CheckConnection) {
     loop {
-        let time_limit = call.time_limit();
-        let mut idle = call.mark_idle();
-        if call.wire.unread.is_empty() {
-            call.wire.release_buffer();
-            let idle_timeout = call.board.check_setting(|c| c.idle).unwrap_or(time_limit);
+        let time_limit = conn.time_limit();
+        let mut idle = conn.mark_idle();
+        if conn.wire.unread.is_empty() {
+            conn.wire.release_buffer();
+            let idle_timeout = conn.board.check_setting(|c| c.idle).unwrap_or(time_limit);
             let received = tokio::select! {
                 biased;
-                received = timeout(idle_timeout, call.wire.read_more()) => received,
+                received = timeout(idle_timeout, conn.wire.read_more()) => received,
                 () = idle.close_requested() => return,
             };
             if !matches!(received, Ok(Ok(true))) {
@@ -33,34 +33,34 @@
         // complete check is read first, because the selection is biased.
         let outcome = tokio::select! {
             biased;
-            outcome = timeout(time_limit, read(&mut call)) => outcome,
-            () = idle.close_requested() => return call.board.record_invalid_check(),
+            outcome = timeout(time_limit, read(&mut conn)) => outcome,
+            () = idle.close_requested() => return conn.board.record_invalid_check(),
         };
         drop(idle);
         let Ok(outcome) = outcome else {
-            call.board.record_invalid_check();
-            let _ = timeout(time_limit, write_response(&mut call, error_response(408), false, false)).await;
+            conn.board.record_invalid_check();
+            let _ = timeout(time_limit, write_response(&mut conn, error_response(408), false, false)).await;
             return;
         };
         let (response, is_head, keep_alive) = match outcome {
             ReadOutcome::Closed => return,
             ReadOutcome::Invalid(error) => {
-                call.board.record_invalid_check();
+                conn.board.record_invalid_check();
                 (error_response(Rejection::from(error).status()), false, false)
             }
             ReadOutcome::Request(head) => {
                 let is_head = matches!(&head.start_line, StartLine::Request(m, _) if &m[..] == b"HEAD");
-                (respond(&call, &head), is_head, head.keeps_alive())
+                (respond(&conn, &head), is_head, head.keeps_alive())
             }
         };
         if !matches!(
-            timeout(time_limit, write_response(&mut call, response, is_head, keep_alive)).await,
+            timeout(time_limit, write_response(&mut conn, response, is_head, keep_alive)).await,
             Ok(Ok(()))
         ) {
             return;
         }
         if !keep_alive {
-            let _ = timeout(time_limit, linger(call.wire, call.context.limits.close_linger)).await;
+            let _ = timeout(time_limit, linger(conn.wire, conn.context.limits.close_linger)).await;
             return;
         }
     }
@@ -72,12 +72,12 @@
     Closed,
 }
 
-async fn read(call: &mut Call) -> ReadOutcome {
-    let limits = call.context.limits.clone();
+async fn read(conn: &mut CheckConnection) -> ReadOutcome {
+    let limits = conn.context.limits.clone();
     let head = loop {
-        match MessageHead::parse_request(&mut call.wire.unread, &limits) {
+        match MessageHead::parse_request(&mut conn.wire.unread, &limits) {
             Ok(Some(head)) => break head,
-            Ok(None) if matches!(call.wire.read_more().await, Ok(true)) => {}
+            Ok(None) if matches!(conn.wire.read_more().await, Ok(true)) => {}
             Ok(None) => return ReadOutcome::Closed,
             Err(error) => return ReadOutcome::Invalid(error),
         }
@@ -92,7 +92,7 @@
     };
     let (mut body, mut size) = (BodyReader::new(framing, MAX_BODY_BYTES), 0);
     loop {
-        match body.next_part(&mut call.wire.unread) {
+        match body.next_part(&mut conn.wire.unread) {
             Ok(Some(BodyPart::Data(data))) => {
                 size += data.len() as u64;
                 if size > MAX_BODY_BYTES {
@@ -100,7 +100,7 @@
                 }
             }
             Ok(Some(BodyPart::End)) => return ReadOutcome::Request(head),
-            Ok(None) if matches!(call.wire.read_more().await, Ok(true)) => {}
+            Ok(None) if matches!(conn.wire.read_more().await, Ok(true)) => {}
             Ok(None) => return ReadOutcome::Closed,
             Err(error) => return ReadOutcome::Invalid(error),
         }
@@ -113,35 +113,35 @@
     CheckResponse { status, fields, body: format!("{}\n", reason_phrase(status).to_lowercase()) }
 }
 
-fn respond(call: &Call, head: &MessageHead) -> CheckResponse {
+fn respond(conn: &CheckConnection, head: &MessageHead) -> CheckResponse {
     let StartLine::Request(method, target) = &head.start_line else { return error_response(400) };
     let (Ok(method), Ok(target)) = (std::str::from_utf8(method), std::str::from_utf8(target)) else {
         return error_response(400);
     };
     let accept = head.text_value("accept").ok().flatten();
-    let (assessment, components) = (call.board.assessment(), call.board.components());
-    let response = call
+    let (assessment, components) = (conn.board.assessment(), conn.board.components());
+    let response = conn
         .board
         .check_setting(|c| c.policy.answer(CheckRequest { method, target, accept }, &assessment, &components))
         .flatten();
     let Some(response) = response else {
-        call.board.record_invalid_check();
+        conn.board.record_invalid_check();
         return error_response(404);
     };
     // `/livez` is polled by a supervisor that restarts the router, not by a balancer that must be notified of a drain.
     if !target.starts_with("/livez") && response.status != 405 {
-        call.board.record_check(call.ip, CheckProtocol::Http);
+        conn.board.record_check(conn.ip, CheckProtocol::Http);
     }
     if let Some(sent) = head.text_value("x-haproxy-server-state").ok().flatten().and_then(parse_server_state)
     {
-        tracing::debug!(target: "checks", client = %call.ip, held = sent.state, name = sent.name,
+        tracing::debug!(target: "checks", client = %conn.ip, held = sent.state, name = sent.name,
             balancer = sent.node, "balancer reported its state of this router");
     }
     response
 }
 
 async fn write_response(
-    call: &mut Call,
+    conn: &mut CheckConnection,
     response: CheckResponse,
     is_head: bool,
     keep_alive: bool,
@@ -151,5 +151,5 @@
     let (why, length) = (reason_phrase(status), body.len());
     let head = format!("HTTP/1.1 {status} {why}\r\n{fields}{last}Content-Length: {length}\r\n\r\n");
     let body = if is_head { String::new() } else { body };
-    call.wire.write(Bytes::from(head).chain(Bytes::from(body))).await
+    conn.wire.write(Bytes::from(head).chain(Bytes::from(body))).await
 }
--- a/router/src/checks/listen.rs
+++ b/router/src/checks/listen.rs
@@ -18,7 +18,7 @@
 use crate::outward::Door;
 
 /// A connection that carries health checks.
-pub struct Call {
+pub struct CheckConnection {
     /// The parts of the router that checks use.
     pub context: Rc<CheckContext>,
     /// The health that checks report.
@@ -33,7 +33,7 @@
     pub idle: Option<IdleGuard>,
 }
 
-impl Call {
+impl CheckConnection {
     /// Returns the time within which a check must be complete, and then within which it must be answered.
     pub fn time_limit(&self) -> Duration {
         self.board.check_setting(|c| c.budget).unwrap_or_default()
@@ -51,7 +51,7 @@
     board: &Rc<Board>,
     address: SocketAddr,
     address_of: impl Fn(&CheckSettings) -> Option<SocketAddr> + 'static,
-    answer: impl Fn(Call) -> F + Copy + 'static,
+    answer: impl Fn(CheckConnection) -> F + Copy + 'static,
 ) -> io::Result<(SocketAddr, AbortHandle)> {
     let listener = bind_with_retry(async || bind(address).await).await?;
     let bound = listener.local_addr()?;
@@ -77,7 +77,7 @@
     mut listener: TcpListener,
     mut address: SocketAddr,
     address_of: impl Fn(&CheckSettings) -> Option<SocketAddr>,
-    answer: impl Fn(Call) -> F + Copy + 'static,
+    answer: impl Fn(CheckConnection) -> F + Copy + 'static,
 ) {
     let mut settings_version = board.settings_version.subscribe();
     loop {
@@ -118,7 +118,7 @@
     board: &Rc<Board>,
     stream: TcpStream,
     peer: SocketAddr,
-    answer: impl Fn(Call) -> F + Copy + 'static,
+    answer: impl Fn(CheckConnection) -> F + Copy + 'static,
 ) {
     let (client, mut idle) = board.connections.register();
     if client.over_limit {
@@ -135,9 +135,10 @@
         };
         let Some(origin) = origin else { return board.record_invalid_check() };
         let ip = origin.client.unwrap_or(peer).ip();
-        let (monitor, call) = (board.clone(), Call { context, board, wire, ip, client, idle: Some(idle) });
+        let (monitor, conn) =
+            (board.clone(), CheckConnection { context, board, wire, ip, client, idle: Some(idle) });
         tokio::select! {
-            () = answer(call) => {}
+            () = answer(conn) => {}
             () = monitor.stopped() => {}
         }
     });
--- a/router/src/checks/mod.rs
+++ b/router/src/checks/mod.rs
@@ -20,7 +20,7 @@
 use tallypin_health::drain_sequence::{DrainGoal, DrainPhase, DrainSequence};
 use tallypin_health::http_check::{envoy_fields, Component};
 use tallypin_health::load_report::OrcaLoadReport;
-use tallypin_health::Age;
+use tallypin_health::Uptime;
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
@@ -104,12 +104,12 @@
     }
 
     /// Returns the time since the start of the program.
-    pub fn age(&self) -> Age {
+    pub fn uptime(&self) -> Uptime {
         self.started_at.elapsed()
     }
 
     /// Returns the time from the start of the program to an instant.
-    pub fn age_at(&self, at: Instant) -> Age {
+    pub fn uptime_at(&self, at: Instant) -> Uptime {
         at.saturating_duration_since(self.started_at)
     }
 
@@ -188,7 +188,7 @@
             shutting_down: self.shutting_down.get(),
             ..signals
         };
-        let assessment = self.assessor.borrow_mut().step(self.age(), &signals);
+        let assessment = self.assessor.borrow_mut().step(self.uptime(), &signals);
         self.balancers.set_assessment(assessment);
         // The load report carries the weight of the assessment that is published with it.
         let weight = f64::from(assessment.weight) / 100.0;
@@ -211,7 +211,7 @@
         self.answered_checks.set(self.answered_checks.get() + 1);
         self.checkers
             .borrow_mut()
-            .record_check(self.age(), CheckerId { ip: ip.to_canonical(), protocol: kind });
+            .record_check(self.uptime(), CheckerId { ip: ip.to_canonical(), protocol: kind });
     }
 
     /// Removes a balancer whose gRPC watch has ended.
@@ -238,7 +238,7 @@
 
     /// Returns the balancers that check this router, the most recent first.
     pub fn askers(&self) -> Vec<CheckerStatus> {
-        self.checkers.borrow().statuses(self.age())
+        self.checkers.borrow().statuses(self.uptime())
     }
 
     /// Sets the operator's limit on the weight, 1 to 100 percent.
@@ -258,7 +258,7 @@
 
     /// Sets the goal of the drain. Returns false if the router is already shutting down.
     pub fn want(&self, goal: DrainGoal, order: OperatorOrder) -> bool {
-        let now = self.age();
+        let now = self.uptime();
         if !self.drain.borrow_mut().set_goal(now, goal) {
             return false;
         }
@@ -278,7 +278,7 @@
 
     /// Advances the drain and returns its phase.
     pub fn advance_drain(&self) -> DrainPhase {
-        let now = self.age();
+        let now = self.uptime();
         let all_notified = self.checkers.borrow().all_notified(now);
         let phase = self.drain.borrow_mut().advance(now, all_notified);
         self.drain_phase.send_if_modified(|p| std::mem::replace(p, phase) != phase);
--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -117,7 +117,7 @@
             rejected_quota: since(|t| t.rejected_over_quota),
             answered: since(RequestCounts::answered),
             unanswered: since(RequestCounts::unanswered),
-            peer_serving_at: context.peers.as_ref().and_then(|p| p.served_at()).map(|at| board.age_at(at)),
+            peer_serving_at: context.peers.as_ref().and_then(|p| p.served_at()).map(|at| board.uptime_at(at)),
             ..Signals::default()
         };
         let seconds = elapsed.as_secs_f64().max(1e-3);
--- a/router/src/probe.rs
+++ b/router/src/probe.rs
@@ -75,7 +75,7 @@
     let stream = TcpStream::connect(at).await?;
     let (mut send, connection) = h2::client::handshake(stream).await.map_err(invalid_data)?;
     let connection_task = tokio::task::spawn_local(connection);
-    let request = Request::post(format!("http://{at}{}", grpc_health::CHECK))
+    let request = Request::post(format!("http://{at}{}", grpc_health::CHECK_PATH))
         .header("content-type", "application/grpc")
         .header("te", "trailers")
         .body(())
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -518,7 +518,7 @@
     let stream = TcpStream::connect(at).await.unwrap();
     let (mut send, connection) = h2::client::handshake(stream).await.unwrap();
     let driven = spawn_local(connection).abort_handle();
-    let request = http::Request::post(format!("http://r{}", load_report::STREAM));
+    let request = http::Request::post(format!("http://r{}", load_report::STREAM_PATH));
     let request = request.header("content-type", "application/grpc").body(()).unwrap();
     let (answer, mut body) = send.send_request(request, false).unwrap();
     body.send_data(grpc_health::encode_frame(asked), true).unwrap();
