--- a/router/src/front/connection.rs
+++ b/router/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: waits for requests, reads them, has them answered, and closes in order.
+//! One client connection: waits for requests, reads them, passes them to the front, and closes the connection.
 
 use std::io;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use tokio::time::{timeout, timeout_at};
 
 use super::FrontContext;
-use super::{Front, Incoming, Rejection};
+use super::{Front, IncomingRequest, Rejection};
 use crate::body_budget::BufferedBody;
 use crate::clients::{Client, IdleGuard};
 use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, HttpError, MessageHead, StartLine};
@@ -18,28 +18,28 @@
 use crate::lifecycle::Stage;
 use crate::outward::Origin;
 
-/// Why a client connection is closed.
+/// Why a client connection is closed. The names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseCause {
-    /// It did not say, as it had to, where its client is.
+    /// A PROXY preface was required, but missing or malformed.
     NoOrigin,
-    /// Its client ended it, between two requests.
+    /// The client closed it, or reading failed, between two requests.
     Ended,
-    /// It rested for too long.
+    /// It exceeded the idle limit.
     Idle,
-    /// Its room was wanted for others.
+    /// It was idle and was closed to make room for other connections.
     RoomWanted,
-    /// The router ends.
+    /// The router shuts down.
     Shutdown,
-    /// Reading from it failed, or it ended within a request.
+    /// Reading failed, or the client closed it, within a request.
     ReadFailed(io::ErrorKind),
-    /// Writing an answer failed.
+    /// Writing a response failed.
     WriteFailed(io::ErrorKind),
-    /// Its last answer said, or its client or the router wanted, that it is the last.
+    /// The connection does not stay open after this response.
     Answered(AfterAnswer),
 }
 
-/// Serves a client connection to its end.
+/// Serves a client connection until it is closed.
 pub(super) async fn run(
     context: Rc<FrontContext>,
     client: Client,
@@ -47,108 +47,114 @@
     stream: TcpStream,
     front: Rc<Front>,
 ) {
-    // Held until the connection has closed: one whose room is wanted counts as leaving until then, and nobody else is
-    // closed for the room that it gives.
+    // The guard lives until the connection has closed: until then it counts as closing, so that no second idle
+    // connection is closed for the same slot.
     let mut idle = Some(idle);
-    let mut wire = BufferedConnection::new(stream);
-    let cause = serve_requests(&context, &client, &mut idle, &mut wire, &front).await;
-    tracing::debug!(target: "front", ?cause, stage = ?context.lifecycle.stage(), "connection closes");
+    let mut connection = BufferedConnection::new(stream);
+    let cause = serve_requests(&context, &client, &mut idle, &mut connection, &front).await;
+    tracing::debug!(target: "front", ?cause, stage = ?context.lifecycle.stage(), "closing client connection");
     match cause {
         CloseCause::NoOrigin | CloseCause::ReadFailed(_) | CloseCause::WriteFailed(_) => {}
-        CloseCause::RoomWanted => linger(wire, context.limits.final_read_time).await,
+        CloseCause::RoomWanted => linger(connection, context.limits.final_read_time).await,
         CloseCause::Ended | CloseCause::Idle | CloseCause::Shutdown | CloseCause::Answered(_) => {
-            linger(wire, context.limits.close_linger).await
+            linger(connection, context.limits.close_linger).await
         }
     }
 }
 
-/// Serves one request after the other, until the connection is to be closed.
+/// Serves requests one after the other; returns why the connection is to be closed.
 async fn serve_requests(
     context: &Rc<FrontContext>,
     client: &Client,
     idle: &mut Option<IdleGuard>,
-    wire: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     front: &Front,
 ) -> CloseCause {
-    let crowded = client.over_limit;
+    let over_limit = client.over_limit;
     let origin = tokio::select! {
         biased;
-        origin = context.outward.origin(front.door(), wire) => origin,
-        () = room_wanted(idle) => return CloseCause::RoomWanted,
+        origin = context.outward.origin(front.listener_kind(), connection) => origin,
+        () = wait_for_close_request(idle) => return CloseCause::RoomWanted,
     };
-    let Some(Origin { client: from }) = origin else { return CloseCause::NoOrigin };
-    let mut keep_alive = KeepAlive::new(Instant::now(), crowded);
+    let Some(Origin { client: client_address }) = origin else { return CloseCause::NoOrigin };
+    let mut keep_alive = KeepAlive::new(Instant::now(), over_limit);
     loop {
-        let rest = keep_alive.idle_limit(&context.limits);
-        if let Err(cause) = wait_for_request(context, idle, wire, rest).await {
+        let idle_limit = keep_alive.idle_limit(&context.limits);
+        if let Err(cause) = wait_for_request(context, idle, connection, idle_limit).await {
             return cause;
         }
         *idle = None;
-        let since = context.clock.at(wire.first_read_at());
-        let begun = keep_alive.request_started(Instant::now(), &context.limits);
-        if let Some(pause) = begun.pause {
+        let received_at = context.clock.at(connection.first_read_at());
+        let start = keep_alive.request_started(Instant::now(), &context.limits);
+        if let Some(pause) = start.pause {
             tokio::time::sleep(pause).await;
         }
-        let read = timeout_at(begun.complete_by.into(), read_request(context, wire, since));
+        let read = timeout_at(start.complete_by.into(), read_request(context, connection, received_at));
         let request = read.await.unwrap_or(Ok(Err(Rejection::Slow)));
-        wire.message_taken();
+        connection.message_taken();
         let request = match request {
-            Ok(request) => request.map(|r| Incoming { client: from, ..r }),
+            Ok(request) => request.map(|r| IncomingRequest { client: client_address, ..r }),
             Err(e) => return CloseCause::ReadFailed(e.kind()),
         };
         if let Err(rejection) = &request {
-            tracing::debug!(target: "front", client = ?from, why = ?rejection, "no request that could be taken");
+            tracing::debug!(target: "front", client = ?client_address, why = ?rejection,
+                "rejected client request before dispatch");
         }
-        let refused = crowded || context.lifecycle.stage() >= Stage::Rejecting;
-        let (keeps, then) = match request {
-            Ok(r) if refused && !front.asks_health(&r) => {
-                (false, front.reject(context, wire, Rejection::Full).await)
+        let rejects_requests = over_limit || context.lifecycle.stage() >= Stage::Rejecting;
+        let (client_keeps_alive, after_answer) = match request {
+            Ok(r) if rejects_requests && !front.is_health_check(&r) => {
+                (false, front.reject(context, connection, Rejection::Full).await)
             }
-            Ok(request) => (request.head.keeps_alive(), front.answer(context, wire, request).await),
-            Err(rejection) => (false, front.reject(context, wire, rejection).await),
+            Ok(request) => (request.head.keeps_alive(), front.answer(context, connection, request).await),
+            Err(rejection) => (false, front.reject(context, connection, rejection).await),
         };
-        let then = match then {
-            Ok(then) => then,
+        let after_answer = match after_answer {
+            Ok(after_answer) => after_answer,
             Err(e) => return CloseCause::WriteFailed(e.kind()),
         };
-        if !keep_alive.stays_open_after(Instant::now(), then, keeps, context.lifecycle.stage()) {
-            return CloseCause::Answered(then);
+        if !keep_alive.stays_open_after(
+            Instant::now(),
+            after_answer,
+            client_keeps_alive,
+            context.lifecycle.stage(),
+        ) {
+            return CloseCause::Answered(after_answer);
         }
         *idle = Some(client.idle());
     }
 }
 
-/// Waits until the room of a connection that carries nothing is wanted for others.
-async fn room_wanted(idle: &mut Option<IdleGuard>) {
+/// Waits until an idle connection is to be closed to make room for others.
+async fn wait_for_close_request(idle: &mut Option<IdleGuard>) {
     match idle {
         Some(idle) => idle.close_requested().await,
         None => std::future::pending().await,
     }
 }
 
-/// Waits until a request begins; or else why the connection is to be closed instead.
+/// Waits for the first bytes of a request; returns why the connection is to be closed if none arrive.
 async fn wait_for_request(
     context: &FrontContext,
     idle: &mut Option<IdleGuard>,
-    wire: &mut BufferedConnection,
-    rest: IdleLimit,
+    connection: &mut BufferedConnection,
+    idle_limit: IdleLimit,
 ) -> Result<(), CloseCause> {
-    if !wire.unread.is_empty() {
-        // One request in a turn, however many a client sends ahead: the others' events would else wait.
+    if !connection.unread.is_empty() {
+        // Yields between pipelined requests: events of other connections would otherwise wait for all of them.
         tokio::task::yield_now().await;
         return Ok(());
     }
-    wire.release_buffer();
+    connection.release_buffer();
     let read = tokio::select! {
         biased;
-        read = wire.read_more() => read,
-        () = parted(context, rest.until) => return Err(CloseCause::Shutdown),
-        // A request may have arrived since the event loop last looked at the sockets.
-        () = room_wanted(idle) => match wire.read_arrived().await {
+        read = connection.read_more() => read,
+        () = wait_for_stage(context, idle_limit.until) => return Err(CloseCause::Shutdown),
+        // A request may have arrived since the event loop last polled the sockets.
+        () = wait_for_close_request(idle) => match connection.read_arrived().await {
             Some(read) => read,
             None => return Err(CloseCause::RoomWanted),
         },
-        () = tokio::time::sleep(rest.duration) => return Err(CloseCause::Idle),
+        () = tokio::time::sleep(idle_limit.duration) => return Err(CloseCause::Idle),
     };
     match read {
         Ok(true) => Ok(()),
@@ -156,52 +162,52 @@
     }
 }
 
-/// Waits until a connection that carries nothing is to close with the router, and long enough for what is under way to be
-/// seen.
-pub(super) async fn parted(context: &FrontContext, until: Stage) {
+/// Waits until the shutdown has reached `until`, and then for the final read time, so that data already sent by clients is
+/// still read.
+pub(super) async fn wait_for_stage(context: &FrontContext, until: Stage) {
     context.lifecycle.wait_for(until).await;
     tokio::time::sleep(context.limits.final_read_time).await;
 }
 
-/// Reads a request; an error of the connection, or why it is no request that could be taken.
+/// Reads a request. The outer error is one of the connection, the inner one the reason to reject the request.
 async fn read_request(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
-    since: Nanos,
-) -> io::Result<Result<Incoming, Rejection>> {
-    let (head, framing) = match read_head(context, wire).await? {
+    connection: &mut BufferedConnection,
+    received_at: Nanos,
+) -> io::Result<Result<IncomingRequest, Rejection>> {
+    let (head, framing) = match read_head(context, connection).await? {
         Ok(read) => read,
-        Err(bad) => return Ok(Err(bad.into())),
+        Err(error) => return Ok(Err(error.into())),
     };
     let StartLine::Request(method, target) = head.start_line.clone() else {
         return Ok(Err(HttpError::Malformed.into()));
     };
-    if head.expects_continue() && wire.unread.is_empty() {
-        wire.write(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
+    if head.expects_continue() && connection.unread.is_empty() {
+        connection.write(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
     }
     let body = match framing {
-        BodyFraming::Chunked => read_chunked(context, wire).await?,
-        BodyFraming::Length(length) => read_sized(context, wire, length as usize).await?,
-        BodyFraming::Undeclared => read_sized(context, wire, 0).await?,
+        BodyFraming::Chunked => read_chunked(context, connection).await?,
+        BodyFraming::Length(length) => read_sized(context, connection, length as usize).await?,
+        BodyFraming::Undeclared => read_sized(context, connection, 0).await?,
     };
-    Ok(body.map(|body| Incoming { method, target, head, body, since, client: None }))
+    Ok(body.map(|body| IncomingRequest { method, target, head, body, received_at, client: None }))
 }
 
-/// Reads a head, and how its body ends.
+/// Reads a request head and determines the framing of its body.
 async fn read_head(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
 ) -> io::Result<Result<(MessageHead, BodyFraming), HttpError>> {
     let head = loop {
-        match MessageHead::parse_request(&mut wire.unread, &context.limits) {
+        match MessageHead::parse_request(&mut connection.unread, &context.limits) {
             Ok(Some(head)) => break head,
-            Ok(None) => more(wire).await?,
-            Err(bad) => return Ok(Err(bad)),
+            Ok(None) => read_more(connection).await?,
+            Err(error) => return Ok(Err(error)),
         }
     };
     let framing = match head.framing() {
         Ok(framing) => framing,
-        Err(bad) => return Ok(Err(bad)),
+        Err(error) => return Ok(Err(error)),
     };
     if head.is_http_11 && !matches!(head.single_value("host"), Ok(Some(_))) {
         return Ok(Err(HttpError::Malformed));
@@ -214,68 +220,67 @@
     }
 }
 
-/// Reads a body in chunks. What has come is counted as it comes: many slow bodies at once would else be more than the memory
-/// holds, and what was only announced would leave no room for those that send.
+/// Reads a chunked body. Received bytes are charged to the memory budget as they arrive: uncounted slow bodies could
+/// exhaust memory, and reserving announced sizes would leave no budget for clients that do send.
 async fn read_chunked(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
 ) -> io::Result<Result<BufferedBody, Rejection>> {
-    let most = context.limits.max_body_size;
+    let max_bytes = context.limits.max_body_size;
     let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
-    let (mut body, mut all) = (BodyReader::new(BodyFraming::Chunked, most as u64), Vec::new());
+    let (mut reader, mut body) = (BodyReader::new(BodyFraming::Chunked, max_bytes as u64), Vec::new());
     loop {
-        match body.next_part(&mut wire.unread) {
-            Ok(Some(BodyPart::Data(data))) if all.len() + data.len() > most => {
+        match reader.next_part(&mut connection.unread) {
+            Ok(Some(BodyPart::Data(data))) if body.len() + data.len() > max_bytes => {
                 return Ok(Err(HttpError::BodyTooLarge.into()));
             }
-            Ok(Some(BodyPart::Data(data))) if reserved.grow(all.len() + data.len()) => {
-                all.extend_from_slice(&data);
+            Ok(Some(BodyPart::Data(data))) if reserved.grow(body.len() + data.len()) => {
+                body.extend_from_slice(&data);
             }
             Ok(Some(BodyPart::Data(_))) => return Ok(Err(Rejection::Full)),
-            Ok(Some(BodyPart::End)) => return Ok(Ok(BufferedBody { bytes: Bytes::from(all), reserved })),
-            Ok(None) => more(wire).await?,
-            Err(bad) => return Ok(Err(bad.into())),
+            Ok(Some(BodyPart::End)) => return Ok(Ok(BufferedBody { bytes: Bytes::from(body), reserved })),
+            Ok(None) => read_more(connection).await?,
+            Err(error) => return Ok(Err(error.into())),
         }
     }
 }
 
-/// Reads a body of a stated length, counted as it comes.
+/// Reads a body of a declared length; its bytes are charged to the memory budget as they arrive.
 async fn read_sized(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     length: usize,
 ) -> io::Result<Result<BufferedBody, Rejection>> {
     let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
-    while reserved.grow(wire.unread.len().min(length)) && wire.unread.len() < length {
-        more(wire).await?;
+    while reserved.grow(connection.unread.len().min(length)) && connection.unread.len() < length {
+        read_more(connection).await?;
     }
-    if wire.unread.len() < length || !reserved.grow(length) {
+    if connection.unread.len() < length || !reserved.grow(length) {
         return Ok(Err(Rejection::Full));
     }
-    Ok(Ok(BufferedBody { bytes: wire.unread.split_to(length).freeze(), reserved }))
+    Ok(Ok(BufferedBody { bytes: connection.unread.split_to(length).freeze(), reserved }))
 }
 
-/// Reads more; that the client ends within a request is an error.
-async fn more(wire: &mut BufferedConnection) -> io::Result<()> {
-    match wire.read_more().await? {
+/// Reads more of a request; fails with `UnexpectedEof` if the client closes the connection.
+async fn read_more(connection: &mut BufferedConnection) -> io::Result<()> {
+    match connection.read_more().await? {
         true => Ok(()),
         false => Err(io::ErrorKind::UnexpectedEof.into()),
     }
 }
 
-/// Closes a connection so that what was written last still arrives, a part of a stream that broke included: what the
-/// client goes on sending is read for a while and dropped, as an outright close would reset the connection under the
-/// answer.
-pub async fn linger(mut wire: BufferedConnection, limit: Duration) {
+/// Closes the write side, then reads and discards input for up to `limit`. Closing at once while unread input is pending
+/// would reset the connection and could destroy the end of the response.
+pub async fn linger(mut connection: BufferedConnection, limit: Duration) {
     use tokio::io::AsyncWriteExt;
-    let _ = wire.stream.shutdown().await;
-    let rest = async {
+    let _ = connection.stream.shutdown().await;
+    let discard_input = async {
         for _ in 0..64 {
-            wire.unread.clear();
-            if !matches!(wire.read_more().await, Ok(true)) {
+            connection.unread.clear();
+            if !matches!(connection.read_more().await, Ok(true)) {
                 break;
             }
         }
     };
-    let _ = timeout(limit, rest).await;
+    let _ = timeout(limit, discard_input).await;
 }
--- a/router/src/front/context.rs
+++ b/router/src/front/context.rs
@@ -1,4 +1,4 @@
-//! What the fronts need of their router.
+//! The parts of the router that the fronts use.
 
 use std::rc::Rc;
 
@@ -14,26 +14,26 @@
 use crate::replica::ReplicaPool;
 use crate::request_ids::RequestIds;
 
-/// What the fronts need of their router.
+/// The parts of the router that the fronts use.
 pub struct FrontContext {
-    /// Classes and tenants by name, and deadlines.
+    /// Class and tenant names, and the deadlines of classes.
     pub deployment: Rc<Deployment>,
-    /// Sizes, counts and times of client connections.
+    /// Limits on the sizes, number and durations of client connections and requests.
     pub limits: Rc<Limits>,
-    /// The clock.
+    /// Converts instants to the time that decisions use.
     pub clock: Clock,
-    /// How far a shutdown has come.
+    /// The stage of a shutdown.
     pub lifecycle: Rc<Lifecycle>,
-    /// What balancers are told with ordinary answers, and whose connections carry a PROXY preface.
+    /// Health header fields of ordinary responses, and the connections that have to begin with a PROXY preface.
     pub outward: Rc<Outward>,
-    /// The client connections.
+    /// The open client connections.
     pub clients: Rc<Clients>,
-    /// The replicas: their dialect, and how many are ready.
+    /// The replicas: their dialect, and the number of ready ones.
     pub replicas: Rc<ReplicaPool>,
-    /// Identifiers for requests whose clients give none.
+    /// Generates identifiers for requests that carry none.
     pub request_ids: Rc<RequestIds>,
-    /// The memory for request bodies.
+    /// The memory budget for request bodies.
     pub body_budget: BodyBudget,
-    /// Takes requests.
+    /// Forwards requests to replicas.
     pub dispatcher: Rc<Dispatcher>,
 }
--- a/router/src/front/health.rs
+++ b/router/src/front/health.rs
@@ -1,5 +1,5 @@
-//! The router's state as its fronts answer it (`/up`, `/healthz`): where the health of the router is decided for balancers
-//! (`crate::checks`), that; else whether clients may come.
+//! The health that the fronts report at `/up` and `/healthz`: the assessment made for balancers (`crate::checks`) if there is
+//! one, and otherwise a state derived from the shutdown stage, the ready replicas and the open connections.
 
 use std::fmt;
 use std::io;
@@ -7,25 +7,25 @@
 use bytes::Bytes;
 use tallypin_health::assessment::HealthState;
 
-use super::{write, write_whole, FrontContext};
+use super::{write, write_response, FrontContext};
 use crate::http::{reason_phrase, BufferedConnection};
 use crate::lifecycle::Stage;
 
-/// The state of a router.
+/// The health of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrontHealth {
-    /// It serves, at this weight in percent.
+    /// The router accepts requests; with its weight in percent.
     Up(u8),
-    /// It finishes what it has, and takes nothing new.
+    /// The router finishes requests in flight and accepts no new ones.
     Draining,
-    /// It is not to get clients.
+    /// The router must not receive clients.
     Down,
 }
 
 impl FrontHealth {
-    /// The present state.
-    pub fn of(context: &FrontContext) -> FrontHealth {
-        match context.outward.told().map(|now| (now.state, now.weight)) {
+    /// The current health of the router.
+    pub fn current(context: &FrontContext) -> FrontHealth {
+        match context.outward.told().map(|assessment| (assessment.state, assessment.weight)) {
             Some((HealthState::Up | HealthState::Degraded, weight)) => return FrontHealth::Up(weight),
             Some((HealthState::Draining, _)) => return FrontHealth::Draining,
             Some((HealthState::Maintenance | HealthState::Down, _)) => return FrontHealth::Down,
@@ -37,9 +37,9 @@
         if context.replicas.ready_count() == 0 {
             return FrontHealth::Down;
         }
-        let (most, used) = (context.limits.max_clients, context.clients.open());
-        let free = 100 * most.saturating_sub(used) / most.max(1);
-        FrontHealth::Up(free.clamp(1, 100) as u8)
+        let (max_clients, open) = (context.limits.max_clients, context.clients.open());
+        let free_percent = 100 * max_clients.saturating_sub(open) / max_clients.max(1);
+        FrontHealth::Up(free_percent.clamp(1, 100) as u8)
     }
 }
 
@@ -53,19 +53,23 @@
     }
 }
 
-/// Answers a request for the state. In the answer to a HEAD request the body is left out, its length is not.
+/// Answers a health request. The response to HEAD has no body, but its Content-Length.
 ///
 /// # Errors
-/// If the answer cannot be written.
-pub async fn answer(context: &FrontContext, wire: &mut BufferedConnection, bodiless: bool) -> io::Result<()> {
-    let state = FrontHealth::of(context);
-    let status = if matches!(state, FrontHealth::Up(_)) { 200 } else { 503 };
-    let text = format!("{state}\n");
+/// If the response cannot be written.
+pub async fn answer(
+    context: &FrontContext,
+    connection: &mut BufferedConnection,
+    is_head: bool,
+) -> io::Result<()> {
+    let health = FrontHealth::current(context);
+    let status = if matches!(health, FrontHealth::Up(_)) { 200 } else { 503 };
+    let text = format!("{health}\n");
     let fields = "Content-Type: text/plain\r\n";
-    if bodiless {
-        let (why, length) = (reason_phrase(status), text.len());
-        let head = format!("HTTP/1.1 {status} {why}\r\n{fields}Content-Length: {length}\r\n\r\n");
-        return write(context, wire, Bytes::from(head)).await;
+    if is_head {
+        let (reason, length) = (reason_phrase(status), text.len());
+        let head = format!("HTTP/1.1 {status} {reason}\r\n{fields}Content-Length: {length}\r\n\r\n");
+        return write(context, connection, Bytes::from(head)).await;
     }
-    write_whole(context, wire, status, fields, Bytes::from(text)).await
+    write_response(context, connection, status, fields, Bytes::from(text)).await
 }
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -1,6 +1,6 @@
-//! The messages API: the second front. It names the events of a stream differently, and goes through the
-//! same core. What it listens on, which class a model belongs to and how tenants are recognised stands in
-//! the settings file (`deploy/tallypin.conf`); `docs/MESSAGES.md` has the mapping.
+//! The messages API, the second front: it uses the same core as the platform and differs in the events of its streams. Its
+//! address, the classes of models and the header fields that identify tenants are in the settings file
+//! (`deploy/tallypin.conf`); `docs/MESSAGES.md` describes the mapping between the dialects.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,7 +14,8 @@
 
 use super::FrontContext;
 use super::{
-    next, opening, retry_after, write, write_chunk, write_whole, AfterAnswer, Incoming, Next, Rejection,
+    next_event, retry_after_seconds, take_stream_head, write, write_chunk, write_response, AfterAnswer,
+    IncomingRequest, NextEvent, Rejection,
 };
 use crate::body_budget::BufferedBody;
 use crate::core::{FinalAnswer, NewRequest};
@@ -23,66 +24,70 @@
 use crate::http::{BufferedConnection, HttpError};
 
 /// The path of requests.
-const PATH: &[u8] = b"/v1/messages";
-/// A wait above this is no wait.
-const ABSURD_MS: u64 = 24 * 3600 * 1000;
+const REQUEST_PATH: &[u8] = b"/v1/messages";
+/// The maximum deadline that a client may set: one day.
+const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
-const LATE: &str = "nothing came in time";
+/// The error message of status 504.
+const TIMEOUT_MESSAGE: &str = "nothing came in time";
 
-const BEGUN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
+/// The head of a streamed response.
+const STREAM_HEAD: &[u8] =
+    b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n\
                        Transfer-Encoding: chunked\r\n\r\n";
 
-/// This front: what it listens on, which class a model belongs to, how tenants are recognised.
+/// The settings of this front.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MessagesFront {
-    /// Where it listens.
+    /// The address that it listens on.
     pub listen: SocketAddr,
-    /// The dialect of the model nodes.
-    pub nodes: Dialect,
+    /// The dialect of the replicas.
+    pub replica_dialect: Dialect,
     /// The class of each model.
     pub models: BTreeMap<String, ClassId>,
-    /// The header field by which a tenant is recognised,
+    /// The header field that identifies the tenant.
     pub tenant_header: String,
-    /// whose values mean these.
+    /// The tenant of each value of `tenant_header`.
     pub tenants: BTreeMap<String, TenantId>,
-    /// The tenant of a request without it.
+    /// The tenant of requests without `tenant_header`; such requests are rejected if it is `None`.
     pub default_tenant: Option<TenantId>,
-    /// The header field in which a client says how long it waits for the first event.
+    /// The header field with the time that a client waits for the first event, ms.
     pub deadline_header: String,
 }
 
-/// A request of this front that was understood.
+/// A valid request, translated for the core and the replicas.
 struct ParsedRequest {
-    ask: NewRequest,
-    asked: ConversationRequest,
-    /// The body as model nodes are to get it; `None`: as it came.
-    body: Option<Vec<u8>>,
+    new_request: NewRequest,
+    conversation: ConversationRequest,
+    /// The translated body for replicas; `None` if the received body is forwarded unchanged.
+    translated_body: Option<Vec<u8>>,
     idempotency_key: Option<Bytes>,
 }
 
-/// Why a request cannot be taken.
+/// Why a request is rejected before it reaches the core.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum InvalidRequest {
-    /// With the front's own words.
+    /// With the error message.
     Invalid(String),
-    NoModel(String),
+    /// With the name of the unknown model.
+    UnknownModel(String),
     Rejection(Rejection),
 }
 
 impl From<HttpError> for InvalidRequest {
-    fn from(bad: HttpError) -> Self {
-        InvalidRequest::Rejection(bad.into())
+    fn from(error: HttpError) -> Self {
+        InvalidRequest::Rejection(error.into())
     }
 }
 
 impl MessagesFront {
-    fn read(
+    fn parse_request(
         &self,
         context: &FrontContext,
-        request: &Incoming,
+        request: &IncomingRequest,
         now: Nanos,
     ) -> Result<ParsedRequest, InvalidRequest> {
-        if request.path() != PATH {
+        if request.path() != REQUEST_PATH {
             return Err(InvalidRequest::Rejection(Rejection::NotFound));
         }
         if &request.method[..] != b"POST" {
@@ -91,180 +96,200 @@
         if !request.head.is_http_11 {
             return Err(HttpError::Malformed.into());
         }
-        let asked = ConversationRequest::parse_messages(&request.body.bytes)
+        let conversation = ConversationRequest::parse_messages(&request.body.bytes)
             .map_err(|error| InvalidRequest::Invalid(error.to_string()))?;
-        let class =
-            *self.models.get(&asked.model).ok_or_else(|| InvalidRequest::NoModel(asked.model.clone()))?;
+        let class = *self
+            .models
+            .get(&conversation.model)
+            .ok_or_else(|| InvalidRequest::UnknownModel(conversation.model.clone()))?;
         let tenant = match request.head.text_value(&self.tenant_header)? {
             Some(value) => self.tenants.get(value).copied(),
             None => self.default_tenant,
         };
         let unknown = || InvalidRequest::Invalid(format!("{}: not a known partner", self.tenant_header));
         let tenant = tenant.ok_or_else(unknown)?;
-        let wait = match request.head.text_value(&self.deadline_header)? {
+        let deadline = match request.head.text_value(&self.deadline_header)? {
             None => context.deployment.classes[class.0 as usize].deadline,
             Some(ms) => {
-                let ms = ms.parse().ok().filter(|ms| (1..=ABSURD_MS).contains(ms));
-                let bad = || InvalidRequest::Invalid(format!("{}: not a wait", self.deadline_header));
-                ms.ok_or_else(bad)? * 1_000_000
+                let ms = ms.parse().ok().filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms));
+                let invalid = || InvalidRequest::Invalid(format!("{}: not a wait", self.deadline_header));
+                ms.ok_or_else(invalid)? * 1_000_000
             }
         };
-        // One token is four characters. Conversations share their system prompt, and each has its own
-        // first message, which all its turns begin with.
-        let tokens = |text: usize| u32::try_from(text / 4).unwrap_or(u32::MAX);
-        let beginning = [asked.model.as_bytes(), b"\0", asked.system.as_bytes()].concat();
-        let session = [&beginning[..], b"\0", asked.first_message().as_bytes()].concat();
-        let ask = NewRequest {
+        // Token counts are estimated at four bytes a token. The prefix is the model and the system prompt; the session adds
+        // the first message, which all turns of a conversation share.
+        let tokens = |bytes: usize| u32::try_from(bytes / 4).unwrap_or(u32::MAX);
+        let prefix = [conversation.model.as_bytes(), b"\0", conversation.system.as_bytes()].concat();
+        let session = [&prefix[..], b"\0", conversation.first_message().as_bytes()].concat();
+        let new_request = NewRequest {
             class,
             tenant,
-            time_left: request.left(now, wait),
-            prompt_tokens: tokens(asked.prompt_size()),
-            prefix_tokens: tokens(asked.system.len()),
+            time_left: request.time_left(now, deadline),
+            prompt_tokens: tokens(conversation.prompt_size()),
+            prefix_tokens: tokens(conversation.system.len()),
             session: Some(name_hash::session_key(&session)),
-            prefix: (!asked.system.is_empty()).then(|| name_hash::prefix_key(&beginning)),
+            prefix: (!conversation.system.is_empty()).then(|| name_hash::prefix_key(&prefix)),
             is_client_retry: false,
-            resumes_stream: request.head.single_value("x-resume-of")?.is_some() && asked.continues_answer(),
+            resumes_stream: request.head.single_value("x-resume-of")?.is_some()
+                && conversation.continues_answer(),
         };
-        let body = match context.replicas.dialect {
-            Dialect::Messages if asked.stream => None,
-            Dialect::Messages => Some(asked.streaming_body()),
-            Dialect::Chat => Some(asked.chat_body()),
+        let translated_body = match context.replicas.dialect {
+            Dialect::Messages if conversation.stream => None,
+            Dialect::Messages => Some(conversation.streaming_body()),
+            Dialect::Chat => Some(conversation.chat_body()),
         };
         let idempotency_key = request.idempotency_key()?;
-        Ok(ParsedRequest { ask, asked, body, idempotency_key })
+        Ok(ParsedRequest { new_request, conversation, translated_body, idempotency_key })
     }
 
-    /// Answers one request.
+    /// Serves one request.
     pub async fn answer(
         &self,
         context: &Rc<FrontContext>,
-        wire: &mut BufferedConnection,
-        request: Incoming,
+        connection: &mut BufferedConnection,
+        request: IncomingRequest,
     ) -> io::Result<AfterAnswer> {
-        let ParsedRequest { ask, asked, body, idempotency_key } =
-            match self.read(context, &request, context.clock.now()) {
-                Ok(understood) => understood,
-                Err(why) => return refuse(context, wire, why).await,
+        let ParsedRequest { new_request, conversation, translated_body, idempotency_key } =
+            match self.parse_request(context, &request, context.clock.now()) {
+                Ok(parsed) => parsed,
+                Err(error) => return write_invalid(context, connection, error).await,
             };
         if context.dispatcher.is_full() {
-            return reject(context, wire, Rejection::Full).await;
+            return reject(context, connection, Rejection::Full).await;
         }
-        let body = match body {
+        let body = match translated_body {
             None => request.body,
-            // The translated body takes the place of the one that came.
+            // The translated body replaces the received one.
             Some(body) => match context.body_budget.reserve(body.len()) {
                 Some(reserved) => BufferedBody { bytes: body.into(), reserved },
-                None => return reject(context, wire, Rejection::Full).await,
+                None => return reject(context, connection, Rejection::Full).await,
             },
         };
-        let same = context.replicas.dialect == Dialect::Messages;
+        let same_dialect = context.replicas.dialect == Dialect::Messages;
         let id = context.request_ids.generate();
         let (prompt_tokens, deadline) =
-            (ask.prompt_tokens, context.clock.now().saturating_add(ask.time_left));
-        let prompt = UpstreamRequest {
+            (new_request.prompt_tokens, context.clock.now().saturating_add(new_request.time_left));
+        let upstream_request = UpstreamRequest {
             id: Bytes::from(id.clone()),
             method: Bytes::from_static(b"POST"),
             target: Bytes::from_static(context.replicas.dialect.path()),
             body,
             idempotency_key,
-            text: !(same && asked.stream),
+            text: !(same_dialect && conversation.stream),
             client: request.client,
         };
-        let Some(mut ticket) = context.dispatcher.submit(ask, prompt) else {
-            return reject(context, wire, Rejection::Twice).await;
+        let Some(mut handle) = context.dispatcher.submit(new_request, upstream_request) else {
+            return reject(context, connection, Rejection::Twice).await;
         };
-        let (mut unsaid, named) = (true, format!("Request-Id: {id}\r\n"));
-        let mut head = || opening(context, &mut unsaid, BEGUN, &named);
-        let mut writer = MessagesWriter::new(&id, &asked.model, prompt_tokens);
-        let (mut whole, mut failed) = (CollectedAnswer::default(), false);
+        let (mut head_pending, id_field) = (true, format!("Request-Id: {id}\r\n"));
+        let mut head = || take_stream_head(context, &mut head_pending, STREAM_HEAD, &id_field);
+        let mut writer = MessagesWriter::new(&id, &conversation.model, prompt_tokens);
+        let (mut collected, mut failed) = (CollectedAnswer::default(), false);
         loop {
-            let piece = match next(context, wire, &mut ticket).await {
-                Next::Piece(piece) => piece,
-                Next::Left => return Ok(AfterAnswer::Close),
+            let event = match next_event(context, connection, &mut handle).await {
+                NextEvent::Response(event) => event,
+                NextEvent::ClientDisconnected => return Ok(AfterAnswer::Close),
             };
-            match piece {
-                ResponseEvent::Data(bytes, told) if asked.stream => {
-                    failed |= told.contains(&StreamEvent::Failed);
-                    let bytes = if same { bytes } else { writer.write(&told) };
+            match event {
+                ResponseEvent::Data(bytes, events) if conversation.stream => {
+                    failed |= events.contains(&StreamEvent::Failed);
+                    let bytes = if same_dialect { bytes } else { writer.write(&events) };
                     if !bytes.is_empty() {
-                        write_chunk(context, wire, head(), bytes).await?;
+                        write_chunk(context, connection, head(), bytes).await?;
                     }
                 }
-                ResponseEvent::Data(_, told) => {
-                    told.into_iter().for_each(|event| whole.add(event));
-                    if whole.text.len() > context.limits.max_collected_answer_size {
-                        return error(context, wire, 500, "", "the answer is too long to be given whole")
-                            .await;
+                ResponseEvent::Data(_, events) => {
+                    events.into_iter().for_each(|event| collected.add(event));
+                    if collected.text.len() > context.limits.max_collected_answer_size {
+                        return write_error(
+                            context,
+                            connection,
+                            500,
+                            "",
+                            "the answer is too long to be given whole",
+                        )
+                        .await;
                     }
                 }
-                ResponseEvent::End(FinalAnswer::Completed) if asked.stream => {
-                    let rest = if same { Bytes::new() } else { writer.finish() };
+                ResponseEvent::End(FinalAnswer::Completed) if conversation.stream => {
+                    let rest = if same_dialect { Bytes::new() } else { writer.finish() };
                     if !rest.is_empty() {
-                        write_chunk(context, wire, head(), rest).await?;
+                        write_chunk(context, connection, head(), rest).await?;
                     }
-                    write(context, wire, &b"0\r\n\r\n"[..]).await?;
+                    write(context, connection, &b"0\r\n\r\n"[..]).await?;
                     return Ok(AfterAnswer::KeepOpen);
                 }
                 ResponseEvent::End(FinalAnswer::Completed) => {
                     let fields = format!("Content-Type: application/json\r\nRequest-Id: {id}\r\n");
-                    let message = whole.to_message(&id, &asked.model, prompt_tokens);
-                    write_whole(context, wire, 200, &fields, message.to_string().into()).await?;
+                    let message = collected.to_message(&id, &conversation.model, prompt_tokens);
+                    write_response(context, connection, 200, &fields, message.to_string().into()).await?;
                     return Ok(AfterAnswer::KeepOpen);
                 }
-                // No `message_stop`, no last chunk: the client knows where it stands, and asks for the rest.
-                ResponseEvent::End(FinalAnswer::Interrupted) if asked.stream => {
-                    if !(same && failed) {
-                        let shape = shape("api_error", "the stream broke; x-resume-of asks for the rest");
-                        let event = format!("event: error\ndata: {shape}\n\n");
-                        write_chunk(context, wire, head(), event.into()).await?;
+                // `message_stop` and the last chunk are left out: the client sees an incomplete answer and can resume it.
+                ResponseEvent::End(FinalAnswer::Interrupted) if conversation.stream => {
+                    if !(same_dialect && failed) {
+                        let error =
+                            error_object("api_error", "the stream broke; x-resume-of asks for the rest");
+                        let event = format!("event: error\ndata: {error}\n\n");
+                        write_chunk(context, connection, head(), event.into()).await?;
                     }
                     return Ok(AfterAnswer::Close);
                 }
                 ResponseEvent::End(FinalAnswer::Interrupted) => {
-                    return error(context, wire, 500, "", "the answer broke off").await;
+                    return write_error(context, connection, 500, "", "the answer broke off").await;
                 }
-                // Refused only when its time was up: that is what the client has to know.
+                // Rejected after the deadline: the client gets a timeout, not an overload.
                 ResponseEvent::End(FinalAnswer::Rejected {
                     retry_after: advice,
                     reason: RejectReason::NoCapacity,
                 }) if context.clock.now() >= deadline => {
-                    return error(context, wire, 504, &come_back(context, advice), LATE).await;
+                    return write_error(
+                        context,
+                        connection,
+                        504,
+                        &retry_fields(context, advice),
+                        TIMEOUT_MESSAGE,
+                    )
+                    .await;
                 }
-                ResponseEvent::End(FinalAnswer::Rejected { retry_after: advice, reason: why }) => {
-                    let (status, why) = match why {
+                ResponseEvent::End(FinalAnswer::Rejected { retry_after: advice, reason: reject_reason }) => {
+                    let (status, message) = match reject_reason {
                         RejectReason::QuotaExceeded => (429, "over the partner's share"),
                         RejectReason::NoCapacity => (529, "no model node would begin in time"),
                     };
-                    return error(context, wire, status, &come_back(context, advice), why).await;
+                    return write_error(context, connection, status, &retry_fields(context, advice), message)
+                        .await;
                 }
                 ResponseEvent::End(FinalAnswer::Failed { past_deadline: true }) => {
-                    // No word on when to come back: it may have run.
-                    return error(context, wire, 504, "", LATE).await;
+                    // No Retry-After: the request may have been executed.
+                    return write_error(context, connection, 504, "", TIMEOUT_MESSAGE).await;
                 }
                 ResponseEvent::End(FinalAnswer::Failed { past_deadline: false }) => {
-                    return error(context, wire, 500, "", "no attempt succeeded").await;
+                    return write_error(context, connection, 500, "", "no attempt succeeded").await;
                 }
             }
         }
     }
 }
 
-/// Clients of this API want whole seconds; a second field has the finer advice.
-fn come_back(context: &FrontContext, advice: Nanos) -> String {
-    let seconds = retry_after(context, advice);
+/// Retry-After in whole seconds, as clients of this API expect it, and Retry-After-Ms in milliseconds.
+fn retry_fields(context: &FrontContext, advice: Nanos) -> String {
+    let seconds = retry_after_seconds(context, advice);
     format!("Retry-After: {:.0}\r\nRetry-After-Ms: {:.0}\r\n", seconds.ceil(), (seconds * 1e3).ceil())
 }
 
-fn shape(kind: &str, message: &str) -> serde_json::Value {
+/// The JSON object of an error.
+fn error_object(kind: &str, message: &str) -> serde_json::Value {
     json!({"type": "error", "error": {"type": kind, "message": message}})
 }
 
-async fn error(
+/// Writes an error response; its type follows from the status.
+async fn write_error(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     status: u16,
     fields: &str,
-    why: &str,
+    message: &str,
 ) -> io::Result<AfterAnswer> {
     let kind = match status {
         404 => "not_found_error",
@@ -276,32 +301,35 @@
         _ => "invalid_request_error",
     };
     let fields = format!("{fields}Content-Type: application/json\r\n");
-    write_whole(context, wire, status, &fields, shape(kind, why).to_string().into()).await?;
+    write_response(context, connection, status, &fields, error_object(kind, message).to_string().into())
+        .await?;
     Ok(AfterAnswer::KeepOpenAfterRejection)
 }
 
-async fn refuse(
+async fn write_invalid(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
-    why: InvalidRequest,
+    connection: &mut BufferedConnection,
+    error: InvalidRequest,
 ) -> io::Result<AfterAnswer> {
-    match why {
-        InvalidRequest::Invalid(why) => error(context, wire, 400, "", &why).await,
-        InvalidRequest::NoModel(model) => error(context, wire, 404, "", &format!("model: {model}")).await,
-        InvalidRequest::Rejection(why) => reject(context, wire, why).await,
+    match error {
+        InvalidRequest::Invalid(message) => write_error(context, connection, 400, "", &message).await,
+        InvalidRequest::UnknownModel(model) => {
+            write_error(context, connection, 404, "", &format!("model: {model}")).await
+        }
+        InvalidRequest::Rejection(rejection) => reject(context, connection, rejection).await,
     }
 }
 
-/// Answers what is no request that could be taken.
+/// Answers a rejected request.
 pub async fn reject(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
-    why: Rejection,
+    connection: &mut BufferedConnection,
+    rejection: Rejection,
 ) -> io::Result<AfterAnswer> {
-    let (status, fields) = match why {
-        Rejection::Full => (529, come_back(context, 0)),
+    let (status, fields) = match rejection {
+        Rejection::Full => (529, retry_fields(context, 0)),
         Rejection::Method => (405, "Allow: POST\r\n".into()),
-        why => (why.status(), String::new()),
+        rejection => (rejection.status(), String::new()),
     };
-    error(context, wire, status, &fields, crate::http::reason_phrase(status)).await
+    write_error(context, connection, status, &fields, crate::http::reason_phrase(status)).await
 }
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -1,5 +1,7 @@
-//! The fronts: what clients speak, turned into core requests, and outcomes turned back. Here stands what
-//! they share: waiting for an answer's next piece, and writing it. Accepting is in `accept`, reading in `connection`.
+//! The fronts: they translate client requests into requests of the core, and outcomes into responses.
+//!
+//! This module has what the fronts share: waiting for the next event of an answer, and writing responses. `accept` accepts
+//! connections, `connection` reads requests.
 
 mod accept;
 mod connection;
@@ -28,7 +30,7 @@
 use crate::lifecycle::Stage;
 use crate::outward::Door;
 
-/// A front.
+/// A protocol that clients speak.
 pub enum Front {
     /// The platform's protocol.
     Platform,
@@ -36,58 +38,58 @@
     Messages(Box<MessagesFront>),
 }
 
-/// A request as it was read.
-pub struct Incoming {
-    /// The method.
+/// A request as it was received.
+pub struct IncomingRequest {
+    /// The HTTP method.
     pub method: Bytes,
     /// Path and query.
     pub target: Bytes,
-    /// The head.
+    /// The parsed head.
     pub head: MessageHead,
-    /// The body.
+    /// The complete body, and its share of the memory budget.
     pub body: BufferedBody,
-    /// When its first byte was seen.
-    pub since: Nanos,
-    /// Where its client is, where a balancer says so.
+    /// When the first byte was read.
+    pub received_at: Nanos,
+    /// The client's address, from the PROXY preface if there is one.
     pub client: Option<SocketAddr>,
 }
 
-impl Incoming {
-    /// The path without the query.
+impl IncomingRequest {
+    /// The request path without the query.
     pub fn path(&self) -> &[u8] {
         self.target.split(|b| *b == b'?').next().unwrap_or_default()
     }
 
-    /// The client's idempotency key, if it sent one.
+    /// The value of the `idempotency-key` header field, if the request has one.
     pub fn idempotency_key(&self) -> Result<Option<Bytes>, HttpError> {
         Ok(self.head.single_value("idempotency-key")?.cloned())
     }
 
-    /// What is left at `now` of a wait that began when the client sent.
-    pub fn left(&self, now: Nanos, wait: Nanos) -> Nanos {
-        wait.saturating_sub(now.saturating_sub(self.since))
+    /// The part of `timeout`, counted from the arrival of the request, that remains at `now`.
+    pub fn time_left(&self, now: Nanos, timeout: Nanos) -> Nanos {
+        timeout.saturating_sub(now.saturating_sub(self.received_at))
     }
 }
 
-/// Why a request gets no further than its front.
+/// Why a front rejects a request without passing it to the core. The names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// It is no request that could be taken.
+    /// The message is malformed, too large or uses an unsupported transfer coding.
     Bad(HttpError),
-    /// There is no such thing here.
+    /// The path is unknown.
     NotFound,
-    /// Not with this method.
+    /// The path does not support the method.
     Method,
-    /// The router holds as much as it can.
+    /// A limit on connections, requests or body memory is reached, or the router shuts down.
     Full,
-    /// It did not come whole in time.
+    /// The request was not complete in time.
     Slow,
-    /// It bears the name of another one.
+    /// Another request in flight has the same identifier.
     Twice,
 }
 
 impl Rejection {
-    /// The status that says so.
+    /// The HTTP status of the response.
     pub fn status(self) -> u16 {
         match self {
             Rejection::Bad(HttpError::Malformed) => 400,
@@ -104,149 +106,165 @@
 }
 
 impl From<HttpError> for Rejection {
-    fn from(bad: HttpError) -> Self {
-        Rejection::Bad(bad)
+    fn from(error: HttpError) -> Self {
+        Rejection::Bad(error)
     }
 }
 
-/// What a waiting client's front has to deal with next.
-pub enum Next {
-    /// Something of the answer.
-    Piece(ResponseEvent),
-    /// The client has left.
-    Left,
+/// What happens next while a front waits for an answer.
+pub enum NextEvent {
+    /// An event of the response.
+    Response(ResponseEvent),
+    /// The client has closed its connection.
+    ClientDisconnected,
 }
 
-/// Waits for the next piece of an answer, and notices when the client leaves.
-pub async fn next(context: &FrontContext, wire: &mut BufferedConnection, ticket: &mut RequestHandle) -> Next {
+/// Waits for the next event of the response, or until the client closes its connection.
+pub async fn next_event(
+    context: &FrontContext,
+    connection: &mut BufferedConnection,
+    handle: &mut RequestHandle,
+) -> NextEvent {
     loop {
-        // A client that sends on before it has its answer is read only so far; its end is seen all the same.
-        let room = wire.unread.len() < context.limits.max_head_size;
+        // Input that arrives before the response is buffered up to the maximum head size; beyond that, the connection is
+        // only checked for having been closed.
+        let room = connection.unread.len() < context.limits.max_head_size;
         let sends_on = async {
             match room {
-                true => matches!(wire.read_more().await, Ok(true)),
+                true => matches!(connection.read_more().await, Ok(true)),
                 false => {
-                    wire.wait_until_closed(context.limits.client_departure_check_interval).await;
+                    connection.wait_until_closed(context.limits.client_departure_check_interval).await;
                     false
                 }
             }
         };
         tokio::select! {
             biased;
-            // A stream that was ended here leaves no word.
-            piece = ticket.next() => {
-                return Next::Piece(piece.unwrap_or(ResponseEvent::End(FinalAnswer::Interrupted)))
+            // The channel ends without a final event if the stream was cancelled by this router.
+            event = handle.next() => {
+                return NextEvent::Response(event.unwrap_or(ResponseEvent::End(FinalAnswer::Interrupted)))
             }
             sends_on = sends_on => if !sends_on {
-                return Next::Left;
+                return NextEvent::ClientDisconnected;
             },
         }
     }
 }
 
-/// Writes part of an answer; a client that takes nothing for too long counts as gone.
-pub async fn write(context: &FrontContext, wire: &mut BufferedConnection, parts: impl Buf) -> io::Result<()> {
-    timeout(context.limits.client_write_timeout, wire.write(parts))
+/// Writes part of a response; fails with `TimedOut` if the client does not read it within the write timeout.
+pub async fn write(
+    context: &FrontContext,
+    connection: &mut BufferedConnection,
+    parts: impl Buf,
+) -> io::Result<()> {
+    timeout(context.limits.client_write_timeout, connection.write(parts))
         .await
         .map_err(|_| io::ErrorKind::TimedOut)?
 }
 
-/// Writes one chunk in the same way.
+/// Writes `head`, if it is not empty, and one chunk, with the same timeout as [`write()`].
 pub async fn write_chunk(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     head: Bytes,
     data: Bytes,
 ) -> io::Result<()> {
     let size = Bytes::from(format!("{:x}\r\n", data.len()));
-    write(context, wire, head.chain(size).chain(data).chain(&b"\r\n"[..])).await
+    write(context, connection, head.chain(size).chain(data).chain(&b"\r\n"[..])).await
 }
 
-/// Writes a whole short answer.
-pub async fn write_whole(
+/// Writes a complete response with `Content-Length`; `fields` are further header fields, each with its line end.
+pub async fn write_response(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
+    connection: &mut BufferedConnection,
     status: u16,
     fields: &str,
     body: Bytes,
 ) -> io::Result<()> {
-    let carried = carried(context);
-    let (why, length) = (reason_phrase(status), body.len());
-    let head = format!("HTTP/1.1 {status} {why}\r\n{fields}{carried}Content-Length: {length}\r\n\r\n");
-    write(context, wire, Bytes::from(head).chain(body)).await
+    let common = common_fields(context);
+    let (reason, length) = (reason_phrase(status), body.len());
+    let head = format!("HTTP/1.1 {status} {reason}\r\n{fields}{common}Content-Length: {length}\r\n\r\n");
+    write(context, connection, Bytes::from(head).chain(body)).await
 }
 
-/// The fields that any answer carries now: what balancers are told with it, and whether it is the last on its
-/// connection. On the platform there are none before the end.
-fn carried(context: &FrontContext) -> String {
-    let told = context.outward.fields();
-    let last = if context.lifecycle.stage() >= Stage::AnnouncingClose { "Connection: close\r\n" } else { "" };
-    if told.is_empty() {
-        return last.into();
+/// The header fields that every response carries at this moment: health fields for balancers, and `Connection: close` once
+/// a shutdown announces the close. The platform has none before its shutdown.
+fn common_fields(context: &FrontContext) -> String {
+    let health = context.outward.fields();
+    let close =
+        if context.lifecycle.stage() >= Stage::AnnouncingClose { "Connection: close\r\n" } else { "" };
+    if health.is_empty() {
+        return close.into();
     }
-    format!("{told}{last}")
+    format!("{health}{close}")
 }
 
-/// The head of a stream, the first time; nothing after that. `head` ends with its blank line.
-pub fn opening(context: &FrontContext, unsaid: &mut bool, head: &'static [u8], fields: &str) -> Bytes {
-    if !std::mem::take(unsaid) {
+/// The head of a streamed response on the first call, with `fields` and the common fields added; empty afterwards.
+/// `head` ends with the blank line.
+pub fn take_stream_head(
+    context: &FrontContext,
+    head_pending: &mut bool,
+    head: &'static [u8],
+    fields: &str,
+) -> Bytes {
+    if !std::mem::take(head_pending) {
         return Bytes::new();
     }
-    let carried = carried(context);
-    if carried.is_empty() && fields.is_empty() {
+    let common = common_fields(context);
+    if common.is_empty() && fields.is_empty() {
         return Bytes::from_static(head);
     }
-    let before = &head[..head.len() - 2];
-    [before, fields.as_bytes(), carried.as_bytes(), b"\r\n"].concat().into()
+    let without_blank_line = &head[..head.len() - 2];
+    [without_blank_line, fields.as_bytes(), common.as_bytes(), b"\r\n"].concat().into()
 }
 
-/// How long to stay away, as a field of a refusal: the module's advice, in seconds.
-pub fn retry_after(context: &FrontContext, advice: Nanos) -> f64 {
+/// The value of Retry-After in seconds: the core's advice, at least the configured minimum.
+pub fn retry_after_seconds(context: &FrontContext, advice: Nanos) -> f64 {
     advice.max(context.limits.min_retry_after.as_nanos() as Nanos) as f64 / 1e9
 }
 
 impl Front {
-    fn door(&self) -> Door {
+    fn listener_kind(&self) -> Door {
         match self {
             Front::Platform => Door::Platform,
             Front::Messages(_) => Door::Messages,
         }
     }
 
-    /// Whether a request asks for the router's state.
-    fn asks_health(&self, request: &Incoming) -> bool {
-        let here = match self {
+    /// Whether a request is a health check of the router.
+    fn is_health_check(&self, request: &IncomingRequest) -> bool {
+        let is_health_path = match self {
             Front::Platform => request.path() == b"/up",
             Front::Messages(_) => matches!(request.path(), b"/up" | b"/healthz"),
         };
-        here && matches!(&request.method[..], b"GET" | b"HEAD")
+        is_health_path && matches!(&request.method[..], b"GET" | b"HEAD")
     }
 
     async fn answer(
         &self,
         context: &Rc<FrontContext>,
-        wire: &mut BufferedConnection,
-        request: Incoming,
+        connection: &mut BufferedConnection,
+        request: IncomingRequest,
     ) -> io::Result<AfterAnswer> {
-        if self.asks_health(&request) {
-            let bodiless = &request.method[..] == b"HEAD";
-            return health::answer(context, wire, bodiless).await.map(|()| AfterAnswer::KeepOpen);
+        if self.is_health_check(&request) {
+            let is_head = &request.method[..] == b"HEAD";
+            return health::answer(context, connection, is_head).await.map(|()| AfterAnswer::KeepOpen);
         }
         match self {
-            Front::Platform => platform::answer(context, wire, request).await,
-            Front::Messages(front) => front.answer(context, wire, request).await,
+            Front::Platform => platform::answer(context, connection, request).await,
+            Front::Messages(front) => front.answer(context, connection, request).await,
         }
     }
 
     async fn reject(
         &self,
         context: &FrontContext,
-        wire: &mut BufferedConnection,
-        why: Rejection,
+        connection: &mut BufferedConnection,
+        rejection: Rejection,
     ) -> io::Result<AfterAnswer> {
         match self {
-            Front::Platform => platform::reject(context, wire, why).await,
-            Front::Messages(_) => messages::reject(context, wire, why).await,
+            Front::Platform => platform::reject(context, connection, rejection).await,
+            Front::Messages(_) => messages::reject(context, connection, rejection).await,
         }
     }
 }
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol: a thin front. Events pass through untouched.
+//! The platform's protocol: chat completions. Events of replicas that speak the same dialect are relayed unchanged.
 
 use std::io;
 use std::rc::Rc;
@@ -9,7 +9,8 @@
 
 use super::FrontContext;
 use super::{
-    next, opening, retry_after, write, write_chunk, write_whole, AfterAnswer, Incoming, Next, Rejection,
+    next_event, retry_after_seconds, take_stream_head, write, write_chunk, write_response, AfterAnswer,
+    IncomingRequest, NextEvent, Rejection,
 };
 use crate::body_budget::BufferedBody;
 use crate::core::{FinalAnswer, NewRequest};
@@ -18,49 +19,53 @@
 use crate::http::{BufferedConnection, HttpError};
 
 /// The path of requests.
-const PATH: &[u8] = b"/v1/chat/completions";
-/// The longest name of a request.
-const LONGEST_ID: usize = 128;
-/// A wait above this is no wait.
-const ABSURD_MS: u64 = 24 * 3600 * 1000;
+const REQUEST_PATH: &[u8] = b"/v1/chat/completions";
+/// The maximum length of a request identifier, bytes.
+const MAX_ID_LENGTH: usize = 128;
+/// The maximum deadline that a client may set: one day.
+const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
-const BEGUN: &[u8] =
+/// The head of a streamed response.
+const STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Reads what the core wants to know of a request; also gives the request's name.
-pub fn read(
+/// Parses the header fields of a request; returns the request for the core and the client's request identifier.
+pub fn parse_request(
     context: &FrontContext,
-    request: &Incoming,
+    request: &IncomingRequest,
     now: Nanos,
 ) -> Result<(NewRequest, Bytes), Rejection> {
-    if request.path() != PATH {
+    if request.path() != REQUEST_PATH {
         return Err(Rejection::NotFound);
     }
     if &request.method[..] != b"POST" {
         return Err(Rejection::Method);
     }
-    let (head, of) = (&request.head, &context.deployment);
+    let (head, deployment) = (&request.head, &context.deployment);
     let id = head.single_value("req-id")?.ok_or(HttpError::Malformed)?.clone();
-    if id.is_empty() || id.len() > LONGEST_ID || !id.iter().all(u8::is_ascii_graphic) || !head.is_http_11 {
+    if id.is_empty() || id.len() > MAX_ID_LENGTH || !id.iter().all(u8::is_ascii_graphic) || !head.is_http_11 {
         return Err(HttpError::Malformed.into());
     }
     let kind = head.text_value("req-kind")?;
-    let class = of.classes.iter().position(|c| Some(c.name.as_str()) == kind).ok_or(HttpError::Malformed)?;
+    let class =
+        deployment.classes.iter().position(|c| Some(c.name.as_str()) == kind).ok_or(HttpError::Malformed)?;
     let owner = head.text_value("req-owner")?;
-    let tenant = match of.tenant_names.iter().position(|p| Some(p.as_str()) == owner) {
+    let tenant = match deployment.tenant_names.iter().position(|p| Some(p.as_str()) == owner) {
         Some(tenant) => tenant,
-        None if of.tenant_names.is_empty() => 0,
+        None if deployment.tenant_names.is_empty() => 0,
         None => return Err(HttpError::Malformed.into()),
     };
-    let wait = match head.text_value("req-deadline-ms")? {
-        None => of.classes[class].deadline,
-        Some(ms) => number(ms).filter(|ms| *ms <= ABSURD_MS).ok_or(HttpError::Malformed)? * 1_000_000,
+    let deadline = match head.text_value("req-deadline-ms")? {
+        None => deployment.classes[class].deadline,
+        Some(ms) => {
+            parse_number(ms).filter(|ms| *ms <= MAX_DEADLINE_MS).ok_or(HttpError::Malformed)? * 1_000_000
+        }
     };
     let retry = head.text_value("req-retry")?;
-    let mut ask = NewRequest {
+    let mut new_request = NewRequest {
         class: ClassId(class as u32),
         tenant: TenantId(tenant as u32),
-        time_left: request.left(now, wait),
+        time_left: request.time_left(now, deadline),
         session: head.single_value("req-key")?.map(|key| name_hash::session_key(key)),
         resumes_stream: retry == Some("again"),
         is_client_retry: retry == Some("1"),
@@ -69,115 +74,125 @@
     for pair in head.text_value("req-extra")?.unwrap_or_default().split(',').filter(|p| !p.trim().is_empty())
     {
         let (name, value) = pair.trim().split_once('=').ok_or(HttpError::Malformed)?;
-        let tokens = || number(value).and_then(|n| u32::try_from(n).ok()).ok_or(HttpError::Malformed);
+        let tokens = || parse_number(value).and_then(|n| u32::try_from(n).ok()).ok_or(HttpError::Malformed);
         match name {
-            "prefix" => ask.prefix = Some(name_hash::prefix_key(value.as_bytes())),
-            "prompt_len" => ask.prompt_tokens = tokens()?,
-            "prefix_len" => ask.prefix_tokens = tokens()?,
+            "prefix" => new_request.prefix = Some(name_hash::prefix_key(value.as_bytes())),
+            "prompt_len" => new_request.prompt_tokens = tokens()?,
+            "prefix_len" => new_request.prefix_tokens = tokens()?,
             _ => {}
         }
     }
-    Ok((ask, id))
+    Ok((new_request, id))
 }
 
-/// A whole number, digits only.
-fn number(text: &str) -> Option<u64> {
+/// Parses a whole number that consists of digits only, without a sign.
+fn parse_number(text: &str) -> Option<u64> {
     text.parse().ok().filter(|_| text.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// Answers one request.
+/// Serves one request.
 pub async fn answer(
     context: &Rc<FrontContext>,
-    wire: &mut BufferedConnection,
-    request: Incoming,
+    connection: &mut BufferedConnection,
+    request: IncomingRequest,
 ) -> io::Result<AfterAnswer> {
-    let (ask, id) = match read(context, &request, context.clock.now()) {
-        Ok(read) => read,
-        Err(why) => return reject(context, wire, why).await,
+    let (new_request, id) = match parse_request(context, &request, context.clock.now()) {
+        Ok(parsed) => parsed,
+        Err(rejection) => return reject(context, connection, rejection).await,
     };
     let idempotency_key = match request.idempotency_key() {
         Ok(key) => key,
-        Err(bad) => return reject(context, wire, bad.into()).await,
+        Err(error) => return reject(context, connection, error.into()).await,
     };
     if context.dispatcher.is_full() {
-        return reject(context, wire, Rejection::Full).await;
+        return reject(context, connection, Rejection::Full).await;
     }
-    let same = context.replicas.dialect == Dialect::Chat;
-    let Incoming { method, mut target, mut body, client, .. } = request;
-    if !same {
-        // An old client, newer model nodes: the one case in which this front is not thin.
-        let Ok(asked) = ConversationRequest::parse_chat(&body.bytes) else {
-            return reject(context, wire, HttpError::Malformed.into()).await;
+    let same_dialect = context.replicas.dialect == Dialect::Chat;
+    let IncomingRequest { method, mut target, mut body, client, .. } = request;
+    if !same_dialect {
+        // The replicas speak the messages dialect: request and events are translated.
+        let Ok(conversation) = ConversationRequest::parse_chat(&body.bytes) else {
+            return reject(context, connection, HttpError::Malformed.into()).await;
         };
-        let bytes = asked.messages_body(context.limits.default_max_tokens);
+        let bytes = conversation.messages_body(context.limits.default_max_tokens);
         let Some(reserved) = context.body_budget.reserve(bytes.len()) else {
-            return reject(context, wire, Rejection::Full).await;
+            return reject(context, connection, Rejection::Full).await;
         };
         (target, body) = (
             Bytes::from_static(context.replicas.dialect.path()),
             BufferedBody { bytes: bytes.into(), reserved },
         );
     }
-    let prompt = UpstreamRequest { id, method, target, body, idempotency_key, text: !same, client };
-    let Some(mut ticket) = context.dispatcher.submit(ask, prompt) else {
-        return reject(context, wire, Rejection::Twice).await;
+    let upstream_request =
+        UpstreamRequest { id, method, target, body, idempotency_key, text: !same_dialect, client };
+    let Some(mut handle) = context.dispatcher.submit(new_request, upstream_request) else {
+        return reject(context, connection, Rejection::Twice).await;
     };
     let mut writer = ChatWriter::default();
-    let mut unsaid = true;
+    let mut head_pending = true;
     loop {
-        match next(context, wire, &mut ticket).await {
-            Next::Piece(ResponseEvent::Data(bytes, told)) => {
-                let bytes = if same { bytes } else { writer.write(&told) };
+        match next_event(context, connection, &mut handle).await {
+            NextEvent::Response(ResponseEvent::Data(bytes, events)) => {
+                let bytes = if same_dialect { bytes } else { writer.write(&events) };
                 if bytes.is_empty() {
                     continue;
                 }
-                write_chunk(context, wire, opening(context, &mut unsaid, BEGUN, ""), bytes).await?;
+                write_chunk(
+                    context,
+                    connection,
+                    take_stream_head(context, &mut head_pending, STREAM_HEAD, ""),
+                    bytes,
+                )
+                .await?;
             }
-            Next::Piece(ResponseEvent::End(FinalAnswer::Completed)) => {
-                if !same {
-                    let head = opening(context, &mut unsaid, BEGUN, "");
-                    write_chunk(context, wire, head, writer.finish()).await?;
+            NextEvent::Response(ResponseEvent::End(FinalAnswer::Completed)) => {
+                if !same_dialect {
+                    let head = take_stream_head(context, &mut head_pending, STREAM_HEAD, "");
+                    write_chunk(context, connection, head, writer.finish()).await?;
                 }
-                write(context, wire, &b"0\r\n\r\n"[..]).await?;
+                write(context, connection, &b"0\r\n\r\n"[..]).await?;
                 return Ok(AfterAnswer::KeepOpen);
             }
-            // Nothing of the stream has reached the client: closed without a word, it would send the request again.
-            Next::Piece(ResponseEvent::End(FinalAnswer::Interrupted)) if unsaid => {
-                write_whole(context, wire, 500, "", Bytes::from_static(b"failed\n")).await?;
+            // No byte has been sent yet: a close without a response would make the client retry the request.
+            NextEvent::Response(ResponseEvent::End(FinalAnswer::Interrupted)) if head_pending => {
+                write_response(context, connection, 500, "", Bytes::from_static(b"failed\n")).await?;
                 return Ok(AfterAnswer::Close);
             }
-            // Without the last chunk, so that the client knows that this is not the end.
-            Next::Piece(ResponseEvent::End(FinalAnswer::Interrupted)) | Next::Left => {
-                return Ok(AfterAnswer::Close)
-            }
-            Next::Piece(ResponseEvent::End(FinalAnswer::Rejected { retry_after: advice, reason: why })) => {
-                let fields = format!("Retry-After: {:.3}\r\n", retry_after(context, advice));
-                let status = if why == RejectReason::QuotaExceeded { 429 } else { 503 };
-                write_whole(context, wire, status, &fields, Bytes::from_static(b"refused\n")).await?;
+            // The last chunk is left out, so that the client sees an incomplete response.
+            NextEvent::Response(ResponseEvent::End(FinalAnswer::Interrupted))
+            | NextEvent::ClientDisconnected => return Ok(AfterAnswer::Close),
+            NextEvent::Response(ResponseEvent::End(FinalAnswer::Rejected {
+                retry_after: advice,
+                reason: reject_reason,
+            })) => {
+                let fields = format!("Retry-After: {:.3}\r\n", retry_after_seconds(context, advice));
+                let status = if reject_reason == RejectReason::QuotaExceeded { 429 } else { 503 };
+                write_response(context, connection, status, &fields, Bytes::from_static(b"refused\n"))
+                    .await?;
                 return Ok(AfterAnswer::KeepOpenAfterRejection);
             }
-            Next::Piece(ResponseEvent::End(FinalAnswer::Failed { past_deadline: late })) => {
-                let status = if late { 504 } else { 500 };
-                write_whole(context, wire, status, "", Bytes::from_static(b"failed\n")).await?;
+            NextEvent::Response(ResponseEvent::End(FinalAnswer::Failed { past_deadline: timed_out })) => {
+                let status = if timed_out { 504 } else { 500 };
+                write_response(context, connection, status, "", Bytes::from_static(b"failed\n")).await?;
                 return Ok(AfterAnswer::KeepOpen);
             }
         }
     }
 }
 
-/// Answers what is no request that could be taken.
+/// Answers a rejected request.
 pub async fn reject(
     context: &FrontContext,
-    wire: &mut BufferedConnection,
-    why: Rejection,
+    connection: &mut BufferedConnection,
+    rejection: Rejection,
 ) -> io::Result<AfterAnswer> {
-    let status = why.status();
-    let fields = match why {
-        Rejection::Full => format!("Retry-After: {:.3}\r\n", retry_after(context, 0)),
+    let status = rejection.status();
+    let fields = match rejection {
+        Rejection::Full => format!("Retry-After: {:.3}\r\n", retry_after_seconds(context, 0)),
         Rejection::Method => "Allow: POST\r\n".into(),
         _ => String::new(),
     };
     let body = Bytes::from_static(crate::http::reason_phrase(status).as_bytes());
-    write_whole(context, wire, status, &fields, body).await?;
+    write_response(context, connection, status, &fields, body).await?;
     Ok(AfterAnswer::KeepOpenAfterRejection)
 }
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -450,7 +450,7 @@
     let otherwise = s.entry("partner-otherwise");
     MessagesFront {
         listen: s.address("listen").unwrap_or(([127, 0, 0, 1], 0).into()),
-        nodes: if s.text("nodes") == "messages" { Dialect::Messages } else { Dialect::Chat },
+        replica_dialect: if s.text("nodes") == "messages" { Dialect::Messages } else { Dialect::Chat },
         models,
         tenant_header: s.text("partner-header").to_string(),
         tenants: values,
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -212,7 +212,7 @@
         None => None,
     };
     let messages = installation.as_ref().and_then(|i| i.messages.clone());
-    let dialect = messages.as_ref().map_or(Dialect::Chat, |front| front.nodes);
+    let dialect = messages.as_ref().map_or(Dialect::Chat, |front| front.replica_dialect);
     let components = Components::new(config, dialect, peers)?;
     // Old or empty, it sets the module going.
     let known = known.unwrap_or(EndpointListMessage { version: 0, full: true, endpoints: Vec::new() });
