--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -1,5 +1,5 @@
-//! The settings file of an installation, `--settings FILE`: everything that the platform does not have. Its
-//! form is `tallypin_settings_schema`'s; here stand the table of what may be in it and the types that it becomes.
+//! The settings file of an installation, `--settings FILE`: its schema and the types that it is converted to. It has the
+//! settings that the platform's configuration does not cover; `tallypin_settings_schema` parses it.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,9 +24,9 @@
 use crate::log::{self, LogSettings};
 use crate::outward::Gate;
 
-const HOUR: u64 = 3_600_000;
-const TIME: &[Kind] = &[Kind::Duration(1, HOUR)];
-const TIME_OR_0: &[Kind] = &[Kind::Duration(0, HOUR)];
+const HOUR_MS: u64 = 3_600_000;
+const TIME: &[Kind] = &[Kind::Duration(1, HOUR_MS)];
+const TIME_OR_0: &[Kind] = &[Kind::Duration(0, HOUR_MS)];
 const SHARE: &[Kind] = &[Kind::Percent(0.0, 100.0)];
 const STATUS: &[Kind] = &[Kind::Count(200, 599)];
 const SWITCH: &[Kind] = &[Kind::Switch];
@@ -247,7 +247,7 @@
     sections: &[],
 };
 
-/// All that may stand in the file.
+/// The schema of the settings file.
 pub static FILE: Section = Section {
     name: "",
     always: true,
@@ -256,149 +256,148 @@
     sections: &[LOG, MESSAGES, CHECKS, HEALTH, DRAIN, CONTROL, PROXY, fleet::settings::SECTION],
 };
 
-/// How balancers may ask.
+/// How health checks of balancers are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CheckSettings {
-    /// Check connections at once.
+    /// Maximum number of open check connections.
     pub connections: usize,
-    /// A check must be whole, and answered, within this.
+    /// Time limit for receiving and answering a check.
     pub budget: Duration,
-    /// A kept connection may rest so long.
+    /// Idle timeout of a check connection that is kept open.
     pub idle: Duration,
-    /// Agent checks, if they are answered.
+    /// Agent checks, if they are enabled.
     pub agent: Option<AgentSettings>,
-    /// Where checks over HTTP are answered, if they are.
+    /// The address for checks over HTTP, if they are enabled.
     pub http: Option<SocketAddr>,
-    /// How.
+    /// How checks over HTTP are answered.
     pub policy: HttpCheckPolicy,
-    /// The load report on ordinary answers, if there is one.
+    /// The format of the load report on ordinary responses, if it is enabled.
     pub report: Option<ReportFormat>,
-    /// gRPC, if it is served.
+    /// gRPC health checking, if it is enabled.
     pub grpc: Option<GrpcSettings>,
 }
 
-/// How agent checks are answered.
+/// How agent checks are served.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AgentSettings {
-    /// Where.
+    /// The address that it listens on.
     pub listen: SocketAddr,
-    /// How long to wait for a line that picks the service.
+    /// How long to wait for a line that names the service.
     pub send_wait: Duration,
-    /// Whether to tell how many connections are wanted.
+    /// Whether answers carry the maximum number of connections.
     pub maxconn: bool,
 }
 
-/// How gRPC is served.
+/// How gRPC health checking is served.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GrpcSettings {
-    /// Where.
+    /// The address that it listens on.
     pub listen: SocketAddr,
-    /// Streams that stay open at once.
+    /// Maximum number of open watches and report streams.
     pub watches: usize,
-    /// Load reports out of band, and the bounds of their interval.
+    /// Minimum and maximum interval of out-of-band load reports, if they are enabled.
     pub reports: Option<(Duration, Duration)>,
 }
 
-/// How state and weight are found.
+/// How health state and weight are determined.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthSettings {
-    /// Measured so often.
+    /// Interval between assessments.
     pub every: Duration,
-    /// The decision's figures.
+    /// Limits that the assessment uses.
     pub figures: assessment::AssessmentLimits,
-    /// Open requests a warm model node is worth.
+    /// Open requests that one warm replica has capacity for.
     pub node_room: usize,
-    /// The figures of a drain.
+    /// The timing of a drain.
     pub drain: drain_sequence::DrainTiming,
-    /// How balancers are remembered.
+    /// Limits on the balancers that are tracked.
     pub askers: checkers::CheckerLimits,
 }
 
-/// The operator's socket.
+/// The operator's Unix socket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlSettings {
     /// Its path.
     pub socket: PathBuf,
-    /// Its permissions.
+    /// Its file mode.
     pub mode: u32,
 }
 
-/// An installation's settings.
+/// The settings of an installation.
 #[derive(Debug, Clone)]
 pub struct Installation {
-    /// The log.
+    /// Logging.
     pub log: LogSettings,
-    /// The messages API.
+    /// The messages API, if it is enabled.
     pub messages: Option<MessagesFront>,
-    /// Checks.
+    /// Health checks of balancers, if they are enabled.
     pub checks: Option<CheckSettings>,
-    /// State, weight and drain.
+    /// Health state, weight and drains.
     pub health: HealthSettings,
-    /// The operator's socket.
+    /// The operator's socket, if it is enabled.
     pub control: Option<ControlSettings>,
-    /// The fleet that it is a part of.
+    /// The fleet that the router belongs to, if there is one.
     pub fleet: Option<FleetSettings>,
-    /// Who may send a PROXY preface.
+    /// Which listeners require a PROXY preface, and from which senders.
     pub gate: Gate,
-    /// The file as it was checked, to compare and to print.
+    /// The checked file, for printing and for comparison on reload.
     pub checked: Checked,
 }
 
 impl Installation {
-    /// Reads the file; what it names must be there in the deployment. All that is wrong is told.
-    pub fn read(path: &Path, of: &Deployment) -> Result<Installation, Problems> {
-        Installation::read_by(path, of, &|path| std::fs::read_to_string(path))
+    /// Reads the settings file. The classes and tenants that it names must exist in the deployment. Reports all problems.
+    pub fn read(path: &Path, deployment: &Deployment) -> Result<Installation, Problems> {
+        Installation::read_by(path, deployment, &|path| std::fs::read_to_string(path))
     }
 
-    /// The same, the files read by this.
+    /// Like [`Installation::read`], with `read` as the file system.
     pub fn read_by(
         path: &Path,
-        of: &Deployment,
+        deployment: &Deployment,
         read: &dyn Fn(&Path) -> io::Result<String>,
     ) -> Result<Installation, Problems> {
         let (tree, sources, mut problems) = load(path, Bounds::default(), read);
         let checked = check(&tree, &FILE, &mut problems);
-        let installation = Installation::of(checked, of, &mut problems);
+        let installation = Installation::from_checked(checked, deployment, &mut problems);
         match problems.is_empty() {
             true => Ok(installation),
             false => Err(Problems::new(sources, problems)),
         }
     }
 
-    fn of(checked: Checked, of: &Deployment, problems: &mut Vec<Problem>) -> Installation {
+    fn from_checked(checked: Checked, deployment: &Deployment, problems: &mut Vec<Problem>) -> Installation {
         let section = |name: &str| checked.within(name);
-        let health = health(section("health"), section("drain"));
-        let messages = section("messages").map(|s| messages(s, of, problems));
-        let gate = section("proxy-protocol").map(|s| gate(s, problems)).unwrap_or_default();
-        let checks = section("checks").map(|s| checks(s, problems));
+        let health = health_settings(section("health"), section("drain"));
+        let messages = section("messages").map(|s| messages_front(s, deployment, problems));
+        let gate = section("proxy-protocol").map(|s| proxy_gate(s, problems)).unwrap_or_default();
+        let checks = section("checks").map(|s| check_settings(s, problems));
         let control = section("control").map(|s| ControlSettings {
             socket: s.path("socket").map(PathBuf::from).unwrap_or_default(),
             mode: s.number("mode") as u32,
         });
         let fleet = section("fleet").map(|s| FleetSettings::from_section(s, problems));
         if let Some(place) = section("fleet").map(|s| s.place).filter(|_| control.is_none()) {
-            problems
-                .push(Problem::new(place, "section `fleet` wants section `control`, where its orders come"));
+            problems.push(Problem::new(place, "section `fleet` requires section `control` for its orders"));
         }
         let log = section("log").map(log_settings).unwrap_or_default();
         Installation { log, messages, checks, health, control, fleet, gate, checked }
     }
 
-    /// Sets aside the descriptors that checks and orders need; says so if that leaves too few for clients.
+    /// Reserves descriptors for checks, operator orders and the fleet; an error if fewer than two remain for clients.
     pub fn reserve(&self, limits: &mut Limits) -> Result<(), String> {
         let checks = self.checks.as_ref().map_or(0, |c| {
             let listeners = usize::from(c.agent.is_some()) + usize::from(c.http.is_some());
             c.connections + listeners + usize::from(c.grpc.is_some())
         });
-        // A listener and four connections.
         let fleet = self.fleet.as_ref().map_or(0, FleetSettings::descriptors);
+        // The control socket needs a listener and four connections.
         let needed = checks + fleet + if self.control.is_some() { 5 } else { 0 };
         match limits.max_clients.checked_sub(needed).filter(|left| *left >= 2) {
             Some(left) => limits.max_clients = left,
             None => {
                 return Err(format!(
-                    "{needed} descriptors for checks, orders and the fleet leave none for clients"
-                ))
+                "too few file descriptors: {needed} for checks, orders and the fleet leave none for clients"
+            ))
             }
         }
         Ok(())
@@ -406,72 +405,73 @@
 }
 
 fn log_settings(s: &Checked) -> LogSettings {
-    let of = |word: &str| log::parse_level(word).unwrap_or(tracing::level_filters::LevelFilter::INFO);
+    let level = |name: &str| log::parse_level(name).unwrap_or(tracing::level_filters::LevelFilter::INFO);
     LogSettings {
-        level: of(s.text("level")),
-        targets: s.all("target").map(|e| (e.text(0).to_string(), of(e.text(1)))).collect(),
+        level: level(s.text("level")),
+        targets: s.all("target").map(|e| (e.text(0).to_string(), level(e.text(1)))).collect(),
         json: s.text("form") == "json",
         queue: s.number("queue") as usize,
     }
 }
 
-/// Looks a name up in a list of the deployment.
-fn place(entry: &Entry, word: usize, what: &str, names: &[&str], problems: &mut Vec<Problem>) -> u32 {
-    let name = entry.text(word);
+/// The index of an argument in a list of names of the deployment; reports a name that the list does not have.
+fn index_of(entry: &Entry, argument: usize, what: &str, names: &[&str], problems: &mut Vec<Problem>) -> u32 {
+    let name = entry.text(argument);
     names.iter().position(|n| *n == name).map_or_else(
         || {
             let mut problem =
-                Problem::new(entry.place(word + 1), format!("the deployment has no {what} `{name}`"));
+                Problem::new(entry.place(argument + 1), format!("the deployment has no {what} `{name}`"));
             problem.help = Some(match nearest(name, names.iter().copied()) {
-                Some(near) => format!("did you mean `{near}`?"),
-                None => format!("it has {}", names.join(", ")),
+                Some(closest) => format!("did you mean `{closest}`?"),
+                None => format!("known names: {}", names.join(", ")),
             });
             problems.push(problem);
             0
         },
-        |at| at as u32,
+        |index| index as u32,
     )
 }
 
-fn messages(s: &Checked, of: &Deployment, problems: &mut Vec<Problem>) -> MessagesFront {
-    let classes: Vec<&str> = of.classes.iter().map(|c| c.name.as_str()).collect();
-    let tenant_names: Vec<&str> = of.tenant_names.iter().map(String::as_str).collect();
+fn messages_front(s: &Checked, deployment: &Deployment, problems: &mut Vec<Problem>) -> MessagesFront {
+    let classes: Vec<&str> = deployment.classes.iter().map(|c| c.name.as_str()).collect();
+    let tenant_names: Vec<&str> = deployment.tenant_names.iter().map(String::as_str).collect();
     let mut models = BTreeMap::new();
     for e in s.all("model") {
-        models.insert(e.text(0).to_string(), ClassId(place(e, 1, "class", &classes, problems)));
+        models.insert(e.text(0).to_string(), ClassId(index_of(e, 1, "class", &classes, problems)));
     }
     if models.is_empty() {
-        problems.push(Problem::new(s.place, "section `messages` names no `model`: it could answer nothing"));
+        problems.push(Problem::new(s.place, "section `messages` has no `model`: it could serve no request"));
     }
-    let mut values = BTreeMap::new();
+    let mut tenants = BTreeMap::new();
     for e in s.all("partner") {
-        values.insert(e.text(0).to_string(), TenantId(place(e, 1, "partner", &tenant_names, problems)));
+        tenants.insert(e.text(0).to_string(), TenantId(index_of(e, 1, "partner", &tenant_names, problems)));
     }
-    let otherwise = s.entry("partner-otherwise");
+    let default_tenant = s.entry("partner-otherwise");
     MessagesFront {
         listen: s.address("listen").unwrap_or(([127, 0, 0, 1], 0).into()),
         replica_dialect: if s.text("nodes") == "messages" { Dialect::Messages } else { Dialect::Chat },
         models,
         tenant_header: s.text("partner-header").to_string(),
-        tenants: values,
-        default_tenant: otherwise.map(|e| TenantId(place(e, 0, "partner", &tenant_names, problems))),
+        tenants,
+        default_tenant: default_tenant.map(|e| TenantId(index_of(e, 0, "partner", &tenant_names, problems))),
         deadline_header: s.text("deadline-header").to_string(),
     }
 }
 
-fn words(s: &Checked, name: &str) -> Vec<String> {
+/// The arguments of all entries of a directive, as text.
+fn arguments(s: &Checked, name: &str) -> Vec<String> {
     s.all(name).flat_map(|e| &e.values).map(ToString::to_string).collect()
 }
 
-fn checks(s: &Checked, problems: &mut Vec<Problem>) -> CheckSettings {
+fn check_settings(s: &Checked, problems: &mut Vec<Problem>) -> CheckSettings {
     let (agent, http, grpc) = (s.within("agent"), s.within("http"), s.within("grpc"));
     if agent.is_none() && http.is_none() && grpc.is_none() {
-        problems.push(Problem::new(s.place, "section `checks` holds none of `agent`, `http` and `grpc`"));
+        problems.push(Problem::new(s.place, "section `checks` requires `agent`, `http` or `grpc`"));
     }
-    let mut policy = HttpCheckPolicy { envoy: s.on("envoy"), ..HttpCheckPolicy::default() };
+    let mut policy = HttpCheckPolicy { envoy: s.is_on("envoy"), ..HttpCheckPolicy::default() };
     if let Some(http) = http {
         let status = |name: &str| http.number(name) as u16;
-        (policy.paths, policy.methods) = (words(http, "paths"), words(http, "methods"));
+        (policy.paths, policy.methods) = (arguments(http, "paths"), arguments(http, "methods"));
         policy.statuses = StatusCodes {
             degraded: status("degraded"),
             drain: status("drain"),
@@ -487,7 +487,7 @@
         for name in ["drain", "maint", "down"] {
             if (200..400).contains(&status(name)) {
                 let place = http.entry(name).map_or(s.place, |e| e.place(1));
-                let what = format!("`{name}` with a status that means well would keep traffic coming");
+                let what = format!("`{name}` must not be a 2xx or 3xx status: balancers read it as healthy");
                 problems.push(Problem::new(place, what));
             }
         }
@@ -497,7 +497,7 @@
         budget: s.duration("budget"),
         idle: s.duration("idle"),
         agent: agent.and_then(|a| {
-            let (send_wait, maxconn) = (a.duration("send-wait"), a.on("maxconn"));
+            let (send_wait, maxconn) = (a.duration("send-wait"), a.is_on("maxconn"));
             a.address("listen").map(|listen| AgentSettings { listen, send_wait, maxconn })
         }),
         http: http.and_then(|h| h.address("listen")),
@@ -505,13 +505,13 @@
         report: ReportFormat::from_name(s.text("report")),
         grpc: grpc.and_then(|g| {
             let bounds = (g.duration("report-least"), g.duration("report-most"));
-            let (watches, reports) = (g.number("watches") as usize, g.on("reports").then_some(bounds));
+            let (watches, reports) = (g.number("watches") as usize, g.is_on("reports").then_some(bounds));
             g.address("listen").map(|listen| GrpcSettings { listen, watches, reports })
         }),
     }
 }
 
-fn health(health: Option<&Checked>, drain: Option<&Checked>) -> HealthSettings {
+fn health_settings(health: Option<&Checked>, drain: Option<&Checked>) -> HealthSettings {
     let mut settings = HealthSettings {
         every: Duration::from_millis(100),
         figures: assessment::AssessmentLimits::default(),
@@ -557,17 +557,17 @@
     settings
 }
 
-fn gate(s: &Checked, problems: &mut Vec<Problem>) -> Gate {
+fn proxy_gate(s: &Checked, problems: &mut Vec<Problem>) -> Gate {
     let networks = s.networks("from");
     let gate = Gate {
-        platform: s.on("platform"),
-        messages: s.on("messages"),
-        checks: s.on("checks"),
+        platform: s.is_on("platform"),
+        messages: s.is_on("messages"),
+        checks: s.is_on("checks"),
         within: s.duration("within"),
         senders: TrustedSenders::new(networks.clone()),
     };
     if networks.is_empty() && (gate.platform || gate.messages || gate.checks) {
-        problems.push(Problem::new(s.place, "section `proxy-protocol` is on and allows no `from`"));
+        problems.push(Problem::new(s.place, "section `proxy-protocol` is enabled but has no `from`"));
     }
     gate
 }
--- a/router/tests/program.rs
+++ b/router/tests/program.rs
@@ -204,7 +204,9 @@
     let write = |text: &str| std::fs::write(served.dir.join("t.conf"), text).unwrap();
     write("checks {\n agant {\n");
     served.signal("-HUP");
-    assert!(told("`agant` is not known in section `checks`").contains("configuration rejected"));
+    assert!(
+        told("unknown directive or section `agant` in section `checks`").contains("configuration rejected")
+    );
     let reserved = Reserved::on("127.2.0.2").unwrap();
     let moved = reserved.at;
     let more = "log {\n level debug\n queue 99\n}\n";
--- a/settings-schema/src/checked.rs
+++ b/settings-schema/src/checked.rs
@@ -1,4 +1,4 @@
-//! A tree held against the table: what is known, with its meaning and its defaults.
+//! Checks a tree of sections against the schema; the result has parsed values and defaults.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -6,52 +6,52 @@
 
 use ipnet::IpNet;
 
-use crate::load::{Line, Tree};
-use crate::problem::{Place, Problem};
-use crate::schema::{Directive, Need, Repeat, Section, Takes};
+use crate::load::{Line, SectionTree};
+use crate::problem::{Problem, SourceSpan};
+use crate::schema::{Directive, Presence, Repeat, Section, Takes};
 use crate::value::{Kind, Value};
 
-/// A directive that was given, or its default.
+/// A directive that was given, or that has its default.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// What it is.
+    /// Its declaration.
     pub directive: &'static Directive,
-    /// The meaning of its words.
+    /// The values of its arguments.
     pub values: Vec<Value>,
-    /// Where it stands; `None` for a default.
+    /// The line that gives it; `None` for a default.
     pub line: Option<Line>,
 }
 
 impl Entry {
-    /// The place of a word, the name being number 0.
-    pub fn place(&self, word: usize) -> Place {
-        self.line.as_ref().map_or(Place::default(), |l| l.place_of(word))
+    /// The position of a token: 0 is the name, 1 the first argument. The default position if no line gives the directive.
+    pub fn place(&self, token: usize) -> SourceSpan {
+        self.line.as_ref().map_or(SourceSpan::default(), |l| l.span_of(token))
     }
 
-    /// A word as text, from 0 behind the name.
-    pub fn text(&self, word: usize) -> &str {
-        match self.values.get(word) {
+    /// The argument at an index, from 0, if it is a text; empty otherwise.
+    pub fn text(&self, argument: usize) -> &str {
+        match self.values.get(argument) {
             Some(Value::Text(t)) => t,
             _ => "",
         }
     }
 }
 
-/// A section with its meaning.
+/// A checked section.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Checked {
-    /// What it is.
+    /// Its declaration.
     pub section: &'static Section,
-    /// Where it is opened.
-    pub place: Place,
-    /// Its directives in the order of the table, several of one in the order of the file.
+    /// The position of the line that opens it.
+    pub place: SourceSpan,
+    /// Its directives in the order of the schema; repeated ones in the order of the file.
     pub entries: Vec<Entry>,
-    /// Its sections in the order of the table.
+    /// The sections in it, in the order of the schema.
     pub sections: Vec<Checked>,
 }
 
 impl Checked {
-    /// A section in it.
+    /// The section of this name in it, if there is one.
     pub fn within(&self, name: &str) -> Option<&Checked> {
         self.sections.iter().find(|s| s.section.name == name)
     }
@@ -61,7 +61,7 @@
         self.entries.iter().filter(move |e| e.directive.name == name)
     }
 
-    /// The entry of a directive.
+    /// The first entry of a directive.
     pub fn entry(&self, name: &str) -> Option<&Entry> {
         self.all(name).next()
     }
@@ -70,7 +70,7 @@
         self.entry(name)?.values.first()
     }
 
-    /// A time.
+    /// The value of a directive that takes a duration; zero if it has none.
     pub fn duration(&self, name: &str) -> Duration {
         match self.value(name) {
             Some(Value::Duration(d)) => *d,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A share between 0 and 1.
+    /// The value of a directive that takes a percentage, as a fraction from 0 to 1; 0 if it has none.
     pub fn share(&self, name: &str) -> f64 {
         match self.value(name) {
             Some(Value::Percent(p)) => p / 100.0,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// A number, a size or a file mode.
+    /// The value of a directive that takes a number, a size or a file mode; 0 if it has none.
     pub fn number(&self, name: &str) -> u64 {
         match self.value(name) {
             Some(Value::Count(n) | Value::Size(n)) => *n,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// On or off.
-    pub fn on(&self, name: &str) -> bool {
+    /// Whether a directive that takes `on` or `off` is on.
+    pub fn is_on(&self, name: &str) -> bool {
         matches!(self.value(name), Some(Value::Switch(true)))
     }
 
-    /// An address.
+    /// The value of a directive that takes an address.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         match self.value(name) {
             Some(Value::Address(a)) => Some(*a),
@@ -108,12 +108,12 @@
         }
     }
 
-    /// A word; empty if there is none.
+    /// The value of a directive that takes a text; empty if it has none.
     pub fn text(&self, name: &str) -> &str {
         self.entry(name).map_or("", |e| e.text(0))
     }
 
-    /// A path.
+    /// The value of a directive that takes a path.
     pub fn path(&self, name: &str) -> Option<&Path> {
         match self.value(name) {
             Some(Value::Path(p)) => Some(p),
@@ -121,43 +121,44 @@
         }
     }
 
-    /// All networks of a directive.
+    /// The networks of all entries of a directive.
     pub fn networks(&self, name: &str) -> Vec<IpNet> {
         let values = self.all(name).flat_map(|e| &e.values);
         values.filter_map(|v| if let Value::Network(n) = v { Some(*n) } else { None }).collect()
     }
 }
 
-/// Holds a tree against the table. Whatever is wrong is told; what is right counts all the same.
-pub fn check(tree: &Tree, section: &'static Section, problems: &mut Vec<Problem>) -> Checked {
-    let place = tree.line.as_ref().map_or(Place::default(), |l| l.place);
-    if let Some(line) = tree.line.as_ref().filter(|l| l.words.len() > 1) {
-        problems.push(Problem::new(line.place_of(1), format!("section `{}` takes no words", section.name)));
+/// Checks a section against the schema. Problems are appended to `problems`; valid entries are kept in any case.
+pub fn check(tree: &SectionTree, section: &'static Section, problems: &mut Vec<Problem>) -> Checked {
+    let span = tree.line.as_ref().map_or(SourceSpan::default(), |l| l.span);
+    if let Some(line) = tree.line.as_ref().filter(|l| l.tokens.len() > 1) {
+        problems
+            .push(Problem::new(line.span_of(1), format!("section `{}` takes no arguments", section.name)));
     }
     let mut entries = given_entries(tree, section, problems);
-    entries.extend(defaults(tree, section, place, problems));
+    entries.extend(defaults(tree, section, span, problems));
     entries.sort_by_key(|e| section.directives.iter().position(|d| d.name == e.directive.name));
     let sections = inner_sections(tree, section, problems);
-    Checked { section, place, entries, sections }
+    Checked { section, place: span, entries, sections }
 }
 
-/// The directives that stand in a section.
-fn given_entries(tree: &Tree, section: &'static Section, problems: &mut Vec<Problem>) -> Vec<Entry> {
+/// The directives that the file gives in a section.
+fn given_entries(tree: &SectionTree, section: &'static Section, problems: &mut Vec<Problem>) -> Vec<Entry> {
     let mut entries: Vec<Entry> = Vec::new();
     for line in &tree.lines {
         let Some(directive) = section.directives.iter().find(|d| d.name == line.name()) else {
-            problems.push(unknown(line, section));
+            problems.push(unknown_name(line, section));
             continue;
         };
-        let Some(values) = read(line, directive, problems) else { continue };
-        let same = |e: &&Entry| match directive.repeat {
+        let Some(values) = parse_arguments(line, directive, problems) else { continue };
+        let is_duplicate = |e: &&Entry| match directive.repeat {
             Repeat::Once => e.directive.name == directive.name,
             Repeat::Many => e.directive.name == directive.name && e.values.first() == values.first(),
         };
-        if let Some(before) = entries.iter().find(same) {
-            let at = before.line.as_ref().map_or(0, |l| l.place.line);
-            let what = format!("`{}` stands a second time, first in line {at}", directive.name);
-            problems.push(Problem::new(line.place, what));
+        if let Some(first) = entries.iter().find(is_duplicate) {
+            let first_line = first.line.as_ref().map_or(0, |l| l.span.line);
+            let what = format!("`{}` is already given in line {first_line}", directive.name);
+            problems.push(Problem::new(line.span, what));
             continue;
         }
         entries.push(Entry { directive, values, line: Some(line.clone()) });
@@ -165,21 +166,27 @@
     entries
 }
 
-/// The defaults of the directives that do not stand in a section; one that must is told.
-fn defaults(tree: &Tree, section: &'static Section, place: Place, problems: &mut Vec<Problem>) -> Vec<Entry> {
+/// The defaults of the directives that the file does not give in a section; reports required ones.
+fn defaults(
+    tree: &SectionTree,
+    section: &'static Section,
+    span: SourceSpan,
+    problems: &mut Vec<Problem>,
+) -> Vec<Entry> {
     let mut entries = Vec::new();
     for directive in section.directives {
         if tree.lines.iter().any(|line| line.name() == directive.name) {
             continue;
         }
-        match directive.need {
-            Need::Required => {
-                let what = format!("section `{}` lacks `{}`", section.name, directive.name);
-                problems.push(Problem::new(place, what));
+        match directive.presence {
+            Presence::Required => {
+                let what =
+                    format!("section `{}` requires `{}`, which is missing", section.name, directive.name);
+                problems.push(Problem::new(span, what));
             }
-            Need::Optional => {}
-            Need::Default(words) => {
-                let values = values(directive, words).unwrap_or_default();
+            Presence::Optional => {}
+            Presence::Default(arguments) => {
+                let values = default_values(directive, arguments).unwrap_or_default();
                 entries.push(Entry { directive, values, line: None });
             }
         }
@@ -187,116 +194,129 @@
     entries
 }
 
-/// The sections in a section, in the order of the table: those that stand there, and those that always hold.
-fn inner_sections(tree: &Tree, section: &'static Section, problems: &mut Vec<Problem>) -> Vec<Checked> {
+/// The sections in a section, in the order of the schema: those that the file gives, and those that always apply.
+fn inner_sections(
+    tree: &SectionTree,
+    section: &'static Section,
+    problems: &mut Vec<Problem>,
+) -> Vec<Checked> {
     let mut sections: Vec<Checked> = Vec::new();
     for inner in &tree.sections {
         let Some(line) = &inner.line else { continue };
         match section.sections.iter().find(|s| s.name == line.name()) {
             Some(known) if sections.iter().any(|s| s.section.name == known.name) => {
-                let what = format!("section `{}` stands a second time", known.name);
-                problems.push(Problem::new(line.place, what));
+                let what = format!("section `{}` is given more than once", known.name);
+                problems.push(Problem::new(line.span, what));
             }
             Some(known) => sections.push(check(inner, known, problems)),
-            None => problems.push(unknown(line, section)),
+            None => problems.push(unknown_name(line, section)),
         }
     }
     for inner in section.sections.iter().filter(|s| s.always) {
         if !sections.iter().any(|s| s.section.name == inner.name) {
-            sections.push(check(&Tree::default(), inner, problems));
+            sections.push(check(&SectionTree::default(), inner, problems));
         }
     }
     sections.sort_by_key(|s| section.sections.iter().position(|k| k.name == s.section.name));
     sections
 }
 
-fn unknown(line: &Line, section: &Section) -> Problem {
+/// The problem of a name that the schema does not have in a section.
+fn unknown_name(line: &Line, section: &Section) -> Problem {
     let name = line.name();
     let known: Vec<&str> = section.directives.iter().map(|d| d.name).collect();
     let inner: Vec<&str> = section.sections.iter().map(|s| s.name).collect();
     let what = match section.name {
-        "" => format!("`{name}` is not known here"),
-        within => format!("`{name}` is not known in section `{within}`"),
+        "" => format!("unknown directive or section `{name}`"),
+        within => format!("unknown directive or section `{name}` in section `{within}`"),
     };
-    let mut problem = Problem::new(line.place, what);
+    let mut problem = Problem::new(line.span, what);
     if inner.contains(&name) {
-        problem.help = Some(format!("`{name}` is a section: `{name} {{`"));
+        problem.help = Some(format!("`{name}` is a section, opened by `{name} {{`"));
         return problem;
     }
     if known.contains(&name) {
         problem.help = Some(format!("`{name}` is a directive and takes no braces"));
         return problem;
     }
-    problem.near(name, known.into_iter().chain(inner).chain(["include"]))
+    problem.suggest_closest(name, known.into_iter().chain(inner).chain(["include"]))
 }
 
-/// The kind of a word, from 0 behind the name.
-fn kind(directive: &Directive, word: usize) -> Option<Kind> {
-    let last = directive.words.last().copied().filter(|_| directive.rest);
-    directive.words.get(word).copied().or(last)
+/// The kind of the argument at an index, from 0.
+fn argument_kind(directive: &Directive, argument: usize) -> Option<Kind> {
+    let repeated = directive.arguments.last().copied().filter(|_| directive.repeats_last);
+    directive.arguments.get(argument).copied().or(repeated)
 }
 
-fn values(directive: &Directive, words: &[&str]) -> Option<Vec<Value>> {
-    words.iter().enumerate().map(|(i, w)| kind(directive, i)?.read(w)).collect()
+/// The values of default arguments.
+fn default_values(directive: &Directive, arguments: &[&str]) -> Option<Vec<Value>> {
+    arguments.iter().enumerate().map(|(i, text)| argument_kind(directive, i)?.read(text)).collect()
 }
 
-fn read(line: &Line, directive: &'static Directive, problems: &mut Vec<Problem>) -> Option<Vec<Value>> {
-    let before = problems.len();
+/// Parses the arguments of a line; `None`, with the problems reported, if one is missing, malformed or too many.
+fn parse_arguments(
+    line: &Line,
+    directive: &'static Directive,
+    problems: &mut Vec<Problem>,
+) -> Option<Vec<Value>> {
+    let known_problems = problems.len();
     let mut values = Vec::new();
-    for (i, word) in line.words.iter().enumerate().skip(1) {
-        let Some(kind) = kind(directive, i - 1) else {
-            let most = directive.words.len();
-            let what = format!("`{}` takes {most} word{}", directive.name, if most == 1 { "" } else { "s" });
-            problems.push(Problem::new(line.place_of(i), what));
+    for (i, token) in line.tokens.iter().enumerate().skip(1) {
+        let Some(kind) = argument_kind(directive, i - 1) else {
+            let count = directive.arguments.len();
+            let what =
+                format!("`{}` takes {count} argument{}", directive.name, if count == 1 { "" } else { "s" });
+            problems.push(Problem::new(line.span_of(i), what));
             break;
         };
-        match kind.read(&word.text) {
+        match kind.read(&token.text) {
             Some(value) => values.push(value),
             None => {
-                let what = format!("`{}` wants {}", directive.name, kind.expects());
-                let words = kind.words().iter().copied();
-                problems.push(Problem::new(line.place_of(i), what).near(&word.text, words));
+                let what = format!("invalid argument of `{}`, expected {}", directive.name, kind.expects());
+                let keywords = kind.keywords().iter().copied();
+                problems.push(Problem::new(line.span_of(i), what).suggest_closest(&token.text, keywords));
             }
         }
     }
-    if let Some(missing) = directive.words.get(line.words.len() - 1) {
-        let what = format!("`{}` lacks {}", directive.name, missing.expects());
-        problems.push(Problem::new(line.place_of(line.words.len()), what));
+    if let Some(missing) = directive.arguments.get(line.tokens.len() - 1) {
+        let what = format!("missing argument of `{}`, expected {}", directive.name, missing.expects());
+        problems.push(Problem::new(line.span_of(line.tokens.len()), what));
     }
-    (problems.len() == before).then_some(values)
+    (problems.len() == known_problems).then_some(values)
 }
 
-/// A difference between two files.
+/// A directive or section that differs between two files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The directive or section, with the sections that it stands in, as `checks.agent`.
+    /// The path of the directive or section, as `checks.agent`.
     pub path: String,
-    /// When it takes effect.
+    /// When the change takes effect.
     pub takes: Takes,
 }
 
-/// In what a new file differs from an old one.
+/// The directives and sections that differ between an old and a new file.
 pub fn changes(old: &Checked, new: &Checked) -> Vec<Change> {
-    let mut all = Vec::new();
-    compare("", old, new, &mut all);
-    all
+    let mut changes = Vec::new();
+    compare("", old, new, &mut changes);
+    changes
 }
 
-fn compare(within: &str, old: &Checked, new: &Checked, all: &mut Vec<Change>) {
-    let path = |name: &str| if within.is_empty() { name.to_string() } else { format!("{within}.{name}") };
+/// Appends the changes in a section; `parent` is its path, empty for the file.
+fn compare(parent: &str, old: &Checked, new: &Checked, changes: &mut Vec<Change>) {
+    let path = |name: &str| if parent.is_empty() { name.to_string() } else { format!("{parent}.{name}") };
     for directive in old.section.directives {
-        let of =
+        let values =
             |c: &Checked| -> Vec<Vec<Value>> { c.all(directive.name).map(|e| e.values.clone()).collect() };
-        if of(old) != of(new) {
-            all.push(Change { path: path(directive.name), takes: directive.takes });
+        if values(old) != values(new) {
+            changes.push(Change { path: path(directive.name), takes: directive.takes });
         }
     }
     for section in old.section.sections {
         match (old.within(section.name), new.within(section.name)) {
-            (Some(old), Some(new)) => compare(&path(section.name), old, new, all),
+            (Some(old), Some(new)) => compare(&path(section.name), old, new, changes),
             (None, None) => {}
-            // Whether a part is there at all is decided at the start.
-            _ => all.push(Change { path: path(section.name), takes: Takes::Restart }),
+            // Sections are enabled or disabled at startup only.
+            _ => changes.push(Change { path: path(section.name), takes: Takes::Restart }),
         }
     }
 }
--- a/settings-schema/src/describe.rs
+++ b/settings-schema/src/describe.rs
@@ -1,10 +1,10 @@
-//! The table in words, for the help: every section and directive, its default and whether it is taken over live.
+//! The help text of a schema: every section and directive, its default, and whether changes take effect on reload.
 
 use std::fmt::Write;
 
-use crate::schema::{Directive, Need, Repeat, Section, Takes};
+use crate::schema::{Directive, Presence, Repeat, Section, Takes};
 
-/// All that may stand in a file.
+/// Describes all sections and directives of a file.
 pub fn describe(section: &Section) -> String {
     let mut text = String::new();
     write_section(section, 0, &mut text);
@@ -15,7 +15,7 @@
     let indent = "    ".repeat(depth);
     for directive in section.directives {
         let _ = writeln!(text, "{indent}{:<20} {}", directive.name, directive.about);
-        let _ = writeln!(text, "{indent}{:<20}   {}", "", facts(directive));
+        let _ = writeln!(text, "{indent}{:<20}   {}", "", summary(directive));
     }
     for inner in section.sections {
         let off = if inner.always { "" } else { "; off unless it stands" };
@@ -25,22 +25,23 @@
     }
 }
 
-fn facts(directive: &Directive) -> String {
-    let kinds: Vec<String> = directive.words.iter().map(|k| k.expects()).collect();
-    let mut facts = kinds.join(", then ");
-    if directive.rest {
-        facts.push_str(", any number of them");
+/// The argument kinds, default, repetition and effect of a change, in one line.
+fn summary(directive: &Directive) -> String {
+    let kinds: Vec<String> = directive.arguments.iter().map(|k| k.expects()).collect();
+    let mut summary = kinds.join(", then ");
+    if directive.repeats_last {
+        summary.push_str(", any number of them");
     }
-    match directive.need {
-        Need::Required => facts.push_str("; must be given"),
-        Need::Default(words) => {
-            let _ = write!(facts, "; default {}", words.join(" "));
+    match directive.presence {
+        Presence::Required => summary.push_str("; must be given"),
+        Presence::Default(arguments) => {
+            let _ = write!(summary, "; default {}", arguments.join(" "));
         }
-        Need::Optional => {}
+        Presence::Optional => {}
     }
     if directive.repeat == Repeat::Many {
-        facts.push_str("; any number of times");
+        summary.push_str("; any number of times");
     }
-    facts.push_str(if directive.takes == Takes::Now { "; live" } else { "; takes a restart" });
-    facts
+    summary.push_str(if directive.takes == Takes::Now { "; live" } else { "; takes a restart" });
+    summary
 }
--- a/settings-schema/src/lib.rs
+++ b/settings-schema/src/lib.rs
@@ -1,6 +1,7 @@
-//! A settings file in the manner of classic daemons: one directive a line, sections in braces, `#` comments,
-//! quotes, units, `include`. What may stand in it is a table ([`schema`]); the file is checked against it as a
-//! whole, so that all that is wrong is told in one run, each with its place and the nearest word that is known.
+//! Settings files with one directive per line, sections in braces, `#` comments, quotes, units and `include`.
+//!
+//! A [`schema`] declares the sections and directives of a file. A file is checked completely, so that one run reports all
+//! problems, each with its position and the closest known name.
 //!
 //! ```text
 //! include common.conf          # relative to this file
@@ -10,9 +11,9 @@
 //! }
 //! ```
 //!
-//! Layers: [`lines`] cuts a text into words with their places, [`mod@load`] follows includes and builds the tree,
-//! [`schema`] and [`value`] say what is allowed, [`checked`] is the result, [`mod@print`] writes it back and
-//! [`problem`] tells what is wrong.
+//! Layers: [`lines`] splits lines into tokens, [`mod@load`] follows includes and builds a tree of sections, [`schema`] and
+//! [`value`] declare what is allowed, [`checked`] holds the checked values, [`mod@print`] writes them as text, [`mod@describe`]
+//! writes the schema as help text, and [`problem`] reports errors.
 
 pub mod checked;
 pub mod describe;
@@ -25,8 +26,8 @@
 
 pub use checked::{changes, check, Change, Checked, Entry};
 pub use describe::describe;
-pub use load::{load, Bounds, Tree};
+pub use load::{load, Bounds, SectionTree};
 pub use print::print;
-pub use problem::{nearest, Place, Problem, Problems};
-pub use schema::{Directive, Need, Repeat, Section, Takes};
+pub use problem::{nearest, Problem, Problems, SourceSpan};
+pub use schema::{Directive, Presence, Repeat, Section, Takes};
 pub use value::{Kind, Value};
--- a/settings-schema/src/lines.rs
+++ b/settings-schema/src/lines.rs
@@ -1,93 +1,97 @@
-//! Lines into words, each with its place. Quotes and escapes are those of a POSIX shell, decoded by `shlex`;
-//! a `#` at the start of a word begins a comment.
+//! Splits a line into tokens. Quotes and escapes are those of a POSIX shell, decoded by `shlex`; a `#` at the start of a
+//! token begins a comment.
 
-/// A word of a line.
+/// A token of a line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Word {
-    /// Its text, quotes undone.
+pub struct Token {
+    /// The text, with quotes and escapes decoded.
     pub text: String,
-    /// Where it starts in the line, bytes.
+    /// Offset of the first byte in the line.
     pub start: usize,
-    /// Where it ends, bytes.
+    /// Offset behind the last byte in the line.
     pub end: usize,
-    /// It stood without quotes or escapes: only such a brace opens or closes a section.
+    /// Whether it has no quotes or escapes: only such a brace opens or closes a section.
     pub bare: bool,
 }
 
-/// Why a line is not made of words.
+/// Why a line cannot be split into tokens; with the byte offset in the line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Torn {
-    /// A quote that opens here, in bytes, is not closed on its line.
-    Quote(usize),
-    /// A backslash here stands before nothing.
-    Escape(usize),
-    /// A control character here: a file that is none of ours, or a damaged one.
-    Control(usize),
+pub enum LineError {
+    /// A quote is opened at the offset and not closed on the line.
+    UnclosedQuote(usize),
+    /// A backslash ends the line.
+    TrailingBackslash(usize),
+    /// A control character: the file is damaged or not a settings file.
+    ControlCharacter(usize),
 }
 
-impl Torn {
-    /// Where, in bytes from the start of the line.
-    pub fn at(self) -> usize {
+impl LineError {
+    /// The byte offset in the line.
+    pub fn offset(self) -> usize {
         match self {
-            Torn::Quote(at) | Torn::Escape(at) | Torn::Control(at) => at,
+            LineError::UnclosedQuote(offset)
+            | LineError::TrailingBackslash(offset)
+            | LineError::ControlCharacter(offset) => offset,
         }
     }
 }
 
-/// The characters of a line with their places, as they are taken one by one.
+/// The characters of a line with their byte offsets.
 type Characters<'a> = std::iter::Peekable<std::str::CharIndices<'a>>;
 
-/// A space between words.
-fn is_space(c: char) -> bool {
+/// Whether a character separates tokens.
+fn is_separator(c: char) -> bool {
     matches!(c, ' ' | '\t' | '\r')
 }
 
-/// The words of one line.
+/// Splits one line into tokens.
 ///
 /// # Errors
 ///
-/// The first quote, backslash or control character that makes it no line of words.
-pub fn words(line: &str) -> Result<Vec<Word>, Torn> {
-    let mut words = Vec::new();
+/// The first unclosed quote, trailing backslash or control character.
+pub fn tokenize(line: &str) -> Result<Vec<Token>, LineError> {
+    let mut tokens = Vec::new();
     let mut characters = line.char_indices().peekable();
     while let Some(&(start, c)) = characters.peek() {
-        if is_space(c) {
+        if is_separator(c) {
             characters.next();
             continue;
         }
         if c == '#' {
             break;
         }
-        let (end, bare) = raw_word(&mut characters, line.len())?;
+        let (end, bare) = scan_token(&mut characters, line.len())?;
         let raw = &line[start..end];
-        // A `#` within a word is part of it, which `shlex` sees alike; a bare word needs no decoding.
+        // Bare tokens need no decoding. A `#` within a token is part of it, for `shlex` as well.
         let text = match bare {
             true => raw.to_string(),
-            false => shlex::split(raw).and_then(|mut w| w.pop()).ok_or(Torn::Quote(start))?,
+            false => {
+                shlex::split(raw).and_then(|mut parts| parts.pop()).ok_or(LineError::UnclosedQuote(start))?
+            }
         };
-        words.push(Word { text, start, end, bare });
+        tokens.push(Token { text, start, end, bare });
     }
-    Ok(words)
+    Ok(tokens)
 }
 
-/// Passes over one word, up to the first space outside of quotes; where it ends, and whether it stood without quotes
-/// or escapes.
-fn raw_word(characters: &mut Characters, line_length: usize) -> Result<(usize, bool), Torn> {
+/// Consumes one token, up to the first separator outside of quotes; returns its end and whether it has no quotes or
+/// escapes.
+fn scan_token(characters: &mut Characters, line_length: usize) -> Result<(usize, bool), LineError> {
     let (mut quote, mut bare) = (None, true);
     while let Some(&(at, c)) = characters.peek() {
         if c.is_control() && c != '\t' && c != '\r' {
-            return Err(Torn::Control(at));
+            return Err(LineError::ControlCharacter(at));
         }
         match (quote, c) {
-            (None, c) if is_space(c) => return Ok((at, bare)),
+            (None, c) if is_separator(c) => return Ok((at, bare)),
             (None, '\'' | '"') => (quote, bare) = (Some((c, at)), false),
             (Some((open, _)), c) if c == open => quote = None,
-            // In single quotes a backslash is one.
+            // Within single quotes a backslash is an ordinary character.
             (None | Some(('"', _)), '\\') => {
                 bare = false;
                 characters.next();
                 if characters.peek().is_none_or(|(_, c)| *c == '\r') {
-                    return Err(Torn::Escape(at));
+                    return Err(LineError::TrailingBackslash(at));
                 }
             }
             _ => {}
@@ -95,7 +99,7 @@
         characters.next();
     }
     match quote {
-        Some((_, at)) => Err(Torn::Quote(at)),
+        Some((_, at)) => Err(LineError::UnclosedQuote(at)),
         None => Ok((line_length, bare)),
     }
 }
--- a/settings-schema/src/load.rs
+++ b/settings-schema/src/load.rs
@@ -1,65 +1,65 @@
-//! Files into a tree of directives and sections, includes followed.
+//! Reads files into a tree of sections and directives, and follows includes.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-use crate::lines::{words, Torn, Word};
-use crate::problem::{Place, Problem, Source};
+use crate::lines::{tokenize, LineError, Token};
+use crate::problem::{Problem, Source, SourceSpan};
 
-/// How far a file may go; more is a mistake, not a setting.
+/// Limits on the input; a file beyond them is a mistake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The bytes of all files together.
-    pub bytes: usize,
-    /// Files, the included ones counted.
-    pub files: usize,
-    /// Sections within sections.
-    pub depth: usize,
-    /// Problems told in one run.
-    pub problems: usize,
+    /// Maximum size of all files together, bytes.
+    pub max_bytes: usize,
+    /// Maximum number of files, included ones counted.
+    pub max_files: usize,
+    /// Maximum nesting depth of sections.
+    pub max_depth: usize,
+    /// Maximum number of problems that reading reports.
+    pub max_problems: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { bytes: 4 << 20, files: 64, depth: 8, problems: 100 }
+        Bounds { max_bytes: 4 << 20, max_files: 64, max_depth: 8, max_problems: 100 }
     }
 }
 
-/// A line with its words.
+/// A line, split into tokens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// File and line; the bytes are those of the first word.
-    pub place: Place,
-    /// The words, the directive's name first.
-    pub words: Vec<Word>,
+    /// The position of the first token.
+    pub span: SourceSpan,
+    /// The tokens, the name of the directive or section first.
+    pub tokens: Vec<Token>,
 }
 
 impl Line {
-    /// The name.
+    /// The name of the directive or section.
     pub fn name(&self) -> &str {
-        self.words.first().map_or("", |w| &w.text)
+        self.tokens.first().map_or("", |t| &t.text)
     }
 
-    /// The place of a word, or behind the last one.
-    pub fn place_of(&self, word: usize) -> Place {
-        let (start, end) = match (self.words.get(word), self.words.last()) {
-            (Some(w), _) => (w.start, w.end),
+    /// The position of a token, by index; behind the last token if there is none at the index.
+    pub fn span_of(&self, token: usize) -> SourceSpan {
+        let (start, end) = match (self.tokens.get(token), self.tokens.last()) {
+            (Some(t), _) => (t.start, t.end),
             (None, Some(last)) => (last.end, last.end),
             (None, None) => (0, 0),
         };
-        Place { start, end, ..self.place }
+        SourceSpan { start, end, ..self.span }
     }
 }
 
-/// A section, or the whole file.
+/// A section, or the file outside of all sections.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Tree {
-    /// The line that opens it, without the brace; none for the whole file.
+pub struct SectionTree {
+    /// The line that opens the section, without the brace; `None` for the file.
     pub line: Option<Line>,
-    /// The directives.
+    /// The directives in it.
     pub lines: Vec<Line>,
     /// The sections in it.
-    pub sections: Vec<Tree>,
+    pub sections: Vec<SectionTree>,
 }
 
 struct Loader<'a> {
@@ -70,155 +70,170 @@
     problems: Vec<Problem>,
 }
 
-/// Reads a file and what it includes. What is wrong does not end the reading.
+/// Reads a file and its includes, with `read` as the file system. Reading continues after a problem.
 pub fn load(
     path: &Path,
     bounds: Bounds,
     read: &dyn Fn(&Path) -> io::Result<String>,
-) -> (Tree, Vec<Source>, Vec<Problem>) {
+) -> (SectionTree, Vec<Source>, Vec<Problem>) {
     let mut loader = Loader { read, bounds, sources: Vec::new(), bytes: 0, problems: Vec::new() };
-    let mut tree = Tree::default();
-    loader.file(path.to_path_buf(), None, &mut Vec::new(), &mut tree);
+    let mut tree = SectionTree::default();
+    loader.load_file(path.to_path_buf(), None, &mut Vec::new(), &mut tree);
     (tree, loader.sources, loader.problems)
 }
 
-/// One file while its lines are read.
+/// A file whose lines are being read.
 struct OpenFile<'a> {
     path: &'a Path,
-    /// The sections that are open in it; the last is the innermost.
-    open_sections: Vec<Tree>,
-    /// Where lines outside of all sections of the file go.
-    into: &'a mut Tree,
+    /// The sections that are open in this file, outermost first.
+    open_sections: Vec<SectionTree>,
+    /// The section that receives the lines outside of this file's sections.
+    parent: &'a mut SectionTree,
 }
 
 impl OpenFile<'_> {
-    /// The innermost section that is open.
-    fn innermost(&mut self) -> &mut Tree {
-        self.open_sections.last_mut().unwrap_or(self.into)
+    /// The innermost open section.
+    fn innermost(&mut self) -> &mut SectionTree {
+        self.open_sections.last_mut().unwrap_or(self.parent)
     }
 }
 
 impl Loader<'_> {
-    fn wrong(&mut self, place: Place, what: impl Into<String>) {
-        if self.problems.len() < self.bounds.problems {
-            self.problems.push(Problem::new(place, what));
+    fn report(&mut self, span: SourceSpan, what: impl Into<String>) {
+        if self.problems.len() < self.bounds.max_problems {
+            self.problems.push(Problem::new(span, what));
         }
     }
 
-    /// Reads one file into a section; `from` is the line that includes it, `open` the files that lead there.
-    fn file(&mut self, path: PathBuf, from: Option<Place>, open: &mut Vec<PathBuf>, into: &mut Tree) {
-        if open.contains(&path) {
-            return self.wrong(from.unwrap_or_default(), format!("{} includes itself", path.display()));
+    /// Reads a file into `parent`; `included_at` is its `include` directive, `including` the chain of files that include it.
+    fn load_file(
+        &mut self,
+        path: PathBuf,
+        included_at: Option<SourceSpan>,
+        including: &mut Vec<PathBuf>,
+        parent: &mut SectionTree,
+    ) {
+        if including.contains(&path) {
+            return self
+                .report(included_at.unwrap_or_default(), format!("{} includes itself", path.display()));
         }
-        if self.sources.len() >= self.bounds.files {
-            return self.wrong(from.unwrap_or_default(), format!("more than {} files", self.bounds.files));
+        if self.sources.len() >= self.bounds.max_files {
+            return self.report(
+                included_at.unwrap_or_default(),
+                format!("more than {} files are included", self.bounds.max_files),
+            );
         }
         let number = self.sources.len();
-        let whole = from.unwrap_or(Place { file: number, ..Place::default() });
-        let Some(text) = self.text(&path, whole) else { return };
-        open.push(path.clone());
-        let mut file = OpenFile { path: &path, open_sections: Vec::new(), into };
+        let file_span = included_at.unwrap_or(SourceSpan { file: number, ..SourceSpan::default() });
+        let Some(text) = self.read_text(&path, file_span) else { return };
+        including.push(path.clone());
+        let mut file = OpenFile { path: &path, open_sections: Vec::new(), parent };
         for (n, text) in text.lines().enumerate() {
-            let place = Place { file: number, line: n + 1, start: 0, end: text.len() };
-            if let Some(line) = self.line(text, place) {
-                self.take_line(line, &mut file, open);
+            let span = SourceSpan { file: number, line: n + 1, start: 0, end: text.len() };
+            if let Some(line) = self.parse_line(text, span) {
+                self.add_line(line, &mut file, including);
             }
         }
-        self.close_what_is_left(&mut file, whole);
-        open.pop();
+        self.close_unclosed_sections(&mut file, file_span);
+        including.pop();
     }
 
-    /// The text of a file, noted among the sources; `None` if it can't be used, which is told at `whole`.
-    fn text(&mut self, path: &Path, whole: Place) -> Option<String> {
+    /// Reads a file and adds it to the sources; `None`, with a problem reported at `file_span`, if it cannot be used.
+    fn read_text(&mut self, path: &Path, file_span: SourceSpan) -> Option<String> {
         let (text, error) = match (self.read)(path) {
             Ok(text) => (text, None),
             Err(error) => (String::new(), Some(error)),
         };
         self.bytes = self.bytes.saturating_add(text.len());
-        let too_large = self.bytes > self.bounds.bytes;
+        let too_large = self.bytes > self.bounds.max_bytes;
         let text = if too_large { String::new() } else { text };
         self.sources.push(Source { path: path.to_path_buf(), text: text.clone() });
         if let Some(error) = error {
-            self.wrong(whole, format!("{} cannot be read: {error}", path.display()));
+            self.report(file_span, format!("{} cannot be read: {error}", path.display()));
             return None;
         }
         if too_large {
-            self.wrong(whole, format!("the files have more than {} bytes", self.bounds.bytes));
+            self.report(
+                file_span,
+                format!("the files have more than {} bytes in total", self.bounds.max_bytes),
+            );
             return None;
         }
         Some(text)
     }
 
-    /// The words of a line; `None` if it has none, or they can't be told apart.
-    fn line(&mut self, text: &str, place: Place) -> Option<Line> {
-        // A byte-order mark is no part of the first word.
-        match words(text.strip_prefix('\u{feff}').unwrap_or(text)) {
-            Ok(words) => {
-                let first = words.first()?;
-                Some(Line { place: Place { start: first.start, end: first.end, ..place }, words })
+    /// Splits a line into tokens; `None` if it has none or is malformed, which is reported.
+    fn parse_line(&mut self, text: &str, span: SourceSpan) -> Option<Line> {
+        // A byte order mark is not part of the first token.
+        match tokenize(text.strip_prefix('\u{feff}').unwrap_or(text)) {
+            Ok(tokens) => {
+                let first = tokens.first()?;
+                Some(Line { span: SourceSpan { start: first.start, end: first.end, ..span }, tokens })
             }
-            Err(torn) => {
-                let what = match torn {
-                    Torn::Quote(_) => "a quote that opens here is not closed on this line",
-                    Torn::Escape(_) => "a backslash before nothing; a directive has one line",
-                    Torn::Control(_) => "a control character",
+            Err(error) => {
+                let what = match error {
+                    LineError::UnclosedQuote(_) => "the quote opened here is not closed on this line",
+                    LineError::TrailingBackslash(_) => {
+                        "a backslash ends this line; a directive cannot continue on the next line"
+                    }
+                    LineError::ControlCharacter(_) => "a control character is not allowed in this file",
                 };
-                self.wrong(Place { start: torn.at(), end: torn.at() + 1, ..place }, what);
+                self.report(SourceSpan { start: error.offset(), end: error.offset() + 1, ..span }, what);
                 None
             }
         }
     }
 
-    /// A line opens or closes a section, includes a file, or is a directive.
-    fn take_line(&mut self, line: Line, file: &mut OpenFile, open: &mut Vec<PathBuf>) {
-        let brace = |w: Option<&Word>, b: &str| w.is_some_and(|w| w.bare && w.text == b);
-        if brace(line.words.first(), "}") {
+    /// Opens or closes a section, includes a file, or adds a directive, depending on the line.
+    fn add_line(&mut self, line: Line, file: &mut OpenFile, including: &mut Vec<PathBuf>) {
+        let is_brace = |t: Option<&Token>, brace: &str| t.is_some_and(|t| t.bare && t.text == brace);
+        if is_brace(line.tokens.first(), "}") {
             self.close_section(&line, file);
-        } else if brace(line.words.last(), "{") {
+        } else if is_brace(line.tokens.last(), "{") {
             self.open_section(line, file);
         } else if line.name() == "include" {
-            self.include(&line, file, open);
+            self.include(&line, file, including);
         } else {
             file.innermost().lines.push(line);
         }
     }
 
     fn close_section(&mut self, line: &Line, file: &mut OpenFile) {
-        if line.words.len() > 1 {
-            self.wrong(line.place_of(1), "nothing may follow a closing brace on its line");
+        if line.tokens.len() > 1 {
+            self.report(line.span_of(1), "nothing may follow a closing brace on its line");
         }
         match file.open_sections.pop() {
-            Some(done) => file.innermost().sections.push(done),
-            None => self.wrong(line.place, "a closing brace, but no section is open in this file"),
+            Some(closed) => file.innermost().sections.push(closed),
+            None => self.report(line.span, "unexpected closing brace: no section is open in this file"),
         }
     }
 
     fn open_section(&mut self, mut line: Line, file: &mut OpenFile) {
-        let brace = line.place_of(line.words.len() - 1);
-        line.words.pop();
-        if line.words.is_empty() {
-            self.wrong(brace, "a section without a name");
+        let brace = line.span_of(line.tokens.len() - 1);
+        line.tokens.pop();
+        if line.tokens.is_empty() {
+            self.report(brace, "this section has no name");
         }
-        if file.open_sections.len() >= self.bounds.depth {
-            self.wrong(line.place, format!("more than {} sections in each other", self.bounds.depth));
+        if file.open_sections.len() >= self.bounds.max_depth {
+            self.report(line.span, format!("sections are nested more than {} deep", self.bounds.max_depth));
         }
-        file.open_sections.push(Tree { line: Some(line), ..Tree::default() });
+        file.open_sections.push(SectionTree { line: Some(line), ..SectionTree::default() });
     }
 
-    fn include(&mut self, line: &Line, file: &mut OpenFile, open: &mut Vec<PathBuf>) {
-        let [included] = &line.words[1..] else {
-            return self.wrong(line.place, "include takes one path");
+    fn include(&mut self, line: &Line, file: &mut OpenFile, including: &mut Vec<PathBuf>) {
+        let [included] = &line.tokens[1..] else {
+            return self.report(line.span, "`include` takes exactly one path");
         };
         let path = file.path.parent().unwrap_or(Path::new("")).join(&included.text);
-        self.file(path, Some(line.place_of(1)), open, file.innermost());
+        self.load_file(path, Some(line.span_of(1)), including, file.innermost());
     }
 
-    /// What is left open at the end of a file is kept, so that its directives are checked all the same.
-    fn close_what_is_left(&mut self, file: &mut OpenFile, whole: Place) {
-        while let Some(left) = file.open_sections.pop() {
-            let place = left.line.as_ref().map_or(whole, |l| l.place);
-            self.wrong(place, "this section is not closed in its file");
-            file.innermost().sections.push(left);
+    /// Reports the sections that are still open at the end of a file, and keeps them so that their directives are checked.
+    fn close_unclosed_sections(&mut self, file: &mut OpenFile, file_span: SourceSpan) {
+        while let Some(unclosed) = file.open_sections.pop() {
+            let span = unclosed.line.as_ref().map_or(file_span, |l| l.span);
+            self.report(span, "this section is not closed in its file");
+            file.innermost().sections.push(unclosed);
         }
     }
 }
--- a/settings-schema/src/schema.rs
+++ b/settings-schema/src/schema.rs
@@ -1,103 +1,103 @@
-//! What may stand in a file, as a table that reading, printing and the help share.
+//! The schema of a file: its sections and directives. Checking, printing and the help text use it.
 
 use crate::value::Kind;
 
-/// How often something may stand.
+/// How often a directive may be given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// Once.
+    /// At most once.
     Once,
-    /// Any number of times; the first word tells them apart.
+    /// Any number of times, with different first arguments.
     Many,
 }
 
-/// What holds if a directive is not given.
+/// Whether a directive has to be given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Need {
-    /// It must be.
+pub enum Presence {
+    /// It must be given.
     Required,
-    /// Nothing.
+    /// It may be left out, and then has no value.
     Optional,
-    /// These words.
+    /// It may be left out, and then has these arguments.
     Default(&'static [&'static str]),
 }
 
-/// When a change takes effect.
+/// When a changed directive takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Takes {
-    /// As soon as the file is read again.
+    /// When the file is reloaded.
     Now,
-    /// At the next start.
+    /// When the program is restarted.
     Restart,
 }
 
-/// A directive: a name and its words.
+/// A directive: a name followed by arguments.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Directive {
     /// Its name.
     pub name: &'static str,
-    /// The kinds of its words.
-    pub words: &'static [Kind],
-    /// Whether the last kind may stand more than once.
-    pub rest: bool,
-    /// What holds without it.
-    pub need: Need,
-    /// How often it may stand.
+    /// The kinds of its arguments.
+    pub arguments: &'static [Kind],
+    /// Whether the last argument may be repeated.
+    pub repeats_last: bool,
+    /// Whether it has to be given.
+    pub presence: Presence,
+    /// How often it may be given.
     pub repeat: Repeat,
-    /// When a change takes effect.
+    /// When a change of it takes effect.
     pub takes: Takes,
-    /// What it is for, in one line.
+    /// Its help text, one line.
     pub about: &'static str,
 }
 
 impl Directive {
-    /// A directive that must be given, with one word.
-    pub const fn required(name: &'static str, words: &'static [Kind], about: &'static str) -> Directive {
-        let (need, repeat, takes) = (Need::Required, Repeat::Once, Takes::Restart);
-        Directive { name, words, rest: false, need, repeat, takes, about }
+    /// A directive that must be given exactly once; changes take effect after a restart.
+    pub const fn required(name: &'static str, arguments: &'static [Kind], about: &'static str) -> Directive {
+        let (presence, repeat, takes) = (Presence::Required, Repeat::Once, Takes::Restart);
+        Directive { name, arguments, repeats_last: false, presence, repeat, takes, about }
     }
 
-    /// One that may be left out, and then means nothing.
-    pub const fn optional(name: &'static str, words: &'static [Kind], about: &'static str) -> Directive {
-        Directive { need: Need::Optional, ..Directive::required(name, words, about) }
+    /// A directive that may be left out, without a default.
+    pub const fn optional(name: &'static str, arguments: &'static [Kind], about: &'static str) -> Directive {
+        Directive { presence: Presence::Optional, ..Directive::required(name, arguments, about) }
     }
 
-    /// One with a default.
+    /// A directive that may be left out, with default arguments.
     pub const fn with(
         name: &'static str,
-        words: &'static [Kind],
+        arguments: &'static [Kind],
         default: &'static [&'static str],
         about: &'static str,
     ) -> Directive {
-        Directive { need: Need::Default(default), ..Directive::required(name, words, about) }
+        Directive { presence: Presence::Default(default), ..Directive::required(name, arguments, about) }
     }
 
-    /// The same, any number of times.
+    /// Makes the directive repeatable and optional.
     pub const fn many(self) -> Directive {
-        Directive { repeat: Repeat::Many, need: Need::Optional, ..self }
+        Directive { repeat: Repeat::Many, presence: Presence::Optional, ..self }
     }
 
-    /// The same, its last kind any number of times.
+    /// Makes the last argument repeatable.
     pub const fn rest(self) -> Directive {
-        Directive { rest: true, ..self }
+        Directive { repeats_last: true, ..self }
     }
 
-    /// The same, taken over by a running program.
+    /// Makes changes take effect on reload.
     pub const fn live(self) -> Directive {
         Directive { takes: Takes::Now, ..self }
     }
 }
 
-/// A section, or the whole file.
+/// A section, or the file outside of all sections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Section {
     /// Its name.
     pub name: &'static str,
-    /// It holds with its defaults even if it is not given; others are off then.
+    /// Whether it applies with its defaults when it is not given; other sections are disabled then.
     pub always: bool,
-    /// What it is for, in one line.
+    /// Its help text, one line.
     pub about: &'static str,
-    /// The directives.
+    /// The directives in it.
     pub directives: &'static [Directive],
     /// The sections in it.
     pub sections: &'static [Section],
--- a/settings-schema/src/value.rs
+++ b/settings-schema/src/value.rs
@@ -1,4 +1,4 @@
-//! What a word may mean: kinds of values, their units, and how they are written back.
+//! Kinds of argument values: how they are parsed, with their units and ranges, and how they are printed.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -7,26 +7,26 @@
 
 use ipnet::IpNet;
 
-/// The kind of a word.
+/// The kind of an argument.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Kind {
     /// An address and port, `127.0.0.1:80` or `[::1]:80`.
     Address,
-    /// A network, `127.0.0.0/8`, or one address.
+    /// An IP network, `127.0.0.0/8`, or a single address.
     Network,
-    /// A time with its unit: `us`, `ms`, `s`, `m`, `h`; from and to, ms.
+    /// A duration with a unit (`us`, `ms`, `s`, `m`, `h`); minimum and maximum, ms.
     Duration(u64, u64),
-    /// A size with its unit: bytes, `KiB`, `MiB`, `GiB`; from and to.
+    /// A size, in bytes or with a unit (`B`, `KiB`, `MiB`, `GiB`); minimum and maximum, bytes.
     Size(u64, u64),
-    /// `80%`; from and to.
+    /// A percentage, `80%`; minimum and maximum.
     Percent(f64, f64),
-    /// A whole number; from and to.
+    /// A whole number; minimum and maximum.
     Count(u64, u64),
     /// `on` or `off`.
     Switch,
-    /// One of these words.
+    /// One of these keywords.
     OneOf(&'static [&'static str]),
-    /// Any word that is not empty.
+    /// Any text that is not empty.
     Text,
     /// A path.
     Path,
@@ -36,24 +36,24 @@
     Mode,
 }
 
-/// A word's meaning.
+/// The value of an argument.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
     /// An address and port.
     Address(SocketAddr),
-    /// A network.
+    /// An IP network.
     Network(IpNet),
-    /// A time.
+    /// A duration.
     Duration(Duration),
-    /// A size, bytes.
+    /// A size in bytes.
     Size(u64),
-    /// A share, in percent.
+    /// A percentage, 0 to 100.
     Percent(f64),
-    /// A number.
+    /// A whole number.
     Count(u64),
     /// On or off.
     Switch(bool),
-    /// A word.
+    /// A text.
     Text(String),
     /// A path.
     Path(PathBuf),
@@ -61,14 +61,14 @@
     Mode(u32),
 }
 
-/// The units of time, longest first for writing, in µs.
-const TIMES: [(&str, u64); 5] =
+/// The units of durations in µs, largest first.
+const DURATION_UNITS: [(&str, u64); 5] =
     [("h", 3_600_000_000), ("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000), ("us", 1)];
-/// The units of size.
-const SIZES: [(&str, u64); 4] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
+/// The units of sizes in bytes, largest first.
+const SIZE_UNITS: [(&str, u64); 4] = [("GiB", 1 << 30), ("MiB", 1 << 20), ("KiB", 1 << 10), ("B", 1)];
 
 impl Kind {
-    /// What is expected, in words.
+    /// A description of the accepted values, for error messages and help.
     pub fn expects(self) -> String {
         let ms = |ms: u64| Value::Duration(Duration::from_millis(ms)).to_string();
         match self {
@@ -81,7 +81,7 @@
             Kind::Percent(from, to) => format!("a share from {from}% to {to}%"),
             Kind::Count(from, to) => format!("a whole number from {from} to {to}"),
             Kind::Switch => "on or off".into(),
-            Kind::OneOf(words) => format!("one of {}", words.join(", ")),
+            Kind::OneOf(keywords) => format!("one of {}", keywords.join(", ")),
             Kind::Text => "a word that is not empty".into(),
             Kind::Path => "a path".into(),
             Kind::Field => "the name of a header field".into(),
@@ -89,77 +89,78 @@
         }
     }
 
-    /// The words of this kind, where they can be listed.
-    pub fn words(self) -> &'static [&'static str] {
+    /// The accepted keywords, if the kind consists of keywords.
+    pub fn keywords(self) -> &'static [&'static str] {
         match self {
-            Kind::OneOf(words) => words,
+            Kind::OneOf(keywords) => keywords,
             Kind::Switch => &["on", "off"],
             _ => &[],
         }
     }
 
-    /// Reads a word.
-    pub fn read(self, word: &str) -> Option<Value> {
+    /// Parses an argument; `None` if it is malformed or out of range.
+    pub fn read(self, text: &str) -> Option<Value> {
         match self {
-            Kind::Address => word.parse().ok().map(Value::Address),
+            Kind::Address => text.parse().ok().map(Value::Address),
             Kind::Network => {
-                let one = || word.parse::<IpAddr>().ok().map(IpNet::from);
-                word.parse().ok().or_else(one).map(Value::Network)
+                let one = || text.parse::<IpAddr>().ok().map(IpNet::from);
+                text.parse().ok().or_else(one).map(Value::Network)
             }
             Kind::Duration(from, to) => {
-                let micros = with_unit(word, &TIMES)?;
+                let micros = parse_with_unit(text, &DURATION_UNITS)?;
                 let within = (from.saturating_mul(1000)..=to.saturating_mul(1000)).contains(&micros);
                 within.then(|| Value::Duration(Duration::from_micros(micros)))
             }
             Kind::Size(from, to) => {
-                let size = digits(word).or_else(|| with_unit(word, &SIZES))?;
+                let size = parse_digits(text).or_else(|| parse_with_unit(text, &SIZE_UNITS))?;
                 (from..=to).contains(&size).then_some(Value::Size(size))
             }
             Kind::Percent(from, to) => {
-                let number = word.strip_suffix('%')?;
+                let number = text.strip_suffix('%')?;
                 let plain = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
                 let share: f64 = number.parse().ok().filter(|_| plain)?;
                 (from..=to).contains(&share).then_some(Value::Percent(share))
             }
-            Kind::Count(from, to) => digits(word).filter(|n| (from..=to).contains(n)).map(Value::Count),
-            Kind::Switch => match word {
+            Kind::Count(from, to) => parse_digits(text).filter(|n| (from..=to).contains(n)).map(Value::Count),
+            Kind::Switch => match text {
                 "on" => Some(Value::Switch(true)),
                 "off" => Some(Value::Switch(false)),
                 _ => None,
             },
-            Kind::OneOf(words) => words.contains(&word).then(|| Value::Text(word.into())),
-            Kind::Text => (!word.is_empty()).then(|| Value::Text(word.into())),
-            Kind::Path => (!word.is_empty()).then(|| Value::Path(word.into())),
+            Kind::OneOf(keywords) => keywords.contains(&text).then(|| Value::Text(text.into())),
+            Kind::Text => (!text.is_empty()).then(|| Value::Text(text.into())),
+            Kind::Path => (!text.is_empty()).then(|| Value::Path(text.into())),
             Kind::Field => {
-                // A token of RFC 9110, section 5.6.2: a line break in it would be a field of its own.
+                // A token of RFC 9110, section 5.6.2; a line break in a name would inject another header field.
                 let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-                (!word.is_empty() && word.bytes().all(token)).then(|| Value::Text(word.into()))
+                (!text.is_empty() && text.bytes().all(token)).then(|| Value::Text(text.into()))
             }
             Kind::Mode => {
-                let octal = word.len() <= 4 && word.bytes().all(|b| (b'0'..=b'7').contains(&b));
-                u32::from_str_radix(word, 8).ok().filter(|_| octal).map(Value::Mode)
+                let octal = text.len() <= 4 && text.bytes().all(|b| (b'0'..=b'7').contains(&b));
+                u32::from_str_radix(text, 8).ok().filter(|_| octal).map(Value::Mode)
             }
         }
     }
 }
 
-/// Digits only: `parse` alone would take a sign.
-fn digits(word: &str) -> Option<u64> {
-    word.parse().ok().filter(|_| word.bytes().all(|b| b.is_ascii_digit()))
+/// Parses a number of digits only; `parse` alone would accept a sign.
+fn parse_digits(text: &str) -> Option<u64> {
+    text.parse().ok().filter(|_| text.bytes().all(|b| b.is_ascii_digit()))
 }
 
-fn with_unit(word: &str, units: &[(&str, u64)]) -> Option<u64> {
-    let at = word.find(|c: char| !c.is_ascii_digit())?;
-    let (number, unit) = word.split_at(at);
-    let (_, each) = units.iter().find(|(name, _)| *name == unit)?;
-    digits(number)?.checked_mul(*each)
+/// Parses a number with a unit; the result is in the smallest unit of `units`.
+fn parse_with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+    let at = text.find(|c: char| !c.is_ascii_digit())?;
+    let (number, unit) = text.split_at(at);
+    let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
+    parse_digits(number)?.checked_mul(*factor)
 }
 
-/// The largest unit in which it is a whole number.
-fn in_unit(f: &mut fmt::Formatter<'_>, n: u64, units: &[(&str, u64)]) -> fmt::Result {
-    let fits = units.iter().find(|(_, each)| n > 0 && n % each == 0);
-    let (name, each) = fits.or(units.last()).copied().unwrap_or(("", 1));
-    write!(f, "{}{name}", n / each)
+/// Writes a number in the largest unit in which it is a whole number.
+fn write_with_unit(f: &mut fmt::Formatter<'_>, n: u64, units: &[(&str, u64)]) -> fmt::Result {
+    let largest = units.iter().find(|(_, factor)| n > 0 && n % factor == 0);
+    let (name, factor) = largest.or(units.last()).copied().unwrap_or(("", 1));
+    write!(f, "{}{name}", n / factor)
 }
 
 impl fmt::Display for Value {
@@ -167,8 +168,8 @@
         match self {
             Value::Address(a) => write!(f, "{a}"),
             Value::Network(n) => write!(f, "{n}"),
-            Value::Duration(d) => in_unit(f, d.as_micros() as u64, &TIMES),
-            Value::Size(n) => in_unit(f, *n, &SIZES),
+            Value::Duration(d) => write_with_unit(f, d.as_micros() as u64, &DURATION_UNITS),
+            Value::Size(n) => write_with_unit(f, *n, &SIZE_UNITS),
             Value::Percent(p) => write!(f, "{p}%"),
             Value::Count(n) => write!(f, "{n}"),
             Value::Switch(on) => f.write_str(if *on { "on" } else { "off" }),
--- a/settings-schema/tests/cases.rs
+++ b/settings-schema/tests/cases.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 use proptest::prelude::*;
-use tallypin_settings_schema::lines::{words, Torn};
+use tallypin_settings_schema::lines::{tokenize, LineError};
 use tallypin_settings_schema::*;
 
 const INNER: Section = Section {
@@ -57,7 +57,7 @@
 
 #[test]
 fn words_have_their_places() {
-    let texts = |line: &str| words(line).map(|w| w.into_iter().map(|w| w.text).collect::<Vec<_>>());
+    let texts = |line: &str| tokenize(line).map(|w| w.into_iter().map(|w| w.text).collect::<Vec<_>>());
     for (line, want) in [
         ("", vec![]),
         ("  # all comment", vec![]),
@@ -71,12 +71,12 @@
         assert_eq!(texts(line), Ok(want.into_iter().map(String::from).collect()), "{line}");
     }
     for (line, want) in [
-        ("a 'b", Torn::Quote(2)),
-        ("a \"b\\\"", Torn::Quote(2)),
-        ("a \\", Torn::Escape(2)),
-        ("a \u{0}", Torn::Control(2)),
+        ("a 'b", LineError::UnclosedQuote(2)),
+        ("a \"b\\\"", LineError::UnclosedQuote(2)),
+        ("a \\", LineError::TrailingBackslash(2)),
+        ("a \u{0}", LineError::ControlCharacter(2)),
     ] {
-        assert_eq!(words(line), Err(want), "{line}");
+        assert_eq!(tokenize(line), Err(want), "{line}");
     }
 }
 
@@ -121,24 +121,30 @@
 #[test]
 fn what_is_wrong_is_told_with_its_place_and_the_nearest_word() {
     for (text, want) in [
-        ("shaer 5%", "a.conf:1:1: `shaer` is not known here (did you mean `share`?)"),
-        ("\n  form jsno", "a.conf:2:8: `form` wants one of text, json (did you mean `json`?)"),
-        ("share", "a.conf:1:6: `share` lacks a share from 0% to 100%"),
-        ("share 5% 6%", "a.conf:1:10: `share` takes 1 word"),
-        ("share 5%\nshare 6%", "a.conf:2:1: `share` stands a second time, first in line 1"),
-        ("partner a b\npartner a c", "a.conf:2:1: `partner` stands a second time, first in line 1"),
-        ("agent {\n}", "a.conf:1:1: section `agent` lacks `listen`"),
-        ("agnt {\n}", "a.conf:1:1: `agnt` is not known here (did you mean `agent`?)"),
-        ("agent 127.0.0.1:1", "a.conf:1:1: `agent` is not known here (`agent` is a section: `agent {`)"),
+        ("shaer 5%", "a.conf:1:1: unknown directive or section `shaer` (did you mean `share`?)"),
+        (
+            "\n  form jsno",
+            "a.conf:2:8: invalid argument of `form`, expected one of text, json (did you mean `json`?)",
+        ),
+        ("share", "a.conf:1:6: missing argument of `share`, expected a share from 0% to 100%"),
+        ("share 5% 6%", "a.conf:1:10: `share` takes 1 argument"),
+        ("share 5%\nshare 6%", "a.conf:2:1: `share` is already given in line 1"),
+        ("partner a b\npartner a c", "a.conf:2:1: `partner` is already given in line 1"),
+        ("agent {\n}", "a.conf:1:1: section `agent` requires `listen`, which is missing"),
+        ("agnt {\n}", "a.conf:1:1: unknown directive or section `agnt` (did you mean `agent`?)"),
+        (
+            "agent 127.0.0.1:1",
+            "a.conf:1:1: unknown directive or section `agent` (`agent` is a section, opened by `agent {`)",
+        ),
         ("agent {\nlisten 127.0.0.1:1", "a.conf:1:1: this section is not closed in its file"),
-        ("}", "a.conf:1:1: a closing brace, but no section is open in this file"),
-        ("{\n}", "a.conf:1:1: a section without a name"),
-        ("quiet 'on", "a.conf:1:7: a quote that opens here is not closed on this line"),
-        ("quiet \\", "a.conf:1:7: a backslash before nothing; a directive has one line"),
+        ("}", "a.conf:1:1: unexpected closing brace: no section is open in this file"),
+        ("{\n}", "a.conf:1:1: this section has no name"),
+        ("quiet 'on", "a.conf:1:7: the quote opened here is not closed on this line"),
+        ("quiet \\", "a.conf:1:7: a backslash ends this line; a directive cannot continue on the next line"),
         ("include b.conf", "a.conf:1:9: b.conf cannot be read: entity not found"),
         ("include a.conf", "a.conf:1:9: a.conf includes itself"),
-        ("include", "a.conf:1:1: include takes one path"),
-        ("partner 'grüß' b c", "a.conf:1:18: `partner` takes 2 words"),
+        ("include", "a.conf:1:1: `include` takes exactly one path"),
+        ("partner 'grüß' b c", "a.conf:1:18: `partner` takes 2 arguments"),
     ] {
         assert_eq!(wrong(text).first().map(String::as_str), Some(want), "{text}");
     }
@@ -163,7 +169,7 @@
     let good = [("a.conf", main), ("sub/b.conf", "include d.conf"), ("sub/c.conf", "listen 127.0.0.1:1")];
     let files = [&good[..], &[("sub/d.conf", "quiet on")]].concat();
     let checked = read(&files).unwrap();
-    assert!(checked.on("quiet"));
+    assert!(checked.is_on("quiet"));
     let agent = checked.within("agent").unwrap();
     assert_eq!(agent.address("listen"), "127.0.0.1:1".parse().ok());
     let files = [&good[..], &[("sub/d.conf", "\n quiet perhaps }")]].concat();
@@ -171,15 +177,20 @@
     assert!(problems.short().next().unwrap().starts_with("sub/d.conf:2:8"), "{problems}");
     // A brace closes only what its own file has opened.
     let files = [("a.conf", "agent {\ninclude b.conf\n}"), ("b.conf", "listen 127.0.0.1:1\n}")];
-    assert!(read(&files).unwrap_err().short().next().unwrap().contains("b.conf:2:1: a closing brace"));
+    assert!(read(&files)
+        .unwrap_err()
+        .short()
+        .next()
+        .unwrap()
+        .contains("b.conf:2:1: unexpected closing brace"));
 }
 
 #[test]
 fn bounds_hold() {
     let deep = "agent {\n".repeat(20) + &"}\n".repeat(20);
-    assert!(wrong(&deep).iter().any(|p| p.contains("more than 8 sections in each other")));
+    assert!(wrong(&deep).iter().any(|p| p.contains("sections are nested more than 8 deep")));
     let many = "nonsense\n".repeat(5000) + "quiet 'on\n";
-    let bounds = Bounds { bytes: 1000, ..Bounds::default() };
+    let bounds = Bounds { max_bytes: 1000, ..Bounds::default() };
     let (_, _, problems) = load(Path::new("a.conf"), bounds, &|_| Ok(many.clone()));
     assert!(problems[0].what.contains("more than 1000 bytes"), "{problems:?}");
 }
--- a/simulator/src/file/tests.rs
+++ b/simulator/src/file/tests.rs
@@ -39,10 +39,14 @@
 #[test]
 fn what_is_wrong_is_told_with_line_and_word() {
     let cases = [
-        ("nodes 10", "nodes 0", "fleet.conf:3:19: `nodes` wants a whole number from 1 to 20000"),
+        (
+            "nodes 10",
+            "nodes 0",
+            "fleet.conf:3:19: invalid argument of `nodes`, expected a whole number from 1 to 20000",
+        ),
         ("rate 40", "rat 40", "did you mean `rate`?"),
         ("slots new 24", "slots nwe 24", "no kind of node is named `nwe` (did you mean `new`?)"),
-        ("step new 11ms", "step new 11", "wants a time with its unit"),
+        ("step new 11ms", "step new 11", "invalid argument of `step`, expected a time with its unit"),
         ("class chat 1200ms 4s", "class chat 1200ms 1s", "a client gives up before the aim"),
         ("class chat 1200ms 4s", "", "section `classes` lacks `class`"),
         ("step new 11ms", "step new 0us\nper-request new 0us\nread new 10000000", "its steps take no time"),
