--- a/router/src/cli.rs
+++ b/router/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what may be asked of the program, and what it says of itself.
+//! The command line of the program: its commands and their help.
 
 mod help;
 mod parse;
@@ -12,18 +12,18 @@
 pub use help::help;
 pub use parse::parse;
 
-/// How to ask a router for its state.
+/// The protocol of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Protocol {
     /// The agent check.
     Agent,
-    /// HTTP.
+    /// A check over HTTP.
     Http,
-    /// gRPC.
+    /// gRPC health checking.
     Grpc,
 }
 
-/// What to do.
+/// A command with its options.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Run the router.
@@ -31,42 +31,42 @@
         /// The settings file, if there is one.
         settings: Option<PathBuf>,
     },
-    /// Read the configuration.
+    /// Check the configuration and the settings.
     Check {
         /// The settings file, if there is one.
         settings: Option<PathBuf>,
-        /// Print it with every default.
+        /// Whether to print the settings with every default.
         print: bool,
     },
-    /// Ask a router for its state.
+    /// Query the health of a router.
     Health {
-        /// Where.
+        /// The address of the check listener.
         at: SocketAddr,
-        /// How.
+        /// The protocol.
         protocol: Protocol,
-        /// About what; empty: the router.
+        /// The service to query; empty for the whole router.
         service: String,
-        /// The path of an HTTP check.
+        /// The path of a check over HTTP.
         path: String,
-        /// What the exit code says.
+        /// The meaning of the exit code.
         style: ExitCodeStyle,
-        /// How long to wait.
+        /// Time limit for the answer.
         timeout: Duration,
     },
-    /// Follow what the fleet agrees on.
+    /// Print changes of the fleet state.
     Watch {
-        /// A router's socket.
+        /// The control socket of a router.
         socket: PathBuf,
     },
-    /// Give a router an order.
+    /// Send an operator order to a router.
     Ctl {
-        /// Its socket.
+        /// The control socket of the router.
         socket: PathBuf,
-        /// The line.
+        /// The line to send.
         order: String,
     },
     /// Print the version.
     Version,
-    /// Print help, on a command if one is named.
+    /// Print help on a command or topic, or an overview.
     Help(Option<String>),
 }
--- a/router/src/cli/help.rs
+++ b/router/src/cli/help.rs
@@ -1,10 +1,10 @@
-//! What the program says of itself: help on each command, byte for byte what scripts and people have read so far.
+//! The help texts of the program. Scripts may match them, so they stay unchanged byte for byte.
 
 use std::fmt;
 
 use tallypin_settings_schema::nearest;
 
-/// A command: its name, what it is for in one line, and its help.
+/// The help on a command: its name, a description in one line, and the full text.
 struct CommandHelp {
     name: &'static str,
     about: &'static str,
@@ -26,7 +26,7 @@
     CommandHelp { name: "help", about: "print this, or help on a command", text: HELP },
 ];
 
-/// The topic of help that is no command.
+/// The help topic that is not a command.
 const SETTINGS_TOPIC: &str = "settings";
 
 const SERVE: &str = "\
@@ -99,14 +99,14 @@
 can't be used. `health` has its own, see `tallypin help health`.
 ";
 
-/// A word that names no command.
+/// The error of a word that is not a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownCommand {
     name: String,
 }
 
 impl UnknownCommand {
-    /// The word as it was given.
+    /// The error of this word.
     pub fn new(name: &str) -> UnknownCommand {
         UnknownCommand { name: name.into() }
     }
@@ -116,19 +116,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = &self.name;
         match nearest(name, COMMANDS.iter().map(|command| command.name)) {
-            Some(near) => write!(f, "no command `{name}`; did you mean `{near}`?"),
-            None => write!(f, "no command `{name}`; `tallypin help` lists them"),
+            Some(closest) => write!(f, "unknown command `{name}`; did you mean `{closest}`?"),
+            None => write!(f, "unknown command `{name}`; `tallypin help` lists the commands"),
         }
     }
 }
 
 impl std::error::Error for UnknownCommand {}
 
-/// Help on a command or topic, or on all of them.
+/// The help on a command or topic, or an overview of the commands.
 ///
 /// # Errors
 ///
-/// [`UnknownCommand`] for a word that is neither.
+/// [`UnknownCommand`] if the word is neither a command nor a topic.
 pub fn help(topic: Option<&str>) -> Result<String, UnknownCommand> {
     let Some(topic) = topic else { return Ok(overview()) };
     if topic == SETTINGS_TOPIC {
--- a/router/src/cli/parse.rs
+++ b/router/src/cli/parse.rs
@@ -1,4 +1,4 @@
-//! Reading of the command line: options are collected first, then held against what the command wants.
+//! Parses the command line: options are collected first, then checked against the command.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,10 +12,10 @@
 use super::help::UnknownCommand;
 use super::{Command, Protocol};
 
-/// `health --timeout`: the least and the most, ms.
-const TIMEOUT_MS: (u64, u64) = (1, 600_000);
+/// Minimum and maximum of `health --timeout`, ms.
+const TIMEOUT_RANGE_MS: (u64, u64) = (1, 600_000);
 
-/// The options of all commands, as far as they are given.
+/// The options of all commands, with defaults for those that are not given.
 struct Options {
     settings: Option<PathBuf>,
     print: bool,
@@ -27,9 +27,9 @@
     timeout: Duration,
     socket: Option<PathBuf>,
     id: Option<String>,
-    /// What follows the command and is no option.
-    words: Vec<String>,
-    /// Help on the command is wanted instead.
+    /// The arguments after the command that are not options.
+    arguments: Vec<String>,
+    /// Whether help on the command is requested.
     help: bool,
 }
 
@@ -46,25 +46,24 @@
             timeout: Duration::from_secs(1),
             socket: None,
             id: None,
-            words: Vec::new(),
+            arguments: Vec::new(),
             help: false,
         }
     }
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
 ///
-/// A text for whoever typed it: an option that the command does not take, a value that can't be read, or something
-/// that is missing.
+/// A message for the user: an option that the command does not have, a malformed value, or a missing option.
 pub fn parse(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
     let command = match parser.next()? {
         Some(Value(word)) => word.string()?,
         Some(Short('V') | Long("version")) => return Ok(Command::Version),
         Some(Short('h') | Long("help")) => return Ok(Command::Help(None)),
         Some(other) => return Err(other.unexpected()),
-        None => return Err("no command; `tallypin help` lists them".into()),
+        None => return Err("no command given; `tallypin help` lists the commands".into()),
     };
     let options = Options::read(&command, &mut parser)?;
     if options.help {
@@ -77,18 +76,18 @@
         "ctl" => options.ctl(),
         "fleet" => options.fleet(),
         "version" => Ok(Command::Version),
-        "help" => Ok(Command::Help(options.words.into_iter().next())),
+        "help" => Ok(Command::Help(options.arguments.into_iter().next())),
         other => Err(UnknownCommand::new(other).to_string().into()),
     }
 }
 
-/// What is said when a command lacks something.
+/// The error of a missing option.
 fn missing(command: &str, option: &str) -> lexopt::Error {
-    format!("{command} wants {option}").into()
+    format!("{command} requires {option}").into()
 }
 
 impl Options {
-    /// All that follows the command, up to the end or to a wish for help.
+    /// Reads the arguments after the command, up to the end or to a request for help.
     fn read(command: &str, parser: &mut lexopt::Parser) -> Result<Options, lexopt::Error> {
         let mut options = Options::default();
         while let Some(argument) = parser.next()? {
@@ -99,18 +98,20 @@
                 }
                 ("serve" | "check", Long("settings")) => options.settings = Some(parser.value()?.into()),
                 ("serve" | "check", Long("messages")) => {
-                    return Err("--messages has gone: --settings FILE holds what its file said".into());
+                    return Err("--messages was removed: use --settings FILE, which has its settings".into());
                 }
                 ("check", Long("print")) => options.print = true,
                 ("health", Long("at")) => options.at = Some(parser.value()?.parse()?),
-                ("health", Long("protocol")) => options.protocol = protocol(&parser.value()?.string()?)?,
+                ("health", Long("protocol")) => {
+                    options.protocol = parse_protocol(&parser.value()?.string()?)?
+                }
                 ("health", Long("service")) => options.service = parser.value()?.string()?,
                 ("health", Long("path")) => options.path = parser.value()?.string()?,
                 ("health", Long("weight-exit")) => options.style = ExitCodeStyle::Weight,
-                ("health", Long("timeout")) => options.timeout = timeout(&parser.value()?.string()?)?,
+                ("health", Long("timeout")) => options.timeout = parse_timeout(&parser.value()?.string()?)?,
                 ("ctl" | "fleet", Long("socket")) => options.socket = Some(parser.value()?.into()),
                 ("fleet", Long("id")) => options.id = Some(parser.value()?.string()?),
-                ("ctl" | "fleet" | "help", Value(word)) => options.words.push(word.string()?),
+                ("ctl" | "fleet" | "help", Value(argument)) => options.arguments.push(argument.string()?),
                 (_, other) => return Err(other.unexpected()),
             }
         }
@@ -127,30 +128,32 @@
     fn health(self) -> Result<Command, lexopt::Error> {
         let at = self.at.ok_or_else(|| missing("health", "--at ADDRESS"))?;
         let Options { protocol, service, path, style, timeout, .. } = self;
-        // It stands in a line and in a head: what would end either is no name.
+        // Both are sent in a line or a request head, which a space or line break would end.
         if !service.bytes().chain(path.bytes()).all(|b| b.is_ascii_graphic()) {
-            return Err("--service and --path take plain words".into());
+            return Err("--service and --path take printable ASCII without spaces".into());
         }
         Ok(Command::Health { at, protocol, service, path, style, timeout })
     }
 
     fn ctl(self) -> Result<Command, lexopt::Error> {
         let socket = self.socket.ok_or_else(|| missing("ctl", "--socket PATH"))?;
-        let order = self.words.join(" ");
+        let order = self.arguments.join(" ");
         tallypin_router::checks::control::read(&order)?;
         Ok(Command::Ctl { socket, order })
     }
 
     fn fleet(self) -> Result<Command, lexopt::Error> {
         let socket = self.socket.ok_or_else(|| missing("fleet", "--socket PATH"))?;
-        if self.words == ["watch"] {
+        if self.arguments == ["watch"] {
             return Ok(Command::Watch { socket });
         }
         let id = self.id.map(|id| format!("id {id} ")).unwrap_or_default();
-        let order = match &self.words[..] {
+        let order = match &self.arguments[..] {
             [release, path] if release == "release" => format!("{id}release {}", release_plan_json(path)?),
-            [release, ..] if release == "release" => return Err("release wants one plan, a file".into()),
-            words => format!("{id}{}", words.join(" ")),
+            [release, ..] if release == "release" => {
+                return Err("release requires one argument, the file of the plan".into())
+            }
+            order => format!("{id}{}", order.join(" ")),
         };
         operator_orders::parse(&order.split_ascii_whitespace().collect::<Vec<_>>())
             .map_err(|error| error.to_string())?;
@@ -158,24 +161,24 @@
     }
 }
 
-fn protocol(name: &str) -> Result<Protocol, lexopt::Error> {
+fn parse_protocol(name: &str) -> Result<Protocol, lexopt::Error> {
     match name {
         "agent" => Ok(Protocol::Agent),
         "http" => Ok(Protocol::Http),
         "grpc" => Ok(Protocol::Grpc),
-        other => Err(format!("--protocol: agent, http or grpc, not {other}").into()),
+        other => Err(format!("--protocol: expected agent, http or grpc, got {other}").into()),
     }
 }
 
-fn timeout(word: &str) -> Result<Duration, lexopt::Error> {
-    let kind = Kind::Duration(TIMEOUT_MS.0, TIMEOUT_MS.1);
-    match kind.read(word) {
-        Some(Setting::Duration(time)) => Ok(time),
-        _ => Err(format!("--timeout: {}", kind.expects()).into()),
+fn parse_timeout(text: &str) -> Result<Duration, lexopt::Error> {
+    let kind = Kind::Duration(TIMEOUT_RANGE_MS.0, TIMEOUT_RANGE_MS.1);
+    match kind.read(text) {
+        Some(Setting::Duration(timeout)) => Ok(timeout),
+        _ => Err(format!("--timeout: expected {}", kind.expects()).into()),
     }
 }
 
-/// The plan in a file, as the order carries it.
+/// Reads a release plan from a file and returns it as the JSON of the order.
 fn release_plan_json(path: &str) -> Result<String, lexopt::Error> {
     let plan = release_plan::read(path.as_ref(), &|path| std::fs::read_to_string(path));
     let plan = plan.map_err(|problems| problems.to_string())?;
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -1,5 +1,5 @@
-//! What the router is told at its start: the environment, the configuration file and, for the messages
-//! front, a file of its own. What is malformed is named with its field.
+//! The configuration of a router: the JSON file that the environment names, and environment variables that override it.
+//! Errors name the malformed field.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,29 +11,29 @@
 use crate::endpoint_list::message::EndpointListMessage;
 use crate::limits::Limits;
 
-/// What is wrong with the configuration: where, and why.
+/// A malformed field of a JSON object or a malformed environment variable.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Malformed {
-    /// The field or variable.
+pub struct FieldError {
+    /// The path of the field, or the name of the variable.
     pub field: String,
-    /// What is wrong with it.
-    pub why: String,
+    /// Why it cannot be used.
+    pub reason: String,
 }
 
-impl Malformed {
-    /// A field that cannot be used.
-    pub fn new(field: &str, why: impl fmt::Display) -> Self {
-        Malformed { field: field.into(), why: why.to_string() }
+impl FieldError {
+    /// An error of a field or variable.
+    pub fn new(field: &str, reason: impl fmt::Display) -> Self {
+        FieldError { field: field.into(), reason: reason.to_string() }
     }
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.why)
+        write!(f, "{}: {}", self.field, self.reason)
     }
 }
 
-impl std::error::Error for Malformed {}
+impl std::error::Error for FieldError {}
 
 #[derive(Deserialize)]
 struct Machine {
@@ -60,56 +60,56 @@
     settings: &'a RawValue,
 }
 
-/// How a router reaches the other routers.
+/// The addresses for messages between routers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerAddresses {
-    /// Where their messages arrive.
+    /// The address that receives messages of other routers.
     pub listen: SocketAddr,
-    /// Every router's address, by number, the own one included.
+    /// The address of each router by its index, including this one.
     pub each: Vec<SocketAddr>,
-    /// The address that reaches all of them.
+    /// An address that reaches all routers, if there is one.
     pub all: Option<SocketAddr>,
 }
 
 /// A router's configuration.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name.
+    /// The name of the router.
     pub name: String,
-    /// Where clients connect.
+    /// The address of the platform's front.
     pub listen: SocketAddr,
-    /// Where the node list is.
+    /// The address of the endpoint list agent.
     pub node_list: SocketAddr,
-    /// For random numbers.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The other routers, if there are any to talk to.
+    /// The other routers, if messages are exchanged with any.
     pub peers: Option<PeerAddresses>,
-    /// The node list as last held before the start.
-    pub known: Option<EndpointListMessage>,
+    /// The last endpoint list before the start, if the configuration has one.
+    pub cached_list: Option<EndpointListMessage>,
     /// The deployment's settings.
     pub deployment: Deployment,
-    /// The limits.
+    /// The limits that follow from the machine's memory and sockets.
     pub limits: Limits,
 }
 
 impl Config {
-    /// Reads the configuration that the environment names, at the start: variables have the last word.
-    pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Config, Malformed> {
+    /// Reads the configuration at startup. `var` looks up an environment variable; variables override the file.
+    pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Config, FieldError> {
         let mut config = Config::reread(&var)?;
         if let Some(value) = var("PROXY_DISCOVERY") {
-            config.node_list = value.parse().map_err(|e| Malformed::new("PROXY_DISCOVERY", e))?;
+            config.node_list = value.parse().map_err(|e| FieldError::new("PROXY_DISCOVERY", e))?;
         }
         Ok(config)
     }
 
-    /// Reads it again while the router runs. Where the node list is, the file says from then on: the
-    /// variable is as old as the process, and would undo every move.
-    pub fn reread(var: impl Fn(&str) -> Option<String>) -> Result<Config, Malformed> {
-        let path = var("PROXY_CONFIG").ok_or_else(|| Malformed::new("PROXY_CONFIG", "not set"))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| Malformed::new("PROXY_CONFIG", e))?;
+    /// Reads the configuration again for a reload. The address of the endpoint list agent comes from the file: the variable
+    /// is from the start of the process and would undo every change of the address.
+    pub fn reread(var: impl Fn(&str) -> Option<String>) -> Result<Config, FieldError> {
+        let path = var("PROXY_CONFIG").ok_or_else(|| FieldError::new("PROXY_CONFIG", "not set"))?;
+        let text = std::fs::read_to_string(&path).map_err(|e| FieldError::new("PROXY_CONFIG", e))?;
         let mut config = Config::parse(&text)?;
         if let Some(value) = var("PROXY_LISTEN") {
-            config.listen = value.parse().map_err(|e| Malformed::new("PROXY_LISTEN", e))?;
+            config.listen = value.parse().map_err(|e| FieldError::new("PROXY_LISTEN", e))?;
         }
         if let Some(name) = var("PROXY_NAME") {
             config.name = name;
@@ -117,21 +117,27 @@
         Ok(config)
     }
 
-    /// Reads a configuration.
-    pub fn parse(text: &str) -> Result<Config, Malformed> {
-        let file: File = crate::config::read(text)?;
+    /// Parses the configuration file.
+    pub fn parse(text: &str) -> Result<Config, FieldError> {
+        let file: File = crate::config::parse_json(text)?;
         let deployment = deployment::parse(file.settings.get())
-            .map_err(|e| Malformed::new(&format!("settings.{}", e.path()), e.inner()))?;
+            .map_err(|e| FieldError::new(&format!("settings.{}", e.path()), e.inner()))?;
         deployment.validate().map_err(|invalid| {
-            Malformed::new(&format!("settings.{}", invalid.path), format!("wanted: {}", invalid.expected))
+            FieldError::new(&format!("settings.{}", invalid.path), format!("expected {}", invalid.expected))
         })?;
         let seed = u64::from_str_radix(&file.seed, 16)
-            .map_err(|_| Malformed::new("seed", "not 1 to 16 hex digits"))?;
+            .map_err(|_| FieldError::new("seed", "expected 1 to 16 hexadecimal digits"))?;
         if file.limits.sockets < 64 {
-            return Err(Malformed::new("limits.sockets", "fewer than 64 leave no room for traffic"));
+            return Err(FieldError::new(
+                "limits.sockets",
+                "expected at least 64, fewer leave none for requests",
+            ));
         }
         if file.limits.memory_mb < 16 {
-            return Err(Malformed::new("limits.memory_mb", "fewer than 16 leave no room for traffic"));
+            return Err(FieldError::new(
+                "limits.memory_mb",
+                "expected at least 16, less leaves none for requests",
+            ));
         }
         let limits = Limits::new(file.limits.memory_mb, file.limits.sockets, &deployment);
         let peers = file.peer_listen.filter(|_| deployment.decisions.has_peers).map(|listen| PeerAddresses {
@@ -145,24 +151,24 @@
             node_list: file.discovery,
             seed,
             peers,
-            known: file.known,
+            cached_list: file.known,
             deployment,
             limits,
         })
     }
 }
 
-/// Reads JSON; an error names the field by its path.
-pub fn read<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, Malformed> {
+/// Parses JSON; an error names the field by its path.
+pub fn parse_json<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, FieldError> {
     let mut json = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut json).map_err(|e| {
-        let (path, why) = (e.path().to_string(), e.inner().to_string());
-        // A missing field is named by the message, and its object by the path.
-        let field = match why.strip_prefix("missing field `").and_then(|w| w.split('`').next()) {
+        let (path, reason) = (e.path().to_string(), e.inner().to_string());
+        // For a missing field, the message has its name and the path is that of its object.
+        let field = match reason.strip_prefix("missing field `").and_then(|rest| rest.split('`').next()) {
             Some(name) if path == "." => name.to_string(),
             Some(name) => format!("{path}.{name}"),
             None => path,
         };
-        Malformed { field, why }
+        FieldError { field, reason }
     })
 }
--- a/router/src/dialect/request.rs
+++ b/router/src/dialect/request.rs
@@ -1,62 +1,62 @@
-//! The bodies of requests: read in one dialect, written in the other.
+//! Request bodies: parsed in one dialect, serialized in the other.
 
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
 
-/// Why the body of a request cannot be served. The texts are what clients of the messages API are answered.
+/// Why a request body is rejected. The texts are sent to clients of the messages API.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestBodyError {
-    /// Not UTF-8.
+    /// The body is not UTF-8.
     #[error("body: not UTF-8")]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// Not JSON, or without the fields that it must have.
+    /// The body is not JSON, or a field is missing or malformed.
     #[error(transparent)]
-    Malformed(#[from] crate::config::Malformed),
-    /// Not a JSON object.
+    Malformed(#[from] crate::config::FieldError),
+    /// The body is not a JSON object.
     #[error(transparent)]
     NotAnObject(#[from] serde_json::Error),
-    /// A conversation without a message.
+    /// The conversation has no messages.
     #[error("messages: none")]
     NoMessages,
-    /// The messages API asks for a bound on the answer.
+    /// `max_tokens`, which the messages API requires, is missing or 0.
     #[error("max_tokens: must be given, and above 0")]
     NoMaxTokens,
-    /// A message of a role that the messages API does not have.
+    /// A message has a role that the messages API does not have.
     #[error("messages.{index}.role: neither user nor assistant")]
     UnknownRole {
-        /// Of the message, from 0.
+        /// Index of the message, from 0.
         index: usize,
     },
-    /// Content other than text.
+    /// A content block is not text.
     #[error("{field}.{index}: {kind}: only text is served")]
     UnsupportedContent {
         /// The field with the content.
         field: String,
-        /// Of the block in it, from 0.
+        /// Index of the block in the field, from 0.
         index: usize,
-        /// The block's type.
+        /// The type of the block.
         kind: String,
     },
 }
 
-/// What the body of a request asks for, in no dialect.
+/// A parsed request body, independent of the dialect.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConversationRequest {
-    /// The model.
+    /// The name of the model.
     pub model: String,
     /// The system prompt; may be empty.
     pub system: String,
-    /// The messages of the conversation: role and text.
+    /// The role and text of each message.
     pub turns: Vec<(String, String)>,
-    /// The most tokens of the answer; 0 if the body does not say.
+    /// Maximum number of tokens of the answer; 0 if the body has none.
     pub max_tokens: u64,
-    /// Whether the answer is wanted as a stream.
+    /// Whether the client requests a stream.
     pub stream: bool,
     /// Texts at which the answer stops.
     pub stop: Vec<String>,
     /// Sampling temperature.
     pub temperature: Option<f64>,
-    /// Nucleus sampling: the share of probability that tokens are drawn from.
+    /// Nucleus sampling: the cumulative probability of the tokens that are sampled from.
     pub top_p: Option<f64>,
     /// The body as it was received.
     original: Map<String, Value>,
@@ -125,10 +125,10 @@
 }
 
 impl ConversationRequest {
-    /// Reads a body of the messages API.
+    /// Parses a body of the messages API.
     ///
     /// # Errors
-    /// The first fault of the body; the text names the field.
+    /// The first error in the body; the text names the field.
     pub fn parse_messages(body: &[u8]) -> Result<ConversationRequest, RequestBodyError> {
         let request = ConversationRequest::parse(body)?;
         if request.max_tokens == 0 {
@@ -140,10 +140,10 @@
         }
     }
 
-    /// Reads a body of chat completions; its system messages become the system prompt.
+    /// Parses a body of chat completions; its system messages become the system prompt.
     ///
     /// # Errors
-    /// The first fault of the body; the text names the field.
+    /// The first error in the body; the text names the field.
     pub fn parse_chat(body: &[u8]) -> Result<ConversationRequest, RequestBodyError> {
         let mut request = ConversationRequest::parse(body)?;
         let (system, turns): (Vec<_>, _) = request.turns.into_iter().partition(|(role, _)| role == "system");
@@ -154,7 +154,7 @@
 
     fn parse(body: &[u8]) -> Result<ConversationRequest, RequestBodyError> {
         let text = std::str::from_utf8(body)?;
-        let object: RequestObject = crate::config::read(text)?;
+        let object: RequestObject = crate::config::parse_json(text)?;
         let original = serde_json::from_str(text)?;
         if object.messages.is_empty() {
             return Err(RequestBodyError::NoMessages);
@@ -191,17 +191,17 @@
         self.turns.first().map_or("", |(_, text)| text)
     }
 
-    /// Whether the last message is the assistant's: the client has a part of the answer and asks for the rest.
+    /// Whether the last message is the assistant's: the client has a part of the answer and requests the rest.
     pub fn continues_answer(&self) -> bool {
         self.turns.last().is_some_and(|(role, _)| role == "assistant")
     }
 
-    /// The length of the prompt in bytes.
+    /// The size of the prompt, bytes.
     pub fn prompt_size(&self) -> usize {
         self.system.len() + self.turns.iter().map(|(_, text)| text.len()).sum::<usize>()
     }
 
-    /// The body as it was received, but asking for a stream.
+    /// The body as it was received, with `stream` set.
     pub fn streaming_body(&self) -> Vec<u8> {
         let mut body = self.original.clone();
         body.insert("stream".into(), true.into());
@@ -221,7 +221,7 @@
         body.to_string().into_bytes()
     }
 
-    /// The body for a replica of the messages dialect; `default_max_tokens` is the bound on an answer without one.
+    /// The body for a replica of the messages dialect; `default_max_tokens` applies if the request has no `max_tokens`.
     pub fn messages_body(&self, default_max_tokens: u64) -> Vec<u8> {
         let messages: Vec<Value> = self.turns.iter().map(|(r, t)| json!({"role": r, "content": t})).collect();
         let mut body = self.common_body(messages);
--- a/router/src/log.rs
+++ b/router/src/log.rs
@@ -1,8 +1,8 @@
-//! The log: `tracing` events as text or JSON on standard error, written by a thread of its own. If that falls behind, lines
-//! are dropped and counted: the thread that serves requests never waits for the log.
+//! The log: `tracing` events as text or JSON on standard error, written by a separate thread. If the writer falls behind,
+//! lines are dropped and counted, so that the thread that serves requests never waits for the log.
 //!
-//! The same things have the same field names everywhere: `request`, `attempt`, `node` (a replica), `tenant`, `class`,
-//! `client`, `peer`, `why`. Targets name the part that logs (see [`TARGETS`]).
+//! Field names are the same in all parts: `request`, `attempt`, `node` (a replica), `tenant`, `class`,
+//! `client`, `peer`, `why` (a reason or error). The target is the part that logs (see [`TARGETS`]).
 
 use std::cell::Cell;
 use std::io;
@@ -14,7 +14,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{fmt, reload, Layer, Registry};
 
-/// The targets, one for each part of the router that logs.
+/// The log targets, one for each part of the router that logs.
 pub const TARGETS: [&str; 12] = [
     "router",
     "request",
@@ -30,19 +30,19 @@
     "status",
 ];
 
-/// The levels, quietest first.
+/// The log levels, least verbose first.
 pub const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-/// How to log.
+/// The settings of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The level of targets without one of their own.
+    /// The level of targets that have no level in `targets`.
     pub level: LevelFilter,
-    /// Levels by target.
+    /// The levels of single targets.
     pub targets: Vec<(String, LevelFilter)>,
-    /// JSON instead of text.
+    /// Whether lines are JSON instead of text.
     pub json: bool,
-    /// The most lines that wait for the writer; further ones are dropped and counted.
+    /// Maximum number of lines that wait for the writer; further lines are dropped and counted.
     pub queue: usize,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// The running log. Lines are written while it lives; on drop it writes those that still wait.
+/// The running log. Dropping it writes the lines that still wait and ends the writer.
 pub struct Log {
     filter: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
@@ -67,8 +67,8 @@
 }
 
 impl Log {
-    /// Starts the log of the whole program. If the process has one already, as in tests that run several routers, that one
-    /// stays and this one writes nothing.
+    /// Starts the log of the process. If the process already has a log, as in tests that run several routers, this one
+    /// writes nothing.
     pub fn start(settings: &LogSettings) -> Log {
         let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(settings.queue);
         let (writer, guard) = builder.thread_name("log").finish(io::stderr());
@@ -80,7 +80,7 @@
         } else {
             lines.with_ansi(false).boxed()
         };
-        // It fails only if one is there already, as in tests that run several routers.
+        // Fails only if the process already has a log.
         let _ = tracing_subscriber::registry().with(lines.with_filter(filter)).try_init();
         Log { filter: handle, dropped, reported: Cell::new(0), _writer: guard }
     }
@@ -90,14 +90,14 @@
         let _ = self.filter.reload(settings.filter());
     }
 
-    /// How many lines were dropped since the last call.
+    /// The number of lines dropped since the last call.
     pub fn newly_dropped(&self) -> usize {
-        let all = self.dropped.dropped_lines();
-        all - self.reported.replace(all)
+        let total = self.dropped.dropped_lines();
+        total - self.reported.replace(total)
     }
 }
 
-/// The level of a name of [`LEVELS`]; `None` for any other.
+/// Parses a name of [`LEVELS`]; `None` for any other name.
 pub fn parse_level(name: &str) -> Option<LevelFilter> {
     LEVELS.contains(&name).then(|| name.parse().ok()).flatten()
 }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -26,49 +26,49 @@
 use tallypin_router::{bind, probe, status};
 use tokio::net::TcpListener;
 
-/// A command line, configuration or settings that can't be used.
-const UNUSABLE: u8 = 2;
-/// `fleet watch` looks so often.
-const LOOK: std::time::Duration = std::time::Duration::from_millis(500);
+/// Exit code for a malformed command line, configuration or settings file.
+const EXIT_MALFORMED: u8 = 2;
+/// Interval between two status requests of `fleet watch`.
+const WATCH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(500);
 
 fn main() -> ExitCode {
     let command = match cli::parse(lexopt::Parser::from_env()) {
         Ok(command) => command,
-        Err(e) => return unusable(&e.to_string()),
+        Err(e) => return report_malformed(&e.to_string()),
     };
     match command {
         Command::Help(on) => match cli::help(on.as_deref()) {
             Ok(text) => print!("{text}"),
-            Err(unknown) => return unusable(&unknown.to_string()),
+            Err(unknown) => return report_malformed(&unknown.to_string()),
         },
         Command::Version => println!("tallypin {}", env!("CARGO_PKG_VERSION")),
         Command::Check { settings, print } => {
             let (config, installation) = match configure(settings.as_deref()) {
                 Ok(all) => all,
-                Err(why) => return unusable(&why),
+                Err(error) => return report_malformed(&error),
             };
             match installation {
                 Some(installation) if print => {
                     print!("{}", tallypin_settings_schema::print(&installation.checked))
                 }
-                installation => told(&config, installation.as_ref()),
+                installation => print_summary(&config, installation.as_ref()),
             }
         }
         Command::Serve { settings } => {
-            // Before any of it is read: it may be what the program does not come up with.
+            // Precedes reading the files, as a released file may be the one that keeps the program from starting.
             if let Some(path) = &settings {
                 let configuration = std::env::var_os("PROXY_CONFIG").map(PathBuf::from);
-                for said in [Some(path.clone()), configuration]
+                for message in [Some(path.clone()), configuration]
                     .into_iter()
                     .flatten()
-                    .filter_map(|at| release_files::begin_trial(&at))
+                    .filter_map(|path| release_files::begin_trial(&path))
                 {
-                    eprintln!("tallypin: {said}");
+                    eprintln!("tallypin: {message}");
                 }
             }
             let (config, installation) = match configure(settings.as_deref()) {
                 Ok(all) => all,
-                Err(why) => return unusable(&why),
+                Err(error) => return report_malformed(&error),
             };
             let log = installation.as_ref().map_or(LogSettings::default(), |i| i.log.clone());
             let log = Rc::new(Log::start(&log));
@@ -78,7 +78,7 @@
             }
         }
         Command::Health { at, protocol, service, path, style, timeout } => {
-            let asked = run(async {
+            let result = run(async {
                 let answer = async {
                     match protocol {
                         Protocol::Agent => probe::agent(at, &service).await,
@@ -86,13 +86,13 @@
                         Protocol::Grpc => probe::grpc(at, &service).await,
                     }
                 };
-                let late = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
-                Ok(tokio::time::timeout(timeout, answer).await.map_err(late)??)
+                let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
+                Ok(tokio::time::timeout(timeout, answer).await.map_err(timed_out)??)
             });
-            return match asked {
-                Ok(said) => {
-                    println!("{}", said.words);
-                    ExitCode::from(exit_code::exit_code(style, said.state, said.weight))
+            return match result {
+                Ok(answer) => {
+                    println!("{}", answer.words);
+                    ExitCode::from(exit_code::exit_code(style, answer.state, answer.weight))
                 }
                 Err(e) => {
                     eprintln!("tallypin: {at}: {e}");
@@ -119,49 +119,50 @@
     ExitCode::SUCCESS
 }
 
-/// A line for each change of what is agreed on, until the release that is on has ended. A router that does not answer is
-/// asked again: it may be the one that goes out.
+/// Prints a line for each change of the fleet state until the running release has ended. A router that does not answer is
+/// queried again: the release may be restarting it.
 fn watch(socket: &Path) -> ExitCode {
-    let mut last = serde_json::Value::Null;
-    let mut moved = false;
+    let mut last_status = serde_json::Value::Null;
+    let mut release_ran = false;
     loop {
         match run(async { Ok(probe::order(socket, "fleet status").await?) }) {
             Ok(line) => {
-                let said: serde_json::Value = serde_json::from_str(&line).unwrap_or_default();
-                if said["version"] != last["version"] || said["done"] != last["done"] {
+                let status: serde_json::Value = serde_json::from_str(&line).unwrap_or_default();
+                if status["version"] != last_status["version"] || status["done"] != last_status["done"] {
                     print!("{line}");
                 }
-                let phase = said["release"]["phase"].as_str().unwrap_or("");
-                moved |= matches!(phase, "running" | "back");
+                let phase = status["release"]["phase"].as_str().unwrap_or("");
+                release_ran |= matches!(phase, "running" | "back");
                 match phase {
-                    "done" if moved => return ExitCode::SUCCESS,
-                    "failed" | "undone" if moved => return ExitCode::FAILURE,
-                    _ => last = said,
+                    "done" if release_ran => return ExitCode::SUCCESS,
+                    "failed" | "undone" if release_ran => return ExitCode::FAILURE,
+                    _ => last_status = status,
                 }
             }
             Err(e) => eprintln!("tallypin: {}: {e}", socket.display()),
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
-fn unusable(why: &str) -> ExitCode {
-    eprintln!("tallypin: {}", why.trim_end());
-    ExitCode::from(UNUSABLE)
+/// Prints an error and returns the exit code for malformed input.
+fn report_malformed(error: &str) -> ExitCode {
+    eprintln!("tallypin: {}", error.trim_end());
+    ExitCode::from(EXIT_MALFORMED)
 }
 
-/// Reads what the program is to go by.
+/// Reads the configuration and, if given, the settings file.
 fn configure(settings: Option<&Path>) -> Result<(Config, Option<Installation>), String> {
-    let named = |e: tallypin_router::config::Malformed| format!("configuration: {e}");
-    let mut config = Config::from_env(|name| std::env::var(name).ok()).map_err(named)?;
+    let with_origin = |e: tallypin_router::config::FieldError| format!("configuration: {e}");
+    let mut config = Config::from_env(|name| std::env::var(name).ok()).map_err(with_origin)?;
     let Some(path) = settings else { return Ok((config, None)) };
     let installation = Installation::read(path, &config.deployment).map_err(|p| format!("settings:\n{p}"))?;
-    installation.reserve(&mut config.limits).map_err(|why| format!("settings: {why}"))?;
+    installation.reserve(&mut config.limits).map_err(|error| format!("settings: {error}"))?;
     Ok((config, Some(installation)))
 }
 
-/// What `check` says of what is right.
-fn told(config: &Config, installation: Option<&Installation>) {
+/// Prints the summary of valid input, for `check`.
+fn print_summary(config: &Config, installation: Option<&Installation>) {
     println!("{}: listens on {}", config.name, config.listen);
     let Some(installation) = installation else { return };
     if let Some(front) = &installation.messages {
@@ -173,36 +174,42 @@
             ("checks over HTTP", checks.http),
             ("gRPC health", checks.grpc.map(|g| g.listen)),
         ];
-        for (what, at) in listeners {
-            at.iter().for_each(|at| println!("{what} on {at}"));
+        for (name, address) in listeners {
+            address.iter().for_each(|address| println!("{name} on {address}"));
         }
     }
     if let Some(control) = &installation.control {
         println!("orders at {}", control.socket.display());
     }
     if let Some(fleet) = &installation.fleet {
-        let (of, b) = (fleet.routers.len(), &fleet.limits);
-        println!("of fleet {}: {} of {of} routers may be out, {} of a zone", fleet.name, b.total, b.per_zone);
+        let (routers, limits) = (fleet.routers.len(), &fleet.limits);
+        println!(
+            "of fleet {}: {} of {routers} routers may be out, {} of a zone",
+            fleet.name, limits.total, limits.per_zone
+        );
     }
 }
 
-type Ended<T> = Result<T, Box<dyn std::error::Error>>;
+type RunResult<T> = Result<T, Box<dyn std::error::Error>>;
 
-fn run<T>(all: impl std::future::Future<Output = Ended<T>>) -> Ended<T> {
+/// Runs a future to its end on a runtime of its own, with one thread.
+fn run<T>(future: impl std::future::Future<Output = RunResult<T>>) -> RunResult<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, all)
+    tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
+/// Runs the router until a signal ends it.
 async fn serve(
     config: Config,
     settings: Option<PathBuf>,
     installation: Option<Installation>,
     log: Rc<Log>,
-) -> Ended<()> {
-    // First of all: until they are taken over, these signals end the program at once.
+) -> RunResult<()> {
+    // Comes first: until their handlers are installed, these signals end the program at once.
     let hangup = reload::hangup_signal()?;
     let termination = Termination::new()?;
-    let (listen, known, running) = (config.listen, config.known.clone(), StartupConfiguration::of(&config));
+    let (listen, cached_list, startup_configuration) =
+        (config.listen, config.cached_list.clone(), StartupConfiguration::of(&config));
     let name = config.name.clone();
     let peers = match config.peers.clone() {
         Some(addresses) => {
@@ -214,42 +221,47 @@
     let messages = installation.as_ref().and_then(|i| i.messages.clone());
     let dialect = messages.as_ref().map_or(Dialect::Chat, |front| front.replica_dialect);
     let components = Components::new(config, dialect, peers)?;
-    // Old or empty, it sets the module going.
-    let known = known.unwrap_or(EndpointListMessage { version: 0, full: true, endpoints: Vec::new() });
-    endpoint_list::apply(&components.endpoint_list, &known, tallypin::api::ListUpdate::Cached);
+    // Decisions start with the first list, even if it is outdated or empty.
+    let cached_list =
+        cached_list.unwrap_or(EndpointListMessage { version: 0, full: true, endpoints: Vec::new() });
+    endpoint_list::apply(&components.endpoint_list, &cached_list, tallypin::api::ListUpdate::Cached);
     components.start();
-    // Before balancers are told that it serves.
+    // Precedes the health checks, which report to balancers that the router serves.
     wait_for_agent(&components).await;
     let mut board = None;
-    // The agent ends its tasks when it is dropped: it lasts as long as the program.
-    let (mut adopting, mut _listening, mut _fleet) = (None, None, None);
+    // Dropping the fleet agent or the check listeners ends their tasks: these bindings last until the program ends.
+    let (mut reloader, mut _check_listeners, mut _fleet) = (None, None, None);
     if let Some(installation) = &installation {
         components.outward.guard(installation.gate.clone());
         if installation.checks.is_some() || installation.control.is_some() {
-            let started = Board::new(installation, components.outward.clone());
+            let new_board = Board::new(installation, components.outward.clone());
             let fleet = match installation.fleet.clone() {
-                Some(of) => {
+                Some(fleet_settings) => {
                     let settings = settings.clone().unwrap_or_default();
                     let control =
-                        ProcessControl { components: components.clone(), board: started.clone(), settings };
-                    Some(FleetAgent::start(of, Box::new(control)).await?)
+                        ProcessControl { components: components.clone(), board: new_board.clone(), settings };
+                    Some(FleetAgent::start(fleet_settings, Box::new(control)).await?)
                 }
                 None => None,
             };
             if let Some(control) = &installation.control {
                 let control = Control::bind(control).await?;
-                let orders = fleet.clone().map(to_fleet);
-                tokio::task::spawn_local(control.serve(components.check_context(), started.clone(), orders));
+                let orders = fleet.clone().map(fleet_order_handler);
+                tokio::task::spawn_local(control.serve(
+                    components.check_context(),
+                    new_board.clone(),
+                    orders,
+                ));
             }
-            // Before balancers and clients come.
+            // Precedes the listeners for balancers and clients.
             if let Some(fleet) = &fleet {
                 fleet.wait_for_first_state().await;
             }
             _fleet = fleet;
-            _listening = Some(checks::start(&components.check_context(), &started).await?);
-            board = Some(started);
+            _check_listeners = Some(checks::start(&components.check_context(), &new_board).await?);
+            board = Some(new_board);
         }
-        adopting = Some(SettingsReloader::new(installation, board.clone(), Some(log.clone())));
+        reloader = Some(SettingsReloader::new(installation, board.clone(), Some(log.clone())));
     }
     if let Some(front) = messages {
         let listener = bind::bind_with_retry(async || TcpListener::bind(front.listen).await).await?;
@@ -267,19 +279,19 @@
         components.outward.clone(),
         components.endpoint_list.state.clone(),
         hangup,
-        running,
-        adopting,
+        startup_configuration,
+        reloader,
         read,
     ));
-    tracing::info!(target: "router", name, %listen, "listens");
+    tracing::info!(target: "router", name, %listen, "router is listening");
     shutdown::on_signal(components.clone(), board, termination).await;
     let tallies = components.with(|core, _| core.counts().clone());
-    tracing::info!(target: "router", name, ?tallies, "ends");
+    tracing::info!(target: "router", name, ?tallies, "router has shut down");
     Ok(())
 }
 
-/// Where the list is pushed, what the agent has counts as notification from the first moment of a process: no client is served
-/// by the list of the configuration if the agent answers. One that is silent is not waited for any longer than that.
+/// Waits for the first list of the endpoint list agent, if lists are pushed, so that no client is served with the configured
+/// list while the agent answers. After the agent's response timeout the router serves with the configured list.
 async fn wait_for_agent(components: &Components) {
     let list = &components.endpoint_list;
     if list.deployment.decisions.list_mode != EndpointListMode::Pushed {
@@ -288,12 +300,12 @@
     let limit = list.limits.agent_response_timeout;
     if !list.state.wait_for_first(limit).await {
         tracing::warn!(target: "node_list", limit_ms = limit.as_millis() as u64,
-            "endpoint list agent silent at the start, serving by the configured list");
+            "endpoint list agent did not respond at startup, serving with the configured list");
     }
 }
 
-/// Orders from the socket to the fleet.
-fn to_fleet(fleet: Rc<FleetAgent>) -> ToFleet {
+/// A handler that parses operator orders from the socket and passes them to the fleet agent.
+fn fleet_order_handler(fleet: Rc<FleetAgent>) -> ToFleet {
     Rc::new(move |words| {
         let fleet = fleet.clone();
         Box::pin(async move {
@@ -305,12 +317,12 @@
     })
 }
 
-/// Reads everything again; what is wrong, in lines.
+/// Reads the configuration and settings again for a reload; problems are returned as one line each.
 fn reread(settings: Option<&Path>) -> Result<(Config, Option<Installation>), Vec<String>> {
     let mut config = Config::reread(|name| std::env::var(name).ok()).map_err(|e| vec![e.to_string()])?;
     let Some(path) = settings else { return Ok((config, None)) };
     let installation =
         Installation::read(path, &config.deployment).map_err(|p| p.short().collect::<Vec<_>>())?;
-    installation.reserve(&mut config.limits).map_err(|why| vec![why])?;
+    installation.reserve(&mut config.limits).map_err(|error| vec![error])?;
     Ok((config, Some(installation)))
 }
--- a/router/tests/program.rs
+++ b/router/tests/program.rs
@@ -46,21 +46,21 @@
         (&["check", "--settings", "/nowhere"], Some(&good), 2, "/nowhere cannot be read"),
         (&["check", "--settings", odd.to_str().unwrap()], Some(&good), 2, "2 |   lisen 127.0.0.1:1"),
         (&["serve", "--settings", odd.to_str().unwrap()], Some(&good), 2, "a share from 0% to 100%"),
-        (&["check", "--messages", front], Some(&good), 2, "--settings FILE holds what its file said"),
-        (&["check", "--print"], Some(&good), 2, "check wants --settings FILE with --print"),
+        (&["check", "--messages", front], Some(&good), 2, "--messages was removed: use --settings FILE"),
+        (&["check", "--print"], Some(&good), 2, "check requires --settings FILE with --print"),
         (&["help", "health"], None, 0, "--weight-exit"),
         (&["ctl", "--help"], None, 0, "drain end"),
         (&["help", "settings"], None, 0, "slow-start"),
         (&["help", "helth"], None, 2, "did you mean `health`?"),
         (&["health", "--at", "127.0.0.1:9"], None, 1, "127.0.0.1:9: "),
-        (&["health"], None, 2, "health wants --at ADDRESS"),
-        (&["health", "--at", "127.0.0.1:9", "--service", "a b"], None, 2, "plain words"),
+        (&["health"], None, 2, "health requires --at ADDRESS"),
+        (&["health", "--at", "127.0.0.1:9", "--service", "a b"], None, 2, "printable ASCII without spaces"),
         (&["ctl", "--socket", "/nowhere", "show"], None, 1, "/nowhere: "),
         (&["ctl", "--socket", "/nowhere", "weight", "0%"], None, 2, "from 1% to 100%"),
         (&["serve"], Some(&bad), 2, "settings.Me: invalid type"),
         (&["serve"], None, 2, "PROXY_CONFIG: not set"),
-        (&["dance"], None, 2, "no command `dance`"),
-        (&[], None, 2, "no command"),
+        (&["dance"], None, 2, "unknown command `dance`"),
+        (&[], None, 2, "no command given"),
     ] {
         let mut command = tallypin();
         command.args(args);
@@ -198,7 +198,7 @@
     let mut served = Served::start("hup", "127.2.0.1", "log {\n level info\n}\n");
     let mut lines = BufReader::new(served.child.stderr.take().unwrap()).lines();
     let mut told = |words: &str| lines.by_ref().map(Result::unwrap).find(|l| l.contains(words)).expect(words);
-    told("listens");
+    told("router is listening");
     assert_eq!(served.health(&[]), (Some(0), "up ready 1%\n".into()), "no node is known yet");
     assert_eq!(served.health(&["--weight-exit"]).0, Some(3));
     let write = |text: &str| std::fs::write(served.dir.join("t.conf"), text).unwrap();
@@ -225,7 +225,7 @@
     let (code, shown) = served.ctl("show");
     assert!(code == Some(0) && shown.contains("\"state\":\"drain\""), "{shown}");
     assert_eq!(served.ctl("drain end").0, Some(0));
-    told("ends");
+    told("router has shut down");
     assert_eq!(served.child.wait().unwrap().code(), Some(0));
     assert_eq!(served.ctl("show").0, Some(1), "the socket goes with the program");
 }
