--- a/router/src/dialect/chat.rs
+++ b/router/src/dialect/chat.rs
@@ -3,7 +3,8 @@
 use super::objects::{StreamObject, UsageObject};
 use super::{StopReason, StreamEvent};
 
-/// Reads one event and appends what it says. Without `with_text`, one that can only carry text is not parsed.
+/// Parses one event and appends its content to `events`. Without `with_text`, an event that can only carry text is not
+/// parsed; an empty text stands for it.
 pub(super) fn read_event(name: &[u8], data: &[u8], with_text: bool, events: &mut Vec<StreamEvent>) {
     if data == b"[DONE]" {
         return events.push(StreamEvent::Complete);
@@ -21,7 +22,7 @@
 
 fn read_object(object: StreamObject, events: &mut Vec<StreamEvent>) {
     let before = events.len();
-    // The router asks for one choice.
+    // The router requests a single choice.
     if let Some(choice) = object.choices.into_iter().flatten().next() {
         if let Some(text) = choice.delta.content.filter(|text| !text.is_empty()) {
             events.push(StreamEvent::Text(text));
--- a/router/src/dialect/event.rs
+++ b/router/src/dialect/event.rs
@@ -1,39 +1,39 @@
-//! What the events of a stream say, in no dialect.
+//! Stream events, independent of the dialect.
 
 /// Why an answer ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StopReason {
-    /// The model came to an end.
+    /// The model completed the answer.
     Complete,
-    /// It reached the most tokens allowed.
+    /// The answer reached the maximum number of tokens.
     Length,
-    /// Another reason, in the replica's word.
+    /// Another reason, as the replica states it.
     Other(String),
 }
 
 /// An event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamEvent {
-    /// The answer has begun; with the tokens of the prompt if they are stated.
+    /// The answer has begun; with the number of prompt tokens if it is stated.
     Started(Option<u64>),
     /// Text that continues the answer.
     Text(String),
     /// The text is complete.
     Finished(StopReason),
-    /// Token counts, each if it is stated.
+    /// Token counts, as far as they are stated.
     Usage {
-        /// Of the prompt.
+        /// Tokens of the prompt.
         prompt_tokens: Option<u64>,
-        /// Of the prompt, found in the replica's prefix cache.
+        /// Tokens of the prompt that were in the replica's prefix cache.
         cached_tokens: Option<u64>,
-        /// Of the answer.
+        /// Tokens of the answer.
         answer_tokens: Option<u64>,
     },
     /// The stream is complete.
     Complete,
-    /// The replica gives up in mid-stream.
+    /// The replica reports an error and ends the stream.
     Failed,
-    /// Shows that the replica is alive, and says nothing else.
+    /// An event without content that keeps the connection alive.
     KeepAlive,
     /// A load report, not parsed.
     LoadReport(String),
@@ -42,7 +42,7 @@
 }
 
 impl StreamEvent {
-    /// Whether an answer has begun with this event: not with one that carries none of the answer.
+    /// Whether an answer has begun with this event; events without a part of the answer do not begin it.
     pub fn begins_answer(&self) -> bool {
         !matches!(self, StreamEvent::KeepAlive | StreamEvent::Unknown | StreamEvent::LoadReport(_))
     }
--- a/router/src/dialect/messages.rs
+++ b/router/src/dialect/messages.rs
@@ -3,12 +3,12 @@
 use super::objects::{DeltaObject, StreamObject, UsageObject};
 use super::{StopReason, StreamEvent};
 
-/// Reads one event and appends what it says.
+/// Parses one event and appends its content to `events`.
 pub(super) fn read_event(name: &[u8], data: &[u8], events: &mut Vec<StreamEvent>) {
     let Ok(object) = serde_json::from_slice::<StreamObject>(data) else {
         return events.push(StreamEvent::Unknown);
     };
-    // The name may stand in the event's line, in the data, or in both.
+    // The name may be in the event field, in the data, or in both.
     let kind = match (std::str::from_utf8(name), object.kind.as_deref()) {
         (Ok(""), Some(kind)) => kind,
         (Ok(name), _) => name,
@@ -48,7 +48,7 @@
     }
 }
 
-/// All tokens of the prompt: `input_tokens` leaves out those found in the cache.
+/// The number of prompt tokens; `input_tokens` excludes those that were in the cache.
 fn prompt_tokens(usage: &UsageObject) -> Option<u64> {
     let cached = usage.cache_read_input_tokens.unwrap_or(0);
     usage.input_tokens.map(|others| others.saturating_add(cached))
--- a/router/src/dialect/mod.rs
+++ b/router/src/dialect/mod.rs
@@ -1,7 +1,7 @@
 //! The protocols in which replicas stream their answers.
 //!
-//! Events of a stream are read into [`StreamEvent`]s, which belong to no dialect, and written from them for a client that
-//! speaks the other dialect than its replica. Where both speak the same dialect no byte of a stream is touched.
+//! Stream events are parsed into [`StreamEvent`]s, which are independent of the dialect, and serialized for clients that
+//! speak another dialect than the replica. Between a client and a replica of the same dialect, bytes are relayed unchanged.
 
 mod chat;
 mod event;
@@ -20,7 +20,7 @@
 pub use splitter::EventSplitter;
 pub use write::{ChatWriter, CollectedAnswer, MessagesWriter};
 
-/// The field of an answer's head, or the beginning of a comment in a stream, that carries a load report.
+/// The start of a stream comment that carries a load report.
 const LOAD_REPORT_PREFIX: &[u8] = b"Srv-Load:";
 
 /// The protocol that a replica speaks.
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Reads complete events of a stream from `bytes` and appends what they say to `events`. Without `with_text`, texts may
-    /// be given as empty ones, which spares work where bytes are passed on untouched.
+    /// Parses the complete events in `bytes` and appends them to `events`. Without `with_text`, texts may be replaced by
+    /// empty ones, which saves parsing where bytes are relayed unchanged.
     pub fn read_events(self, bytes: &[u8], with_text: bool, events: &mut Vec<StreamEvent>) {
         let (mut name, mut data) = (&b""[..], Vec::new());
         for line in bytes.split(|byte| *byte == b'\n') {
@@ -85,7 +85,7 @@
     }
 }
 
-/// The value of a line of an event stream, if it is of the field `name`.
+/// The value of an event stream line if its field is `name`.
 fn field_value<'line>(line: &'line [u8], name: &[u8]) -> Option<&'line [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
--- a/router/src/dialect/objects.rs
+++ b/router/src/dialect/objects.rs
@@ -1,5 +1,5 @@
-//! The JSON objects of events. One form serves both dialects: an event with a field of the wrong type is malformed even if
-//! the field belongs to the other dialect.
+//! The JSON objects of events. Both dialects share them: an event with a field of the wrong type is malformed even if the
+//! field belongs to the other dialect.
 
 use serde::Deserialize;
 
--- a/router/src/dialect/splitter.rs
+++ b/router/src/dialect/splitter.rs
@@ -1,22 +1,22 @@
-//! Cuts a stream between its events, however its bytes arrive.
+//! Splits a stream at event boundaries, regardless of how its bytes are divided into reads.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest end of an event but one byte: an end that is not complete in what was searched begins within so many bytes
-/// of its end.
+/// Number of already searched bytes that are searched again, as they may hold the start of an event end: its maximum
+/// length less one byte.
 const END_OVERLAP: usize = 3;
 
-/// Cuts a stream at the ends of its events.
+/// Splits a stream at the ends of its events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// What has arrived of an event that is not complete.
+    /// The received bytes of an event that is not complete.
     incomplete: BytesMut,
-    /// How much of `incomplete` is known to hold no end of an event, bytes.
+    /// Number of bytes of `incomplete` that were searched and hold no event end.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Takes in what has arrived; gives all events that are complete by now, `None` if none is.
+    /// Adds received bytes and returns all events that are complete; `None` if there are none.
     pub fn push(&mut self, data: &[u8]) -> Option<Bytes> {
         self.incomplete.extend_from_slice(data);
         let from = self.searched.saturating_sub(END_OVERLAP);
@@ -25,19 +25,19 @@
         Some(self.incomplete.split_to(end?).freeze())
     }
 
-    /// Takes out what has arrived of an event that is not complete.
+    /// Removes and returns the bytes of the incomplete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.searched = 0;
         self.incomplete.split().freeze()
     }
 
-    /// The size in bytes of what has arrived of an event that is not complete.
+    /// The size of the incomplete event, bytes.
     pub fn held_size(&self) -> usize {
         self.incomplete.len()
     }
 }
 
-/// Where the last event in `data` ends: behind an empty line, its lines ended by LF or CR LF.
+/// The offset behind the last event in `data`, which ends with an empty line; lines end with LF or CR LF.
 fn end_of_last_event(data: &[u8]) -> Option<usize> {
     (1..data.len()).rev().find_map(|i| {
         let is_empty_line = data[i] == b'\n' && (data[i - 1] == b'\n' || data[..i].ends_with(b"\n\r"));
--- a/router/src/dialect/write.rs
+++ b/router/src/dialect/write.rs
@@ -1,14 +1,14 @@
-//! Writes stream events in a dialect, for a client whose replica speaks the other one.
+//! Serializes stream events in the client's dialect if the replica speaks another one.
 
 use bytes::Bytes;
 use serde_json::{json, Value};
 
 use super::{StopReason, StreamEvent};
 
-/// A complete answer, collected from its events.
+/// An answer that is collected from its events.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CollectedAnswer {
-    /// Its text so far.
+    /// The text received up to now.
     pub text: String,
     stop: Option<StopReason>,
     prompt_tokens: Option<u64>,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds what an event says of the answer but its text.
+    /// Adds the stop reason and token counts of an event.
     fn add_summary(&mut self, event: StreamEvent) {
         match event {
             StreamEvent::Started(prompt_tokens) => self.prompt_tokens = prompt_tokens.or(self.prompt_tokens),
@@ -65,8 +65,8 @@
         })
     }
 
-    /// The answer as one object of the messages API; `estimated_prompt_tokens` stands in for a count of the
-    /// prompt's tokens that the replica did not state.
+    /// The answer as a message object of the messages API; `estimated_prompt_tokens` is used if the replica did not state
+    /// the number of prompt tokens.
     pub fn to_message(&self, id: &str, model: &str, estimated_prompt_tokens: u32) -> Value {
         json!({
             "id": id, "type": "message", "role": "assistant", "model": model,
@@ -82,71 +82,76 @@
     id: String,
     model: String,
     estimated_prompt_tokens: u32,
-    begun: bool,
+    started: bool,
     summary: CollectedAnswer,
 }
 
-fn write_named_event(name: &str, data: Value, to: &mut String) {
-    to.push_str(&format!("event: {name}\ndata: {data}\n\n"));
+fn write_named_event(name: &str, data: Value, output: &mut String) {
+    output.push_str(&format!("event: {name}\ndata: {data}\n\n"));
 }
 
 impl MessagesWriter {
-    /// A stream for one answer.
+    /// A writer for one answer.
     pub fn new(id: &str, model: &str, estimated_prompt_tokens: u32) -> Self {
         MessagesWriter {
             id: id.into(),
             model: model.into(),
             estimated_prompt_tokens,
-            begun: false,
+            started: false,
             summary: CollectedAnswer::default(),
         }
     }
 
-    fn begin(&mut self, to: &mut String) {
-        if std::mem::replace(&mut self.begun, true) {
+    /// Writes the events that start an answer, unless they are already written.
+    fn write_start(&mut self, output: &mut String) {
+        if std::mem::replace(&mut self.started, true) {
             return;
         }
         let mut message =
             CollectedAnswer::default().to_message(&self.id, &self.model, self.estimated_prompt_tokens);
         (message["content"], message["stop_reason"]) = (json!([]), Value::Null);
-        write_named_event("message_start", json!({"type": "message_start", "message": message}), to);
+        write_named_event("message_start", json!({"type": "message_start", "message": message}), output);
         let block = json!({"type": "text", "text": ""});
         let start = json!({"type": "content_block_start", "index": 0, "content_block": block});
-        write_named_event("content_block_start", start, to);
+        write_named_event("content_block_start", start, output);
     }
 
-    /// The bytes of `events` in this dialect; those without a counterpart are left out.
+    /// Serializes `events` in this dialect; events without a counterpart are left out.
     pub fn write(&mut self, events: &[StreamEvent]) -> Bytes {
-        let mut to = String::new();
+        let mut output = String::new();
         for event in events {
             match event {
                 StreamEvent::Text(text) => {
-                    self.begin(&mut to);
+                    self.write_start(&mut output);
                     let delta = json!({"type": "text_delta", "text": text});
                     let event = json!({"type": "content_block_delta", "index": 0, "delta": delta});
-                    write_named_event("content_block_delta", event, &mut to);
+                    write_named_event("content_block_delta", event, &mut output);
                 }
-                StreamEvent::Started(_) => self.begin(&mut to),
+                StreamEvent::Started(_) => self.write_start(&mut output),
                 event => self.summary.add_summary(event.clone()),
             }
         }
-        to.into()
+        output.into()
     }
 
-    /// The bytes that end a complete stream.
+    /// Serializes the end of a complete stream.
     pub fn finish(&mut self) -> Bytes {
-        let mut to = String::new();
-        self.begin(&mut to);
-        write_named_event("content_block_stop", json!({"type": "content_block_stop", "index": 0}), &mut to);
+        let mut output = String::new();
+        self.write_start(&mut output);
+        write_named_event(
+            "content_block_stop",
+            json!({"type": "content_block_stop", "index": 0}),
+            &mut output,
+        );
         let delta = json!({"stop_reason": self.summary.stop_reason(), "stop_sequence": null});
         let usage = self.summary.usage(self.estimated_prompt_tokens);
         write_named_event(
             "message_delta",
             json!({"type": "message_delta", "delta": delta, "usage": usage}),
-            &mut to,
+            &mut output,
         );
-        write_named_event("message_stop", json!({"type": "message_stop"}), &mut to);
-        to.into()
+        write_named_event("message_stop", json!({"type": "message_stop"}), &mut output);
+        output.into()
     }
 }
 
@@ -157,22 +162,24 @@
 }
 
 impl ChatWriter {
-    /// The bytes of `events` in this dialect; those without a counterpart are left out.
+    /// Serializes `events` in this dialect; events without a counterpart are left out.
     pub fn write(&mut self, events: &[StreamEvent]) -> Bytes {
-        let mut to = String::new();
+        let mut output = String::new();
         for event in events {
             match event {
-                StreamEvent::Text(text) => write_chat_choice(json!({"content": text}), Value::Null, &mut to),
+                StreamEvent::Text(text) => {
+                    write_chat_choice(json!({"content": text}), Value::Null, &mut output)
+                }
                 event => self.summary.add_summary(event.clone()),
             }
         }
-        to.into()
+        output.into()
     }
 
-    /// The bytes that end a complete stream.
+    /// Serializes the end of a complete stream.
     pub fn finish(&mut self) -> Bytes {
-        let (summary, mut to) = (&self.summary, String::new());
-        write_chat_choice(json!({}), summary.finish_reason().into(), &mut to);
+        let (summary, mut output) = (&self.summary, String::new());
+        write_chat_choice(json!({}), summary.finish_reason().into(), &mut output);
         let (prompt, cached, answer) = (
             summary.prompt_tokens.unwrap_or(0),
             summary.cached_tokens.unwrap_or(0),
@@ -182,13 +189,13 @@
             "prompt_tokens": prompt, "completion_tokens": answer, "total_tokens": prompt.saturating_add(answer),
             "prompt_tokens_details": {"cached_tokens": cached},
         });
-        to.push_str(&format!("data: {}\n\n", json!({"choices": [], "usage": usage})));
-        to.push_str("data: [DONE]\n\n");
-        to.into()
+        output.push_str(&format!("data: {}\n\n", json!({"choices": [], "usage": usage})));
+        output.push_str("data: [DONE]\n\n");
+        output.into()
     }
 }
 
-fn write_chat_choice(delta: Value, reason: Value, to: &mut String) {
+fn write_chat_choice(delta: Value, reason: Value, output: &mut String) {
     let choice = json!({"index": 0, "delta": delta, "finish_reason": reason});
-    to.push_str(&format!("data: {}\n\n", json!({"choices": [choice]})));
+    output.push_str(&format!("data: {}\n\n", json!({"choices": [choice]})));
 }
--- a/router/src/http.rs
+++ b/router/src/http.rs
@@ -1,11 +1,10 @@
-//! HTTP/1.1 as the router needs it.
+//! The parts of HTTP/1.1 that the router uses.
 //!
 //! - `head`: reads the heads of requests and responses.
-//! - `body`: finds the end of a body and reads its parts.
+//! - `body`: reads the parts of a body and finds its end.
 //! - `connection`: a TCP connection with its read buffer and gathered writes.
 //!
-//! Ambiguous messages are rejected, never guessed at: another reader of the same bytes might take them for other
-//! messages (request smuggling).
+//! Ambiguous messages are rejected: another parser of the same bytes could read different messages (request smuggling).
 
 mod body;
 mod connection;
@@ -15,19 +14,19 @@
 pub use connection::BufferedConnection;
 pub use head::{BodyFraming, MessageHead, StartLine};
 
-/// Why a message cannot be read. After it the connection cannot be used for another message.
+/// Why a message cannot be read. The connection cannot be used for another message afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// It breaks the protocol or is ambiguous; status 400.
+    /// The message violates the protocol or is ambiguous; status 400.
     #[error("message is malformed or ambiguous")]
     Malformed,
     /// The body is larger than the limit; status 413.
     #[error("body is too large")]
     BodyTooLarge,
-    /// The head is larger, or has more fields, than the limits allow; status 431.
+    /// The head exceeds the limit on its size or on its number of fields; status 431.
     #[error("head is too large")]
     HeadTooLarge,
-    /// It uses a transfer coding other than `chunked`; status 501.
+    /// The transfer coding is not `chunked`; status 501.
     #[error("transfer coding is not supported")]
     UnsupportedCoding,
 }
--- a/router/src/http/body.rs
+++ b/router/src/http/body.rs
@@ -1,38 +1,38 @@
-//! Bodies: reads their parts from the read buffer, by length, in chunks or to the end of the connection.
+//! Reads message bodies from the read buffer: of a declared length, chunked, or up to the end of the connection.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use super::{BodyFraming, HttpError};
 
-/// The longest line of a chunk size or a trailer, bytes: room for a size and a short extension, while a peer that never
+/// Maximum length of a chunk size line or trailer line, bytes: a size with a short extension fits, and a peer that never
 /// ends a line cannot fill the buffer.
 const MAX_CHUNK_LINE_SIZE: usize = 1024;
-/// The most trailer lines after the last chunk; they are skipped, so that a peer could send them without end.
+/// Maximum number of trailer lines after the last chunk. They are skipped, so a peer could otherwise send them endlessly.
 const MAX_TRAILERS: usize = 32;
-/// The most hexadecimal digits of a chunk size: 15 fit a `u64` with room to add to it.
+/// Maximum number of hexadecimal digits of a chunk size: 15 digits fit a `u64` without overflow in later sums.
 const MAX_CHUNK_SIZE_DIGITS: usize = 15;
 
 /// A part of a body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BodyPart {
-    /// Bytes of it, at least one.
+    /// Bytes of the body, at least one.
     Data(Bytes),
-    /// Its end.
+    /// The end of the body.
     End,
 }
 
-/// What comes next in a body.
+/// The element of the body that is read next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum BodyPosition {
-    /// The line with the size of a chunk.
+    /// A chunk size line.
     ChunkSize,
-    /// This many bytes of data.
+    /// Data; with the number of bytes that remain.
     Data(u64),
     /// The line end after the data of a chunk.
     ChunkEnd,
-    /// A trailer line, after this many others.
+    /// A trailer line; with the number of trailer lines already read.
     Trailer(usize),
-    /// Nothing.
+    /// The body has ended.
     End,
 }
 
@@ -41,14 +41,14 @@
 pub struct BodyReader {
     framing: BodyFraming,
     position: BodyPosition,
-    /// Bytes.
+    /// Maximum size of a chunk, bytes.
     max_chunk_size: u64,
-    /// Whether the data of a chunk is given out only when all of it and its end are there.
+    /// Whether the data of a chunk is returned only after the complete chunk and its line end have arrived.
     only_complete_chunks: bool,
 }
 
 impl BodyReader {
-    /// A reader of a body framed so. A chunk of more than `max_chunk_size` bytes is an error.
+    /// A reader of a body with this framing. A chunk of more than `max_chunk_size` bytes is an error.
     pub fn new(framing: BodyFraming, max_chunk_size: u64) -> BodyReader {
         let position = match framing {
             BodyFraming::Chunked => BodyPosition::ChunkSize,
@@ -59,17 +59,17 @@
         BodyReader { framing, position, max_chunk_size, only_complete_chunks: false }
     }
 
-    /// A reader of the body of a replica's response. A chunk is given out when it is complete and ends where its size
-    /// says: of a malformed one no byte is passed on as part of the answer.
+    /// A reader of the body of a replica's response. A chunk is returned when it is complete and its line end follows, so
+    /// that no byte of a malformed chunk is relayed to the client.
     pub fn for_response(framing: BodyFraming, max_chunk_size: usize) -> BodyReader {
         let only_complete_chunks = framing == BodyFraming::Chunked;
         BodyReader { only_complete_chunks, ..BodyReader::new(framing, max_chunk_size as u64) }
     }
 
-    /// Takes the next part off the front of `buffer`; `None` if more has to be read first.
+    /// Removes the next part from the front of `buffer`; `None` if more input is needed.
     ///
     /// # Errors
-    /// [`HttpError::Malformed`] if the chunks are; [`HttpError::BodyTooLarge`] if one is too large.
+    /// [`HttpError::Malformed`] for malformed chunks; [`HttpError::BodyTooLarge`] for a chunk that is too large.
     pub fn next_part(&mut self, buffer: &mut BytesMut) -> Result<Option<BodyPart>, HttpError> {
         loop {
             let next = match self.position {
@@ -81,7 +81,7 @@
                 BodyPosition::Data(left) => return Ok(Some(self.take_data(left, buffer))),
                 BodyPosition::ChunkEnd => take_chunk_end(buffer)?,
                 BodyPosition::ChunkSize => self.take_chunk_size(buffer)?,
-                BodyPosition::Trailer(before) => take_trailer(before, buffer)?,
+                BodyPosition::Trailer(skipped) => take_trailer(skipped, buffer)?,
             };
             match next {
                 Some(position) => self.position = position,
@@ -136,16 +136,16 @@
     }
 }
 
-fn take_trailer(before: usize, buffer: &mut BytesMut) -> Result<Option<BodyPosition>, HttpError> {
+fn take_trailer(skipped: usize, buffer: &mut BytesMut) -> Result<Option<BodyPosition>, HttpError> {
     let Some(line) = take_line(buffer)? else { return Ok(None) };
-    match before {
+    match skipped {
         _ if line.is_empty() => Ok(Some(BodyPosition::End)),
         MAX_TRAILERS.. => Err(HttpError::Malformed),
-        before => Ok(Some(BodyPosition::Trailer(before + 1))),
+        skipped => Ok(Some(BodyPosition::Trailer(skipped + 1))),
     }
 }
 
-/// The size at the beginning of a chunk's line, which an extension may follow after a semicolon.
+/// Parses the size at the start of a chunk size line; an extension may follow after a semicolon.
 fn parse_chunk_size(line: &[u8]) -> Option<u64> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii_end();
     let is_number =
@@ -154,7 +154,7 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// Takes a line off the front of `buffer`, without its CR LF; `None` if it is not complete.
+/// Removes a line from the front of `buffer` and returns it without its CR LF; `None` if it is not complete.
 fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
     match buffer.iter().position(|byte| *byte == b'\n') {
         Some(end) if end > MAX_CHUNK_LINE_SIZE || end == 0 || buffer[end - 1] != b'\r' => {
--- a/router/src/http/head.rs
+++ b/router/src/http/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and responses: start line, header fields, and how the body that follows is framed.
+//! Heads of requests and responses: start line, header fields, and the framing of the body that follows.
 
 use bytes::{Bytes, BytesMut};
 
@@ -8,35 +8,35 @@
 /// The first line of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartLine {
-    /// Of a request: method and target.
+    /// Of a request: its method and target.
     Request(Bytes, Bytes),
-    /// Of a response: the status.
+    /// Of a response: its status code.
     Status(u16),
 }
 
-/// The head of a message. Its parts are slices of the buffer it was read from, not copies.
+/// The head of a message. Its parts are slices of the read buffer, not copies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MessageHead {
     /// The first line.
     pub start_line: StartLine,
     /// Names and values of the header fields, in the order of the message.
     pub fields: Vec<(Bytes, Bytes)>,
-    /// Whether the version is HTTP/1.1; it is HTTP/1.0 otherwise.
+    /// Whether the version is HTTP/1.1; otherwise it is HTTP/1.0.
     pub is_http_11: bool,
 }
 
 /// How the end of a body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// After this many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// After the last chunk.
+    /// The body ends with the last chunk.
     Chunked,
-    /// The head does not say: a request has no body, that of a response ends with the connection.
+    /// The head declares no framing: a request has no body, the body of a response ends with the connection.
     Undeclared,
 }
 
-/// Where a part of a head stands in the buffer, so that it can be cut out without a copy.
+/// The position of a part of a head in the buffer, for slicing it without a copy.
 #[derive(Clone, Copy)]
 struct Span {
     start: usize,
@@ -55,10 +55,10 @@
 }
 
 impl MessageHead {
-    /// Takes a complete request head off the front of `buffer`; `None` if more has to be read first.
+    /// Removes a complete request head from the front of `buffer`; `None` if more input is needed.
     ///
     /// # Errors
-    /// [`HttpError::Malformed`], or [`HttpError::HeadTooLarge`] by `limits`, be the head complete or not.
+    /// [`HttpError::Malformed`], or [`HttpError::HeadTooLarge`] if a complete or partial head exceeds `limits`.
     pub fn parse_request(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<MessageHead>, HttpError> {
         let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
         let mut parsed = httparse::Request::new(&mut slots);
@@ -72,10 +72,10 @@
         Ok(Some(MessageHead { start_line, fields: cut_fields(&head, &fields), is_http_11 }))
     }
 
-    /// Takes a complete response head off the front of `buffer`; `None` if more has to be read first.
+    /// Removes a complete response head from the front of `buffer`; `None` if more input is needed.
     ///
     /// # Errors
-    /// [`HttpError::Malformed`], or [`HttpError::HeadTooLarge`] by `limits`, be the head complete or not.
+    /// [`HttpError::Malformed`], or [`HttpError::HeadTooLarge`] if a complete or partial head exceeds `limits`.
     pub fn parse_response(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<MessageHead>, HttpError> {
         let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
         let mut parsed = httparse::Response::new(&mut slots);
@@ -87,7 +87,7 @@
         Ok(Some(MessageHead { start_line, fields: cut_fields(&head, &fields), is_http_11 }))
     }
 
-    /// The values of all fields of a name, whatever its case.
+    /// The values of all fields of a name, compared without regard to case.
     fn values<'head, 'name>(
         &'head self,
         name: &'name str,
@@ -96,10 +96,10 @@
         self.fields.iter().filter(has_name).map(|(_, value)| value)
     }
 
-    /// The value of a field that may stand only once; `None` if it is absent.
+    /// The value of a field that may occur only once; `None` if it is absent.
     ///
     /// # Errors
-    /// [`HttpError::Malformed`] if it stands more than once.
+    /// [`HttpError::Malformed`] if the field occurs more than once.
     pub fn single_value(&self, name: &str) -> Result<Option<&Bytes>, HttpError> {
         let mut values = self.values(name);
         match (values.next(), values.next()) {
@@ -111,13 +111,13 @@
     /// Like [`MessageHead::single_value`], as text.
     ///
     /// # Errors
-    /// [`HttpError::Malformed`] if the field stands more than once or is not UTF-8.
+    /// [`HttpError::Malformed`] if the field occurs more than once or is not UTF-8.
     pub fn text_value(&self, name: &str) -> Result<Option<&str>, HttpError> {
         let value = self.single_value(name)?;
         value.map(|bytes| std::str::from_utf8(bytes).map_err(|_| HttpError::Malformed)).transpose()
     }
 
-    /// Whether one of the fields of a name has `token` in its comma-separated list, whatever its case.
+    /// Whether a field of this name has `token` in its comma-separated list, compared without regard to case.
     fn contains_token(&self, name: &str, token: &str) -> bool {
         let is_token = |item: &[u8]| item.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
         self.values(name).any(|value| value.split(|byte| *byte == b',').any(is_token))
@@ -136,11 +136,11 @@
         self.contains_token("expect", "100-continue")
     }
 
-    /// How the end of the body is found.
+    /// The framing of the body.
     ///
     /// # Errors
-    /// [`HttpError::Malformed`] if the head states two framings, or one that is not clear: another reader might
-    /// choose the other one. [`HttpError::UnsupportedCoding`] for a coding other than `chunked`.
+    /// [`HttpError::Malformed`] if the head declares two framings or an ambiguous one, which another parser could read
+    /// differently. [`HttpError::UnsupportedCoding`] for a coding other than `chunked`.
     pub fn framing(&self) -> Result<BodyFraming, HttpError> {
         let length = self.single_value("content-length")?;
         let coding = self.single_value("transfer-encoding")?;
@@ -191,7 +191,7 @@
     fields.iter().map(|(name, value)| (name.cut(head), value.cut(head))).collect()
 }
 
-/// The number of a Content-Length field. Digits only: `str::parse` alone would take a sign.
+/// Parses the value of a Content-Length field; digits only, as `str::parse` alone would accept a sign.
 fn parse_content_length(value: &[u8]) -> Option<u64> {
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(value).ok().filter(|_| is_number)?.parse().ok()
