--- a/router/src/dialect/chat.rs
+++ b/router/src/dialect/chat.rs
@@ -9,7 +9,7 @@
     if data == b"[DONE]" {
         return events.push(StreamEvent::Complete);
     }
-    let contains = |word: &[u8]| data.windows(word.len()).any(|window| window == word);
+    let contains = |field: &[u8]| data.windows(field.len()).any(|window| window == field);
     if !with_text && name.is_empty() && !contains(b"\"usage\"") && !contains(b"\"error\"") {
         return events.push(StreamEvent::Text(String::new()));
     }
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -415,12 +415,12 @@
 }
 
 /// The index of an argument in a list of names of the deployment; reports a name that the list does not have.
-fn index_of(entry: &Entry, argument: usize, what: &str, names: &[&str], problems: &mut Vec<Problem>) -> u32 {
+fn index_of(entry: &Entry, argument: usize, kind: &str, names: &[&str], problems: &mut Vec<Problem>) -> u32 {
     let name = entry.text(argument);
     names.iter().position(|n| *n == name).map_or_else(
         || {
             let mut problem =
-                Problem::new(entry.place(argument + 1), format!("the deployment has no {what} `{name}`"));
+                Problem::new(entry.place(argument + 1), format!("the deployment has no {kind} `{name}`"));
             problem.help = Some(match nearest(name, names.iter().copied()) {
                 Some(closest) => format!("did you mean `{closest}`?"),
                 None => format!("known names: {}", names.join(", ")),
@@ -487,8 +487,8 @@
         for name in ["drain", "maint", "down"] {
             if (200..400).contains(&status(name)) {
                 let place = http.entry(name).map_or(s.place, |e| e.place(1));
-                let what = format!("`{name}` must not be a 2xx or 3xx status: balancers read it as healthy");
-                problems.push(Problem::new(place, what));
+                let text = format!("`{name}` must not be a 2xx or 3xx status: balancers read it as healthy");
+                problems.push(Problem::new(place, text));
             }
         }
     }
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -44,7 +44,7 @@
         Command::Version => println!("tallypin {}", env!("CARGO_PKG_VERSION")),
         Command::Check { settings, print } => {
             let (config, installation) = match configure(settings.as_deref()) {
-                Ok(all) => all,
+                Ok(inputs) => inputs,
                 Err(error) => return report_malformed(&error),
             };
             match installation {
@@ -67,7 +67,7 @@
                 }
             }
             let (config, installation) = match configure(settings.as_deref()) {
-                Ok(all) => all,
+                Ok(inputs) => inputs,
                 Err(error) => return report_malformed(&error),
             };
             let log = installation.as_ref().map_or(LogSettings::default(), |i| i.log.clone());
@@ -306,11 +306,11 @@
 
 /// A handler that parses operator orders from the socket and passes them to the fleet agent.
 fn fleet_order_handler(fleet: Rc<FleetAgent>) -> ToFleet {
-    Rc::new(move |words| {
+    Rc::new(move |order| {
         let fleet = fleet.clone();
         Box::pin(async move {
-            match operator_orders::parse(&words.split_ascii_whitespace().collect::<Vec<_>>()) {
-                Ok(order) => fleet.execute_order(order).await,
+            match operator_orders::parse(&order.split_ascii_whitespace().collect::<Vec<_>>()) {
+                Ok(parsed) => fleet.execute_order(parsed).await,
                 Err(error) => serde_json::json!({"done": false, "why": error.to_string()}),
             }
         })
--- a/settings-schema/src/checked.rs
+++ b/settings-schema/src/checked.rs
@@ -157,8 +157,8 @@
         };
         if let Some(first) = entries.iter().find(is_duplicate) {
             let first_line = first.line.as_ref().map_or(0, |l| l.span.line);
-            let what = format!("`{}` is already given in line {first_line}", directive.name);
-            problems.push(Problem::new(line.span, what));
+            let message = format!("`{}` is already given in line {first_line}", directive.name);
+            problems.push(Problem::new(line.span, message));
             continue;
         }
         entries.push(Entry { directive, values, line: Some(line.clone()) });
@@ -180,9 +180,9 @@
         }
         match directive.presence {
             Presence::Required => {
-                let what =
+                let message =
                     format!("section `{}` requires `{}`, which is missing", section.name, directive.name);
-                problems.push(Problem::new(span, what));
+                problems.push(Problem::new(span, message));
             }
             Presence::Optional => {}
             Presence::Default(arguments) => {
@@ -205,8 +205,8 @@
         let Some(line) = &inner.line else { continue };
         match section.sections.iter().find(|s| s.name == line.name()) {
             Some(known) if sections.iter().any(|s| s.section.name == known.name) => {
-                let what = format!("section `{}` is given more than once", known.name);
-                problems.push(Problem::new(line.span, what));
+                let message = format!("section `{}` is given more than once", known.name);
+                problems.push(Problem::new(line.span, message));
             }
             Some(known) => sections.push(check(inner, known, problems)),
             None => problems.push(unknown_name(line, section)),
@@ -226,11 +226,11 @@
     let name = line.name();
     let known: Vec<&str> = section.directives.iter().map(|d| d.name).collect();
     let inner: Vec<&str> = section.sections.iter().map(|s| s.name).collect();
-    let what = match section.name {
+    let message = match section.name {
         "" => format!("unknown directive or section `{name}`"),
         within => format!("unknown directive or section `{name}` in section `{within}`"),
     };
-    let mut problem = Problem::new(line.span, what);
+    let mut problem = Problem::new(line.span, message);
     if inner.contains(&name) {
         problem.help = Some(format!("`{name}` is a section, opened by `{name} {{`"));
         return problem;
@@ -264,23 +264,24 @@
     for (i, token) in line.tokens.iter().enumerate().skip(1) {
         let Some(kind) = argument_kind(directive, i - 1) else {
             let count = directive.arguments.len();
-            let what =
+            let message =
                 format!("`{}` takes {count} argument{}", directive.name, if count == 1 { "" } else { "s" });
-            problems.push(Problem::new(line.span_of(i), what));
+            problems.push(Problem::new(line.span_of(i), message));
             break;
         };
         match kind.read(&token.text) {
             Some(value) => values.push(value),
             None => {
-                let what = format!("invalid argument of `{}`, expected {}", directive.name, kind.expects());
+                let message =
+                    format!("invalid argument of `{}`, expected {}", directive.name, kind.expects());
                 let keywords = kind.keywords().iter().copied();
-                problems.push(Problem::new(line.span_of(i), what).suggest_closest(&token.text, keywords));
+                problems.push(Problem::new(line.span_of(i), message).suggest_closest(&token.text, keywords));
             }
         }
     }
     if let Some(missing) = directive.arguments.get(line.tokens.len() - 1) {
-        let what = format!("missing argument of `{}`, expected {}", directive.name, missing.expects());
-        problems.push(Problem::new(line.span_of(line.tokens.len()), what));
+        let message = format!("missing argument of `{}`, expected {}", directive.name, missing.expects());
+        problems.push(Problem::new(line.span_of(line.tokens.len()), message));
     }
     (problems.len() == known_problems).then_some(values)
 }
--- a/settings-schema/src/lines.rs
+++ b/settings-schema/src/lines.rs
@@ -11,7 +11,7 @@
     /// Offset behind the last byte in the line.
     pub end: usize,
     /// Whether it has no quotes or escapes: only such a brace opens or closes a section.
-    pub bare: bool,
+    pub unquoted: bool,
 }
 
 /// Why a line cannot be split into tokens; with the byte offset in the line.
@@ -60,16 +60,16 @@
         if c == '#' {
             break;
         }
-        let (end, bare) = scan_token(&mut characters, line.len())?;
+        let (end, unquoted) = scan_token(&mut characters, line.len())?;
         let raw = &line[start..end];
-        // Bare tokens need no decoding. A `#` within a token is part of it, for `shlex` as well.
-        let text = match bare {
+        // Unquoted tokens need no decoding. A `#` within a token is part of it, for `shlex` as well.
+        let text = match unquoted {
             true => raw.to_string(),
             false => {
                 shlex::split(raw).and_then(|mut parts| parts.pop()).ok_or(LineError::UnclosedQuote(start))?
             }
         };
-        tokens.push(Token { text, start, end, bare });
+        tokens.push(Token { text, start, end, unquoted });
     }
     Ok(tokens)
 }
@@ -77,21 +77,21 @@
 /// Consumes one token, up to the first separator outside of quotes; returns its end and whether it has no quotes or
 /// escapes.
 fn scan_token(characters: &mut Characters, line_length: usize) -> Result<(usize, bool), LineError> {
-    let (mut quote, mut bare) = (None, true);
-    while let Some(&(at, c)) = characters.peek() {
+    let (mut quote, mut unquoted) = (None, true);
+    while let Some(&(offset, c)) = characters.peek() {
         if c.is_control() && c != '\t' && c != '\r' {
-            return Err(LineError::ControlCharacter(at));
+            return Err(LineError::ControlCharacter(offset));
         }
         match (quote, c) {
-            (None, c) if is_separator(c) => return Ok((at, bare)),
-            (None, '\'' | '"') => (quote, bare) = (Some((c, at)), false),
+            (None, c) if is_separator(c) => return Ok((offset, unquoted)),
+            (None, '\'' | '"') => (quote, unquoted) = (Some((c, offset)), false),
             (Some((open, _)), c) if c == open => quote = None,
             // Within single quotes a backslash is an ordinary character.
             (None | Some(('"', _)), '\\') => {
-                bare = false;
+                unquoted = false;
                 characters.next();
                 if characters.peek().is_none_or(|(_, c)| *c == '\r') {
-                    return Err(LineError::TrailingBackslash(at));
+                    return Err(LineError::TrailingBackslash(offset));
                 }
             }
             _ => {}
@@ -99,7 +99,7 @@
         characters.next();
     }
     match quote {
-        Some((_, at)) => Err(LineError::UnclosedQuote(at)),
-        None => Ok((line_length, bare)),
+        Some((_, offset)) => Err(LineError::UnclosedQuote(offset)),
+        None => Ok((line_length, unquoted)),
     }
 }
--- a/settings-schema/src/load.rs
+++ b/settings-schema/src/load.rs
@@ -99,9 +99,9 @@
 }
 
 impl Loader<'_> {
-    fn report(&mut self, span: SourceSpan, what: impl Into<String>) {
+    fn report(&mut self, span: SourceSpan, message: impl Into<String>) {
         if self.problems.len() < self.bounds.max_problems {
-            self.problems.push(Problem::new(span, what));
+            self.problems.push(Problem::new(span, message));
         }
     }
 
@@ -171,14 +171,14 @@
                 Some(Line { span: SourceSpan { start: first.start, end: first.end, ..span }, tokens })
             }
             Err(error) => {
-                let what = match error {
+                let message = match error {
                     LineError::UnclosedQuote(_) => "the quote opened here is not closed on this line",
                     LineError::TrailingBackslash(_) => {
                         "a backslash ends this line; a directive cannot continue on the next line"
                     }
                     LineError::ControlCharacter(_) => "a control character is not allowed in this file",
                 };
-                self.report(SourceSpan { start: error.offset(), end: error.offset() + 1, ..span }, what);
+                self.report(SourceSpan { start: error.offset(), end: error.offset() + 1, ..span }, message);
                 None
             }
         }
@@ -186,7 +186,7 @@
 
     /// Opens or closes a section, includes a file, or adds a directive, depending on the line.
     fn add_line(&mut self, line: Line, file: &mut OpenFile, including: &mut Vec<PathBuf>) {
-        let is_brace = |t: Option<&Token>, brace: &str| t.is_some_and(|t| t.bare && t.text == brace);
+        let is_brace = |t: Option<&Token>, brace: &str| t.is_some_and(|t| t.unquoted && t.text == brace);
         if is_brace(line.tokens.first(), "}") {
             self.close_section(&line, file);
         } else if is_brace(line.tokens.last(), "{") {
--- a/settings-schema/src/problem.rs
+++ b/settings-schema/src/problem.rs
@@ -24,15 +24,15 @@
     /// The position.
     pub span: SourceSpan,
     /// The error message.
-    pub what: String,
+    pub message: String,
     /// A suggestion, if there is one.
     pub help: Option<String>,
 }
 
 impl Problem {
     /// A problem without a suggestion.
-    pub fn new(span: SourceSpan, what: impl Into<String>) -> Problem {
-        Problem { span, what: what.into(), help: None }
+    pub fn new(span: SourceSpan, message: impl Into<String>) -> Problem {
+        Problem { span, message: message.into(), help: None }
     }
 
     /// Adds the closest of the known names as a suggestion, if one is close to `name`.
@@ -65,14 +65,14 @@
     /// The files, in the order of reading.
     pub sources: Vec<Source>,
     /// The problems, in the order of files and lines.
-    pub all: Vec<Problem>,
+    pub problems: Vec<Problem>,
 }
 
 impl Problems {
     /// Sorts the problems by position.
-    pub fn new(sources: Vec<Source>, mut all: Vec<Problem>) -> Problems {
-        all.sort_by_key(|p| (p.span.file, p.span.line, p.span.start));
-        Problems { sources, all }
+    pub fn new(sources: Vec<Source>, mut problems: Vec<Problem>) -> Problems {
+        problems.sort_by_key(|p| (p.span.file, p.span.line, p.span.start));
+        Problems { sources, problems }
     }
 
     /// Formats a position as `file:line:column`; line and column, in characters, count from 1.
@@ -88,9 +88,9 @@
 
     /// The problems as one line each, for a log.
     pub fn short(&self) -> impl Iterator<Item = String> + '_ {
-        self.all.iter().map(|p| {
+        self.problems.iter().map(|p| {
             let help = p.help.as_ref().map_or(String::new(), |h| format!(" ({h})"));
-            format!("{}: {}{help}", self.format_span(p.span), p.what)
+            format!("{}: {}{help}", self.format_span(p.span), p.message)
         })
     }
 }
@@ -98,11 +98,11 @@
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let renderer = Renderer::plain();
-        for problem in &self.all {
+        for problem in &self.problems {
             let span = problem.span;
             let source = self.sources.get(span.file);
             let line = source.and_then(|s| s.text.lines().nth(span.line.checked_sub(1)?));
-            let title = Level::ERROR.primary_title(problem.what.as_str());
+            let title = Level::ERROR.primary_title(problem.message.as_str());
             let report = match (source, line) {
                 (Some(source), Some(line)) => {
                     let path = source.path.display().to_string();
@@ -117,7 +117,7 @@
                 }
                 _ => {
                     let path = source.map_or(String::new(), |s| format!("{}: ", s.path.display()));
-                    format!("error: {path}{}", problem.what)
+                    format!("error: {path}{}", problem.message)
                 }
             };
             writeln!(f, "{report}")?;
--- a/settings-schema/tests/cases.rs
+++ b/settings-schema/tests/cases.rs
@@ -154,7 +154,7 @@
 fn all_problems_are_told_in_one_run_and_shown_with_their_lines() {
     let text = "memory 5\nfrom 127.0.0.0/8 here\n  quiet of\nagent {\n    bugdet 1s\n}\n";
     let problems = read(&[("a.conf", text)]).unwrap_err();
-    assert_eq!(problems.all.len(), 5, "{problems}");
+    assert_eq!(problems.problems.len(), 5, "{problems}");
     let shown = problems.to_string();
     for part in
         ["a.conf:3:9", "3 |   quiet of", "did you mean `off`?", "5 |     bugdet 1s", "did you mean `budget`?"]
@@ -192,7 +192,7 @@
     let many = "nonsense\n".repeat(5000) + "quiet 'on\n";
     let bounds = Bounds { max_bytes: 1000, ..Bounds::default() };
     let (_, _, problems) = load(Path::new("a.conf"), bounds, &|_| Ok(many.clone()));
-    assert!(problems[0].what.contains("more than 1000 bytes"), "{problems:?}");
+    assert!(problems[0].message.contains("more than 1000 bytes"), "{problems:?}");
 }
 
 #[test]
