--- a/router/src/front/connection.rs
+++ b/router/src/front/connection.rs
@@ -91,7 +91,7 @@
         }
         let read = timeout_at(start.complete_by.into(), read_request(context, connection, received_at));
         let request = read.await.unwrap_or(Ok(Err(Rejection::Slow)));
-        connection.message_taken();
+        connection.message_consumed();
         let request = match request {
             Ok(request) => request.map(|r| IncomingRequest { client: client_address, ..r }),
             Err(e) => return CloseCause::ReadFailed(e.kind()),
--- a/router/src/http/connection.rs
+++ b/router/src/http/connection.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records that a message has been consumed: the remaining input arrived with the last read, which completed the message.
-    pub fn message_taken(&mut self) {
+    pub fn message_consumed(&mut self) {
         self.first_read_at = self.last_read_at;
     }
 
