--- a/router/src/core/answer.rs
+++ b/router/src/core/answer.rs
@@ -1,24 +1,25 @@
-//! Final answers, why they were given, and the counts of what became of requests.
+//! Final answers to requests, their causes, and the counts of requests and attempts by outcome.
 
 use tallypin::api::{Nanos, Outcome, RejectReason};
 
 /// The final answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// The complete stream was passed on.
+    /// The complete stream was relayed to the client.
     Completed,
-    /// The stream broke after it had begun.
+    /// The stream broke after its first event had been relayed.
     Interrupted,
-    /// Rejected: no replica may have run it in a way that makes a retry do harm.
+    /// Rejected: the client can retry without harm, because no replica can have run the request with an effect that a
+    /// repeat would duplicate.
     Rejected {
-        /// How long the client is best to wait before it asks again; 0: no advice.
+        /// Suggested delay before the client retries, in nanoseconds; 0 means no suggestion.
         retry_after: Nanos,
-        /// Why.
+        /// Reason for the rejection.
         reason: RejectReason,
     },
-    /// Failed, which promises nothing: a replica may have run it.
+    /// Failed: a replica may have run the request, so a retry may repeat its effect.
     Failed {
-        /// The client's deadline had passed.
+        /// Whether the client's deadline had passed.
         past_deadline: bool,
     },
 }
@@ -26,71 +27,71 @@
 /// Why a request got its final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerCause {
-    /// Its stream ended, complete or not.
+    /// The response stream ended, complete or not.
     StreamEnded,
-    /// The decision module rejected it.
+    /// The decision module rejected the request.
     Rejected(RejectReason),
-    /// The decision module gave it up: no further attempt may be made, or none would be in time.
+    /// The decision module gave the request up: no further attempt is allowed, or none would finish in time.
     NoAttemptLeft,
-    /// The decision module had not decided by the client's deadline.
+    /// The decision module did not decide before the client's deadline.
     Deadline,
-    /// The router is about to be killed.
+    /// The router answered open requests because its process is about to be killed.
     Shutdown,
 }
 
-/// What became of a request, for the log.
+/// Summary of a request at its final answer, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestSummary {
-    /// Why it got its final answer.
+    /// Cause of the final answer.
     pub cause: AnswerCause,
-    /// How long it was open, in nanoseconds.
+    /// Time since the request was accepted, in nanoseconds.
     pub age: Nanos,
-    /// How many attempts were started.
+    /// Number of attempts started.
     pub attempts: usize,
-    /// How many of them were still in flight.
+    /// Number of attempts still in flight.
     pub open_attempts: usize,
-    /// Whether a replica may have run it.
+    /// Whether a replica may have run the request.
     pub may_have_run: bool,
-    /// It was to be rejected, and failed instead, because a replica may have run it.
+    /// Whether the request failed instead of being rejected, because a replica may have run it.
     pub failed_instead_of_rejected: bool,
 }
 
-/// Counts of what became of requests and attempts, since the start.
+/// Counts of requests by final answer and of attempts by outcome, since the router started.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     /// Requests accepted.
     pub accepted: u64,
-    /// Those that asked for the rest of a broken stream.
+    /// Accepted requests that resume a broken stream.
     pub resumed: u64,
-    /// Final answers: complete streams.
+    /// Requests whose stream was relayed completely.
     pub completed: u64,
-    /// Final answers: streams that broke after they had begun.
+    /// Requests whose stream broke after it had begun.
     pub interrupted: u64,
-    /// Those of them that this router interrupted because it was about to be killed.
+    /// Streams interrupted by this router because its process was about to be killed; part of `interrupted`.
     pub interrupted_by_shutdown: u64,
-    /// Streams that have begun.
+    /// Streams of which the first event was relayed.
     pub streams_started: u64,
-    /// Final answers: rejections.
+    /// Requests rejected.
     pub rejected: u64,
-    /// Those of them that were over their tenant's quota.
+    /// Requests rejected because their tenant exceeded its quota; part of `rejected`.
     pub rejected_over_quota: u64,
-    /// Those of them that were given because the router was about to be killed.
+    /// Requests rejected because the process was about to be killed; part of `rejected`.
     pub rejected_by_shutdown: u64,
-    /// Final answers: failures.
+    /// Requests failed.
     pub failed: u64,
-    /// Those of them whose client's deadline had passed.
+    /// Requests failed after their client's deadline; part of `failed`.
     pub failed_past_deadline: u64,
-    /// Those of them that were given because the router was about to be killed.
+    /// Requests failed because the process was about to be killed; part of `failed`.
     pub failed_by_shutdown: u64,
-    /// Those of them that were to be rejections, of requests that a replica may have run.
+    /// Requests failed instead of rejected, because a replica may have run them; part of `failed`.
     pub failed_instead_of_rejected: u64,
-    /// Clients that left before their final answer.
+    /// Clients that disconnected before their final answer.
     pub client_disconnects: u64,
-    /// Outcomes of attempts, in the order of [`COUNTED_OUTCOMES`].
+    /// Number of attempts by outcome, in the order of [`COUNTED_OUTCOMES`].
     pub outcomes: [u64; 8],
 }
 
-/// The outcomes in the order in which [`RequestCounts::outcomes`] counts them.
+/// The outcomes of attempts in the order of [`RequestCounts::outcomes`].
 pub const COUNTED_OUTCOMES: [Outcome; 8] = [
     Outcome::Completed,
     Outcome::ReplicaError,
@@ -103,13 +104,13 @@
 ];
 
 impl RequestCounts {
-    /// Attempts that a replica answered, with whatever; a stream counts as soon as it begins.
+    /// Number of attempts that a replica answered, including errors and rejections. A stream counts once it begins.
     pub fn answered(&self) -> u64 {
-        let [_, error, busy, ..] = self.outcomes;
-        self.streams_started + error + busy
+        let [_, errors, rejections, ..] = self.outcomes;
+        self.streams_started + errors + rejections
     }
 
-    /// Attempts that no replica answered: connection refused or reset, or timed out.
+    /// Number of attempts without an answer of the replica: connection refused, connection reset or timed out.
     pub fn unanswered(&self) -> u64 {
         let [_, _, _, timed_out, refused, reset, ..] = self.outcomes;
         timed_out + refused + reset
@@ -125,14 +126,14 @@
                 self.interrupted += 1;
                 self.interrupted_by_shutdown += shutdown;
             }
-            FinalAnswer::Rejected { reason: why, .. } => {
+            FinalAnswer::Rejected { reason, .. } => {
                 self.rejected += 1;
-                self.rejected_over_quota += u64::from(why == RejectReason::QuotaExceeded);
+                self.rejected_over_quota += u64::from(reason == RejectReason::QuotaExceeded);
                 self.rejected_by_shutdown += shutdown;
             }
-            FinalAnswer::Failed { past_deadline: late } => {
+            FinalAnswer::Failed { past_deadline } => {
                 self.failed += 1;
-                self.failed_past_deadline += u64::from(late);
+                self.failed_past_deadline += u64::from(past_deadline);
                 self.failed_by_shutdown += shutdown;
             }
         }
--- a/router/src/core/instruction.rs
+++ b/router/src/core/instruction.rs
@@ -1,45 +1,45 @@
-//! What the core wants done.
+//! Instructions of the core to the code that owns the sockets.
 
 use tallypin::api::{Nanos, PeerId, ReplicaId, RequestId};
 
 use super::answer::{FinalAnswer, RequestSummary};
 use super::request::AbortReason;
 
-/// What is to be done, in the order given.
+/// An instruction of the core. Instructions are carried out in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Instruction {
     /// Start an attempt at a replica.
     StartAttempt {
         /// The request.
         request: RequestId,
-        /// Which of its attempts, counted from 0.
+        /// Number of the attempt, counted from 0 within the request.
         attempt: u32,
-        /// Where.
+        /// The replica that receives the attempt.
         replica: ReplicaId,
-        /// When the client gives up.
+        /// The client's deadline, in nanoseconds of the router's clock.
         deadline: Nanos,
     },
-    /// Abort an attempt; its outcome is settled.
+    /// Abort an attempt. The core has already recorded its outcome.
     AbortAttempt {
         /// The request.
         request: RequestId,
-        /// Which of its attempts.
+        /// Number of the attempt within the request.
         attempt: u32,
-        /// Why.
+        /// Reason for the abort.
         reason: AbortReason,
     },
-    /// Give the final answer. Of a stream that has begun this says how it ended.
+    /// Give the final answer. For a stream that has begun, the answer says how it ended.
     Finish {
         /// The request.
         request: RequestId,
-        /// Its final answer.
+        /// The final answer.
         answer: FinalAnswer,
-        /// What became of it, for the log.
+        /// Summary of the request, for the log.
         summary: RequestSummary,
     },
-    /// Check the health of a replica.
+    /// Run a health check of a replica.
     Probe(ReplicaId),
-    /// Poll the endpoint list, or watch it anew.
+    /// Poll the endpoint list, or restart its watch.
     WatchEndpoints,
     /// Send a load report to the other routers.
     SendReport(Vec<u8>),
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -1,6 +1,6 @@
-//! The core: it owns the decision module, the open requests, their attempts and all timers, and turns what has happened into
-//! what is to be done ([`Instruction`]). It knows no HTTP, no socket and no names of events, and the time is handed in. It is
-//! the one place that gives final answers, so each request gets exactly one.
+//! The core owns the decision module, the open requests, their attempts and all timers. Its callers report what happened and
+//! pass the current time; it returns [`Instruction`]s. It does no input or output and knows no HTTP. Only the core gives
+//! final answers, so each request gets exactly one.
 
 mod answer;
 mod instruction;
@@ -23,34 +23,34 @@
 
 /// The core of one router.
 pub struct Core {
-    /// Decides; the core does what it says.
+    /// The decision module, whose actions the core carries out.
     balancer: Balancer,
-    /// What repeating a request of each class does.
+    /// Effect of repeating a request, by class.
     effects: Vec<Effect>,
-    /// The most attempts of a request.
+    /// Maximum number of attempts per request.
     attempt_limit: usize,
-    /// How long after a deadline the decision module may still answer.
+    /// Time after a request's deadline in which the decision module may still answer, in nanoseconds.
     answer_slack: Nanos,
     requests: FxHashMap<RequestId, OpenRequest>,
     timers: Timers,
     last_id: u64,
     instructions: Vec<Instruction>,
     actions: Vec<Action>,
-    /// The endpoint list, and what operators have laid over it.
+    /// The endpoint list with the operator overrides applied to it.
     endpoints: OverriddenList,
-    /// Streams that began after more than half of the time to their deadline.
+    /// Number of streams that began after more than half of the time to their deadline had passed.
     late_streams: u64,
-    /// What the decision module has not been told yet.
+    /// Events that the decision module has not handled yet.
     events: VecDeque<Event>,
     counts: RequestCounts,
 }
 
 impl Core {
-    /// A core by the settings of the decision module. It answers `answer_slack` nanoseconds after a deadline if the module has
-    /// not.
+    /// Creates a core from the settings of the decision module. A request that the decision module has not answered
+    /// `answer_slack` nanoseconds after its deadline is failed by the core.
     ///
     /// # Errors
-    /// If the settings contradict themselves.
+    /// Returns an error if the settings contradict each other.
     pub fn new(settings: Settings, seed: u64, answer_slack: Nanos) -> Result<Core, SettingsError> {
         let attempt_limit = settings.max_attempts as usize;
         let effects = settings.classes.iter().map(|c| c.effect).collect();
@@ -71,12 +71,12 @@
         })
     }
 
-    /// What repeating a request of a class does; of one that the settings lack, the worst.
+    /// Returns the effect of repeating a request of a class. A class that the settings lack counts as not idempotent.
     fn effect_of(&self, class: ClassId) -> Effect {
         self.effects.get(class.0 as usize).copied().unwrap_or(Effect::NotIdempotent)
     }
 
-    /// Accepts a request; it gets one final answer, unless its client leaves first.
+    /// Accepts a request. It gets one final answer, unless its client disconnects first.
     pub fn accept(&mut self, now: Nanos, request: NewRequest) -> RequestId {
         self.last_id += 1;
         let id = RequestId(self.last_id);
@@ -89,8 +89,8 @@
         id
     }
 
-    /// An attempt is about to write its request. True: it may, and from here on a replica may run it. False: the request is
-    /// over, or it is too late to send it once more.
+    /// Returns whether an attempt may write its request to the replica now. If it may, the request counts as possibly run from
+    /// this call on. It may not if the request is finished or must not be sent again.
     pub fn may_write(&mut self, now: Nanos, id: RequestId, attempt: u32) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return false };
         let may = open.may_write(now, attempt);
@@ -100,41 +100,41 @@
         may
     }
 
-    /// The first event of an attempt has come. True: this attempt streams, and its events go to the client. False: it came too
-    /// late, and its events are to be dropped.
+    /// Reports the first event of an attempt. Returns true if this attempt's events go to the client, and false if they must be
+    /// dropped because the request is already answered or streamed by another attempt.
     pub fn first_event(&mut self, now: Nanos, id: RequestId, attempt: u32) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return false };
-        let Some(begun) = open.in_flight(attempt).map(|a| a.started_at) else { return false };
+        let Some(started_at) = open.in_flight(attempt).map(|a| a.started_at) else { return false };
         if open.answered || open.streaming_attempt.is_some() {
             return false;
         }
         open.streaming_attempt = Some(attempt);
         self.counts.streams_started += 1;
-        let waits = open.deadline.saturating_sub(open.accepted_at);
-        self.late_streams += u64::from(now.saturating_sub(open.accepted_at) > waits / 2);
-        let after = now.saturating_sub(begun);
-        self.notify(now, Event::FirstToken { request: id, attempt, elapsed: after });
+        let time_to_deadline = open.deadline.saturating_sub(open.accepted_at);
+        self.late_streams += u64::from(now.saturating_sub(open.accepted_at) > time_to_deadline / 2);
+        let elapsed = now.saturating_sub(started_at);
+        self.notify(now, Event::FirstToken { request: id, attempt, elapsed });
         self.abort_attempts(now, id, Some(attempt), AbortReason::OtherAttemptStreams);
         self.process_events(now);
         true
     }
 
-    /// An attempt has ended; nothing happens if it was settled before.
-    pub fn attempt_ended(&mut self, now: Nanos, id: RequestId, attempt: u32, end: AttemptResult) {
+    /// Reports that an attempt ended. Ignored if the attempt already has an outcome.
+    pub fn attempt_ended(&mut self, now: Nanos, id: RequestId, attempt: u32, result: AttemptResult) {
         let Some(open) = self.requests.get(&id) else { return };
         if open.in_flight(attempt).is_none() {
             return;
         }
         if open.streaming_attempt == Some(attempt) && !open.answered {
-            let whole = end.outcome == Outcome::Completed;
-            let answer = if whole { FinalAnswer::Completed } else { FinalAnswer::Interrupted };
+            let complete = result.outcome == Outcome::Completed;
+            let answer = if complete { FinalAnswer::Completed } else { FinalAnswer::Interrupted };
             self.finish(now, id, answer, AnswerCause::StreamEnded);
         }
-        self.settle(now, id, attempt, end);
+        self.settle(now, id, attempt, result);
         self.process_events(now);
     }
 
-    /// The client has left; nothing more is owed.
+    /// Reports that the client disconnected. Its request gets no answer.
     pub fn client_disconnected(&mut self, now: Nanos, id: RequestId) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.answered) else { return };
         open.answered = true;
@@ -144,19 +144,19 @@
         self.process_events(now);
     }
 
-    /// The router is about to be killed. Requests without a stream are answered: rejected where that does no harm, else failed.
-    /// Streams of requests accepted after `interrupt_after` are interrupted, so that their clients ask another router for
-    /// the rest; `None`: clients do not ask for the rest, and all streams go on.
+    /// Answers open requests before the process is killed. A request without a stream is rejected if a retry does no harm, and
+    /// failed otherwise. Streams of requests accepted after `interrupt_after` are interrupted, so that their clients resume them
+    /// at another router. `None` means that clients do not resume streams; all streams then continue.
     pub fn answer_for_shutdown(&mut self, now: Nanos, interrupt_after: Option<Nanos>) {
-        let ends = |open: &OpenRequest| match open.streaming_attempt {
+        let is_due = |open: &OpenRequest| match open.streaming_attempt {
             None => true,
             Some(_) => interrupt_after.is_some_and(|after| open.accepted_at > after),
         };
-        let ending = self.requests.iter().filter(|(_, open)| !open.answered && ends(open));
-        let mut ending: Vec<RequestId> = ending.map(|(id, _)| *id).collect();
-        // In the order in which they came: the table has none.
-        ending.sort_unstable();
-        for id in ending {
+        let due = self.requests.iter().filter(|(_, open)| !open.answered && is_due(open));
+        let mut due: Vec<RequestId> = due.map(|(id, _)| *id).collect();
+        // The hash table is unordered: sort the requests by acceptance.
+        due.sort_unstable();
+        for id in due {
             let streams = self.requests.get(&id).is_some_and(|open| open.streaming_attempt.is_some());
             let answer = match streams {
                 true => FinalAnswer::Interrupted,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The endpoint list, or what has changed of it.
+    /// Applies a full endpoint list or a change to it.
     pub fn endpoints_changed(&mut self, now: Nanos, kind: ListUpdate, rows: Vec<EndpointEntry>) {
         let rows = self.endpoints.apply_update(kind, rows);
         self.notify(now, Event::EndpointList { kind, rows });
@@ -183,24 +183,24 @@
         }
     }
 
-    /// Streams that began after more than half of the time to their deadline.
+    /// Number of streams that began after more than half of the time to their deadline had passed.
     pub fn late_streams(&self) -> u64 {
         self.late_streams
     }
 
-    /// The entries of the endpoint list as they came, whatever operators have laid over it.
+    /// The entries of the endpoint list as received, without operator overrides.
     pub fn listed_replicas(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.endpoints.entries()
     }
 
-    /// A message of another router has come: a load report, or one about drains.
+    /// Handles a message of another router: a load report or a drain notice.
     pub fn peer_message_received(&mut self, now: Nanos, from: PeerId, bytes: Vec<u8>) {
         self.notify(now, Event::PeerMessage { from, bytes });
     }
 
-    /// A health check of a replica has ended.
-    pub fn probe_ended(&mut self, now: Nanos, node: ReplicaId, end: AttemptResult) {
-        self.notify(now, Event::ProbeEnded { replica: node, outcome: end.outcome, load: end.load_report });
+    /// Reports the result of a replica's health check.
+    pub fn probe_ended(&mut self, now: Nanos, replica: ReplicaId, result: AttemptResult) {
+        self.notify(now, Event::ProbeEnded { replica, outcome: result.outcome, load: result.load_report });
     }
 
     /// Runs the timers that are due.
@@ -223,7 +223,7 @@
         self.process_events(now);
     }
 
-    /// Guards the promise of one final answer against a decision module that holds a request too long.
+    /// Fails a request that the decision module has not answered by its deadline, so that it still gets a final answer.
     fn deadline_passed(&mut self, now: Nanos, id: RequestId) {
         let Some(open) = self.requests.get(&id) else { return };
         if open.answered || open.streaming_attempt.is_some() {
@@ -235,22 +235,22 @@
         self.process_events(now);
     }
 
-    /// When [`Core::run_timers`] is wanted next.
+    /// Time at which [`Core::run_timers`] has to be called next.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.next()
     }
 
-    /// What has to be done since the last call.
+    /// Returns the instructions issued since the last call.
     pub fn take_instructions(&mut self) -> Vec<Instruction> {
         std::mem::take(&mut self.instructions)
     }
 
-    /// The counts since the start.
+    /// Counts of requests and attempts since the router started.
     pub fn counts(&self) -> &RequestCounts {
         &self.counts
     }
 
-    /// How many requests have no final answer, or attempts in flight.
+    /// Number of requests that have no final answer or still have attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
@@ -260,7 +260,8 @@
         self.process_events(now);
     }
 
-    /// Hands the decision module all events, and those that its actions lead to, until none is left.
+    /// Passes queued events to the decision module and carries out its actions until no event is left. Actions may queue
+    /// further events.
     fn process_events(&mut self, now: Nanos) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -274,15 +275,13 @@
 
     fn apply(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::Send { request, replica, timeout: limit } => {
-                self.start_attempt(now, request, replica, limit)
-            }
-            Action::Reject { request, retry_after, reason: why } => {
+            Action::Send { request, replica, timeout } => self.start_attempt(now, request, replica, timeout),
+            Action::Reject { request, retry_after, reason } => {
                 self.finish(
                     now,
                     request,
-                    FinalAnswer::Rejected { retry_after, reason: why },
-                    AnswerCause::Rejected(why),
+                    FinalAnswer::Rejected { retry_after, reason },
+                    AnswerCause::Rejected(reason),
                 );
                 self.abort_attempts(now, request, None, AbortReason::Answered);
             }
@@ -297,7 +296,7 @@
                     self.abort(now, request, attempt, AbortReason::Canceled, Outcome::Cancelled);
                 }
             }
-            Action::Probe(node) => self.instructions.push(Instruction::Probe(node)),
+            Action::Probe(replica) => self.instructions.push(Instruction::Probe(replica)),
             Action::WatchEndpoints => self.instructions.push(Instruction::WatchEndpoints),
             Action::Gossip(bytes) => self.instructions.push(Instruction::SendReport(bytes)),
             Action::SendToPeer { peer, bytes } => {
@@ -307,78 +306,78 @@
         }
     }
 
-    fn start_attempt(&mut self, now: Nanos, id: RequestId, node: ReplicaId, limit: Nanos) {
+    fn start_attempt(&mut self, now: Nanos, id: RequestId, replica: ReplicaId, timeout: Nanos) {
         let Some(open) = self.requests.get_mut(&id) else { return };
         let attempt = open.add_attempt(now);
-        let over = open.answered || open.streaming_attempt.is_some();
-        if over || now >= open.deadline || open.attempt_count() > self.attempt_limit {
+        let decided = open.answered || open.streaming_attempt.is_some();
+        if decided || now >= open.deadline || open.attempt_count() > self.attempt_limit {
             return self.settle(now, id, attempt, Outcome::NotSent.into());
         }
-        let until = match limit {
+        let timeout_at = match timeout {
             0 => open.deadline,
-            _ => open.deadline.min(now.saturating_add(limit)),
+            _ => open.deadline.min(now.saturating_add(timeout)),
         };
-        self.timers.schedule(until, TimerKind::AttemptTimeout(id, attempt));
+        self.timers.schedule(timeout_at, TimerKind::AttemptTimeout(id, attempt));
         self.instructions.push(Instruction::StartAttempt {
             request: id,
             attempt,
-            replica: node,
+            replica,
             deadline: open.deadline,
         });
     }
 
-    /// The one place where a request gets its final answer. Whoever wants it rejected: one that may have run fails instead
-    /// where a retry could do harm.
-    fn finish(&mut self, now: Nanos, id: RequestId, wanted: FinalAnswer, cause: AnswerCause) {
+    /// Gives a request its final answer; no other function does. A rejection becomes a failure if the request may have run and
+    /// a retry could do harm.
+    fn finish(&mut self, now: Nanos, id: RequestId, requested: FinalAnswer, cause: AnswerCause) {
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.answered) else { return };
-        let answer = open.allowed_answer(now, wanted);
+        let answer = open.allowed_answer(now, requested);
         open.answered = true;
-        let summary = open.summary(now, cause, answer != wanted);
+        let summary = open.summary(now, cause, answer != requested);
         self.counts.count_answer(answer, &summary);
         self.instructions.push(Instruction::Finish { request: id, answer, summary });
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Notes an attempt's outcome; the decision module hears of it from [`Core::process_events`].
-    fn settle(&mut self, now: Nanos, id: RequestId, attempt: u32, end: AttemptResult) {
+    /// Records an attempt's outcome and queues the event for the decision module; [`Core::process_events`] delivers it.
+    fn settle(&mut self, now: Nanos, id: RequestId, attempt: u32, result: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(begun) = open.settle(attempt, end.outcome) else { return };
-        self.counts.count_outcome(end.outcome);
+        let Some(started_at) = open.settle(attempt, result.outcome) else { return };
+        self.counts.count_outcome(result.outcome);
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
-            outcome: end.outcome,
-            elapsed: now.saturating_sub(begun),
+            outcome: result.outcome,
+            elapsed: now.saturating_sub(started_at),
             request_over: open.answered,
-            cached_tokens: (end.outcome == Outcome::Completed).then(|| end.cached_tokens.unwrap_or(0)),
-            load: end.load_report,
+            cached_tokens: (result.outcome == Outcome::Completed).then(|| result.cached_tokens.unwrap_or(0)),
+            load: result.load_report,
         }));
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Has an attempt aborted, and settles its outcome.
+    /// Issues the instruction to abort an attempt, and records its outcome.
     fn abort(&mut self, now: Nanos, id: RequestId, attempt: u32, reason: AbortReason, outcome: Outcome) {
         self.instructions.push(Instruction::AbortAttempt { request: id, attempt, reason });
         self.settle(now, id, attempt, outcome.into());
     }
 
-    /// Aborts the attempts of a request that are in flight, but for one.
-    fn abort_attempts(&mut self, now: Nanos, id: RequestId, but: Option<u32>, reason: AbortReason) {
+    /// Aborts the in-flight attempts of a request, except the attempt `except`.
+    fn abort_attempts(&mut self, now: Nanos, id: RequestId, except: Option<u32>, reason: AbortReason) {
         let Some(open) = self.requests.get(&id) else { return };
-        let in_flight: Vec<u32> = open.all_in_flight().filter(|&n| Some(n) != but).collect();
+        let in_flight: Vec<u32> = open.all_in_flight().filter(|&n| Some(n) != except).collect();
         for attempt in in_flight {
             self.abort(now, id, attempt, reason, Outcome::Cancelled);
         }
     }
 
-    /// Forgets a request that has its final answer and no attempt in flight.
-    fn forget_if_over(&mut self, id: RequestId) {
-        if !self.requests.get(&id).is_some_and(OpenRequest::is_over) {
+    /// Removes a request that has its final answer and no attempt in flight.
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if !self.requests.get(&id).is_some_and(OpenRequest::is_finished) {
             return;
         }
-        let attempts = self.requests.remove(&id).map_or(0, |over| over.attempt_count());
+        let attempts = self.requests.remove(&id).map_or(0, |finished| finished.attempt_count());
         let requests = &self.requests;
-        self.timers.note_obsolete(1 + attempts, |timer| match timer {
+        self.timers.mark_obsolete(1 + attempts, |timer| match timer {
             TimerKind::Decision(_) => true,
             TimerKind::AttemptTimeout(id, attempt) => {
                 requests.get(id).is_some_and(|open| open.in_flight(*attempt).is_some())
@@ -387,12 +386,12 @@
         });
     }
 
-    /// What the decision module knows of the replicas that take requests.
+    /// The decision module's view of the replicas that accept requests.
     pub fn view(&self, now: Nanos) -> Vec<ReplicaSnapshot> {
         self.balancer.replica_snapshots(now)
     }
 
-    /// How many timers are scheduled.
+    /// Number of scheduled timers, obsolete ones included.
     pub fn scheduled_timers(&self) -> usize {
         self.timers.len()
     }
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -1,34 +1,34 @@
-//! A request as a front hands it in, and what the core remembers of it while it is open.
+//! A request as a front submits it, and its state in the core while it is open.
 
 use tallypin::api::*;
 
 use super::answer::{AnswerCause, FinalAnswer, RequestSummary};
 
-/// A request as a front hands it in.
+/// A request as a front submits it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct NewRequest {
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// The tenant whose quota it counts against.
+    /// The tenant whose quota the request counts against.
     pub tenant: TenantId,
-    /// How long its client still waits for a first token, in nanoseconds.
+    /// Time until the client's deadline for the first token, in nanoseconds.
     pub time_left: Nanos,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// How many of them belong to the prefix.
+    /// Number of prompt tokens that belong to the prefix.
     pub prefix_tokens: u32,
-    /// The session.
+    /// The session of the request, if it has one.
     pub session: Option<SessionKey>,
-    /// The prefix that it shares with other sessions.
+    /// The prompt prefix that the request shares with other sessions.
     pub prefix: Option<PrefixKey>,
-    /// The client asks for the rest of a broken stream.
+    /// Whether the request resumes a broken stream.
     pub resumes_stream: bool,
-    /// The client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
 }
 
 impl NewRequest {
-    /// The same for the decision module.
+    /// Converts the request for the decision module.
     pub(super) fn into_request(self, id: RequestId) -> Request {
         Request {
             id,
@@ -45,14 +45,14 @@
     }
 }
 
-/// How an attempt ended, as the connection saw it.
+/// The result of an attempt or a health check, as observed on its connection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptResult {
-    /// What came of it.
+    /// The outcome.
     pub outcome: Outcome,
-    /// Prompt tokens that the replica still had in its cache.
+    /// Number of prompt tokens that the replica read from its cache, if it reported them.
     pub cached_tokens: Option<u32>,
-    /// The replica's load report: its figures in the order of the settings.
+    /// The values of the replica's load report, in the order of the fields in the settings.
     pub load_report: Vec<f64>,
 }
 
@@ -62,29 +62,29 @@
     }
 }
 
-/// Why the core has an attempt closed.
+/// Why the core aborts an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AbortReason {
     /// Another attempt of the request streams.
     OtherAttemptStreams,
-    /// The client has left before its final answer.
+    /// The client disconnected before its final answer.
     ClientDisconnected,
-    /// Its first-token timeout, or the deadline, has passed.
+    /// The attempt's first-token timeout or the request's deadline passed.
     TimedOut,
-    /// The decision module cancelled it.
+    /// The decision module cancelled the attempt.
     Canceled,
-    /// The request has got its final answer without it.
+    /// The request got its final answer without this attempt.
     Answered,
-    /// The router is about to be killed.
+    /// The router's process is about to be killed.
     Shutdown,
 }
 
-/// An attempt, from its start to its outcome.
+/// The state of an attempt from its start to its outcome.
 pub(super) struct AttemptRecord {
     pub(super) started_at: Nanos,
-    /// A byte of the request may have gone out.
+    /// Whether a byte of the request may have been sent.
     pub(super) written: bool,
-    /// `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
@@ -97,17 +97,17 @@
         self.outcome.is_none()
     }
 
-    /// Whether a replica may have run the request, or may yet.
+    /// Whether a replica may have run the request for this attempt, or may still run it.
     fn may_have_run(&self) -> bool {
         match self.outcome {
-            // Cancelled or given up: whether it was written decides.
+            // Without an answer of the replica, it may have run the request once any of it was written.
             None | Some(Outcome::Cancelled | Outcome::TimedOut) => self.written,
             Some(outcome) => !outcome.never_ran(),
         }
     }
 }
 
-/// A request that is open.
+/// A request without a final answer, or with attempts in flight.
 pub(super) struct OpenRequest {
     pub(super) accepted_at: Nanos,
     pub(super) deadline: Nanos,
@@ -119,8 +119,8 @@
 }
 
 impl OpenRequest {
-    pub(super) fn new(now: Nanos, left: Nanos, effect: Effect) -> OpenRequest {
-        let deadline = now.saturating_add(left);
+    pub(super) fn new(now: Nanos, time_left: Nanos, effect: Effect) -> OpenRequest {
+        let deadline = now.saturating_add(time_left);
         OpenRequest {
             accepted_at: now,
             deadline,
@@ -131,23 +131,23 @@
         }
     }
 
-    /// One more attempt; its number.
+    /// Adds an attempt and returns its number.
     pub(super) fn add_attempt(&mut self, now: Nanos) -> u32 {
         self.attempts.push(AttemptRecord::begin(now));
         self.attempts.len() as u32 - 1
     }
 
-    /// How many attempts there have been.
+    /// Number of attempts so far.
     pub(super) fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// An attempt, if it is in flight.
+    /// Returns an attempt if it is in flight.
     pub(super) fn in_flight(&self, attempt: u32) -> Option<&AttemptRecord> {
         self.attempts.get(attempt as usize).filter(|a| a.is_in_flight())
     }
 
-    /// The same, to change it.
+    /// Returns an attempt for modification if it is in flight.
     pub(super) fn in_flight_mut(&mut self, attempt: u32) -> Option<&mut AttemptRecord> {
         self.attempts.get_mut(attempt as usize).filter(|a| a.is_in_flight())
     }
@@ -157,19 +157,20 @@
         (0..self.attempts.len() as u32).filter(|&n| self.in_flight(n).is_some())
     }
 
-    /// Notes an attempt's outcome; gives when it was started, or `None` if it had an outcome already.
+    /// Records an attempt's outcome. Returns its start time, or `None` if it already had an outcome.
     pub(super) fn settle(&mut self, attempt: u32, outcome: Outcome) -> Option<Nanos> {
         let settled = self.in_flight_mut(attempt)?;
         settled.outcome = Some(outcome);
         Some(settled.started_at)
     }
 
-    /// Whether a replica may have run the request, or may yet.
+    /// Whether a replica may have run the request for any attempt, or may still run it.
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(AttemptRecord::may_have_run)
     }
 
-    /// The answer that may be given in place of this one: a rejection promises that a retry does no harm.
+    /// Returns the answer to give when `answer` is requested. A rejection tells the client that a retry does no harm; where that
+    /// is not certain, the request fails instead.
     pub(super) fn allowed_answer(&self, now: Nanos, answer: FinalAnswer) -> FinalAnswer {
         match answer {
             FinalAnswer::Rejected { .. } if !self.effect.may_reject(self.may_have_run()) => {
@@ -179,31 +180,36 @@
         }
     }
 
-    /// Whether the request may be written for an attempt now: it is in flight, its client still waits, and if another attempt
-    /// may have run, the request may still be sent once more.
+    /// Whether an attempt may write the request now: the attempt is in flight, the client still waits for an answer, and every
+    /// other attempt that may have run still permits a resend.
     pub(super) fn may_write(&self, now: Nanos, attempt: u32) -> bool {
-        let waits = !self.answered && self.streaming_attempt.is_none() && now < self.deadline;
+        let unanswered = !self.answered && self.streaming_attempt.is_none() && now < self.deadline;
         let mut others =
             self.attempts.iter().enumerate().filter(|(n, a)| *n != attempt as usize && a.may_have_run());
-        waits
+        unanswered
             && self.in_flight(attempt).is_some()
             && others.all(|(_, a)| self.effect.may_resend(now, a.started_at))
     }
 
-    /// Whether it has its final answer and no attempt is in flight.
-    pub(super) fn is_over(&self) -> bool {
+    /// Whether the request has its final answer and no attempt is in flight.
+    pub(super) fn is_finished(&self) -> bool {
         self.answered && self.all_in_flight().next().is_none()
     }
 
-    /// What the log says of it.
-    pub(super) fn summary(&self, now: Nanos, cause: AnswerCause, withheld: bool) -> RequestSummary {
+    /// Summary of the request for the log.
+    pub(super) fn summary(
+        &self,
+        now: Nanos,
+        cause: AnswerCause,
+        failed_instead_of_rejected: bool,
+    ) -> RequestSummary {
         RequestSummary {
             cause,
             age: now.saturating_sub(self.accepted_at),
             attempts: self.attempts.len(),
             open_attempts: self.all_in_flight().count(),
             may_have_run: self.may_have_run(),
-            failed_instead_of_rejected: withheld,
+            failed_instead_of_rejected,
         }
     }
 }
--- a/router/src/core/timers.rs
+++ b/router/src/core/timers.rs
@@ -1,29 +1,29 @@
-//! When the core has to look at something again.
+//! The timers of the core.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use tallypin::api::{Nanos, RequestId};
 
-/// Fewer obsolete timers than this are not worth looking through all of them.
-const OBSOLETE_WORTH_A_SWEEP: usize = 256;
+/// Obsolete timers are removed only once there are at least this many, as removal scans all timers.
+const MIN_OBSOLETE_FOR_SWEEP: usize = 256;
 
-/// What is to be looked at. Timers of one time run in the order of the variants.
+/// What a timer triggers. Timers due at the same time run in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// The decision module asked to be woken, with this token.
+    /// A wake-up that the decision module requested, with its token.
     Decision(u64),
     /// The first-token timeout of an attempt.
     AttemptTimeout(RequestId, u32),
-    /// A request's deadline, and the time beyond it that the decision module has for a final answer.
+    /// The end of a request's deadline plus the slack that the decision module has for a final answer.
     Deadline(RequestId),
 }
 
-/// The timers, the earliest first.
+/// The scheduled timers, earliest first.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     queue: BinaryHeap<Reverse<(Nanos, TimerKind)>>,
-    /// How many of them may be obsolete.
+    /// Number of timers in the queue that may be obsolete.
     obsolete: usize,
 }
 
@@ -33,7 +33,7 @@
         self.queue.push(Reverse((at, kind)));
     }
 
-    /// Takes the earliest timer that is due, with its time.
+    /// Removes and returns the earliest timer that is due, with its time.
     pub(super) fn pop_due(&mut self, now: Nanos) -> Option<(Nanos, TimerKind)> {
         let &Reverse((at, kind)) = self.queue.peek()?;
         if at > now {
@@ -43,21 +43,21 @@
         Some((at, kind))
     }
 
-    /// When the earliest one is due.
+    /// Time of the earliest timer.
     pub(super) fn next(&self) -> Option<Nanos> {
         self.queue.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// How many there are.
+    /// Number of scheduled timers, obsolete ones included.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Notes that so many more timers are obsolete, and drops those that are not `needed` once they may be half of all.
-    /// Guards against requests with long deadlines that are over soon: their timers would else stay until then.
-    pub(super) fn note_obsolete(&mut self, count: usize, needed: impl Fn(&TimerKind) -> bool) {
+    /// Records that `count` more timers are obsolete. Once obsolete timers may be half of the queue, those for which `needed`
+    /// is false are removed. Otherwise the timers of requests that finish early would stay until their long deadlines.
+    pub(super) fn mark_obsolete(&mut self, count: usize, needed: impl Fn(&TimerKind) -> bool) {
         self.obsolete += count;
-        if self.obsolete < OBSOLETE_WORTH_A_SWEEP || self.obsolete * 2 < self.queue.len() {
+        if self.obsolete < MIN_OBSOLETE_FOR_SWEEP || self.obsolete * 2 < self.queue.len() {
             return;
         }
         self.obsolete = 0;
--- a/router/src/core/timers/tests.rs
+++ b/router/src/core/timers/tests.rs
@@ -1,6 +1,6 @@
 use tallypin::api::RequestId;
 
-use super::{TimerKind, Timers, OBSOLETE_WORTH_A_SWEEP};
+use super::{TimerKind, Timers, MIN_OBSOLETE_FOR_SWEEP};
 
 fn deadline(id: u64) -> TimerKind {
     TimerKind::Deadline(RequestId(id))
@@ -22,10 +22,10 @@
 #[test]
 fn obsolete_timers_are_dropped_only_once_they_may_be_half_of_all() {
     let mut timers = Timers::default();
-    let all = OBSOLETE_WORTH_A_SWEEP * 4;
+    let all = MIN_OBSOLETE_FOR_SWEEP * 4;
     (0..all as u64).for_each(|id| timers.schedule(id, deadline(id)));
-    timers.note_obsolete(all / 2 - 1, |_| panic!("too early to look through all of them"));
+    timers.mark_obsolete(all / 2 - 1, |_| panic!("too early to look through all of them"));
     assert_eq!(timers.len(), all);
-    timers.note_obsolete(1, |timer| matches!(timer, TimerKind::Deadline(id) if id.0 % 2 == 0));
+    timers.mark_obsolete(1, |timer| matches!(timer, TimerKind::Deadline(id) if id.0 % 2 == 0));
     assert_eq!((timers.len(), timers.next()), (all / 2, Some(0)));
 }
