--- a/router/src/dispatcher.rs
+++ b/router/src/dispatcher.rs
@@ -1,6 +1,6 @@
-//! Runs the core: hands it the time and what has happened, carries out its instructions, and connects the client that waits
-//! for a request to the attempt that answers it. All tasks run on one thread; the core is borrowed only between two
-//! awaits, never across one. What the instructions need of sockets stands behind [`Executor`].
+//! Runs the core: passes it the time and all events, carries out its instructions, and connects each waiting client to the
+//! attempt that answers its request. All tasks run on one thread, and the core is never borrowed across an await. Socket
+//! operations are behind the [`Executor`] trait.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,59 +20,59 @@
 use crate::limits::Limits;
 use crate::request_ids::{RequestIdGuard, RequestIds};
 
-/// What a front hears of a request after it was submitted.
+/// An event of a submitted request, for its front.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ResponseEvent {
-    /// Whole events as they came, and what they say.
+    /// The bytes of one or more complete events as received, and their parsed form.
     Data(Bytes, Vec<StreamEvent>),
     /// The final answer; nothing follows.
     End(FinalAnswer),
 }
 
-/// What a replica gets of a request.
+/// The request that is sent to a replica.
 #[derive(Debug)]
 pub struct UpstreamRequest {
-    /// The client's identifier of the request.
+    /// The request identifier, given by the client or generated for it.
     pub id: Bytes,
-    /// The method.
+    /// The HTTP method.
     pub method: Bytes,
-    /// Path and query.
+    /// The path and query.
     pub target: Bytes,
-    /// The body, with its part of the memory for bodies.
+    /// The body, with its reservation in the body budget.
     pub body: BufferedBody,
-    /// The client's idempotency key: a replica that has seen it drops the repeat.
+    /// The client's idempotency key. A replica that has seen the key drops the repeated request.
     pub idempotency_key: Option<Bytes>,
-    /// The front wants the text of events, not only their bytes.
+    /// Whether the front needs the text of events in addition to their bytes.
     pub text: bool,
-    /// The client's address, where a balancer says it; for the log.
+    /// The client's address if a balancer passed it on; for the log.
     pub client: Option<SocketAddr>,
 }
 
-/// An attempt that is to be started.
+/// Everything that an attempt needs to start.
 #[derive(Debug)]
 pub struct AttemptStart {
     /// The request.
     pub request: RequestId,
-    /// Which of its attempts, counted from 0.
+    /// Number of the attempt, counted from 0 within the request.
     pub attempt: u32,
-    /// At which replica.
+    /// The replica that receives the attempt.
     pub replica: ReplicaId,
-    /// When the client gives up.
+    /// The client's deadline, in nanoseconds of the router's clock.
     pub deadline: Nanos,
-    /// What to send.
+    /// The request to send.
     pub upstream: Rc<UpstreamRequest>,
-    /// Where the attempt's events go once it is the one that streams.
+    /// Receives the attempt's events if this attempt's stream goes to the client.
     pub events: mpsc::Sender<ResponseEvent>,
 }
 
-/// What the core's instructions need of sockets. None of the calls may reach back into the dispatcher before it returns,
-/// other than from a task that it spawns.
+/// The socket operations that the core's instructions require. An implementation must not call the dispatcher before it
+/// returns, except from a task that it spawns.
 pub trait Executor {
-    /// Spawns the task of an attempt. The task reports to the dispatcher; its handle aborts it.
+    /// Spawns the task of an attempt, which reports to the dispatcher. The returned handle aborts it.
     fn start_attempt(&self, dispatcher: &Rc<Dispatcher>, attempt: AttemptStart) -> AbortHandle;
     /// Spawns a health check of a replica.
     fn probe(&self, dispatcher: &Rc<Dispatcher>, replica: ReplicaId);
-    /// Polls the endpoint list, or watches it anew.
+    /// Polls the endpoint list, or restarts its watch.
     fn watch_endpoints(&self);
     /// Sends a load report to the other routers.
     fn send_report(&self, report: &[u8]);
@@ -80,25 +80,25 @@
     fn send_to_peer(&self, peer: PeerId, bytes: &[u8]);
 }
 
-/// A client that waits for its answer.
+/// A request whose client waits for its final answer.
 struct WaitingRequest {
-    /// Its identifier, for the log.
+    /// The request identifier, for the log.
     id: Bytes,
-    /// What attempts need, until one of them streams.
+    /// What a new attempt needs; `None` once an attempt streams.
     pending: Option<PendingStart>,
 }
 
-/// What an attempt needs to start.
+/// The parts of an [`AttemptStart`] that all attempts of a request share.
 struct PendingStart {
     events: mpsc::Sender<ResponseEvent>,
     upstream: Rc<UpstreamRequest>,
 }
 
-/// The task of an attempt, aborted when this is dropped; an attempt that has come to its end is released instead.
+/// The task of an attempt. Dropping this aborts the task, unless it was detached because the attempt has ended.
 struct AttemptTask(Option<AbortHandle>);
 
 impl AttemptTask {
-    fn release(mut self) {
+    fn detach(mut self) {
         self.0 = None;
     }
 }
@@ -111,13 +111,13 @@
     }
 }
 
-/// The names by which the log tells classes and tenants.
+/// The names of classes and tenants, for the log.
 struct LogNames {
     classes: Vec<String>,
     tenants: Vec<String>,
 }
 
-/// The core of one running router, its clients that wait, and the tasks of its attempts.
+/// The core of one running router, its waiting clients, and the tasks of its attempts.
 pub struct Dispatcher {
     core: RefCell<Core>,
     clock: Clock,
@@ -126,19 +126,19 @@
     waiting: RefCell<FxHashMap<RequestId, WaitingRequest>>,
     attempts: RefCell<FxHashMap<(RequestId, u32), AttemptTask>>,
     names: LogNames,
-    /// The most open requests.
-    open_limit: usize,
-    /// The most response events that wait for a slow client.
-    event_limit: usize,
+    /// Maximum number of open requests.
+    max_open_requests: usize,
+    /// Maximum number of response events queued for a slow client.
+    response_queue_length: usize,
     next_timer: Cell<Option<Nanos>>,
     timer_changed: Notify,
 }
 
 impl Dispatcher {
-    /// A core by a deployment's settings, whose instructions `executor` carries out.
+    /// Creates a core from a deployment's settings. `executor` carries out its instructions.
     ///
     /// # Errors
-    /// If the settings cannot be decided by.
+    /// Returns an error if the decision module rejects the settings.
     pub fn new(
         deployment: &Deployment,
         limits: &Limits,
@@ -157,21 +157,21 @@
             waiting: RefCell::default(),
             attempts: RefCell::default(),
             names: LogNames { classes, tenants: deployment.tenant_names.clone() },
-            open_limit: limits.max_open_requests,
-            event_limit: limits.response_queue_length,
+            max_open_requests: limits.max_open_requests,
+            response_queue_length: limits.response_queue_length,
             next_timer: Cell::new(None),
             timer_changed: Notify::new(),
         }))
     }
 
-    /// Does something with the core, now, and carries out what follows.
+    /// Calls `use_core` with the core and the current time, and carries out the resulting instructions.
     pub fn with<R>(self: &Rc<Self>, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> R {
-        let (result, instructions) = self.advance(use_core);
+        let (result, instructions) = self.call_core(use_core);
         self.execute(instructions);
         result
     }
 
-    fn advance<R>(&self, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> (R, Vec<Instruction>) {
+    fn call_core<R>(&self, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> (R, Vec<Instruction>) {
         let mut core = self.core.borrow_mut();
         let result = use_core(&mut core, self.clock.now());
         let next = core.next_timer();
@@ -181,18 +181,18 @@
         (result, core.take_instructions())
     }
 
-    /// Whether there are as many open requests as there may be.
+    /// Whether the maximum number of requests is open.
     pub fn is_full(&self) -> bool {
-        self.core.borrow().open_requests() >= self.open_limit
+        self.core.borrow().open_requests() >= self.max_open_requests
     }
 
-    /// Submits a request; `None` if its identifier is another's. The handle stands for the waiting client: dropped early, the
-    /// client has left.
+    /// Submits a request. Returns `None` if its identifier is in use by another request. Dropping the handle before the final
+    /// answer counts as a disconnect of the client.
     pub fn submit(self: &Rc<Self>, request: NewRequest, upstream: UpstreamRequest) -> Option<RequestHandle> {
         let id_guard = self.request_ids.reserve(&upstream.id)?;
-        let (events, receiver) = mpsc::channel(self.event_limit);
+        let (events, receiver) = mpsc::channel(self.response_queue_length);
         let logged = request.clone();
-        let (id, instructions) = self.advance(|core, now| core.accept(now, request));
+        let (id, instructions) = self.call_core(|core, now| core.accept(now, request));
         self.log_accepted(id, &logged, &upstream);
         let pending = Some(PendingStart { events, upstream: Rc::new(upstream) });
         self.waiting.borrow_mut().insert(id, WaitingRequest { id: id_guard.bytes(), pending });
@@ -200,7 +200,8 @@
         Some(RequestHandle { dispatcher: self.clone(), id, _id_guard: id_guard, events: receiver })
     }
 
-    /// The hashes of session and prefix let an operator count what is read anew; their texts are the clients'.
+    /// Logs an accepted request. Session and prefix are logged as hashes: these let an operator count how often a prompt is
+    /// processed again, without exposing the clients' text.
     fn log_accepted(&self, id: RequestId, request: &NewRequest, upstream: &UpstreamRequest) {
         let name = |names: &[String], index: u32| names.get(index as usize).cloned().unwrap_or_default();
         tracing::debug!(target: "request", request = id.0, name = %String::from_utf8_lossy(&upstream.id),
@@ -249,34 +250,34 @@
     fn finish(&self, request: RequestId, answer: FinalAnswer, summary: RequestSummary) {
         let waiting = self.waiting.borrow_mut().remove(&request);
         log_answer(request, waiting.as_ref().map(|w| &w.id[..]), answer, summary);
-        // The end of a stream follows its events, from the task that passes them on.
+        // For a stream, the attempt's task sends the end after the last event.
         let Some(PendingStart { events, .. }) = waiting.and_then(|w| w.pending) else { return };
         if matches!(answer, FinalAnswer::Rejected { .. } | FinalAnswer::Failed { .. }) {
-            // Nothing was sent before it, so there is room.
+            // The queue is empty: no event was sent before a rejection or failure.
             let _ = events.try_send(ResponseEvent::End(answer));
         }
     }
 
-    /// An attempt of the request streams: no other will need what replicas get of it, and its part of the memory for bodies
-    /// is free again with the last attempt that has it.
+    /// Drops the upstream request once an attempt streams, as no further attempt will be started. Its body reservation is
+    /// freed when the last attempt that uses it drops it.
     pub fn release_upstream_request(&self, id: RequestId) {
         if let Some(waiting) = self.waiting.borrow_mut().get_mut(&id) {
             waiting.pending = None;
         }
     }
 
-    /// An attempt's task is at its end. It calls this itself, so it is not to be aborted by it.
+    /// Forgets the task of an attempt that is about to end. The task calls this itself and is not aborted.
     pub fn attempt_finished(&self, id: RequestId, attempt: u32) {
         if let Some(task) = self.attempts.borrow_mut().remove(&(id, attempt)) {
-            task.release();
+            task.detach();
         }
     }
 
-    /// Wakes the core whenever a timer of it is due. Never ends.
+    /// Runs the core's timers when they are due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             match self.next_timer.get().map(|at| self.clock.instant(at)) {
-                // Both branches are cancel-safe: a notice that comes meanwhile is kept for the next turn.
+                // Both branches are cancel-safe: `Notify` keeps a notification for the next iteration.
                 Some(at) => tokio::select! {
                     () = tokio::time::sleep_until(at.into()) => self.with(|core, now| core.run_timers(now)),
                     () = self.timer_changed.notified() => {}
@@ -287,11 +288,11 @@
     }
 }
 
-/// Logs a final answer: all of them at level `debug`, those that the router's own end forces at `info`.
+/// Logs a final answer at level `debug`, and also at `info` if the router's shutdown caused it.
 fn log_answer(id: RequestId, name: Option<&[u8]>, answer: FinalAnswer, summary: RequestSummary) {
     let RequestSummary { cause, age, attempts, open_attempts, may_have_run, failed_instead_of_rejected } =
         summary;
-    // Formatted only where a line is written.
+    // Formatted only if a line is written.
     let (name, age_ms) = (name.unwrap_or_default().escape_ascii(), age / 1_000_000);
     if cause == AnswerCause::Shutdown {
         tracing::info!(target: "drain", request = id.0, %name, ?answer, age_ms, attempts, open_attempts,
@@ -305,7 +306,7 @@
         may_have_run, "final answer");
 }
 
-/// A client that waits for the answer to its request. Dropped before the final answer, the client has left.
+/// A client waiting for the answer to its request. Dropping it before the final answer counts as a disconnect.
 pub struct RequestHandle {
     dispatcher: Rc<Dispatcher>,
     id: RequestId,
@@ -314,7 +315,7 @@
 }
 
 impl RequestHandle {
-    /// What comes next; `None` after the final answer. Cancel-safe: an event that is not returned stays queued.
+    /// Waits for the next event; `None` after the final answer. Cancel-safe: an event that is not returned stays queued.
     pub async fn next(&mut self) -> Option<ResponseEvent> {
         self.events.recv().await
     }
--- a/router/src/replica/attempt.rs
+++ b/router/src/replica/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt: connects to a replica, writes the request, and reads the head of the response. What follows a successful head
-//! is relayed by [`super::relay`].
+//! One attempt: connects to a replica, writes the request, and reads the head of the response. [`super::relay`] relays the
+//! body of a successful response.
 
 use std::rc::Rc;
 
@@ -17,34 +17,34 @@
 use crate::dispatcher::{AttemptStart, Dispatcher, ResponseEvent, UpstreamRequest};
 use crate::http::{BodyFraming, BufferedConnection, MessageHead, StartLine};
 
-/// Nanoseconds in a millisecond, the unit of the deadline that a replica is told.
+/// Nanoseconds per millisecond, the unit of the deadline that is sent to replicas.
 const NANOS_PER_MILLI: Nanos = 1_000_000;
-/// Bytes of a request head beside its target; it grows if they are too few.
+/// Initial buffer size for a request head without its target, in bytes. The buffer grows as needed.
 const HEAD_CAPACITY: usize = 256;
 
-/// One attempt. Dropping it gives it up: the connection closes.
+/// One attempt. Dropping it closes its connection.
 pub struct Attempt {
     pub(super) context: Rc<ReplicaContext>,
     pub(super) dispatcher: Rc<Dispatcher>,
     /// The request.
     pub(super) request: RequestId,
-    /// Which of its attempts.
+    /// Number of the attempt, counted from 0 within the request.
     pub(super) attempt: u32,
     replica: ReplicaId,
-    /// When the client gives up.
+    /// The client's deadline, in nanoseconds of the router's clock.
     deadline: Nanos,
-    /// What to send; dropped once this attempt streams.
+    /// The request to send; dropped once this attempt streams.
     pub(super) upstream: Option<Rc<UpstreamRequest>>,
-    /// The front wants the text of events, not only their bytes.
+    /// Whether the front needs the text of events in addition to their bytes.
     pub(super) text: bool,
-    /// Where its events go once it streams.
+    /// Receives the attempt's events once it streams.
     pub(super) events: mpsc::Sender<ResponseEvent>,
-    /// Its stream has begun: the client gets it, and no other attempt.
+    /// Whether this attempt's stream goes to the client.
     pub(super) streams: bool,
 }
 
 impl Attempt {
-    /// An attempt that has not run yet.
+    /// Creates an attempt; [`Attempt::run`] runs it.
     pub fn new(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, start: AttemptStart) -> Attempt {
         let AttemptStart { request, attempt, replica, deadline, upstream, events } = start;
         let text = upstream.text;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Runs it to its end, and reports that to the dispatcher and, if it streamed, to the front.
+    /// Runs the attempt and reports its result to the dispatcher and, if it streamed, to the front.
     pub async fn run(mut self) {
         let result = self.send_and_receive().await;
         tracing::debug!(target: "node", request = self.request.0, attempt = self.attempt,
@@ -84,7 +84,7 @@
             Ok(connection) => connection,
             Err(error) => return Outcome::from(error).into(),
         };
-        // The time left is worked out after the last wait.
+        // Encoded after the last await, so that the deadline sent is current.
         let Some(request) = self.encode_request() else { return Outcome::NotSent.into() };
         if !self.dispatcher.with(|core, now| core.may_write(now, self.request, self.attempt)) {
             self.context.pool.give_back(connection);
@@ -92,8 +92,8 @@
         }
         if let Err(error) = connection.wire.write(request).await {
             tracing::debug!(target: "node", request = self.request.0, attempt = self.attempt, error = %error,
-                "attempt not written whole");
-            // Broken before its last byte was written, the request cannot have run.
+                "attempt failed while its request was being written");
+            // A replica cannot have run a request that it did not receive completely.
             return Outcome::ConnectionRefused.into();
         }
         tracing::debug!(target: "node", request = self.request.0, attempt = self.attempt,
@@ -105,15 +105,15 @@
         }
     }
 
-    /// A connection on which the request may be written now. Before that the event loop looks at the sockets once more: a
-    /// front that hears of its client's end aborts this attempt first, the endpoint list may have sent that the replica is
-    /// not ready, and an idle connection may have been closed by its replica.
+    /// Returns a connection on which the request can be written now. It yields to the event loop once before the checks, so that
+    /// pending socket events are handled first: a client disconnect that aborts this attempt, an endpoint list update that
+    /// makes the replica not ready, or the close of an idle connection by its replica.
     async fn connect(&self) -> Result<ReplicaConnection, ConnectError> {
         let pool = &self.context.pool;
         loop {
             let mut connection = pool.connect(self.replica).await?;
             tokio::task::yield_now().await;
-            if !pool.is_ready_at(&connection.to) {
+            if !pool.is_ready_at(&connection.address) {
                 return Err(ConnectError::NotReady);
             }
             if !connection.reused || !connection.wire.is_unusable() {
@@ -122,39 +122,39 @@
         }
     }
 
-    /// The request as it is written; `None` if there is nothing to send any longer.
+    /// Encodes the request as HTTP; `None` if the upstream request was dropped.
     fn encode_request(&self) -> Option<impl Buf> {
         let request = self.upstream.as_ref()?;
-        let left = self.deadline.saturating_sub(self.context.clock.now()) / NANOS_PER_MILLI;
+        let time_left_ms = self.deadline.saturating_sub(self.context.clock.now()) / NANOS_PER_MILLI;
         let body = request.body.bytes.clone();
         let mut head = Vec::with_capacity(HEAD_CAPACITY + request.target.len());
-        let first =
+        let request_line =
             [&request.method[..], b" ", &request.target, b" HTTP/1.1\r\nHost: backend.local\r\nReq-Id: "];
-        first.iter().chain(&[&request.id[..]]).for_each(|part| head.extend_from_slice(part));
+        request_line.iter().chain(&[&request.id[..]]).for_each(|part| head.extend_from_slice(part));
         if let Some(key) = &request.idempotency_key {
             head.extend_from_slice(b"\r\nIdempotency-Key: ");
             head.extend_from_slice(key);
         }
-        let rest = format!(
-            "\r\nReq-Deadline-Ms: {left}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
+        let remaining_fields = format!(
+            "\r\nReq-Deadline-Ms: {time_left_ms}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        head.extend_from_slice(rest.as_bytes());
+        head.extend_from_slice(remaining_fields.as_bytes());
         Some(Bytes::from(head).chain(body))
     }
 
-    /// The head of the response; `None` if there is no valid one.
+    /// Reads the head of the response; `None` if there is no valid one.
     async fn receive_head(&self, wire: &mut BufferedConnection) -> Option<MessageHead> {
-        let silent = SilentReplica { pool: &self.context.pool, replica: self.replica };
+        let guard = FirstByteGuard { pool: &self.context.pool, replica: self.replica };
         let more = wire.read_more().await;
-        silent.has_answered();
+        guard.disarm();
         match more {
             Ok(true) => read_head(wire, &self.context.limits).await,
             _ => None,
         }
     }
 
-    /// What becomes of the attempt behind the head of its response; the connection is kept if it can be reused.
+    /// Handles the response after its head and returns the result of the attempt. Keeps the connection if it can be reused.
     async fn receive_response(
         &mut self,
         mut connection: ReplicaConnection,
@@ -194,7 +194,8 @@
     }
 }
 
-/// What a status other than 200 means: only a replica that says so has not run the request.
+/// Returns the outcome for a status other than 200. Only the header field `Srv-Declined: 1` of a 503 or 504 response means
+/// that the replica has not run the request.
 fn outcome_of_status(status: u16, head: &MessageHead) -> Outcome {
     let declined = matches!(head.text_value("srv-declined"), Ok(Some("1")));
     match status {
@@ -203,20 +204,21 @@
     }
 }
 
-/// Dropped while a replica owes the first byte of a response, it closes the idle connections to it: they may be as dead.
-struct SilentReplica<'a> {
+/// Closes the idle connections to a replica if dropped before the first byte of a response: those connections may be dead
+/// as well.
+struct FirstByteGuard<'a> {
     pool: &'a ReplicaPool,
     replica: ReplicaId,
 }
 
-impl SilentReplica<'_> {
-    /// The replica is not silent: nothing is closed.
-    fn has_answered(self) {
+impl FirstByteGuard<'_> {
+    /// Keeps the idle connections, because the replica has responded.
+    fn disarm(self) {
         std::mem::forget(self);
     }
 }
 
-impl Drop for SilentReplica<'_> {
+impl Drop for FirstByteGuard<'_> {
     fn drop(&mut self) {
         self.pool.close_idle(self.replica);
     }
--- a/router/src/replica/connection.rs
+++ b/router/src/replica/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a replica, counted while it is open.
+//! A connection to a replica, and the errors of opening one.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use crate::http::BufferedConnection;
 use crate::shortage::is_resource_shortage;
 
-/// Which replica, where, and in which of its incarnations. The address alone does not say that: a new replica may stand
-/// where one has gone, and what was opened to that one is dead.
+/// A replica, its address and its start time. The address alone does not identify the process: a new replica may have the
+/// address of a former one, and connections to the former one are dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReplicaAddress {
     pub id: ReplicaId,
@@ -19,7 +19,7 @@
     pub started_ms: u64,
 }
 
-/// Counts one connection among the open ones until it is dropped.
+/// Counts one connection as open until it is dropped.
 #[derive(Debug)]
 pub(super) struct OpenGuard(Rc<Cell<usize>>);
 
@@ -40,38 +40,38 @@
 #[derive(Debug)]
 pub(super) struct ReplicaConnection {
     pub wire: BufferedConnection,
-    /// Whom it was opened to.
-    pub to: ReplicaAddress,
-    /// It has carried a response before.
+    /// The replica that the connection was opened to.
+    pub address: ReplicaAddress,
+    /// Whether the connection has carried a response before.
     pub reused: bool,
     _open: OpenGuard,
 }
 
 impl ReplicaConnection {
-    /// A new connection.
-    pub fn new(wire: BufferedConnection, to: ReplicaAddress, open: OpenGuard) -> ReplicaConnection {
-        ReplicaConnection { wire, to, reused: false, _open: open }
+    /// Creates a newly opened connection.
+    pub fn new(wire: BufferedConnection, address: ReplicaAddress, open: OpenGuard) -> ReplicaConnection {
+        ReplicaConnection { wire, address, reused: false, _open: open }
     }
 }
 
-/// Why there is no connection to a replica.
+/// Why no connection to a replica is available.
 #[derive(Debug)]
 pub(super) enum ConnectError {
-    /// The endpoint list does not have it, or it takes no new requests any longer.
+    /// The replica is not in the endpoint list, or does not accept new requests.
     NotReady,
-    /// As many connections are open as may be, and none of them is idle.
+    /// The maximum number of connections is open, and none of them is idle.
     LimitReached,
-    /// A fault of this machine or process, which says nothing of the replica.
+    /// An error of this machine or process, which says nothing about the replica.
     Local(io::Error),
-    /// The replica refused it.
+    /// The replica refused the connection.
     Refused(io::Error),
-    /// It was not established in time.
+    /// The connection was not established within the timeout.
     TimedOut,
 }
 
 impl ConnectError {
-    /// Why a connection attempt failed with this error of the system.
-    pub fn of(error: io::Error) -> ConnectError {
+    /// Classifies a system error of a connection attempt.
+    pub fn from_io(error: io::Error) -> ConnectError {
         match is_local(&error) {
             true => ConnectError::Local(error),
             false => ConnectError::Refused(error),
@@ -84,9 +84,9 @@
         match self {
             ConnectError::NotReady => f.write_str("the replica is not ready"),
             ConnectError::LimitReached => f.write_str("too many connections are open"),
-            ConnectError::Local(error) => write!(f, "fault of this machine: {error}"),
-            ConnectError::Refused(error) => write!(f, "refused: {error}"),
-            ConnectError::TimedOut => f.write_str("not established in time"),
+            ConnectError::Local(error) => write!(f, "local error of this machine: {error}"),
+            ConnectError::Refused(error) => write!(f, "connection refused: {error}"),
+            ConnectError::TimedOut => f.write_str("connection not established in time"),
         }
     }
 }
@@ -101,8 +101,8 @@
 }
 
 impl From<ConnectError> for Outcome {
-    /// What fails for want of anything here is not sent rather than refused: it says nothing of the replica, which the
-    /// decisions would else eject.
+    /// Local errors count as not sent instead of refused: they say nothing about the replica, and refused connections would
+    /// let the decision module eject it.
     fn from(error: ConnectError) -> Outcome {
         match error {
             ConnectError::NotReady | ConnectError::LimitReached | ConnectError::Local(_) => Outcome::NotSent,
@@ -111,8 +111,8 @@
     }
 }
 
-/// Whether a connection failed for a reason of this machine or process, which says nothing of the replica: a call cut short
-/// by a signal, or want of descriptors, memory, buffers or addresses.
+/// Whether a connection failed for a reason of this machine or process, which says nothing about the replica: a call
+/// interrupted by a signal, or a lack of file descriptors, memory, buffers or addresses.
 fn is_local(error: &io::Error) -> bool {
     let kinds = [io::ErrorKind::Interrupted, io::ErrorKind::WouldBlock, io::ErrorKind::AddrNotAvailable];
     kinds.contains(&error.kind()) || is_resource_shortage(error)
--- a/router/src/replica/context.rs
+++ b/router/src/replica/context.rs
@@ -1,4 +1,4 @@
-//! What attempts and health checks of replicas need of their router.
+//! The shared state that attempts and health checks use.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,35 +7,35 @@
 use crate::clock::Clock;
 use crate::limits::Limits;
 
-/// Idle connections are looked through so many times within the time that they may be idle.
-const SWEEPS_PER_IDLE_TIME: u32 = 16;
+/// Number of sweeps for expired idle connections within one idle timeout.
+const SWEEPS_PER_IDLE_TIMEOUT: u32 = 16;
 
-/// What attempts and health checks of replicas need of their router.
+/// The shared state that attempts and health checks use.
 pub struct ReplicaContext {
     /// The replicas and the connections to them.
     pub pool: Rc<ReplicaPool>,
-    /// Sizes and times of answers.
+    /// The limits on the size and time of responses.
     pub limits: Rc<Limits>,
     /// The clock.
     pub clock: Clock,
-    /// The fields of load reports that the decisions go by, in their order.
+    /// The names of the load report fields that the decision module uses, in its order.
     pub report_fields: Vec<String>,
-    /// Events of answers that no dialect names, skipped, since the start.
+    /// Number of events of a type unknown to the dialect since the router started. They are skipped.
     pub unknown_events: Cell<u64>,
 }
 
 impl ReplicaContext {
-    /// No unknown event yet.
+    /// Creates the context of a router.
     pub fn new(pool: Rc<ReplicaPool>, limits: Rc<Limits>, clock: Clock, report_fields: Vec<String>) -> Self {
         ReplicaContext { pool, limits, clock, report_fields, unknown_events: Cell::new(0) }
     }
 }
 
-/// Closes connections that have been idle for too long or that their replicas have closed, again and again. Never ends.
+/// Periodically closes connections that have exceeded the idle timeout or that their replicas have closed. Never returns.
 pub async fn close_idle_connections(context: Rc<ReplicaContext>) {
-    let mut every = tokio::time::interval(context.limits.replica_idle_timeout / SWEEPS_PER_IDLE_TIME);
+    let mut interval = tokio::time::interval(context.limits.replica_idle_timeout / SWEEPS_PER_IDLE_TIMEOUT);
     loop {
-        every.tick().await;
+        interval.tick().await;
         context.pool.close_expired();
     }
 }
--- a/router/src/replica/mod.rs
+++ b/router/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas: the connections to them, and attempts and health checks on these.
+//! Connections to replicas, and the attempts and health checks on them.
 
 mod attempt;
 mod connection;
--- a/router/src/replica/pool.rs
+++ b/router/src/replica/pool.rs
@@ -1,4 +1,4 @@
-//! The replicas of the endpoint list, and the connections to them: opened, kept while idle, reused, closed.
+//! The replicas of the endpoint list and the pool of connections to them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 use crate::http::BufferedConnection;
 use crate::limits::Limits;
 
-/// A connection that carries nothing.
+/// A connection without a request in flight.
 struct IdleConnection {
     connection: ReplicaConnection,
     since: Instant,
@@ -25,38 +25,39 @@
 struct ListedReplica {
     address: ReplicaAddress,
     ready: bool,
-    /// Its name in the list, for the log.
+    /// The replica's name in the list, for the log.
     name: Rc<str>,
 }
 
-/// The replicas of the endpoint list, and idle connections to them.
+/// The replicas of the endpoint list, and the idle connections to them.
 pub struct ReplicaPool {
     /// The dialect that the replicas speak.
     pub dialect: Dialect,
     max_connections: usize,
-    /// An idle connection is closed after this,
-    idle_limit: Duration,
-    /// and not reused before this: a second response that comes late would else be taken for the next request's.
-    rest: Duration,
-    connect_limit: Duration,
-    /// By the list's `id`: the address may differ from router to router and change.
+    /// Time after which an idle connection is closed.
+    idle_timeout: Duration,
+    /// Minimum idle time before a connection is reused. A replica that sends a second response late would otherwise have it
+    /// taken for the response to the next request.
+    reuse_delay: Duration,
+    connect_timeout: Duration,
+    /// Replicas by the list's `id`, as their addresses may change and may differ between routers.
     listed: RefCell<FxHashMap<ReplicaId, ListedReplica>>,
-    /// By replica, the most recently used last; only for replicas that are listed.
+    /// Idle connections of each listed replica, the most recently used last.
     idle: RefCell<FxHashMap<ReplicaId, Vec<IdleConnection>>>,
-    /// Attempts whose request has been written and whose connection is still open, by replica.
+    /// Number of attempts whose request was written and whose connection is still open, by replica.
     in_flight: RefCell<FxHashMap<ReplicaId, u32>>,
     open: Rc<Cell<usize>>,
 }
 
 impl ReplicaPool {
-    /// No replicas yet.
+    /// Creates a pool without replicas.
     pub fn new(dialect: Dialect, limits: &Limits) -> ReplicaPool {
         ReplicaPool {
             dialect,
             max_connections: limits.max_replica_connections,
-            idle_limit: limits.replica_idle_timeout,
-            rest: limits.replica_reuse_delay,
-            connect_limit: limits.connect_timeout,
+            idle_timeout: limits.replica_idle_timeout,
+            reuse_delay: limits.replica_reuse_delay,
+            connect_timeout: limits.connect_timeout,
             listed: RefCell::default(),
             idle: RefCell::default(),
             in_flight: RefCell::default(),
@@ -64,42 +65,42 @@
         }
     }
 
-    /// A replica is at this address since `started_ms`, and ready or not. If it was elsewhere, or has started again, its
+    /// Adds or updates a replica. `started_ms` is its start time in Unix milliseconds. If its address or start time changed, its
     /// idle connections are closed.
     pub fn upsert(&self, id: ReplicaId, addr: SocketAddr, started_ms: u64, ready: bool) {
         let address = ReplicaAddress { id, addr, started_ms };
         let mut listed = self.listed.borrow_mut();
         let name = listed.get(&id).map(|known| known.name.clone()).unwrap_or_default();
-        let before = listed.insert(id, ListedReplica { address, ready, name });
+        let previous = listed.insert(id, ListedReplica { address, ready, name });
         drop(listed);
-        if before.is_some_and(|before| before.address != address) {
+        if previous.is_some_and(|previous| previous.address != address) {
             self.close_idle(id);
         }
     }
 
-    /// Forgets the replicas that are not to be kept, and closes their idle connections.
+    /// Removes the replicas for which `keep` is false, and closes their idle connections.
     pub fn retain(&self, keep: impl Fn(ReplicaId) -> bool) {
         let mut listed = self.listed.borrow_mut();
         listed.retain(|id, _| keep(*id));
         self.idle.borrow_mut().retain(|id, _| listed.contains_key(id));
     }
 
-    /// Forgets replicas, and closes their idle connections.
-    pub fn remove(&self, gone: &[ReplicaId]) {
+    /// Removes replicas, and closes their idle connections.
+    pub fn remove(&self, ids: &[ReplicaId]) {
         let (mut listed, mut idle) = (self.listed.borrow_mut(), self.idle.borrow_mut());
-        for id in gone {
+        for id in ids {
             listed.remove(id);
             idle.remove(id);
         }
     }
 
-    /// Closes the idle connections of a replica: the next attempt there has to open a new one. A machine that is cut off
-    /// sends nothing on the connections it had, and shows only by new ones that are not established.
+    /// Closes the idle connections of a replica, so that its next attempt opens a new one. An unreachable machine cannot be told
+    /// from a slow one on an open connection, but a new connection to it is not established.
     pub fn close_idle(&self, id: ReplicaId) {
         self.idle.borrow_mut().remove(&id);
     }
 
-    /// How many replicas are ready.
+    /// Number of ready replicas.
     pub fn ready_count(&self) -> usize {
         self.listed.borrow().values().filter(|replica| replica.ready).count()
     }
@@ -111,29 +112,29 @@
         }
     }
 
-    /// A replica's name in the list, empty if it is not known.
+    /// Returns a replica's name in the list; empty if the replica is not listed.
     pub fn name(&self, id: ReplicaId) -> Rc<str> {
         self.listed.borrow().get(&id).map(|replica| replica.name.clone()).unwrap_or_default()
     }
 
-    /// Where a replica is.
+    /// Returns a replica's address.
     pub fn address(&self, id: ReplicaId) -> Option<SocketAddr> {
         self.listed.borrow().get(&id).map(|replica| replica.address.addr)
     }
 
-    /// How many attempts are in flight at a replica.
+    /// Number of attempts in flight at a replica.
     pub fn in_flight(&self, id: ReplicaId) -> u32 {
         self.in_flight.borrow().get(&id).copied().unwrap_or(0)
     }
 
-    /// How many connections are open, and how many of them are idle.
+    /// Number of open connections, and the number of idle ones among them.
     pub fn connection_counts(&self) -> (usize, usize) {
         (self.open.get(), self.idle.borrow().values().map(Vec::len).sum())
     }
 
     /// Closes connections that have been idle for too long or that the replica has closed.
     pub fn close_expired(&self) {
-        let limit = self.idle_limit;
+        let limit = self.idle_timeout;
         self.idle.borrow_mut().retain(|_, connections| {
             connections
                 .retain_mut(|idle| idle.since.elapsed() < limit && !idle.connection.wire.is_unusable());
@@ -147,24 +148,25 @@
         InFlightGuard { pool: self.clone(), id }
     }
 
-    /// The most recently used idle connection that has rested: the others then grow old and are closed.
+    /// Takes the most recently used idle connection that has been idle for the reuse delay. Reusing the most recent one lets the
+    /// others reach the idle timeout and close.
     fn reuse_idle(&self, id: ReplicaId) -> Option<ReplicaConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&id)?;
-        while let Some(at) = connections.iter().rposition(|idle| idle.since.elapsed() >= self.rest) {
+        while let Some(at) = connections.iter().rposition(|idle| idle.since.elapsed() >= self.reuse_delay) {
             let mut idle = connections.remove(at);
-            // A replica that closed it, or is about to, would turn the next request into a reset.
-            if idle.since.elapsed() < self.idle_limit && !idle.connection.wire.is_unusable() {
+            // A request on a connection that the replica has closed or is about to close would be reset.
+            if idle.since.elapsed() < self.idle_timeout && !idle.connection.wire.is_unusable() {
                 return Some(idle.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection for later, unless its replica has gone, moved or started again meanwhile.
+    /// Returns a connection to the pool, unless its replica was removed, moved or restarted in the meantime.
     pub(super) fn give_back(&self, mut connection: ReplicaConnection) {
-        let id = connection.to.id;
-        if self.listed.borrow().get(&id).is_some_and(|replica| replica.address == connection.to) {
+        let id = connection.address.id;
+        if self.listed.borrow().get(&id).is_some_and(|replica| replica.address == connection.address) {
             connection.wire.release_buffer();
             connection.reused = true;
             let idle = IdleConnection { since: Instant::now(), connection };
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Makes room for one more connection, if need be by closing the one idle for longest; false if all are in use.
+    /// Makes room for one more connection, closing the one idle for longest if needed. Returns false if all are in use.
     fn make_room(&self) -> bool {
         if self.open.get() < self.max_connections {
             return true;
@@ -182,19 +184,19 @@
         oldest.map(|connections| connections.remove(0)).is_some()
     }
 
-    /// Whether a connection still leads to a ready replica: it may drain, have moved or have started again since the
-    /// connection was asked for.
+    /// Whether a ready replica is at `address`. It may have started to drain, moved or restarted since the connection was
+    /// requested.
     pub(super) fn is_ready_at(&self, address: &ReplicaAddress) -> bool {
         let listed = self.listed.borrow();
         listed.get(&address.id).is_some_and(|replica| replica.ready && replica.address == *address)
     }
 
-    /// A connection to a replica: an idle one, or a new one. Cancel-safe: a connection that is being established is closed.
+    /// Returns an idle or a new connection to a replica. Cancel-safe: a connection that is being established is closed.
     ///
     /// # Errors
-    /// There is no connection, for a reason of the replica or of this machine.
+    /// Returns the reason why no connection is available.
     pub(super) async fn connect(&self, id: ReplicaId) -> Result<ReplicaConnection, ConnectError> {
-        let to =
+        let address =
             self.listed.borrow().get(&id).map(|replica| replica.address).ok_or(ConnectError::NotReady)?;
         if let Some(connection) = self.reuse_idle(id) {
             return Ok(connection);
@@ -203,9 +205,9 @@
             return Err(ConnectError::LimitReached);
         }
         let open = OpenGuard::new(&self.open);
-        let connecting = timeout(self.connect_limit, TcpStream::connect(to.addr));
-        let stream = connecting.await.map_err(|_| ConnectError::TimedOut)?.map_err(ConnectError::of)?;
-        Ok(ReplicaConnection::new(BufferedConnection::new(stream), to, open))
+        let connecting = timeout(self.connect_timeout, TcpStream::connect(address.addr));
+        let stream = connecting.await.map_err(|_| ConnectError::TimedOut)?.map_err(ConnectError::from_io)?;
+        Ok(ReplicaConnection::new(BufferedConnection::new(stream), address, open))
     }
 }
 
--- a/router/src/replica/probe.rs
+++ b/router/src/replica/probe.rs
@@ -1,4 +1,4 @@
-//! The health check of a replica: whether it serves, and its load report.
+//! The health check of a replica, which also fetches its load report.
 
 use std::rc::Rc;
 
@@ -13,18 +13,18 @@
 use crate::dispatcher::Dispatcher;
 use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, StartLine};
 
-/// Checks a replica and reports the result to the core. The decisions ask for no health check today; their interface has
-/// them.
+/// Checks a replica and reports the result to the core. The decision module's interface provides for health checks, but it
+/// currently requests none.
 pub async fn probe(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, replica: ReplicaId) {
     let checked = timeout(context.limits.health_check_timeout, check(&context, replica)).await;
     let result = checked.unwrap_or(Err(Outcome::TimedOut)).unwrap_or_else(AttemptResult::from);
     dispatcher.with(|core, now| core.probe_ended(now, replica, result));
 }
 
-/// One health check.
+/// Runs one health check.
 ///
 /// # Errors
-/// How it failed before there was a whole response.
+/// Returns the outcome if there was no complete response.
 async fn check(context: &ReplicaContext, replica: ReplicaId) -> Result<AttemptResult, Outcome> {
     let names = &context.report_fields;
     let target = if names.is_empty() { "/alive" } else { "/metrics/load" };
--- a/router/src/replica/relay.rs
+++ b/router/src/replica/relay.rs
@@ -1,4 +1,4 @@
-//! Relays the events of a response to the front, from the first one that is worth anything to the client.
+//! Relays the events of a response to the front, once an event has begun the answer.
 
 use std::time::Instant;
 
@@ -11,15 +11,15 @@
 use crate::dispatcher::ResponseEvent;
 use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection};
 
-/// How the response of an attempt ended.
+/// The result of relaying a response.
 pub(super) struct Relayed {
-    /// How the attempt ended.
+    /// The result of the attempt.
     pub result: AttemptResult,
-    /// The connection is at the end of the response.
+    /// Whether the response was read to its end, so that the connection can carry another request.
     pub at_message_end: bool,
 }
 
-/// The response can't be relayed further; the result of the relay says how the attempt has ended.
+/// The response can't be relayed further. [`Relay::result`] holds the result of the attempt.
 struct Stopped;
 
 /// The response of one attempt on its way to the front.
@@ -27,30 +27,31 @@
     attempt: &'a mut Attempt,
     framing: BodyFraming,
     body: BodyReader,
-    /// Cuts whole events out of the body.
+    /// Splits the body into events.
     events: EventSplitter,
-    /// Whole events from before the stream has begun.
-    held: BytesMut,
-    held_events: Vec<StreamEvent>,
+    /// Bytes of complete events received before the stream has begun.
+    buffered: BytesMut,
+    /// The parsed form of the events in `buffered`.
+    buffered_events: Vec<StreamEvent>,
     result: AttemptResult,
-    /// The response is complete at its last chunk.
+    /// Whether the response counts as complete once its body ends.
     complete: bool,
     last_event_at: Instant,
 }
 
 impl<'a> Relay<'a> {
-    /// A response of which nothing has been read behind its head; `load_report` is the one in the head.
+    /// Creates a relay for a response whose body is unread. `load_report` is the report in its head.
     pub fn new(attempt: &'a mut Attempt, framing: BodyFraming, load_report: Vec<f64>) -> Relay<'a> {
         let body = BodyReader::for_response(framing, attempt.context.limits.max_event_size);
-        // A messages stream says itself that it is complete; the others are so at the last chunk.
+        // A messages stream marks its completion with an event; a chat stream is complete at its last chunk.
         let complete = attempt.context.pool.dialect == Dialect::Chat;
         Relay {
             attempt,
             framing,
             body,
             events: EventSplitter::default(),
-            held: BytesMut::new(),
-            held_events: Vec::new(),
+            buffered: BytesMut::new(),
+            buffered_events: Vec::new(),
             result: AttemptResult { outcome: Outcome::ConnectionReset, cached_tokens: None, load_report },
             complete,
             last_event_at: Instant::now(),
@@ -67,20 +68,20 @@
         loop {
             match self.body.next_part(&mut wire.unread).map_err(|_| Stopped)? {
                 Some(BodyPart::Data(data)) => {
-                    let whole = self.events.push(&data);
+                    let complete_events = self.events.push(&data);
                     if self.events.held_size() > self.attempt.context.limits.max_event_size {
                         return Err(Stopped);
                     }
-                    if let Some(bytes) = whole {
+                    if let Some(bytes) = complete_events {
                         self.relay_events(bytes).await?;
                     }
                 }
                 Some(BodyPart::End) => {
-                    let rest = self.events.take_rest();
-                    if !rest.is_empty() {
-                        self.relay_events(rest).await?;
+                    let remainder = self.events.take_rest();
+                    if !remainder.is_empty() {
+                        self.relay_events(remainder).await?;
                     }
-                    // An empty response is none.
+                    // A response without any event does not count as completed.
                     if self.complete && self.attempt.streams && self.framing != BodyFraming::Undeclared {
                         self.result.outcome = Outcome::Completed;
                     }
@@ -91,12 +92,13 @@
         }
     }
 
-    /// Waits for more of the response. Once the stream has begun a silence is bounded here; before, the core keeps the time.
+    /// Reads more of the response. Once the stream has begun, the silence timeout applies; before that, the core's first-token
+    /// timeout does.
     async fn read_more(&self, wire: &mut BufferedConnection) -> Result<(), Stopped> {
         let more = match self.attempt.streams {
             true => {
-                let silent_at = self.last_event_at + self.attempt.context.limits.stream_silence_timeout;
-                tokio::time::timeout_at(silent_at.into(), wire.read_more()).await.map_err(|_| Stopped)?
+                let timeout_at = self.last_event_at + self.attempt.context.limits.stream_silence_timeout;
+                tokio::time::timeout_at(timeout_at.into(), wire.read_more()).await.map_err(|_| Stopped)?
             }
             false => wire.read_more().await,
         };
@@ -106,20 +108,20 @@
         }
     }
 
-    /// Relays whole events, or holds them until one of them begins the stream: a sign of life, or an event that no dialect
-    /// names, does not.
+    /// Relays complete events. Buffers them until one of them begins the stream; keep-alive events and events unknown to the
+    /// dialect do not begin it.
     async fn relay_events(&mut self, mut bytes: Bytes) -> Result<(), Stopped> {
         let mut events = self.read_events(&bytes);
         self.complete |= events.contains(&StreamEvent::Complete);
         let failed = events.contains(&StreamEvent::Failed);
         if !self.attempt.streams {
-            self.held.extend_from_slice(&bytes);
-            self.held_events.append(&mut events);
-            let begins = self.held_events.iter().any(StreamEvent::begins_answer);
-            if !failed && !begins && self.held.len() <= self.attempt.context.limits.max_event_size {
+            self.buffered.extend_from_slice(&bytes);
+            self.buffered_events.append(&mut events);
+            let begins = self.buffered_events.iter().any(StreamEvent::begins_answer);
+            if !failed && !begins && self.buffered.len() <= self.attempt.context.limits.max_event_size {
                 return Ok(());
             }
-            (bytes, events) = (self.held.split().freeze(), std::mem::take(&mut self.held_events));
+            (bytes, events) = (self.buffered.split().freeze(), std::mem::take(&mut self.buffered_events));
             self.begin_stream(failed)?;
         }
         if self.attempt.events.send(ResponseEvent::Data(bytes, events)).await.is_err() || failed {
@@ -129,7 +131,7 @@
         Ok(())
     }
 
-    /// Binds the request to this attempt, unless it has failed, another attempt was first, or the client has left.
+    /// Begins the stream of this attempt, unless the attempt failed, another attempt streams, or the client has disconnected.
     fn begin_stream(&mut self, failed: bool) -> Result<(), Stopped> {
         let attempt = &mut *self.attempt;
         let (request, number) = (attempt.request, attempt.attempt);
@@ -139,13 +141,13 @@
         }
         tracing::debug!(target: "node", request = request.0, attempt = number, "stream begun");
         attempt.streams = true;
-        // No further attempt will need the upstream request: its part of the memory for bodies is free again.
+        // No further attempt needs the upstream request. Dropping it frees its body reservation.
         attempt.upstream = None;
         attempt.dispatcher.release_upstream_request(request);
         Ok(())
     }
 
-    /// What events say; takes note of what concerns the attempt's end.
+    /// Parses events, and records the usage and load report in the result of the attempt.
     fn read_events(&mut self, bytes: &[u8]) -> Vec<StreamEvent> {
         let context = &self.attempt.context;
         let mut events = Vec::new();
--- a/router/src/replica/response.rs
+++ b/router/src/replica/response.rs
@@ -1,19 +1,19 @@
-//! The head of a replica's response, and short bodies behind it.
+//! Reading the head of a replica's response, and discarding short bodies.
 
 use tokio::time::timeout;
 
 use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, MessageHead, StartLine};
 use crate::limits::Limits;
 
-/// Reads the head of a response of which something has come, or will; `None` if there is no whole and valid one within the
-/// limits. What begins has to end: one head that does not, or one informational response after the other, would else hold
-/// the attempt until the client has left.
+/// Reads the head of a response; `None` if there is no complete and valid head within the limits. The limits on time and on
+/// informational responses keep an unfinished head, or an endless series of informational responses, from holding the
+/// attempt until the client disconnects.
 pub(super) async fn read_head(wire: &mut BufferedConnection, limits: &Limits) -> Option<MessageHead> {
-    let whole = async {
+    let final_head = async {
         let mut informational = 0;
         loop {
             match MessageHead::parse_response(&mut wire.unread, limits) {
-                // What comes before the response proper says nothing here.
+                // Informational responses are skipped.
                 Ok(Some(head)) if matches!(head.start_line, StartLine::Status(100..=199)) => {
                     informational += 1
                 }
@@ -30,10 +30,11 @@
             }
         }
     };
-    timeout(limits.response_head_timeout, whole).await.ok().flatten()
+    timeout(limits.response_head_timeout, final_head).await.ok().flatten()
 }
 
-/// Discards a short body that has arrived with its head; false if it has not, and the connection is of no further use.
+/// Discards a short body that has arrived completely with its head. Returns false if it has not; the connection can then not
+/// be reused.
 pub(super) fn discard_body(wire: &mut BufferedConnection, framing: BodyFraming, max_chunk: usize) -> bool {
     if framing == BodyFraming::Undeclared {
         return false;
