--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between the routers of a deployment, as datagrams: load reports, and which replicas take nothing new.
+//! Datagrams between the routers of a deployment: load reports and drain notices.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -15,65 +15,65 @@
 use crate::config::PeerAddresses;
 use crate::dispatcher::Dispatcher;
 
-/// The most bytes of a message; a longer one would void the platform's run.
+/// Maximum size of a message, in bytes. The platform does not permit longer ones.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// The pause after an error of the socket. Want of memory, say, would fail again at once, and again.
+/// Delay after a socket error. An error such as a lack of memory would otherwise recur in a busy loop.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Messages that were not used, since the start, by the reason.
+/// Counts of dropped messages since the router started, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DroppedMessages {
-    /// From addresses that are no peer's, or too long.
-    pub strangers: u64,
-    /// From peers with other tenants, or of another version.
-    pub foreign: u64,
+    /// Messages from addresses that are no peer's, and messages that are too long.
+    pub unknown_senders: u64,
+    /// Reports of peers with other tenants or of another version.
+    pub incompatible: u64,
     /// Malformed reports.
     pub malformed: u64,
 }
 
-/// Why a message is not used.
+/// Why a message is dropped.
 #[derive(Debug, Clone, Copy)]
 enum DropReason {
-    /// It comes from no peer, or is too long.
-    Stranger,
-    /// It is no usable report.
+    /// The sender is not a peer, or the message is too long.
+    UnknownSender,
+    /// The message is not a valid report of a router with the same settings.
     Report(ReportError),
 }
 
 impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DropReason::Stranger => f.write_str("from no peer, or too long"),
+            DropReason::UnknownSender => f.write_str("sender is not a peer, or message too long"),
             DropReason::Report(error) => error.fmt(f),
         }
     }
 }
 
-/// The socket for load reports, and what has been heard on it.
+/// The socket for messages between routers, and the times of received messages.
 #[derive(Debug)]
 pub struct Peers {
     socket: UdpSocket,
     addresses: PeerAddresses,
     /// This router's index among the addresses.
     own_index: usize,
-    /// The digest that the other routers' reports have to carry.
+    /// The digest of the tenants that the reports of other routers must contain.
     digest: TenantsDigest,
     dropped: Cell<DroppedMessages>,
-    /// When another router was last heard.
-    heard_at: Cell<Option<Instant>>,
-    /// When another router last reported requests that it had served.
+    /// When the last message other than a drain notice arrived.
+    last_message_at: Cell<Option<Instant>>,
+    /// When the last report with served requests arrived.
     served_at: Cell<Option<Instant>>,
 }
 
 impl Peers {
-    /// Listens for the other routers.
+    /// Binds the socket for messages of the other routers.
     ///
     /// # Errors
-    /// The socket can't be had; want of resources is waited out for a while.
+    /// Returns an error if the socket can't be bound. Resource shortages are retried for a limited time.
     pub async fn new(addresses: PeerAddresses, own: PeerId, digest: TenantsDigest) -> io::Result<Peers> {
         let socket = bind::bind_with_retry(async || UdpSocket::bind(addresses.listen).await).await?;
-        // Until the runtime has seen that it can be written, what is sent at once would be lost.
+        // Before the runtime knows that the socket is writable, `try_send_to` would drop messages.
         socket.writable().await?;
         Ok(Peers {
             socket,
@@ -81,16 +81,17 @@
             own_index: own.0 as usize,
             digest,
             dropped: Cell::default(),
-            heard_at: Cell::new(None),
+            last_message_at: Cell::new(None),
             served_at: Cell::new(None),
         })
     }
 
-    /// Sends a message to all other routers. What cannot go out at once is lost, as it may be on the way.
+    /// Sends a message to all other routers. A message that cannot be sent without waiting is lost; datagrams may be lost in
+    /// transit as well.
     pub fn gossip(&self, bytes: &[u8]) {
         if bytes.len() > MAX_MESSAGE_BYTES {
             tracing::warn!(target: "peers", bytes = bytes.len(), limit = MAX_MESSAGE_BYTES,
-                "load report too long, not sent");
+                "load report not sent: too long");
             return;
         }
         let send = |to: SocketAddr| drop(self.socket.try_send_to(bytes, to));
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Sends a message to one other router; it may be lost as well.
+    /// Sends a message to one other router. It may be lost.
     pub fn send_to(&self, peer: PeerId, bytes: &[u8]) {
         let address = self.addresses.each.get(peer.0 as usize);
         if let Some(to) = address.filter(|_| bytes.len() <= MAX_MESSAGE_BYTES) {
@@ -111,10 +112,10 @@
         }
     }
 
-    /// The next message of another router, be it a usable report or not: the decisions read it for themselves. Cancel-safe:
-    /// no message is lost while it is waited for.
+    /// Returns the next message of another router, valid or not, as the decision module decodes it itself. Cancel-safe: no
+    /// message is lost.
     pub async fn receive(&self) -> (PeerId, Vec<u8>) {
-        // One byte more than a message may have, to detect a longer one.
+        // One byte more than the maximum, to detect longer messages.
         let mut buf = [0u8; MAX_MESSAGE_BYTES + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buf).await else {
@@ -122,68 +123,69 @@
                 continue;
             };
             let Some(peer) = self.peer_at(from).filter(|_| length <= MAX_MESSAGE_BYTES) else {
-                self.record_dropped(DropReason::Stranger);
+                self.record_dropped(DropReason::UnknownSender);
                 continue;
             };
-            self.record_heard(&buf[..length]);
+            self.record_received(&buf[..length]);
             return (peer, buf[..length].to_vec());
         }
     }
 
-    /// Takes note of a message of a peer. One about drains may come from a router that has just started, or is about to
-    /// end, and tells nothing of whether clients can go there.
-    fn record_heard(&self, bytes: &[u8]) {
+    /// Records the arrival of a peer's message. Drain notices do not count, as a router that is starting or shutting down
+    /// sends them as well: they do not show that clients can connect to it.
+    fn record_received(&self, bytes: &[u8]) {
         if DrainMessage::is_one(bytes) {
-            tracing::debug!(target: "peers", message = ?DrainMessage::decode(bytes), "message about drains");
+            tracing::debug!(target: "peers", message = ?DrainMessage::decode(bytes), "drain notice received");
             return;
         }
-        self.heard_at.set(Some(Instant::now()));
+        self.last_message_at.set(Some(Instant::now()));
         let serves = |report: &ServedReport| report.served.iter().any(|count| count.requests > 0);
         match served_report::decode(self.digest, bytes) {
-            Ok(report) if serves(&report) => self.served_at.set(self.heard_at.get()),
+            Ok(report) if serves(&report) => self.served_at.set(self.last_message_at.get()),
             Ok(_) => {}
             Err(error) => self.record_dropped(DropReason::Report(error)),
         }
     }
 
-    /// Messages that were not used, since the start.
+    /// Counts of dropped messages since the router started.
     pub fn dropped(&self) -> DroppedMessages {
         self.dropped.get()
     }
 
-    /// Counts a message that is not used; the first of each kind is logged.
+    /// Counts a dropped message, and logs the first one of each reason.
     fn record_dropped(&self, reason: DropReason) {
         let mut dropped = self.dropped.get();
         let count = match reason {
-            DropReason::Stranger => &mut dropped.strangers,
-            DropReason::Report(ReportError::ForeignDigest) => &mut dropped.foreign,
+            DropReason::UnknownSender => &mut dropped.unknown_senders,
+            DropReason::Report(ReportError::ForeignDigest) => &mut dropped.incompatible,
             DropReason::Report(ReportError::Malformed) => &mut dropped.malformed,
         };
         *count += 1;
         if *count == 1 {
-            tracing::warn!(target: "peers", %reason, "message dropped, further ones are counted");
+            tracing::warn!(target: "peers", %reason, "datagram dropped: further ones with this reason are only counted");
         }
         self.dropped.set(dropped);
     }
 
-    /// Whether another router has been heard within a time. One that is about to end sends nothing.
-    pub fn heard_within(&self, time: Duration) -> bool {
-        self.heard_at.get().is_some_and(|at| at.elapsed() < time)
+    /// Whether a message other than a drain notice arrived within the last `time`. A router that is shutting down sends no load
+    /// reports.
+    pub fn received_within(&self, time: Duration) -> bool {
+        self.last_message_at.get().is_some_and(|at| at.elapsed() < time)
     }
 
-    /// When another router last reported requests that it had served.
+    /// When the last report with served requests arrived.
     pub fn served_at(&self) -> Option<Instant> {
         self.served_at.get()
     }
 
-    /// The other router at an address.
+    /// Returns the other router at an address.
     fn peer_at(&self, address: SocketAddr) -> Option<PeerId> {
         let index = self.addresses.each.iter().position(|peer| *peer == address)?;
         (index != self.own_index).then_some(PeerId(index as u32))
     }
 }
 
-/// Hands the messages of the other routers to the core. Never ends.
+/// Passes the messages of the other routers to the core. Never returns.
 pub async fn receive_gossip(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
     loop {
         let (from, bytes) = peers.receive().await;
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -124,8 +124,8 @@
 /// may still end, if they ask for the rest of those that do not. Guards against a rolling restart that takes the last router
 /// down before the one before it is back.
 fn is_last_router(components: &Components) -> bool {
-    let heard_limit = components.limits.peer_silence_timeout;
-    let silent = components.peers.as_ref().is_some_and(|peers| !peers.heard_within(heard_limit));
+    let silence_limit = components.limits.peer_silence_timeout;
+    let silent = components.peers.as_ref().is_some_and(|peers| !peers.received_within(silence_limit));
     let only_one = components.deployment.decisions.router_count == 1;
     components.deployment.resumes_streams && (only_one || silent)
 }
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -495,7 +495,7 @@
             tokio::time::sleep(120 * MS).await;
             if heard {
                 other.send_to(b"here", mine).await.unwrap();
-                until(|| router.components.peers.as_ref().is_some_and(|p| p.heard_within(100 * MS))).await;
+                until(|| router.components.peers.as_ref().is_some_and(|p| p.received_within(100 * MS))).await;
             }
             let components = router.components.clone();
             let end = spawn_local(async move { shutdown::drain(&components).await });
@@ -671,12 +671,12 @@
         other.send_to(&[1; 300], mine).await.unwrap();
         other.send_to(b"news", mine).await.unwrap();
         assert_eq!(peers.receive().await, (PeerId(1), b"news".to_vec()));
-        assert_eq!(peers.dropped(), DroppedMessages { strangers: 2, foreign: 1, malformed: 0 });
+        assert_eq!(peers.dropped(), DroppedMessages { unknown_senders: 2, incompatible: 1, malformed: 0 });
         let torn =
             [&served_report::encode(TenantsDigest::default(), 1000, &[served(1, 0)]).remove(0)[..], &[0xff]]
                 .concat();
         other.send_to(&torn, mine).await.unwrap();
         assert_eq!(peers.receive().await, (PeerId(1), torn));
-        assert_eq!(peers.dropped(), DroppedMessages { strangers: 2, foreign: 1, malformed: 1 });
+        assert_eq!(peers.dropped(), DroppedMessages { unknown_senders: 2, incompatible: 1, malformed: 1 });
     });
 }
