--- a/router/src/connections.rs
+++ b/router/src/connections.rs
@@ -1,5 +1,5 @@
-//! Carries out the core's instructions with the router's connections: attempts and health checks at replicas, the watch of
-//! the endpoint list, load reports to the other routers.
+//! Carries out the core's instructions on the router's connections: attempts and health checks of replicas, the watch of the
+//! endpoint list, and messages to the other routers.
 
 use std::rc::Rc;
 
@@ -14,13 +14,13 @@
 
 /// The connections of one router.
 pub struct Connections {
-    /// The replicas, and what attempts at them go by.
+    /// The context of attempts and health checks.
     pub replicas: Rc<ReplicaContext>,
-    /// The endpoint list.
+    /// The state of the endpoint list's watch.
     pub endpoint_list: Rc<EndpointListState>,
-    /// The other routers, if there are any to talk to.
+    /// The socket to the other routers, if there are any.
     pub peers: Option<Rc<Peers>>,
-    /// How far a shutdown has come.
+    /// The stage of the shutdown.
     pub lifecycle: Rc<Lifecycle>,
 }
 
@@ -28,7 +28,7 @@
     fn start_attempt(&self, dispatcher: &Rc<Dispatcher>, attempt: AttemptStart) -> AbortHandle {
         tracing::debug!(target: "node", request = attempt.request.0, attempt = attempt.attempt,
             replica = %self.replicas.pool.name(attempt.replica), list_version = self.endpoint_list.version(),
-            list_unheard_ms = self.endpoint_list.unheard_for().as_millis() as u64, "attempt started");
+            list_unheard_ms = self.endpoint_list.time_since_last_message().as_millis() as u64, "attempt started");
         let attempt = Attempt::new(self.replicas.clone(), dispatcher.clone(), attempt);
         tokio::task::spawn_local(attempt.run()).abort_handle()
     }
@@ -42,7 +42,7 @@
     }
 
     fn send_report(&self, report: &[u8]) {
-        // A router that takes no new requests is none for others to count on.
+        // Other routers must not count on a router that accepts no new requests.
         if let Some(peers) = self.peers.as_ref().filter(|_| self.lifecycle.stage() < Stage::Closing) {
             peers.gossip(report);
         }
--- a/router/src/endpoint_list/apply.rs
+++ b/router/src/endpoint_list/apply.rs
@@ -1,4 +1,4 @@
-//! A message of the endpoint list, applied to the replica connections and to the decisions.
+//! Applies messages of the endpoint list to the connection pool and the decision module.
 
 use std::rc::Rc;
 
@@ -9,18 +9,19 @@
 use super::context::EndpointListContext;
 use super::message::{EndpointListMessage, EndpointRecord};
 
-/// A record of a message, and its translation.
+/// A record of a message, and its conversion for the decision module.
 struct DecodedRecord<'a> {
     record: &'a EndpointRecord,
     entry: EndpointEntry,
 }
 
-/// Applies a message: replicas are known to the connections before the decisions may choose them, and forgotten after.
+/// Applies a message. A new replica is added to the connection pool before the decision module can choose it, and a removed
+/// one is removed from the pool afterwards.
 pub fn apply(context: &Rc<EndpointListContext>, message: &EndpointListMessage, kind: ListUpdate) {
     let records = last_records(message, &context.deployment);
     if records.len() < message.endpoints.len() {
         tracing::warn!(target: "node_list", version = message.version, records = message.endpoints.len(),
-            replicas = records.len(), "endpoint list names a replica more than once, the last record counts");
+            replicas = records.len(), "endpoint list names a replica more than once: its last record is used");
     }
     for DecodedRecord { record, entry } in &records {
         tracing::debug!(target: "node_list", version = message.version, ?kind, replica = %record.id,
@@ -32,25 +33,25 @@
         }
     }
     let entries: Vec<EndpointEntry> = records.into_iter().map(|decoded| decoded.entry).collect();
-    let (gone, listed): (Vec<&EndpointEntry>, Vec<&EndpointEntry>) =
+    let (removed, listed): (Vec<&EndpointEntry>, Vec<&EndpointEntry>) =
         entries.iter().partition(|entry| entry.state == EndpointState::Gone);
-    let gone: Vec<ReplicaId> = gone.iter().map(|entry| entry.replica).collect();
+    let removed: Vec<ReplicaId> = removed.iter().map(|entry| entry.replica).collect();
     let listed: FxHashSet<ReplicaId> = listed.iter().map(|entry| entry.replica).collect();
     context.dispatcher.with(|core, now| core.endpoints_changed(now, kind, entries));
     match kind {
-        ListUpdate::Delta | ListUpdate::Override => context.replicas.remove(&gone),
+        ListUpdate::Delta | ListUpdate::Override => context.replicas.remove(&removed),
         ListUpdate::Full | ListUpdate::Cached | ListUpdate::Failed | ListUpdate::Truncated => {
             context.replicas.retain(|id| listed.contains(&id))
         }
     }
 }
 
-/// The records of a message in their order, of each replica the last one.
+/// Returns the records of a message in their order, keeping only the last one of each replica.
 fn last_records<'a>(message: &'a EndpointListMessage, deployment: &Deployment) -> Vec<DecodedRecord<'a>> {
     let mut seen = FxHashSet::default();
     let decode = |record: &'a EndpointRecord| DecodedRecord { record, entry: record.to_entry(deployment) };
-    let from_the_end = message.endpoints.iter().rev().map(decode);
-    let mut records: Vec<_> = from_the_end.filter(|decoded| seen.insert(decoded.entry.replica)).collect();
+    let newest_first = message.endpoints.iter().rev().map(decode);
+    let mut records: Vec<_> = newest_first.filter(|decoded| seen.insert(decoded.entry.replica)).collect();
     records.reverse();
     records
 }
--- a/router/src/endpoint_list/context.rs
+++ b/router/src/endpoint_list/context.rs
@@ -1,4 +1,4 @@
-//! What the watch of the endpoint list needs of its router.
+//! The shared state that the watch of the endpoint list uses.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,20 +11,20 @@
 use crate::limits::Limits;
 use crate::replica::ReplicaPool;
 
-/// What the watch of the endpoint list needs of its router.
+/// The shared state that the watch of the endpoint list uses.
 pub struct EndpointListContext {
-    /// Zones and kinds by name, and how lists come.
+    /// The names of zones and kinds, and the mode of the endpoint list.
     pub deployment: Rc<Deployment>,
-    /// Sizes and times of calls.
+    /// The limits on the size and time of calls.
     pub limits: Rc<Limits>,
     /// The clock.
     pub clock: Clock,
-    /// Notified of which replicas there are, and where.
+    /// The connection pool, which receives the replicas and their addresses.
     pub replicas: Rc<ReplicaPool>,
-    /// Notified of what has changed.
+    /// The dispatcher, which receives the changes of the list.
     pub dispatcher: Rc<Dispatcher>,
-    /// Where the list is, and when it was last heard.
+    /// The address of the list, its version, and the time of its last message.
     pub state: Rc<EndpointListState>,
-    /// Spreads the calls of many routers.
+    /// Random numbers that spread the calls of many routers over time.
     pub random: RefCell<fastrand::Rng>,
 }
--- a/router/src/endpoint_list/message.rs
+++ b/router/src/endpoint_list/message.rs
@@ -1,5 +1,5 @@
-//! The messages of the endpoint list as discovery sends them, and their translation for the decision module. Names of
-//! fields and states are the protocol's.
+//! The messages of the endpoint list as the discovery service sends them, and their conversion for the decision module. The
+//! names of fields and states are those of the protocol.
 
 use std::net::SocketAddr;
 
@@ -8,54 +8,54 @@
 use tallypin::deployment::Deployment;
 use tallypin::name_hash;
 
-/// Nanoseconds in a millisecond.
+/// Nanoseconds per millisecond.
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// One object of the list: the whole of it, or what changed.
+/// One message: the full list, or the records that changed.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EndpointListMessage {
-    /// The version that it leads to.
+    /// The version of the list after this message.
     pub version: u64,
-    /// Whether it is the whole list.
+    /// Whether the message contains the full list.
     #[serde(default)]
     pub full: bool,
-    /// The replicas.
+    /// The records of the replicas.
     #[serde(rename = "servers")]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// One replica of the list.
+/// The record of one replica.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct EndpointRecord {
-    /// The replica's name, the same at every router.
+    /// The replica's name, which is the same at every router.
     pub id: String,
-    /// Where this router reaches it.
+    /// The address at which this router reaches the replica.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// The replica's zone.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// The replica's kind of machine.
     #[serde(default)]
     pub kind: String,
-    /// Its cell.
+    /// The replica's cell.
     #[serde(default)]
     pub cell: u32,
-    /// Its state: `active`, `left`, or any other, which takes no new requests.
+    /// The replica's state: `active`, `left`, or another one, in which it accepts no new requests.
     pub state: String,
-    /// When it last started: Unix time in milliseconds, 0 if long ago.
+    /// When the replica last started, in Unix milliseconds; 0 if long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
 
 impl EndpointRecord {
-    /// The record as the decision module reads it.
+    /// Converts the record for the decision module.
     pub fn to_entry(&self, deployment: &Deployment) -> EndpointEntry {
         EndpointEntry {
             replica: name_hash::replica_id(&self.id),
             state: match self.state.as_str() {
                 "active" => EndpointState::Ready,
                 "left" => EndpointState::Gone,
-                // A state that is not known is no invitation to send.
+                // A replica in an unknown state gets no new requests.
                 _ => EndpointState::Draining,
             },
             started_at: (self.started_ms as Nanos).saturating_mul(NANOS_PER_MILLI),
@@ -66,8 +66,8 @@
     }
 }
 
-/// The index of a name in a list of the settings. A name that the list lacks is none of its entries: not the first zone,
-/// which may be the own one. An empty name is of a deployment that tells none apart.
+/// Returns the index of a name in a list of the settings. A name that the list lacks gets an index past its end, and not 0,
+/// which may be the router's own zone. An empty name gets 0: the deployment then has no such names.
 fn index_of(names: &[String], name: &str) -> u32 {
     match name {
         "" => 0,
--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -1,9 +1,9 @@
-//! The endpoint list: which replicas there are, watched at the discovery service. When to ask for it is the decision
-//! module's choice; a lost watch is reported to it, and what is known goes on being used.
+//! The endpoint list: the replicas of the deployment, watched at the discovery service. The decision module decides when to
+//! request the list. A lost watch is reported to it, and the last known list remains in use.
 //!
-//! [`message`] has the form of the messages, [`object_reader`] cuts them out of the stream, [`watch_clock`] says when a
-//! watch is opened and abandoned; [`follow`] drives the watches, and [`fn@apply`] gives their messages to the decisions and the
-//! connections.
+//! [`message`] defines the messages, [`object_reader`] splits the stream into them, [`watch_clock`] decides when a watch is
+//! opened and abandoned, [`follow`] runs the watches, and [`fn@apply`] passes messages to the decision module and the
+//! connection pool.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -28,15 +28,15 @@
 use source::{LostWatch, SourceWatch};
 use watch_clock::WatchTimeouts;
 
-/// Waits for something, or for ever if there is nothing to wait for.
-async fn or_pending<F: Future>(something: Option<F>) -> F::Output {
-    match something {
-        Some(something) => something.await,
+/// Awaits a future, or waits forever if there is none.
+async fn or_pending<F: Future>(future: Option<F>) -> F::Output {
+    match future {
+        Some(future) => future.await,
         None => std::future::pending().await,
     }
 }
 
-/// The timeouts of the source in use, and of one that is to supersede it.
+/// The timeouts of the source in use, and of a source that will replace it.
 struct SourceTimeouts {
     current: WatchTimeouts,
     next: WatchTimeouts,
@@ -52,7 +52,7 @@
         };
         match mode {
             EndpointListMode::Pushed => {
-                // The agent is the router's own: no others call it, and it is called as often as ever.
+                // Only this router calls its agent, so calls need no longer interval after repeated losses.
                 let agent = WatchTimeouts {
                     answer: limits.agent_response_timeout,
                     reconnect: Some(limits.agent_backoff),
@@ -68,12 +68,12 @@
     }
 }
 
-/// Watches the list whenever the decisions ask for it, at the address that the configuration names. A former address is left
-/// only when the new one has sent the whole list: until then its changes go on counting, and what is known goes on being
-/// used. Where lists are pushed, a watch on the router's own agent costs nobody anything and counts as notification: there
-/// is one from the start, whatever the decisions ask. Never ends.
+/// Watches the list at the configured address whenever the decision module requests it. After a change of the address, the
+/// former source stays in use until the new one has sent its first list. Where lists are pushed, a watch on the router's own agent
+/// is opened at the start without a request: it puts no load on others, and the router counts as notified through it.
+/// Never returns.
 ///
-/// Each arm of the `select!` is cancel-safe: notifications keep their permit, the address channel its newest value, and
+/// Each branch of the `select!` is cancel-safe: `Notify` keeps its permit, the address channel its newest value, and
 /// `SourceWatch::run` its watch.
 pub async fn follow(context: Rc<EndpointListContext>) {
     let timeouts = SourceTimeouts::new(context.deployment.decisions.list_mode, &context.limits);
@@ -87,7 +87,7 @@
         let next_source = next.as_ref().map(|next| next.source.clone());
         tokio::select! {
             biased;
-            // First of all: a source that has answered has superseded the one before it.
+            // Polled first: a source that has answered has superseded the current one.
             () = or_pending(next_source.as_ref().map(|source| source.answered.notified())) => {
                 if let Some(answered) = next.take() {
                     tracing::info!(target: "node_list", address = %answered.source.address, "endpoint list source changed");
@@ -96,7 +96,7 @@
                 }
             }
             moved = address.changed() => {
-                // It fails only when the sender is gone, and the context holds that.
+                // Fails only if the sender was dropped, but the context holds it.
                 if moved.is_err() { return };
                 next = Some(successor(&context, &current, *address.borrow_and_update(), timeouts.next));
             }
@@ -104,10 +104,10 @@
                 let address = next_source.as_ref().map(|source| source.address);
                 log_lost(&context, address, &lost, "watch at the new endpoint list source lost, reconnecting");
             }
-            // A further request means that the last one has not been answered in good time.
+            // A new request means that the previous one has not been answered in time.
             () = context.state.poll_requested() => {
                 tracing::debug!(target: "node_list", moving = next.is_some(), "the decisions request the endpoint list");
-                // Also while the list moves: until the new address answers, the former one may be the only one that does.
+                // Also while a new source is being contacted: until it answers, only the former one may.
                 current.source.clock.request_watch(context.clock.now());
             }
             lost = current.run(&context) => {
@@ -119,16 +119,16 @@
     }
 }
 
-/// Tells why a watch was lost, how long it lasted, and since when nothing is known of the list.
+/// Logs why a watch was lost, how long it was open, and the time since the last message of the list.
 fn log_lost(context: &EndpointListContext, address: Option<SocketAddr>, lost: &LostWatch, message: &str) {
     let LostWatch { error, established, truncated, open_for, losses } = lost;
     tracing::warn!(target: "node_list", address = address.map(tracing::field::display), %error, established, truncated,
         open_ms = open_for.as_millis() as u64, losses,
-        unheard_ms = context.state.unheard_for().as_millis() as u64, "{message}");
+        unheard_ms = context.state.time_since_last_message().as_millis() as u64, "{message}");
 }
 
-/// The source at a new address, to supersede `current` when it answers. It is called at once, as the former one may end
-/// soon, and again soon if it fails: one that never answers is not waited for.
+/// Creates the source at a new address, which replaces `current` when it answers. It is called immediately, as the former
+/// source may end soon, and is retried if it fails or does not answer in time.
 fn successor(
     context: &EndpointListContext,
     current: &SourceWatch,
--- a/router/src/endpoint_list/object_reader.rs
+++ b/router/src/endpoint_list/object_reader.rs
@@ -1,11 +1,11 @@
-//! Cuts the JSON objects of the endpoint list out of a stream. An object may stand on a line, as the protocol has it, or be
-//! indented over many, and may come in pieces of any size: its braces say where it ends. No input or output.
+//! Splits a byte stream into the JSON objects of the endpoint list. An object may be on one line, as the protocol says, or
+//! span several lines, and may arrive in pieces of any size. Its end is found by counting braces. No input or output.
 
 use std::fmt;
 
 use bytes::{Bytes, BytesMut};
 
-/// Something else stands where an object should begin.
+/// The stream has other data where an object should begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NotAnObject;
 
@@ -17,58 +17,58 @@
 
 impl std::error::Error for NotAnObject {}
 
-/// Bytes that have arrived, and how far they have been scanned.
+/// A buffer of received bytes, and the state of scanning them.
 #[derive(Debug, Default)]
 pub struct ObjectReader {
-    held: BytesMut,
-    /// Bytes of `held` that have been scanned.
+    buffer: BytesMut,
+    /// Number of bytes of `buffer` that have been scanned.
     scanned: usize,
-    /// Braces that are open behind them.
+    /// Number of open braces after the scanned bytes.
     depth: usize,
     position: Position,
 }
 
-/// Whether a byte is part of a JSON string, where braces mean nothing.
+/// Whether the next byte is part of a JSON string, in which braces are not counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum Position {
     #[default]
     OutsideString,
     InString,
-    /// Behind a backslash: a quote does not end the string.
+    /// In a string after a backslash: a quote does not end the string.
     Escaped,
 }
 
 impl ObjectReader {
-    /// Adds bytes that have arrived.
+    /// Appends received bytes.
     pub fn push(&mut self, data: &[u8]) {
-        self.held.extend_from_slice(data);
+        self.buffer.extend_from_slice(data);
     }
 
-    /// How many bytes are held.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    /// Number of buffered bytes.
+    pub fn buffered(&self) -> usize {
+        self.buffer.len()
     }
 
-    /// Takes the next object, once it is whole. Blank lines between objects are signs of life, and skipped.
+    /// Removes and returns the next object if it is complete. Whitespace between objects is a keep-alive and is skipped.
     ///
     /// # Errors
-    /// Something else stands where an object should begin.
+    /// Returns an error if other data is where an object should begin.
     pub fn take(&mut self) -> Result<Option<Bytes>, NotAnObject> {
-        while let Some(&byte) = self.held.get(self.scanned) {
+        while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
             if self.scan(byte)? {
-                let object = self.held.split_to(std::mem::take(&mut self.scanned));
+                let object = self.buffer.split_to(std::mem::take(&mut self.scanned));
                 return Ok(Some(object.freeze()));
             }
         }
         if self.depth == 0 {
-            self.held.clear();
+            self.buffer.clear();
             self.scanned = 0;
         }
         Ok(None)
     }
 
-    /// Scans one byte; true if it ends an object.
+    /// Scans one byte. Returns true if it ends an object.
     fn scan(&mut self, byte: u8) -> Result<bool, NotAnObject> {
         match (self.position, byte) {
             (Position::Escaped, _) => self.position = Position::InString,
--- a/router/src/endpoint_list/source.rs
+++ b/router/src/endpoint_list/source.rs
@@ -1,4 +1,4 @@
-//! One address of the endpoint list, and the watch on it.
+//! One source of the endpoint list, and the watch on it.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -16,32 +16,32 @@
 use super::watch::{watch, WatchError};
 use super::watch_clock::{WatchClock, WatchStep, WatchTimeouts};
 
-/// An address of the list, and what is known of it: its versions may be its own.
+/// A source of the endpoint list. Versions of different sources are unrelated.
 pub(super) struct ListSource {
     pub address: SocketAddr,
-    /// The version last applied.
+    /// The version last applied from this source.
     pub version: Cell<Option<u64>>,
-    /// It has been logged that the source sends versions older than that.
+    /// Whether it has been logged that the source sends older versions.
     pub older_reported: Cell<bool>,
-    /// The source that this one supersedes with its first message.
+    /// The source that this one replaces with its first message.
     pub predecessor: RefCell<Option<Rc<ListSource>>>,
-    /// Another source has superseded it: what still arrives from this one is older than what is known.
+    /// Whether another source has replaced this one. Messages of this source are then outdated.
     pub superseded: Cell<bool>,
-    /// Notified when a message of it has been applied.
+    /// Notified when a message of this source has been applied.
     pub answered: Notify,
-    /// Notified when the watch is held to another timeout, which may end sooner.
+    /// Notified when another timeout applies to the watch, as that may expire sooner.
     pub timeouts_changed: Notify,
     pub clock: WatchClock,
 }
 
 impl ListSource {
-    /// Whether a message is newer than what is known: a whole list always is, as its versions may begin anew, but changes
-    /// from before a known version would undo what came after them.
-    pub fn is_newer(&self, message: &EndpointListMessage) -> bool {
+    /// Whether a message can be applied. A full list always can, as the versions of a source may restart. Changes older than the
+    /// known version cannot, as they would undo later ones.
+    pub fn is_applicable(&self, message: &EndpointListMessage) -> bool {
         message.full || self.version.get().is_none_or(|known| message.version >= known)
     }
 
-    /// Takes note of a message that is about to be applied: its version is known, and a predecessor counts no longer.
+    /// Prepares for applying a message: records its version, and marks the predecessor as superseded.
     pub fn accept(&self, message: &EndpointListMessage) {
         self.older_reported.set(false);
         if let Some(predecessor) = self.predecessor.take() {
@@ -51,32 +51,32 @@
     }
 }
 
-/// A watch that was lost, or a call that never became one.
+/// A watch that was lost, or a call that failed before a watch was established.
 #[derive(Debug)]
 pub(super) struct LostWatch {
-    /// Why.
+    /// The reason for the loss.
     pub error: WatchError,
-    /// It had been established.
+    /// Whether the watch had been established.
     pub established: bool,
-    /// The answer had begun, and was not whole.
+    /// Whether the call failed in the middle of the response.
     pub truncated: bool,
-    /// How long ago it was opened.
+    /// Time since the watch was opened.
     pub open_for: Duration,
-    /// Losses since a watch was last heard, this one included.
+    /// Number of losses since the last message or keep-alive, including this one.
     pub losses: u32,
 }
 
-/// A watch that runs until it is lost.
+/// A running watch, which resolves to the reason for its loss.
 type WatchFuture = Pin<Box<dyn Future<Output = WatchError>>>;
 
-/// A source and the watch on it, if there is one.
+/// A source, and the watch on it if there is one.
 pub(super) struct SourceWatch {
     pub source: Rc<ListSource>,
     watching: Option<WatchFuture>,
 }
 
 impl SourceWatch {
-    /// No watch yet. `predecessor`: the source that this one supersedes.
+    /// Creates a source without a watch. `predecessor` is the source that this one replaces with its first message.
     pub fn new(
         address: SocketAddr,
         timeouts: WatchTimeouts,
@@ -95,8 +95,8 @@
         SourceWatch { source: Rc::new(source), watching: None }
     }
 
-    /// Opens the watch when its clock says so and follows it until it is lost. Cancel-safe: the watch is kept in `self`, and
-    /// the next call goes on with it.
+    /// Opens the watch when its clock requires it and runs it until it is lost. Cancel-safe: the watch is kept in `self`, and the
+    /// next call continues it.
     pub async fn run(&mut self, context: &Rc<EndpointListContext>) -> LostWatch {
         let error = loop {
             let clock = &self.source.clock;
@@ -105,9 +105,9 @@
                 WatchStep::Abandon => break WatchError::Silent,
                 WatchStep::Wait(until) => tokio::select! {
                     biased;
-                    lost = or_pending(self.watching.as_mut()) => break lost,
+                    error = or_pending(self.watching.as_mut()) => break error,
                     () = self.source.timeouts_changed.notified() => {}
-                    // What arrives meanwhile puts the time off: the clock is asked again then.
+                    // Data that arrived in the meantime postpones the timeout, so the clock is queried again.
                     () = or_pending(until.map(|at| sleep_until(context.clock.instant(at).into()))) => {}
                 },
             }
@@ -115,17 +115,17 @@
         self.close(context, error)
     }
 
-    /// Opens a watch in place of one that may be there: that one has been asked for again, so it was not answered in time.
+    /// Opens a watch. A current one is dropped: another watch was requested because it was not answered in time.
     fn open(&mut self, context: &Rc<EndpointListContext>) {
         if self.watching.take().is_some() {
             context.state.count(|counts| counts.failed += 1);
             tracing::debug!(target: "node_list", address = %self.source.address,
-                "endpoint list call abandoned for a further one");
+                "endpoint list call not answered in time: replaced by a new call");
         }
         self.source.clock.watch_opened(context.clock.now());
         context.state.count(|counts| counts.opened += 1);
         tracing::debug!(target: "node_list", address = %self.source.address, since = self.source.version.get(),
-            unheard_ms = context.state.unheard_for().as_millis() as u64, "endpoint list watch opened");
+            unheard_ms = context.state.time_since_last_message().as_millis() as u64, "endpoint list watch opened");
         self.watching = Some(Box::pin(watch(context.clone(), self.source.clone())));
     }
 
--- a/router/src/endpoint_list/watch.rs
+++ b/router/src/endpoint_list/watch.rs
@@ -1,4 +1,4 @@
-//! The call that watches the endpoint list: its request, and the messages of its response.
+//! The HTTP call that watches the endpoint list: its request, and the stream of messages in its response.
 
 use std::rc::Rc;
 use std::{fmt, io};
@@ -18,29 +18,29 @@
 /// Why a watch is lost.
 #[derive(Debug)]
 pub(super) enum WatchError {
-    /// The connection was not established in time.
+    /// The connection was not established within the timeout.
     ConnectTimeout,
     /// The connection failed.
     Io(io::Error),
-    /// It was closed before a whole response head.
+    /// The connection was closed before the response head was complete.
     ClosedBeforeHead,
     /// The response head is malformed.
     MalformedHead,
-    /// The response is not an open stream of messages; this is its first line.
+    /// The response is not an open stream of messages; contains its start line.
     UnexpectedResponse(StartLine),
     /// A chunk is malformed.
     MalformedChunk,
-    /// What stands where a message should begin is no JSON object.
+    /// The stream has other data where a JSON object should begin.
     NotAnObject,
-    /// A message has another form.
+    /// A message does not have the expected form.
     InvalidMessage(serde_json::Error),
-    /// A message is larger than this limit, bytes.
+    /// A message is larger than this limit, in bytes.
     MessageTooLarge(usize),
     /// The response has ended.
     Ended,
     /// The connection was closed.
     Closed,
-    /// Nothing arrived for longer than the timeouts allow, or no whole message.
+    /// No complete message or keep-alive arrived within the timeouts.
     Silent,
 }
 
@@ -55,10 +55,10 @@
             WatchError::MalformedChunk => f.write_str("malformed chunk"),
             WatchError::NotAnObject => f.write_str("malformed message: not a JSON object"),
             WatchError::InvalidMessage(error) => write!(f, "malformed message: {error}"),
-            WatchError::MessageTooLarge(limit) => write!(f, "a message of more than {limit} bytes"),
+            WatchError::MessageTooLarge(limit) => write!(f, "message larger than {limit} bytes"),
             WatchError::Ended => f.write_str("response ended"),
             WatchError::Closed => f.write_str("connection closed"),
-            WatchError::Silent => f.write_str("nothing whole within the time limit"),
+            WatchError::Silent => f.write_str("no complete message within the time limit"),
         }
     }
 }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Watches the list at `source` until the watch is lost. Dropping it closes the connection.
+/// Watches the list at `source` until the watch is lost, and returns the reason. Dropping the future closes the connection.
 pub(super) async fn watch(context: Rc<EndpointListContext>, source: Rc<ListSource>) -> WatchError {
     match follow_messages(&context, &source).await {
         Ok(never) => match never {},
@@ -93,7 +93,7 @@
     }
 }
 
-/// No value: a watch ends with an error only.
+/// A type without values: a watch ends only with an error.
 enum Never {}
 
 async fn follow_messages(
@@ -103,21 +103,21 @@
     let limits = &context.limits;
     let mut wire = connect(context, source).await?;
     let framing = read_head(context, &mut wire).await?;
-    note_incomplete(context, source);
+    record_incomplete(context, source);
     let (mut body, mut objects) =
         (BodyReader::new(framing, limits.max_list_line_size as u64), ObjectReader::default());
     loop {
         match body.next_part(&mut wire.unread) {
             Ok(Some(BodyPart::Data(data))) => {
                 objects.push(&data);
-                let whole = apply_whole_messages(context, source, &mut objects).await?;
-                if whole > 0 || objects.held() == 0 {
-                    note_sign_of_life(context, source);
+                let complete = apply_complete_messages(context, source, &mut objects).await?;
+                if complete > 0 || objects.buffered() == 0 {
+                    record_activity(context, source);
                 }
-                if objects.held() > 0 && !data.trim_ascii().is_empty() {
-                    note_incomplete(context, source);
+                if objects.buffered() > 0 && !data.trim_ascii().is_empty() {
+                    record_incomplete(context, source);
                 }
-                if objects.held() > limits.max_list_line_size {
+                if objects.buffered() > limits.max_list_line_size {
                     return Err(WatchError::MessageTooLarge(limits.max_list_line_size));
                 }
             }
@@ -129,29 +129,29 @@
     }
 }
 
-/// A whole message has arrived, or a blank line between messages.
-fn note_sign_of_life(context: &EndpointListContext, source: &ListSource) {
-    if source.clock.heard(context.clock.now()) {
+/// Records that a complete message or a blank line between messages arrived.
+fn record_activity(context: &EndpointListContext, source: &ListSource) {
+    if source.clock.record_activity(context.clock.now()) {
         context.state.count(|counts| counts.established += 1);
         tracing::info!(target: "node_list", address = %source.address, version = source.version.get(),
-            unheard_ms = context.state.unheard_for().as_millis() as u64, "endpoint list watch established");
+            unheard_ms = context.state.time_since_last_message().as_millis() as u64, "endpoint list watch established");
     }
-    context.state.heard();
+    context.state.record_activity();
 }
 
-/// A response or a message has begun, or gone on, and is not whole.
-fn note_incomplete(context: &EndpointListContext, source: &ListSource) {
-    source.clock.incomplete(context.clock.now());
+/// Records that data of a response or message arrived, but not its end.
+fn record_incomplete(context: &EndpointListContext, source: &ListSource) {
+    source.clock.record_incomplete(context.clock.now());
     source.timeouts_changed.notify_one();
 }
 
-/// Connects and sends the request, which names the version that is known.
+/// Connects and sends the request, which contains the known version.
 async fn connect(
     context: &EndpointListContext,
     source: &ListSource,
 ) -> Result<BufferedConnection, WatchError> {
-    let connecting = timeout(context.limits.watch_silence_timeout, TcpStream::connect(source.address));
-    let stream = connecting.await.map_err(|_| WatchError::ConnectTimeout)??;
+    let connection = timeout(context.limits.watch_silence_timeout, TcpStream::connect(source.address));
+    let stream = connection.await.map_err(|_| WatchError::ConnectTimeout)??;
     let mut wire = BufferedConnection::new(stream);
     let since = source.version.get().map_or(String::new(), |version| format!("&since={version}"));
     let request = format!("GET /discovery/hosts?follow=1{since} HTTP/1.1\r\nHost: discovery\r\n\r\n");
@@ -159,8 +159,8 @@
     Ok(wire)
 }
 
-/// Reads the response head; gives the framing of the body behind it. It has no time limit of its own: the clock of the
-/// watch abandons it, or the decisions ask for another one.
+/// Reads the response head and returns the framing of its body. It has no time limit of its own: the clock of the watch
+/// abandons the call, or the decision module requests another watch.
 async fn read_head(
     context: &EndpointListContext,
     wire: &mut BufferedConnection,
@@ -182,22 +182,22 @@
     MessageHead::parse_response(buf, &context.limits).map_err(|_| WatchError::MalformedHead)
 }
 
-/// Applies the messages that have arrived whole, but for those that are older than what is known; how many were whole.
-async fn apply_whole_messages(
+/// Applies the complete messages, except those older than the known version. Returns the number of complete messages.
+async fn apply_complete_messages(
     context: &Rc<EndpointListContext>,
     source: &ListSource,
     objects: &mut ObjectReader,
 ) -> Result<usize, WatchError> {
-    let mut whole = 0;
+    let mut complete = 0;
     while let Some(object) = objects.take()? {
-        whole += 1;
+        complete += 1;
         let message: EndpointListMessage =
             serde_json::from_slice(&object).map_err(WatchError::InvalidMessage)?;
         if source.superseded.get() {
-            // This watch is dropped as soon as its follower has seen that the new source answered.
+            // `follow` drops this watch once it has seen that the new source answered.
             return std::future::pending().await;
         }
-        if !source.is_newer(&message) {
+        if !source.is_applicable(&message) {
             if !source.older_reported.replace(true) {
                 tracing::warn!(target: "node_list", version = message.version, known = source.version.get(),
                     "older versions of the endpoint list ignored");
@@ -205,11 +205,11 @@
             continue;
         }
         source.accept(&message);
-        context.state.applied(message.version);
+        context.state.record_version(message.version);
         tracing::debug!(target: "node_list", address = %source.address, version = message.version, full = message.full,
-            records = message.endpoints.len(), "endpoint list message");
+            records = message.endpoints.len(), "endpoint list message received");
         apply(context, &message, if message.full { ListUpdate::Full } else { ListUpdate::Delta });
         source.answered.notify_one();
     }
-    Ok(whole)
+    Ok(complete)
 }
--- a/router/src/endpoint_list/watch_clock/tests.rs
+++ b/router/src/endpoint_list/watch_clock/tests.rs
@@ -10,8 +10,8 @@
     reconnect: Some(Duration::from_millis(200)),
 };
 
-/// What an agent does over time: silent in outages, else it answers at once and gives a sign every 2 s to watches
-/// that have not fallen silent. Gives the longest time in which the agent answered and no watch was established.
+/// Simulates an agent that is silent in outages, and otherwise answers immediately and sends a keep-alive every 2 s to
+/// watches that have not fallen silent. Returns the longest time in which the agent answered and no watch was established.
 fn longest_unwatched(outages: &[(Nanos, Nanos)], silences: &[Nanos], end: Nanos) -> Nanos {
     let clock = WatchClock::new(PUSHED);
     let down = |t: Nanos| outages.iter().any(|&(from, to)| (from..to).contains(&t));
@@ -24,14 +24,14 @@
                 clock.watch_opened(t);
                 watch_silent = down(t);
                 if !watch_silent {
-                    clock.heard(t);
+                    clock.record_activity(t);
                 }
             }
             WatchStep::Abandon => clock.watch_lost(t, 1.0),
             WatchStep::Wait(_) => {}
         }
         if !watch_silent && t % (2 * SECOND) == 0 {
-            clock.heard(t);
+            clock.record_activity(t);
         }
         unwatched = if watch_silent && !down(t) { unwatched + MS } else { 0 };
         longest = longest.max(unwatched);
@@ -41,11 +41,11 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
-    /// After an outage that outlasts a watch the agent is heard again before any drain has to be, and a watch
-    /// that falls silent is replaced before what it misses counts as notified, 6 s after.
+    /// After an outage longer than the silence timeout, a watch is established before the router has to know of any drain. A
+    /// watch that falls silent is replaced before its missed changes count as notified 6 s later.
     #[test]
-    fn an_agent_is_not_unwatched_for_long(from in 1u64..8_000, long in 4_001u64..15_000, silences in 0u64..30_000) {
-        let outage = [(from * MS, (from + long) * MS)];
+    fn an_agent_is_not_unwatched_for_long(from in 1u64..8_000, duration in 4_001u64..15_000, silences in 0u64..30_000) {
+    let outage = [(from * MS, (from + duration) * MS)];
         let after_outage = longest_unwatched(&outage, &[], 30 * SECOND);
         prop_assert!(after_outage <= 451 * MS, "{} ms after an outage", after_outage / MS);
         let silent = longest_unwatched(&[], &[silences * MS], 40 * SECOND);
@@ -64,23 +64,23 @@
     assert_eq!(
         clock.next_step(5 + 2 * SECOND),
         WatchStep::Abandon,
-        "the one that requested it learns that it has failed"
+        "the decision module learns that the call has failed"
     );
-    clock.heard(SECOND);
+    clock.record_activity(SECOND);
     assert_eq!(clock.next_step(SECOND), WatchStep::Wait(Some(4 * SECOND)));
     assert_eq!(clock.next_step(4 * SECOND), WatchStep::Abandon);
     clock.watch_lost(4 * SECOND, 1.0);
-    assert_eq!(clock.next_step(60 * SECOND), WatchStep::Wait(None), "a budget of calls is not spent here");
+    assert_eq!(clock.next_step(60 * SECOND), WatchStep::Wait(None), "the clock makes no call of its own");
 }
 
-/// Guards against a wait that grows with each refusal: who was refused most often would call least often, and have the
-/// list last of all.
+/// Guards against an exponential backoff: the routers refused most often would retry least often, and be the last to get
+/// the list.
 #[test]
 fn the_interval_between_calls_does_not_grow_with_losses_and_is_spread() {
     let interval = Some(Duration::from_millis(300));
     let clock = WatchClock::new(WatchTimeouts { reconnect: interval, ..PUSHED });
-    let wait = |draw| {
-        clock.watch_lost(0, draw);
+    let wait = |random| {
+        clock.watch_lost(0, random);
         match clock.next_step(0) {
             WatchStep::Wait(Some(at)) => at / MS,
             step => panic!("{step:?}"),
@@ -88,49 +88,47 @@
     };
     assert!((0..100).all(|_| wait(1.0) == 300));
     assert_eq!(clock.losses(), 100);
-    assert_eq!(wait(0.0), 150, "half of it is chance");
-    clock.heard(0);
+    assert_eq!(wait(0.0), 150, "half of the interval is random");
+    clock.record_activity(0);
     assert_eq!((clock.losses(), wait(1.0)), (0, 300));
 }
 
-/// Seen: of 50 drawn series of changes and signals one sent to a removed replica 0.1 s too late.
-/// How it came about: discovery had moved, and its new address answered three calls with half a list each.
-/// Cause: the wait for an answer and the pause behind its loss were bounded each by itself: a call that had taken its time to
-/// fail was followed by a whole pause.
-/// Proof: the log of the router at fault, calls at 2.7, 5.6, 7.6 and 9.2 s, the first three given up at 4.7, 6.6 and 8.7 s.
+/// Guards against a full interval after a call that was slow to fail. When discovery moved and its new address answered
+/// three calls with half a list each, the answer timeout and the interval added up, and a router sent a request to a removed
+/// replica 0.1 s too late.
 #[test]
-fn a_call_that_took_long_to_fail_is_followed_soon() {
+fn a_call_that_was_slow_to_fail_is_retried_early() {
     let interval = Duration::from_secs(1);
     let clock = WatchClock::new(WatchTimeouts { reconnect: Some(interval), ..PUSHED });
-    let next_call = |failed_at, draw| {
+    let next_call = |failed_at, random| {
         clock.request_watch(0);
         clock.watch_opened(0);
-        clock.watch_lost(failed_at, draw);
+        clock.watch_lost(failed_at, random);
         match clock.next_step(0) {
             WatchStep::Wait(Some(at)) => at / MS,
             step => panic!("{step:?}"),
         }
     };
-    assert_eq!([next_call(0, 0.0), next_call(0, 1.0)], [500, 1_000], "one that fails at once");
+    assert_eq!([next_call(0, 0.0), next_call(0, 1.0)], [500, 1_000], "a call that fails immediately");
     assert_eq!([next_call(600 * MS, 0.0), next_call(600 * MS, 1.0)], [600, 1_100]);
-    assert_eq!([next_call(2 * SECOND, 0.0), next_call(2 * SECOND, 1.0)], [2_000, 2_500], "chance parts them");
+    assert_eq!([next_call(2 * SECOND, 0.0), next_call(2 * SECOND, 1.0)], [2_000, 2_500], "calls are spread");
 }
 
-/// Guards against half of a message that counts as a sign of life, and with it whatever is written behind it.
+/// Guards against an incomplete message, and any data after it, counting as a keep-alive.
 #[test]
-fn a_message_that_does_not_go_on_is_given_up() {
+fn a_watch_with_a_stalled_message_is_abandoned() {
     let clock = WatchClock::new(PUSHED);
     clock.request_watch(0);
     clock.watch_opened(0);
-    clock.incomplete(100 * MS);
+    clock.record_incomplete(100 * MS);
     assert!(!clock.is_established());
     assert_eq!(clock.next_step(1_099 * MS), WatchStep::Wait(Some(1_100 * MS)));
-    clock.incomplete(300 * MS);
-    assert_eq!(clock.next_step(1_100 * MS), WatchStep::Wait(Some(1_300 * MS)), "it goes on");
+    clock.record_incomplete(300 * MS);
+    assert_eq!(clock.next_step(1_100 * MS), WatchStep::Wait(Some(1_300 * MS)), "more of the message arrived");
     assert_eq!(clock.next_step(1_300 * MS), WatchStep::Abandon);
-    assert!(clock.heard(500 * MS), "the first sign of this watch");
-    assert!(!clock.heard(600 * MS));
+    assert!(clock.record_activity(500 * MS), "the first sign of this watch");
+    assert!(!clock.record_activity(600 * MS));
     assert_eq!(clock.next_step(700 * MS), WatchStep::Wait(Some(3_600 * MS)));
-    clock.incomplete(700 * MS);
-    assert_eq!(clock.next_step(700 * MS), WatchStep::Wait(Some(1_700 * MS)), "a change that has begun");
+    clock.record_incomplete(700 * MS);
+    assert_eq!(clock.next_step(700 * MS), WatchStep::Wait(Some(1_700 * MS)), "an incomplete change");
 }
--- a/router/src/endpoint_list_state.rs
+++ b/router/src/endpoint_list_state.rs
@@ -1,5 +1,5 @@
-//! What the rest of the router sees of the endpoint list's watch: where the list is, whether it is to be polled, which version
-//! is applied, when it was last heard, and what became of the calls for it.
+//! The state of the endpoint list's watch that the rest of the router uses: the address of the list, requests to poll it, the
+//! applied version, the time of the last message, and the counts of calls.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::timeout;
 
-/// What became of the calls for the endpoint list since the start.
+/// Counts of the calls for the endpoint list since the router started, by result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WatchCounts {
-    /// Calls that were begun.
+    /// Calls that were started.
     pub opened: u64,
-    /// Of these, how many were answered by a watch.
+    /// Calls that led to an established watch.
     pub established: u64,
-    /// How many failed before that: refused, not answered in time, or broken.
+    /// Calls that failed before that: refused, not answered in time, or broken.
     pub failed: u64,
-    /// Watches that were lost after they had been established.
+    /// Established watches that were lost.
     pub lost: u64,
 }
 
@@ -27,7 +27,7 @@
     address: watch::Sender<SocketAddr>,
     poll_requested: Notify,
     started_at: Instant,
-    heard_at: Cell<Option<Instant>>,
+    last_activity_at: Cell<Option<Instant>>,
     silence_limit: Duration,
     version: Cell<Option<u64>>,
     first_applied: Notify,
@@ -35,13 +35,14 @@
 }
 
 impl EndpointListState {
-    /// A list at this address, not heard yet; a watch that has said nothing for longer than `silence_limit` counts as silent.
+    /// Creates the state of a list at `address` that has sent no message. A watch that has sent nothing for longer than
+    /// `silence_limit` counts as silent.
     pub fn new(address: SocketAddr, silence_limit: Duration) -> EndpointListState {
         EndpointListState {
             address: watch::Sender::new(address),
             poll_requested: Notify::new(),
             started_at: Instant::now(),
-            heard_at: Cell::new(None),
+            last_activity_at: Cell::new(None),
             silence_limit,
             version: Cell::new(None),
             first_applied: Notify::new(),
@@ -49,72 +50,72 @@
         }
     }
 
-    /// The list is elsewhere from now on; false if it was there already.
-    pub fn move_to(&self, address: SocketAddr) -> bool {
+    /// Changes the address of the list. Returns false if the address is the same as before.
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         self.address.send_if_modified(|at| std::mem::replace(at, address) != address)
     }
 
-    /// Where the list is, and a way to wait until it moves.
+    /// The address of the list, as a receiver that also reports its changes.
     pub fn address(&self) -> watch::Receiver<SocketAddr> {
         self.address.subscribe()
     }
 
-    /// Asks for a poll of the list.
+    /// Requests a poll of the list.
     pub fn request_poll(&self) {
         self.poll_requested.notify_one();
     }
 
-    /// Waits for a request to poll the list. Cancel-safe: a request that nobody waits for is kept.
+    /// Waits for a request to poll the list. Cancel-safe: a request is kept until it is received.
     pub async fn poll_requested(&self) {
         self.poll_requested.notified().await;
     }
 
-    /// The list has said something, be it a sign of life.
-    pub fn heard(&self) {
-        self.heard_at.set(Some(Instant::now()));
+    /// Records that a message or keep-alive arrived.
+    pub fn record_activity(&self) {
+        self.last_activity_at.set(Some(Instant::now()));
     }
 
-    /// A message has been applied that leads to this version.
-    pub fn applied(&self, version: u64) {
+    /// Records the version of a message that is about to be applied.
+    pub fn record_version(&self, version: u64) {
         if self.version.replace(Some(version)).is_none() {
             self.first_applied.notify_one();
         }
     }
 
-    /// Waits until a list has been applied, for so long at the most; false if none came. For one waiter.
+    /// Waits at most `limit` for the first list to be applied. Returns false if none was. Supports one waiter.
     pub async fn wait_for_first(&self, limit: Duration) -> bool {
         self.version.get().is_some() || timeout(limit, self.first_applied.notified()).await.is_ok()
     }
 
-    /// The version last applied since the start; `None` before the first.
+    /// The version last applied; `None` before the first list.
     pub fn version(&self) -> Option<u64> {
         self.version.get()
     }
 
-    /// Changes the counts of calls.
+    /// Updates the counts of calls.
     pub fn count(&self, change: impl FnOnce(&mut WatchCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
     }
 
-    /// What became of the calls for the list.
+    /// The counts of calls.
     pub fn counts(&self) -> WatchCounts {
         self.counts.get()
     }
 
-    /// For how long the list has said nothing; since the start of the router if it never did.
-    pub fn unheard_for(&self) -> Duration {
-        self.heard_at.get().unwrap_or(self.started_at).elapsed()
+    /// Time since the last message or keep-alive, or since the start of the router if there was none.
+    pub fn time_since_last_message(&self) -> Duration {
+        self.last_activity_at.get().unwrap_or(self.started_at).elapsed()
     }
 
-    /// For how long the list has said nothing, if that is longer than a standing watch would take.
+    /// Time since the last message or keep-alive, if it exceeds the silence limit.
     pub fn silence(&self) -> Option<Duration> {
-        Some(self.unheard_for()).filter(|s| *s > self.silence_limit)
+        Some(self.time_since_last_message()).filter(|s| *s > self.silence_limit)
     }
 
-    /// Whether the list has said something since the start, and not too long ago.
+    /// Whether a message or keep-alive has arrived within the silence limit.
     pub fn is_fresh(&self) -> bool {
-        self.heard_at.get().is_some() && self.silence().is_none()
+        self.last_activity_at.get().is_some() && self.silence().is_none()
     }
 }
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -124,6 +124,6 @@
     for field in running.changed_fields(config) {
         tracing::warn!(target: "reload", field, "configuration changed: takes effect after a restart");
     }
-    let moved = endpoint_list.move_to(config.node_list);
+    let moved = endpoint_list.set_address(config.node_list);
     tracing::info!(target: "reload", endpoint_list = %config.node_list, moved, "configuration reloaded");
 }
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -34,7 +34,7 @@
     format!(
         "endpoint list version {version}, last heard {} ms ago, calls {opened} ({established} established, {failed} failed), \
          watches lost {lost}",
-        list.unheard_for().as_millis()
+        list.time_since_last_message().as_millis()
     )
 }
 
--- a/router/tests/list_budget.rs
+++ b/router/tests/list_budget.rs
@@ -88,7 +88,7 @@
                 _ => {}
             }
             if a.told.is_some() {
-                a.clock.heard(t);
+                a.clock.record_activity(t);
             }
         }
         let mut failed = Vec::new();
@@ -113,7 +113,7 @@
             let at = service.queue.iter().position(|(_, since)| !is_away(*since));
             let Some((who, _)) = at.and_then(|at| service.queue.remove(at)) else { break };
             service.free_at = service.free_at.max(t) + service.cost;
-            all[who].clock.heard(t);
+            all[who].clock.record_activity(t);
             all[who].core.endpoints_changed(t, ListUpdate::Full, vec![EndpointEntry::default()]);
             all[who].told = Some(t);
         }
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -375,5 +375,5 @@
     }
     let mut blank = ObjectReader::default();
     blank.push(b"\n\n\n");
-    assert_eq!((blank.take(), blank.held()), (Ok(None), 0), "signs of life take no room");
+    assert_eq!((blank.take(), blank.buffered()), (Ok(None), 0), "signs of life take no room");
 }
