--- a/router/src/connections.rs
+++ b/router/src/connections.rs
@@ -28,7 +28,7 @@
     fn start_attempt(&self, dispatcher: &Rc<Dispatcher>, attempt: AttemptStart) -> AbortHandle {
         tracing::debug!(target: "node", request = attempt.request.0, attempt = attempt.attempt,
             replica = %self.replicas.pool.name(attempt.replica), list_version = self.endpoint_list.version(),
-            list_unheard_ms = self.endpoint_list.time_since_last_message().as_millis() as u64, "attempt started");
+            list_unheard_ms = self.endpoint_list.time_since_activity().as_millis() as u64, "attempt started");
         let attempt = Attempt::new(self.replicas.clone(), dispatcher.clone(), attempt);
         tokio::task::spawn_local(attempt.run()).abort_handle()
     }
--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -46,7 +46,7 @@
     fn new(mode: EndpointListMode, limits: &Limits) -> SourceTimeouts {
         let polled = WatchTimeouts {
             answer: limits.list_response_timeout,
-            incomplete: limits.list_message_gap,
+            stall: limits.list_message_stall_timeout,
             silence: limits.watch_silence_timeout,
             reconnect: None,
         };
@@ -124,7 +124,7 @@
     let LostWatch { error, established, truncated, open_for, losses } = lost;
     tracing::warn!(target: "node_list", address = address.map(tracing::field::display), %error, established, truncated,
         open_ms = open_for.as_millis() as u64, losses,
-        unheard_ms = context.state.time_since_last_message().as_millis() as u64, "{message}");
+        unheard_ms = context.state.time_since_activity().as_millis() as u64, "{message}");
 }
 
 /// Creates the source at a new address, which replaces `current` when it answers. It is called immediately, as the former
--- a/router/src/endpoint_list/source.rs
+++ b/router/src/endpoint_list/source.rs
@@ -125,7 +125,7 @@
         self.source.clock.watch_opened(context.clock.now());
         context.state.count(|counts| counts.opened += 1);
         tracing::debug!(target: "node_list", address = %self.source.address, since = self.source.version.get(),
-            unheard_ms = context.state.time_since_last_message().as_millis() as u64, "endpoint list watch opened");
+            unheard_ms = context.state.time_since_activity().as_millis() as u64, "endpoint list watch opened");
         self.watching = Some(Box::pin(watch(context.clone(), self.source.clone())));
     }
 
--- a/router/src/endpoint_list/watch.rs
+++ b/router/src/endpoint_list/watch.rs
@@ -105,7 +105,7 @@
     let framing = read_head(context, &mut wire).await?;
     record_incomplete(context, source);
     let (mut body, mut objects) =
-        (BodyReader::new(framing, limits.max_list_line_size as u64), ObjectReader::default());
+        (BodyReader::new(framing, limits.max_list_message_size as u64), ObjectReader::default());
     loop {
         match body.next_part(&mut wire.unread) {
             Ok(Some(BodyPart::Data(data))) => {
@@ -117,8 +117,8 @@
                 if objects.buffered() > 0 && !data.trim_ascii().is_empty() {
                     record_incomplete(context, source);
                 }
-                if objects.buffered() > limits.max_list_line_size {
-                    return Err(WatchError::MessageTooLarge(limits.max_list_line_size));
+                if objects.buffered() > limits.max_list_message_size {
+                    return Err(WatchError::MessageTooLarge(limits.max_list_message_size));
                 }
             }
             Ok(Some(BodyPart::End)) => return Err(WatchError::Ended),
@@ -134,7 +134,7 @@
     if source.clock.record_activity(context.clock.now()) {
         context.state.count(|counts| counts.established += 1);
         tracing::info!(target: "node_list", address = %source.address, version = source.version.get(),
-            unheard_ms = context.state.time_since_last_message().as_millis() as u64, "endpoint list watch established");
+            unheard_ms = context.state.time_since_activity().as_millis() as u64, "endpoint list watch established");
     }
     context.state.record_activity();
 }
--- a/router/src/endpoint_list/watch_clock.rs
+++ b/router/src/endpoint_list/watch_clock.rs
@@ -16,7 +16,7 @@
     /// Time within which a call must be answered before it is abandoned.
     pub answer: Duration,
     /// Maximum time without further data in the middle of a response head or message before the watch is abandoned.
-    pub incomplete: Duration,
+    pub stall: Duration,
     /// Maximum time without a message or keep-alive before the watch is abandoned.
     pub silence: Duration,
     /// Interval between openings after a loss. `None`: the watch is reopened only when requested.
@@ -62,7 +62,7 @@
     losses: Cell<u32>,
 }
 
-fn after(at: Nanos, wait: Duration) -> Nanos {
+fn add_duration(at: Nanos, wait: Duration) -> Nanos {
     at.saturating_add(wait.as_nanos() as Nanos)
 }
 
@@ -120,7 +120,7 @@
     fn next_opening(&self, now: Nanos, interval: Duration, random: f64) -> Nanos {
         let half = interval / 2;
         let spread = half.mul_f64(random);
-        after(self.opened_at.get(), half + spread).max(after(now, spread))
+        add_duration(self.opened_at.get(), half + spread).max(add_duration(now, spread))
     }
 
     /// When the watch was last opened.
@@ -149,9 +149,9 @@
         let (at, step) = match self.state.get() {
             State::Idle => return WatchStep::Wait(None),
             State::OpenAt(at) => (at, WatchStep::Open),
-            State::Opened(at) => (after(at, timeouts.answer), WatchStep::Abandon),
-            State::Incomplete(at) => (after(at, timeouts.incomplete), WatchStep::Abandon),
-            State::Active(at) => (after(at, timeouts.silence), WatchStep::Abandon),
+            State::Opened(at) => (add_duration(at, timeouts.answer), WatchStep::Abandon),
+            State::Incomplete(at) => (add_duration(at, timeouts.stall), WatchStep::Abandon),
+            State::Active(at) => (add_duration(at, timeouts.silence), WatchStep::Abandon),
         };
         match at <= now {
             true => step,
--- a/router/src/endpoint_list/watch_clock/tests.rs
+++ b/router/src/endpoint_list/watch_clock/tests.rs
@@ -5,7 +5,7 @@
 const MS: Nanos = SECOND / 1000;
 const PUSHED: WatchTimeouts = WatchTimeouts {
     answer: Duration::from_millis(250),
-    incomplete: Duration::from_millis(1000),
+    stall: Duration::from_millis(1000),
     silence: Duration::from_secs(3),
     reconnect: Some(Duration::from_millis(200)),
 };
--- a/router/src/endpoint_list_state.rs
+++ b/router/src/endpoint_list_state.rs
@@ -105,13 +105,13 @@
     }
 
     /// Time since the last message or keep-alive, or since the start of the router if there was none.
-    pub fn time_since_last_message(&self) -> Duration {
+    pub fn time_since_activity(&self) -> Duration {
         self.last_activity_at.get().unwrap_or(self.started_at).elapsed()
     }
 
     /// Time since the last message or keep-alive, if it exceeds the silence limit.
     pub fn silence(&self) -> Option<Duration> {
-        Some(self.time_since_last_message()).filter(|s| *s > self.silence_limit)
+        Some(self.time_since_activity()).filter(|s| *s > self.silence_limit)
     }
 
     /// Whether a message or keep-alive has arrived within the silence limit.
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time that the router holds itself to. They are set once at the start and handed down.
+//! All limits on size, count and time of the router. They are set once at the start.
 
 use std::time::Duration;
 
@@ -8,125 +8,126 @@
 /// The limits of one router.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// The largest head of a message, bytes.
+    /// Maximum size of a message head, in bytes.
     pub max_head_size: usize,
-    /// The most header fields of a message.
+    /// Maximum number of header fields of a message.
     pub max_fields: usize,
-    /// The largest body of a request, bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_size: usize,
-    /// The largest event of a stream, and the largest chunk, bytes.
+    /// Maximum size of a stream event and of a chunk, in bytes.
     pub max_event_size: usize,
-    /// The most responses of status 1xx that a replica sends before the final one.
+    /// Maximum number of 1xx responses that a replica may send before the final response.
     pub max_informational_responses: usize,
-    /// The head of a replica's response must be complete within this after its first byte.
+    /// Time within which the head of a replica's response must be complete after its first byte.
     pub response_head_timeout: Duration,
-    /// The largest text of an answer that a client wants in one piece, not as a stream, bytes.
+    /// Maximum text size of an answer that is collected for a client that does not stream, in bytes.
     pub max_collected_answer_size: usize,
-    /// The most tokens of an answer whose client states no bound, where the dialect of the replica requires one.
+    /// Token limit of an answer whose client sets none, for replicas whose dialect requires one.
     pub default_max_tokens: u64,
-    /// The largest line of the endpoint list, bytes.
-    pub max_list_line_size: usize,
-    /// What the bodies of all requests may take together, bytes.
+    /// Maximum size of a message of the endpoint list, in bytes.
+    pub max_list_message_size: usize,
+    /// Maximum total size of all request bodies, in bytes.
     pub body_budget: usize,
-    /// Client connections that are served at once; further ones are answered 503 and closed.
+    /// Maximum number of client connections served at once; further ones are answered 503 and closed.
     pub max_clients: usize,
-    /// Further client connections that are accepted only to be answered 503.
+    /// Maximum number of further client connections that are accepted only to be answered 503.
     pub max_rejected_clients: usize,
-    /// Connections to replicas, idle ones included.
+    /// Maximum number of connections to replicas, including idle ones.
     pub max_replica_connections: usize,
-    /// Requests in flight.
+    /// Maximum number of open requests.
     pub max_open_requests: usize,
-    /// Response events that wait for a slow client.
+    /// Maximum number of response events queued for a slow client.
     pub response_queue_length: usize,
-    /// A connection to a replica must be established within this, or counts as refused.
+    /// Time within which a connection to a replica must be established; otherwise it counts as refused.
     pub connect_timeout: Duration,
-    /// An idle connection to a replica is closed after this, well before the replica does so.
+    /// Time after which an idle connection to a replica is closed, well before the replica closes it.
     pub replica_idle_timeout: Duration,
-    /// A connection to a replica is not used again before this: a response of more than its request comes within some
-    /// milliseconds.
+    /// Minimum idle time before a connection to a replica is reused. A faulty second response to the previous request arrives
+    /// within a few milliseconds.
     pub replica_reuse_delay: Duration,
-    /// How long a client connection may be idle between two requests.
+    /// Maximum idle time of a client connection between two requests.
     pub client_idle_timeout: Duration,
-    /// How long a client connection may be idle before its first request.
+    /// Maximum idle time of a client connection before its first request.
     pub first_request_timeout: Duration,
-    /// A client connection that has been idle for this long is among the first to be closed when others need its place.
+    /// Idle time before the first request after which a client connection is the first to be closed at the limit of clients.
     pub client_eviction_idle_time: Duration,
-    /// A request must be complete within this after its first byte.
+    /// Time within which a request must be complete after its first byte.
     pub request_read_timeout: Duration,
-    /// Identifiers of requests that are remembered after these have ended.
+    /// Number of request identifiers that are remembered after their requests have ended.
     pub max_remembered_requests: usize,
-    /// This many rejections in a row, each followed by an immediate retry, are answered without a pause.
+    /// Number of consecutive immediate retries after rejections that are read without a pause.
     pub max_immediate_retries: u32,
-    /// A retry within this after a rejection is immediate.
+    /// Time after a rejection within which a retry counts as immediate.
     pub immediate_retry_window: Duration,
-    /// The pause, after too many immediate retries, before the next request on the connection is read.
+    /// Pause before the next request on a connection is read after too many immediate retries.
     pub immediate_retry_pause: Duration,
-    /// How often the router looks whether a client that has sent much ahead has left.
+    /// Interval at which the router checks whether a client that has sent much data ahead has disconnected.
     pub client_departure_check_interval: Duration,
-    /// A client that takes no bytes for this long has left.
+    /// Time without write progress after which a client counts as disconnected.
     pub client_write_timeout: Duration,
-    /// A stream that has begun and brings no event for this long is broken.
+    /// Time without an event after which a stream that has begun counts as broken.
     pub stream_silence_timeout: Duration,
-    /// A health check is given up after this.
+    /// Timeout of a health check.
     pub health_check_timeout: Duration,
-    /// An answer that the decisions have yet to give is given within this after the client's deadline.
+    /// Time after a client's deadline at which the core fails a request that the decision module has not answered.
     pub deadline_slack: Duration,
-    /// A watch of the endpoint list without a sign of life for this long is lost: one comes every 2 s. What it misses counts as
-    /// notified 6 s after it fell silent, which has to do for this and for a further call.
+    /// Time without a message or keep-alive after which a watch of the endpoint list is lost. A keep-alive is sent every 2 s.
+    /// Missed changes count as notified 6 s after the watch fell silent, so this timeout and another call must fit into 6 s.
     pub watch_silence_timeout: Duration,
-    /// A list that has said nothing for this long is told of as silent.
+    /// Time without a message or keep-alive after which the endpoint list is reported as silent.
     pub list_silence_limit: Duration,
-    /// A call for the endpoint list is given up after this without a response. Discovery may hold a call for 2 s before it
-    /// fails it.
+    /// Time without a response after which a call for the endpoint list is abandoned. The discovery service may hold a call for
+    /// 2 s before it fails it.
     pub list_response_timeout: Duration,
-    /// A watch of the endpoint list is given up when a message that has begun does not go on for this long: what stops in
-    /// its middle does not go on, and the 6 s have to do for some calls.
-    pub list_message_gap: Duration,
-    /// The interval between calls for the endpoint list at another address.
+    /// Maximum time without further data in the middle of a message of the endpoint list. A message that stalls is not resumed,
+    /// and several calls must fit into the 6 s until missed changes count as notified.
+    pub list_message_stall_timeout: Duration,
+    /// Interval between calls for the endpoint list at a new address.
     pub list_call_interval: Duration,
-    /// A local agent that has the endpoint list pushed to it responds at once: without a response within this it is silent.
+    /// Time without a response after which a local agent counts as silent. An agent holds the list, so it responds immediately.
     pub agent_response_timeout: Duration,
     /// The backoff between calls to a local agent. It is short, as the agent counts as notified once it is reachable.
     pub agent_backoff: Duration,
-    /// How long clients may still connect after the order to stop.
+    /// Time after the stop signal in which clients may still connect.
     pub shutdown_grace: Duration,
-    /// How long clients are served on their connections after the order to stop if there is no other router to go to.
+    /// Time after the stop signal in which clients are served on their connections if there is no other router.
     pub lone_router_shutdown_grace: Duration,
-    /// Another router that has not been heard for this long is none that clients can go to.
+    /// Time without a message after which another router counts as unavailable to clients.
     pub peer_silence_timeout: Duration,
-    /// A request accepted later than this after the order to stop must have ended before the process is killed.
+    /// Requests accepted later than this after the stop signal must have ended before the process is killed.
     pub late_arrival_after_stop: Duration,
-    /// This long after the order to stop, requests without a response are answered and nothing more is forwarded: the process
-    /// is killed soon after.
+    /// Time after the stop signal at which requests without a response are answered and forwarding ends. The process is killed
+    /// soon afterwards.
     pub forwarding_end_after_stop: Duration,
-    /// Connections that carry nothing are read for this long before they are closed: a request may be under way.
+    /// Time for which idle connections are still read before they are closed, as a request may be in transit.
     pub final_read_time: Duration,
-    /// A connection that was shut down is read for this long at the most, so that its client gets all of the answer.
+    /// Maximum time for which a closing connection is still read, so that its client receives the complete answer.
     pub close_linger: Duration,
     /// The pause of the accept loop after an error, such as a lack of file descriptors.
     pub accept_backoff: Duration,
-    /// How long accepted requests may go on once the listeners have closed and what could be answered has been.
+    /// Maximum time for which accepted requests may continue once the listeners have closed.
     pub drain_time: Duration,
-    /// How often the state is logged.
+    /// Interval of the status lines in the log.
     pub status_interval: Duration,
-    /// The least Retry-After of a rejection.
+    /// Minimum `Retry-After` of a rejection.
     pub min_retry_after: Duration,
 }
 
-/// The process is killed no sooner than this after the order to stop and the longest deadline.
+/// Minimum time from the stop signal to the kill of the process, in addition to the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The longest deadline that the kill waits for.
+/// Maximum deadline that delays the kill.
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
-/// The router may be held up for 0.15 s before it sees the order to stop and as long again before it writes; 0.1 s are spare.
+/// Time before the kill at which forwarding ends: the router may be delayed by 0.15 s before it sees the stop signal and by
+/// 0.15 s before it writes, and 0.1 s are a reserve.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// A list at another address is called for as if so little were left of the time after which the router counts as notified: how
-/// long the former one goes on is not known.
-const MOVED_LIST_TIME_LEFT: Nanos = NOTIFICATION_LIMIT / 4;
-/// The most that an answer may come after its deadline, whatever the deployment allows.
+/// Assumed time until the router counts as notified, in nanoseconds, for the interval of calls to a list at a new address. It
+/// is short because it is unknown how long the former address remains in service.
+const MOVED_LIST_NOTIFICATION_TIME_NS: Nanos = NOTIFICATION_LIMIT / 4;
+/// Maximum deadline slack, even if the deployment permits more.
 const MAX_DEADLINE_SLACK: Duration = Duration::from_millis(10);
 
-/// The limits that depend on neither the machine nor the deployment. Those that do are zero here; [`Limits::new`] sets each
-/// of them.
+/// The limits that depend on neither the machine nor the deployment. The others are zero here and are set by
+/// [`Limits::new`].
 const FIXED: Limits = Limits {
     max_head_size: 16 << 10,
     max_fields: 64,
@@ -136,7 +137,7 @@
     response_head_timeout: Duration::from_millis(500),
     max_collected_answer_size: 1 << 20,
     default_max_tokens: 4096,
-    max_list_line_size: 4 << 20,
+    max_list_message_size: 4 << 20,
     response_queue_length: 8,
     replica_reuse_delay: Duration::from_millis(20),
     client_idle_timeout: Duration::from_secs(20),
@@ -154,12 +155,12 @@
     watch_silence_timeout: Duration::from_secs(3),
     list_silence_limit: Duration::from_secs(4),
     list_response_timeout: Duration::from_millis(2200),
-    list_message_gap: Duration::from_millis(1000),
+    list_message_stall_timeout: Duration::from_millis(1000),
     agent_response_timeout: Duration::from_millis(250),
     agent_backoff: Duration::from_millis(200),
     shutdown_grace: Duration::from_millis(500),
     peer_silence_timeout: Duration::from_secs(2),
-    // 0.7 s by the protocol, less 0.15 s that the router may be held up before it sees the order, and 0.05 s.
+    // 0.7 s by the protocol, less a delay of 0.15 s before the router sees the signal, less a reserve of 0.05 s.
     late_arrival_after_stop: Duration::from_millis(500),
     final_read_time: Duration::from_millis(20),
     close_linger: Duration::from_millis(500),
@@ -184,13 +185,13 @@
     /// The limits of a router that may use `memory_mb` MiB and `sockets` file descriptors.
     pub fn new(memory_mb: usize, sockets: usize, deployment: &Deployment) -> Limits {
         let nanos = Duration::from_nanos;
-        // A sixteenth stays free for listeners, the endpoint list, peers and what the runtime opens.
+        // One sixteenth of the descriptors is reserved for listeners, the endpoint list, peers and the runtime.
         let usable = sockets.saturating_sub(sockets / 16 + 16).max(8);
         let max_rejected_clients = (usable / 16).max(1);
         let max_replica_connections = usable * 2 / 5;
         let longest_deadline =
             deployment.classes.iter().map(|class| nanos(class.deadline)).max().unwrap_or_default();
-        let killed_after = longest_deadline.min(MAX_KILL_DEADLINE) + KILL_DELAY;
+        let time_to_kill = longest_deadline.min(MAX_KILL_DEADLINE) + KILL_DELAY;
         Limits {
             body_budget: (memory_mb << 20) / 4,
             max_clients: usable.saturating_sub(max_replica_connections + max_rejected_clients).max(2),
@@ -200,13 +201,13 @@
             list_call_interval: nanos(list_call_interval(
                 deployment.decisions.router_count,
                 0,
-                MOVED_LIST_TIME_LEFT,
+                MOVED_LIST_NOTIFICATION_TIME_NS,
             )),
             connect_timeout: nanos(deployment.connect_timeout),
             replica_idle_timeout: nanos(deployment.replica_idle_timeout) * 7 / 10,
             deadline_slack: nanos(deployment.deadline_slack).min(MAX_DEADLINE_SLACK),
-            lone_router_shutdown_grace: killed_after / 2,
-            forwarding_end_after_stop: killed_after - KILL_MARGIN,
+            lone_router_shutdown_grace: time_to_kill / 2,
+            forwarding_end_after_stop: time_to_kill - KILL_MARGIN,
             ..FIXED
         }
     }
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -1,5 +1,5 @@
-//! The router's view of load and health beside its sockets, for the log: a difference between the two, a replica that stays
-//! ejected, or a number that only grows shows there.
+//! Periodic status lines in the log. They contain the load and health of replicas as the decision module and the sockets see
+//! them, so that a difference between the two, a replica that stays ejected, or a leak can be found.
 
 use std::fmt::Write;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// The counts of final answers in one line.
+/// Formats the counts of final answers as one line.
 pub fn format_counts(counts: &RequestCounts) -> String {
     let RequestCounts { accepted, completed, interrupted, rejected, failed, client_disconnects, .. } = counts;
     let RequestCounts { rejected_over_quota, failed_past_deadline, .. } = counts;
@@ -27,18 +27,18 @@
     )
 }
 
-/// The endpoint list and the calls for it in one line.
+/// Formats the state of the endpoint list and the counts of its calls as one line.
 pub fn format_endpoint_list(list: &EndpointListState) -> String {
     let version = list.version().map_or("none".into(), |version| version.to_string());
     let WatchCounts { opened, established, failed, lost } = list.counts();
     format!(
         "endpoint list version {version}, last heard {} ms ago, calls {opened} ({established} established, {failed} failed), \
          watches lost {lost}",
-        list.time_since_last_message().as_millis()
+        list.time_since_activity().as_millis()
     )
 }
 
-/// The state in one line.
+/// Formats the state of the router and of its replicas as one line.
 pub fn format_state(components: &Components) -> String {
     let (open, timers, replicas) =
         components.with(|core, now| (core.open_requests(), core.scheduled_timers(), core.view(now)));
@@ -76,11 +76,11 @@
     line.push_str(if replica.is_warming_up { ", warming up" } else { "" });
 }
 
-/// Logs state, counts, the endpoint list, and how many lines of the log were dropped, again and again. Never ends.
+/// Periodically logs the state, the counts, the endpoint list, and the number of dropped log lines. Never returns.
 pub async fn log_periodically(components: Rc<Components>, log: Option<Rc<Log>>) {
-    let mut every = tokio::time::interval(components.limits.status_interval);
+    let mut interval = tokio::time::interval(components.limits.status_interval);
     loop {
-        every.tick().await;
+        interval.tick().await;
         tracing::info!(target: "status", "{}", format_state(&components));
         tracing::info!(target: "status", "{}", components.with(|core, _| format_counts(core.counts())));
         tracing::info!(target: "status", "{}", format_endpoint_list(&components.endpoint_list.state));
--- a/router/tests/list_budget.rs
+++ b/router/tests/list_budget.rs
@@ -47,7 +47,7 @@
     settings.list_mode = EndpointListMode::Polled { max_poll_interval: 10 * SECOND };
     let terms = WatchTimeouts {
         answer: limits.list_response_timeout,
-        incomplete: limits.list_message_gap,
+        stall: limits.list_message_stall_timeout,
         silence: limits.watch_silence_timeout,
         reconnect: None,
     };
--- a/router/tests/list_watch.rs
+++ b/router/tests/list_watch.rs
@@ -34,7 +34,7 @@
         let list = listener().await;
         let mut config = config();
         config.node_list = list.local_addr().unwrap();
-        config.limits.list_message_gap = 100 * MS;
+        config.limits.list_message_stall_timeout = 100 * MS;
         let router = Router::by(config, Chat, &[], None).await;
         let whole = page(41, true, "s-1", &node, "active");
         let (mut half, _) = next_call(&list).await;
@@ -75,7 +75,7 @@
         let list = listener().await;
         let mut config = config();
         config.node_list = list.local_addr().unwrap();
-        config.limits.list_message_gap = 100 * MS;
+        config.limits.list_message_stall_timeout = 100 * MS;
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, _) = next_call(&list).await;
         call.send(WATCH).await;
