--- a/router/src/components.rs
+++ b/router/src/components.rs
@@ -1,6 +1,5 @@
-//! The parts of one running router, put together from its configuration. Only the program's own tasks know all of them
-//! (start, reload, shutdown, status, control by the fleet); the fronts, the checks and the connections each get what they
-//! need.
+//! The components of one running router, created from its configuration. Only the tasks for start, reload, shutdown, status
+//! and control by the fleet use all of them. The fronts, the checks and the connections get only the components they need.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -28,9 +27,9 @@
 use crate::replica::{self, ReplicaContext, ReplicaPool};
 use crate::request_ids::RequestIds;
 
-/// The parts of one router.
+/// The components of one router.
 pub struct Components {
-    /// The deployment.
+    /// The settings of the deployment.
     pub deployment: Rc<Deployment>,
     /// The limits.
     pub limits: Rc<Limits>,
@@ -38,33 +37,33 @@
     pub clock: Clock,
     /// The replicas and the connections to them.
     pub replicas: Rc<ReplicaPool>,
-    /// What attempts at replicas go by.
+    /// The context of attempts and health checks.
     pub replica_context: Rc<ReplicaContext>,
-    /// What the watch of the endpoint list goes by.
+    /// The context of the endpoint list's watch.
     pub endpoint_list: Rc<EndpointListContext>,
-    /// The other routers, if there are any to talk to.
+    /// The socket to the other routers, if there are any.
     pub peers: Option<Rc<Peers>>,
-    /// How far a shutdown has come.
+    /// The stage of the shutdown.
     pub lifecycle: Rc<Lifecycle>,
-    /// What balancers in front are told with ordinary answers.
+    /// The information for balancers that is added to ordinary answers.
     pub outward: Rc<Outward>,
     /// The client connections.
     pub clients: Rc<Clients>,
-    /// The identifiers of requests that are open or were of late.
+    /// The identifiers of open and recent requests.
     pub request_ids: Rc<RequestIds>,
-    /// The memory for request bodies.
+    /// The memory budget for request bodies.
     pub body_budget: BodyBudget,
-    /// The core, and the clients that wait for it.
+    /// The dispatcher, which runs the core.
     pub dispatcher: Rc<Dispatcher>,
-    /// The tasks of the router beside its clients; dropped with it, they end.
+    /// The background tasks of the router, which are aborted when this is dropped.
     tasks: RefCell<JoinSet<()>>,
 }
 
 impl Components {
-    /// The parts of a router by a configuration, with replicas of this dialect. Tasks run from [`Components::start`] on.
+    /// Creates the components from a configuration, for replicas that speak `dialect`. [`Components::start`] starts the tasks.
     ///
     /// # Errors
-    /// If the settings cannot be decided by.
+    /// Returns an error if the decision module rejects the settings.
     pub fn new(
         config: Config,
         dialect: Dialect,
@@ -114,13 +113,13 @@
         }))
     }
 
-    /// Does something with the core, now, and carries out what follows.
+    /// Calls `use_core` with the core and the current time, and carries out the resulting instructions.
     pub fn with<R>(&self, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> R {
         self.dispatcher.with(use_core)
     }
 
-    /// Starts what a router does beside its clients: timers, load reports of other routers, the endpoint list, and the end of
-    /// idle connections to replicas.
+    /// Starts the background tasks: the core's timers, the receiver of messages of other routers, the endpoint list, and the
+    /// closing of idle connections to replicas.
     pub fn start(&self) {
         let mut tasks = self.tasks.borrow_mut();
         tasks.spawn_local(self.dispatcher.clone().run_timers());
@@ -131,7 +130,7 @@
         tasks.spawn_local(replica::close_idle_connections(self.replica_context.clone()));
     }
 
-    /// What the fronts need.
+    /// Creates the context of the fronts.
     pub fn front_context(&self) -> Rc<FrontContext> {
         Rc::new(FrontContext {
             deployment: self.deployment.clone(),
@@ -147,7 +146,7 @@
         })
     }
 
-    /// What checks and operators' orders need.
+    /// Creates the context of checks and operators' orders.
     pub fn check_context(&self) -> Rc<CheckContext> {
         Rc::new(CheckContext {
             limits: self.limits.clone(),
--- a/router/src/lifecycle.rs
+++ b/router/src/lifecycle.rs
@@ -1,44 +1,43 @@
-//! How far the router's planned shutdown has come, for all tasks to see. What enters the stages is
-//! [`crate::shutdown`].
+//! The stage of the router's graceful shutdown, shared by all tasks. [`crate::shutdown`] changes the stage.
 
 use tokio::sync::watch;
 
-/// How far the shutdown has come. The stages only ever go up, but for an operator's order that takes a drain back.
+/// The stages of a shutdown, in order. Only an operator's order to undo a drain returns to an earlier stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Not begun.
+    /// The router serves normally.
     Serving,
-    /// The signal has come; clients that still connect are served.
+    /// The shutdown signal was received; new clients are still served.
     Grace,
-    /// Balancers have been notified: answers say `Connection: close`.
+    /// Balancers have been notified; answers contain `Connection: close`.
     AnnouncingClose,
-    /// Connections between two requests close; a client that still connects gets one answer.
+    /// Connections between two requests are closed; a new client gets one answer.
     ClosingIdle,
-    /// The listeners are closed; each open connection closes after the request that it carries.
+    /// The listeners are closed; each open connection closes after its current request.
     Closing,
-    /// The process is about to be killed: requests without a response have been answered, and requests that are still being
-    /// read are rejected.
+    /// The process is about to be killed: requests without a response have been answered, and requests still being read are
+    /// rejected.
     Rejecting,
 }
 
-/// The present stage, which tasks read and wait for.
+/// Holds the current stage, which tasks can read and wait for.
 #[derive(Debug)]
 pub struct Lifecycle {
     stage: watch::Sender<Stage>,
 }
 
 impl Lifecycle {
-    /// A router that serves.
+    /// Creates a lifecycle in the stage [`Stage::Serving`].
     pub fn new() -> Lifecycle {
         Lifecycle { stage: watch::Sender::new(Stage::Serving) }
     }
 
-    /// The present stage.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Enters a stage, and wakes the tasks that wait for it.
+    /// Enters a stage and wakes the tasks that wait for it.
     pub fn enter(&self, stage: Stage) {
         let mut from = stage;
         let changed = self.stage.send_if_modified(|s| {
@@ -50,9 +49,9 @@
         }
     }
 
-    /// Waits for a stage, or a later one. Cancel-safe: it only reads.
+    /// Waits until the stage is `stage` or a later one. Cancel-safe.
     pub async fn wait_for(&self, stage: Stage) {
-        // It fails only when the sender is gone, and that is `self`.
+        // Fails only if the sender was dropped, but `self` holds it.
         let _ = self.stage.subscribe().wait_for(|s| *s >= stage).await;
     }
 }
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -1,6 +1,6 @@
-//! New settings while the router runs: on SIGHUP the configuration and the settings file are read again. The address of the
-//! endpoint list may change at any time, and of the settings file what its table says; everything else takes effect after a
-//! restart, and is named if it differs. If either file is malformed, nothing changes.
+//! Reloads the configuration and the settings file on SIGHUP. A running router applies a new address of the endpoint list and
+//! the settings that the settings schema marks as reloadable. All other changes are logged and take effect after a restart.
+//! If either file is malformed, nothing changes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,15 +18,15 @@
 use crate::log::Log;
 use crate::outward::Outward;
 
-/// Takes SIGHUP over: from here on it does not end the program, whoever listens to it.
+/// Installs the handler of SIGHUP. From then on the signal does not end the program, even if nothing receives it.
 ///
 /// # Errors
-/// If the system does not allow it.
+/// Returns an error if the system does not permit it.
 pub fn hangup_signal() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
 
-/// The running configuration, as far as only a restart can change it.
+/// The part of the running configuration that only a restart can change.
 #[derive(Debug, Clone)]
 pub struct StartupConfiguration {
     name: String,
@@ -37,13 +37,13 @@
 }
 
 impl StartupConfiguration {
-    /// What a configuration says of it.
+    /// Extracts this part of a configuration.
     pub fn of(config: &Config) -> StartupConfiguration {
         let Config { name, listen, peers, deployment, limits, .. } = config.clone();
         StartupConfiguration { name, listen, peers, deployment, limits }
     }
 
-    /// The fields in which a new configuration differs.
+    /// Returns the names of the fields in which a new configuration differs.
     fn changed_fields(&self, new: &Config) -> Vec<&'static str> {
         let fields = [
             ("name", self.name != new.name),
@@ -56,18 +56,18 @@
     }
 }
 
-/// Applies a settings file to a running router.
+/// Applies reloaded settings files to a running router.
 pub struct SettingsReloader {
     board: Option<Rc<Board>>,
     log: Option<Rc<Log>>,
-    /// The file by which the program started.
+    /// The settings with which the program started.
     started: Checked,
-    /// The file that was read last.
+    /// The settings that were read last.
     current: Checked,
 }
 
 impl SettingsReloader {
-    /// For a router that was started by this file.
+    /// Creates a reloader for a router that was started with this installation.
     pub fn new(
         installation: &Installation,
         board: Option<Rc<Board>>,
@@ -77,7 +77,7 @@
         SettingsReloader { board, log, started, current: last }
     }
 
-    /// Applies what a running router can of a file, and names the rest in the log.
+    /// Applies the changes that a running router can apply, and logs those that require a restart.
     pub fn apply(&mut self, outward: &Outward, new: &Installation) {
         for change in changes(&self.started, &new.checked).iter().filter(|c| c.takes == Takes::Restart) {
             tracing::warn!(target: "reload", field = change.path, "setting changed: takes effect after a restart");
@@ -92,22 +92,22 @@
     }
 }
 
-/// Reads everything again at every signal; an error of `read` says what is wrong, in lines. Never ends; a signal that comes
-/// while files are read has them read once more.
+/// Reloads both files at every signal. `read` returns the errors of the files as lines. Never returns. A signal that arrives
+/// during a reload causes another one.
 pub async fn run(
     outward: Rc<Outward>,
     endpoint_list: Rc<EndpointListState>,
     mut hangup: Signal,
     running: StartupConfiguration,
-    mut adopting: Option<SettingsReloader>,
+    mut reloader: Option<SettingsReloader>,
     read: impl Fn() -> Result<(Config, Option<Installation>), Vec<String>>,
 ) {
     while hangup.recv().await.is_some() {
         match read() {
             Ok((config, installation)) => {
                 apply(&endpoint_list, &running, &config);
-                if let (Some(adopting), Some(installation)) = (&mut adopting, &installation) {
-                    adopting.apply(&outward, installation);
+                if let (Some(reloader), Some(installation)) = (&mut reloader, &installation) {
+                    reloader.apply(&outward, installation);
                 }
             }
             Err(lines) => {
@@ -119,7 +119,7 @@
     }
 }
 
-/// Applies what a running router can of a configuration, and names the rest in the log.
+/// Applies the changes of the configuration that a running router can apply, and logs those that require a restart.
 pub fn apply(endpoint_list: &EndpointListState, running: &StartupConfiguration, config: &Config) {
     for field in running.changed_fields(config) {
         tracing::warn!(target: "reload", field, "configuration changed: takes effect after a restart");
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -1,6 +1,5 @@
-//! The planned shutdown. On SIGTERM clients still come for a grace time and are served; then the listeners and idle
-//! connections close, open requests are finished, and the program ends. How far it has come stands in
-//! [`crate::lifecycle`].
+//! Graceful shutdown. After SIGTERM, new clients are still served for a grace period. Then the listeners and idle connections
+//! close, open requests are finished, and the program ends. [`crate::lifecycle`] holds the current stage.
 
 use std::io;
 use std::rc::Rc;
@@ -16,8 +15,8 @@
 use crate::components::Components;
 use crate::lifecycle::Stage;
 
-/// SIGTERM and SIGINT, taken over before the router listens: one that came between the two would end the program under
-/// the clients that it has accepted.
+/// Handlers of SIGTERM and SIGINT. They are installed before the router listens, so that no signal can end the program while
+/// it has accepted clients.
 #[derive(Debug)]
 pub struct Termination {
     terminate: Signal,
@@ -25,10 +24,10 @@
 }
 
 impl Termination {
-    /// Takes the signals over.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// If the system does not allow it.
+    /// Returns an error if the system does not permit it.
     pub fn new() -> io::Result<Termination> {
         Ok(Termination {
             terminate: signal(SignalKind::terminate())?,
@@ -36,7 +35,7 @@
         })
     }
 
-    /// Waits for the next of them. Cancel-safe: a signal that nobody waits for is kept.
+    /// Waits for the next signal. Cancel-safe: a signal is kept until it is received.
     pub async fn received(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -46,7 +45,7 @@
 }
 
 /// Shuts the router down after a signal, and returns when all requests are finished. With a board, balancers are notified
-/// first, and an operator's order may begin the shutdown as well.
+/// first, and an operator's order can start the shutdown as well.
 pub async fn on_signal(components: Rc<Components>, board: Option<Rc<Board>>, mut termination: Termination) {
     let Some(board) = board else {
         termination.received().await;
@@ -60,26 +59,26 @@
         () = termination.received() => {
             notify_balancers(&components, &board, &mut termination).await;
         }
-        () = listeners_may_close(&board) => {}
+        () = wait_until_listeners_may_close(&board) => {}
     }
     finish_drain(&components, &board).await;
 }
 
-/// Notifies balancers of the shutdown, and waits until the listeners may close. Until then nothing is lost, so a second signal
-/// cuts it short.
+/// Notifies balancers of the shutdown, and waits until the listeners may close. A second signal ends the wait: until then no
+/// request is lost.
 async fn notify_balancers(components: &Components, board: &Board, termination: &mut Termination) {
     tracing::info!(target: "drain", balancers = board.askers().len(), "shutdown signal received");
     board.want(DrainGoal::Exit, OperatorOrder::Drain);
     signals::follow(&components.lifecycle, board.phase());
     tokio::select! {
-        () = listeners_may_close(board) => {}
+        () = wait_until_listeners_may_close(board) => {}
         () = termination.received() => {
             tracing::warn!(target: "drain", "second shutdown signal received: closing the listeners now");
         }
     }
 }
 
-/// Logs that the signal has come again: it changes nothing. Never ends.
+/// Logs further shutdown signals, which have no effect. Never returns.
 async fn log_further_signals(termination: &mut Termination) {
     loop {
         termination.received().await;
@@ -87,42 +86,42 @@
     }
 }
 
-/// Waits until a drain that balancers are notified of has come to the closing of the listeners, and finishes it.
-pub async fn when_drained(components: &Rc<Components>, board: &Board) {
-    listeners_may_close(board).await;
+/// Waits until the listeners may close in a drain that balancers are notified of, and finishes the drain.
+pub async fn wait_and_finish_drain(components: &Rc<Components>, board: &Board) {
+    wait_until_listeners_may_close(board).await;
     finish_drain(components, board).await;
 }
 
-async fn listeners_may_close(board: &Board) {
-    // It fails only when the board is gone, and that outlives this.
+async fn wait_until_listeners_may_close(board: &Board) {
+    // Fails only if the board was dropped, but the board outlives this call.
     let _ = board.phases().wait_for(|phase| *phase == DrainPhase::ShuttingDown).await;
 }
 
 /// Waits until no client connection is open.
-async fn all_clients_closed(components: &Components) {
+async fn wait_until_clients_closed(components: &Components) {
     while components.clients.open() > 0 {
         components.clients.connection_closed().await;
     }
 }
 
-/// The last part of a drain that balancers have been notified of.
+/// Finishes a drain of which balancers have been notified, from the closing of the listeners on.
 async fn finish_drain(components: &Components, board: &Board) {
     let open_requests = components.with(|core, _| core.open_requests());
     tracing::info!(target: "drain", clients = components.clients.open(), open_requests,
         balancers_not_notified = board.untold(), "closing the listeners");
     components.lifecycle.enter(Stage::Closing);
     sleep(components.limits.final_read_time * 2).await;
-    if timeout(components.limits.drain_time, all_clients_closed(components)).await.is_err() {
+    if timeout(components.limits.drain_time, wait_until_clients_closed(components)).await.is_err() {
         let clients = components.clients.open();
         tracing::warn!(target: "drain", clients, "shutting down with clients that have not finished");
         answer_open_requests(components, 0);
-        let _ = timeout(components.limits.close_linger, all_clients_closed(components)).await;
+        let _ = timeout(components.limits.close_linger, wait_until_clients_closed(components)).await;
     }
 }
 
-/// Whether clients have no other router to go to. They are then served on the connections they have for as long as streams
-/// may still end, if they ask for the rest of those that do not. Guards against a rolling restart that takes the last router
-/// down before the one before it is back.
+/// Whether clients have no other router to connect to, in a deployment whose clients resume broken streams. Clients are then
+/// served on their open connections for as long as streams can still finish. Guards against a rolling restart that stops the
+/// last router before the previous one has returned.
 fn is_last_router(components: &Components) -> bool {
     let silence_limit = components.limits.peer_silence_timeout;
     let silent = components.peers.as_ref().is_some_and(|peers| !peers.received_within(silence_limit));
@@ -130,10 +129,10 @@
     components.deployment.resumes_streams && (only_one || silent)
 }
 
-/// Goes through the stages to the end, without balancers to notify.
+/// Runs the shutdown through all stages, without balancers to notify.
 pub async fn drain(components: &Rc<Components>) {
     let limits = &components.limits;
-    let begun_at = components.clock.now();
+    let started_at = components.clock.now();
     components.lifecycle.enter(Stage::Grace);
     let last_router = is_last_router(components);
     let grace = if last_router { limits.lone_router_shutdown_grace } else { limits.shutdown_grace };
@@ -145,23 +144,22 @@
     let accepted_since = accepted() - accepted_before;
     tracing::info!(target: "drain", accepted_since, "grace time over, closing the listeners");
     components.lifecycle.enter(Stage::Closing);
-    // Whatever was under way when the listeners closed has been seen by then.
+    // Requests in transit when the listeners closed have arrived after this time.
     sleep(limits.final_read_time * 2).await;
-    let mut finished = std::pin::pin!(all_clients_closed(components));
-    let until = components.clock.instant(after(begun_at, limits.forwarding_end_after_stop));
+    let mut finished = std::pin::pin!(wait_until_clients_closed(components));
+    let until = components.clock.instant(add_duration(started_at, limits.forwarding_end_after_stop));
     if timeout_at(until.into(), &mut finished).await.is_err() {
-        answer_open_requests(components, after(begun_at, limits.late_arrival_after_stop));
+        answer_open_requests(components, add_duration(started_at, limits.late_arrival_after_stop));
         let _ = timeout(limits.drain_time, finished).await;
     }
 }
 
-fn after(at: Nanos, time: Duration) -> Nanos {
+fn add_duration(at: Nanos, time: Duration) -> Nanos {
     at.saturating_add(time.as_nanos() as Nanos)
 }
 
-/// The last step before the process is killed, or ends: answers the requests without a response, and has those that are still
-/// being read rejected. Streams of requests accepted after `interrupt_after` are interrupted where clients ask another router
-/// for the rest.
+/// Answers the requests without a response before the process is killed or ends; requests still being read are rejected.
+/// Streams of requests accepted after `interrupt_after` are interrupted if clients resume streams at another router.
 fn answer_open_requests(components: &Components, interrupt_after: Nanos) {
     components.lifecycle.enter(Stage::Rejecting);
     let open_requests = components.with(|core, _| core.open_requests());
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -146,7 +146,7 @@
     fn end(&self) -> JoinHandle<()> {
         assert!(self.board.want(DrainGoal::Exit, OperatorOrder::Drain));
         let (components, board) = (self.components.clone(), self.board.clone());
-        spawn_local(async move { shutdown::when_drained(&components, &board).await })
+        spawn_local(async move { shutdown::wait_and_finish_drain(&components, &board).await })
     }
 }
 
