--- a/router/src/bind.rs
+++ b/router/src/bind.rs
@@ -1,4 +1,4 @@
-//! Sockets that the program wants at its start: a fault of a moment does not end it.
+//! Binds the sockets of the program, with retries on transient errors.
 
 use std::io;
 use std::time::Duration;
@@ -7,31 +7,31 @@
 
 use crate::shortage::is_resource_shortage;
 
-/// A bind that fails for a moment is retried for so long: a supervisor is to hear of anything longer.
+/// Maximum time for which a transient error is retried. A longer failure is reported to the supervisor.
 const RETRY_LIMIT: Duration = Duration::from_secs(3);
-/// The pause before each retry.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before each retry.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Whether an error may be gone in a moment: descriptors, memory or buffers are short, or a signal cut the call short. An
-/// address that another process has is none: whoever supervises the program has to hear of it at once.
-fn is_momentary(e: &io::Error) -> bool {
+/// Whether an error is transient: file descriptors, memory or buffers are short, or a signal interrupted the call. An address
+/// in use by another process is not transient: it is reported to the supervisor immediately.
+fn is_transient(e: &io::Error) -> bool {
     e.kind() == io::ErrorKind::Interrupted || is_resource_shortage(e)
 }
 
-/// Binds, again and again while that fails for a moment.
+/// Calls `bind`, and retries it while it fails with a transient error.
 ///
 /// # Errors
-/// What `bind` failed with last: at once if it is no fault of a moment, else after 3 s.
+/// Returns the last error of `bind`: immediately if it is not transient, otherwise after 3 s.
 pub async fn bind_with_retry<T>(bind: impl AsyncFn() -> io::Result<T>) -> io::Result<T> {
     let until = Instant::now() + RETRY_LIMIT;
     let mut failed = false;
     loop {
         match bind().await {
-            Err(e) if is_momentary(&e) && Instant::now() < until => {
+            Err(e) if is_transient(&e) && Instant::now() < until => {
                 if !std::mem::replace(&mut failed, true) {
                     tracing::warn!(target: "router", error = %e, "socket not available yet, retrying");
                 }
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
             bound => return bound,
         }
--- a/router/src/body_budget.rs
+++ b/router/src/body_budget.rs
@@ -1,33 +1,33 @@
-//! The memory that request bodies may take together. What a body takes is given back when it is dropped.
+//! The memory budget that all request bodies share. A body's reservation is returned to the budget when it is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use bytes::Bytes;
 
-/// What is left of the memory for bodies, in bytes.
+/// The remaining memory for request bodies, in bytes.
 #[derive(Debug, Clone)]
 pub struct BodyBudget(Rc<Cell<usize>>);
 
 impl BodyBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `bytes` bytes.
     pub fn new(bytes: usize) -> BodyBudget {
         BodyBudget(Rc::new(Cell::new(bytes)))
     }
 
-    /// Sets a part aside; `None` if less is left.
+    /// Reserves `size` bytes; `None` if fewer are available.
     pub fn reserve(&self, size: usize) -> Option<BodyReservation> {
         self.0.set(self.0.get().checked_sub(size)?);
         Some(BodyReservation { size, budget: self.clone() })
     }
 
-    /// How many bytes are left.
+    /// Number of available bytes.
     pub fn available(&self) -> usize {
         self.0.get()
     }
 }
 
-/// A part of the budget, given back when it is dropped.
+/// A reservation in the budget, returned to it when dropped.
 #[derive(Debug)]
 pub struct BodyReservation {
     size: usize,
@@ -35,12 +35,13 @@
 }
 
 impl BodyReservation {
-    /// Raises the part to so many bytes in all; false, and unchanged, if less is left. A smaller part stays as it is.
+    /// Grows the reservation to `to` bytes in total. Returns false and changes nothing if the budget has too few bytes. Never
+    /// shrinks the reservation.
     pub fn grow(&mut self, to: usize) -> bool {
-        let more = to.saturating_sub(self.size);
-        let Some(left) = self.budget.0.get().checked_sub(more) else { return false };
-        self.budget.0.set(left);
-        self.size += more;
+        let additional = to.saturating_sub(self.size);
+        let Some(remaining) = self.budget.0.get().checked_sub(additional) else { return false };
+        self.budget.0.set(remaining);
+        self.size += additional;
         true
     }
 }
@@ -51,12 +52,12 @@
     }
 }
 
-/// A request's body, with its part of the budget.
+/// A request's body, with its reservation in the budget.
 #[derive(Debug)]
 pub struct BufferedBody {
     /// The body.
     pub bytes: Bytes,
-    /// Its part of the budget.
+    /// The reservation in the budget.
     pub reserved: BodyReservation,
 }
 
--- a/router/src/body_budget/tests.rs
+++ b/router/src/body_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::BodyBudget;
 
 #[test]
-fn a_reservation_takes_its_part_and_gives_it_back_when_dropped() {
+fn a_dropped_reservation_is_returned_to_the_budget() {
     let budget = BodyBudget::new(100);
     let mut body = budget.reserve(40).expect("enough is left");
     assert!(budget.reserve(61).is_none());
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn a_reservation_that_cannot_grow_stays_as_it_is() {
+fn a_reservation_that_cannot_grow_is_unchanged() {
     let budget = BodyBudget::new(100);
     let mut body = budget.reserve(40).expect("enough is left");
     assert!(!body.grow(101));
-    assert!(body.grow(10), "never smaller");
+    assert!(body.grow(10), "a reservation never shrinks");
     assert_eq!(budget.available(), 60);
 }
--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -1,5 +1,5 @@
-//! The client connections: how many there are, which of them are idle, and which idle one is closed when another needs its
-//! place. One that has begun to send a request is never among them.
+//! Counts the client connections and their idle ones, and selects the idle connection to close when a new client exceeds the
+//! limit. A connection on which a request has begun is never selected.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,18 +13,19 @@
     close: oneshot::Sender<()>,
 }
 
-/// Idle connections by number; numbers are given in order, so the oldest is the first.
+/// Idle connections by number. Numbers ascend, so the first entry is the one idle for longest.
 type IdleConnections = RefCell<BTreeMap<u64, IdleEntry>>;
 
 /// The client connections of a router.
 pub struct Clients {
-    /// The most that are served at once.
+    /// Maximum number of connections served at once.
     limit: usize,
     open: Cell<usize>,
-    /// Asked to close, and still open.
+    /// Number of connections that were asked to close and are still open.
     closing: Cell<usize>,
     last_number: Cell<u64>,
-    /// A usual client sends a request as soon as it is connected: one that has not after this is the first to be closed.
+    /// Time after connecting in which a client is expected to begin its first request. Connections that exceed it are closed
+    /// first.
     first_request_grace: Duration,
     without_request: IdleConnections,
     between_requests: IdleConnections,
@@ -32,7 +33,7 @@
 }
 
 impl Clients {
-    /// None yet; `limit` may be served at once.
+    /// Creates the registry of connections, of which `limit` may be served at once.
     pub fn new(limit: usize, first_request_grace: Duration) -> Rc<Clients> {
         Rc::new(Clients {
             limit,
@@ -46,13 +47,13 @@
         })
     }
 
-    /// How many are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// One more has connected, and is idle. Above the limit an idle one is asked to close; if there is none, the new one is
-    /// `over_limit`.
+    /// Registers a new connection, which is idle. Above the limit, an idle connection is asked to close; if there is none, the
+    /// new connection is marked as `over_limit`.
     pub fn register(self: &Rc<Self>) -> (Client, IdleGuard) {
         self.open.set(self.open.get() + 1);
         let over = || self.open.get() - self.closing.get() > self.limit;
@@ -60,7 +61,7 @@
             self.close_one_idle();
         }
         let client = Client { clients: self.clone(), over_limit: over() };
-        // From the start, not from when its task first runs: many may connect before that.
+        // Idle from now on, as many others may connect before the connection's task first runs.
         let idle = self.add_idle(false);
         (client, idle)
     }
@@ -80,8 +81,8 @@
         }
     }
 
-    /// Asks an idle one to close; false if there is none. It is never asked of more than one for each place that is needed: one
-    /// that was asked and has a request after all serves it, and stays.
+    /// Asks an idle connection to close; returns false if there is none. Call it only once for each place that is needed. A
+    /// connection on which a request has begun in the meantime serves it and stays open.
     pub fn close_one_idle(&self) -> bool {
         let mut without_request = self.without_request.borrow_mut();
         let mut between_requests = self.between_requests.borrow_mut();
@@ -97,12 +98,12 @@
         true
     }
 
-    /// Whether one was asked to close and is still open.
+    /// Whether a connection was asked to close and is still open.
     pub fn is_one_closing(&self) -> bool {
         self.closing.get() > 0
     }
 
-    /// Waits until one has closed after this was called.
+    /// Waits until a connection closes.
     pub async fn connection_closed(&self) {
         self.closed.notified().await;
     }
@@ -111,12 +112,12 @@
 /// A client connection, counted until it is dropped.
 pub struct Client {
     clients: Rc<Clients>,
-    /// There was no place for it: its request is only rejected.
+    /// Whether the connection exceeds the limit, so that its request is only rejected.
     pub over_limit: bool,
 }
 
 impl Client {
-    /// The connection is idle from now on, until the result is dropped; it has sent a request before.
+    /// Marks the connection as idle between two requests until the returned guard is dropped.
     pub fn idle(&self) -> IdleGuard {
         self.clients.add_idle(true)
     }
@@ -129,7 +130,7 @@
     }
 }
 
-/// A time in which a client connection is idle.
+/// Marks a client connection as idle until it is dropped.
 pub struct IdleGuard {
     clients: Rc<Clients>,
     has_requested: bool,
@@ -140,7 +141,7 @@
 impl IdleGuard {
     /// Waits until the connection is asked to close. Cancel-safe until it has returned.
     pub async fn close_requested(&mut self) {
-        // It fails only when the entry is gone, and that goes with this or with the request to close.
+        // Fails only if the entry was removed, which happens when `self` is dropped or when the close is requested.
         let _ = (&mut self.closed).await;
     }
 }
--- a/router/src/clock.rs
+++ b/router/src/clock.rs
@@ -4,12 +4,12 @@
 
 use tallypin::api::Nanos;
 
-/// How far ahead a time is looked at, in nanoseconds: a year is as good as never, and keeps clear of what an
-/// [`Instant`] can hold.
-const FARTHEST_AHEAD: Nanos = 365 * 24 * 3600 * 1_000_000_000;
+/// Maximum distance of a time from the start of the clock, in nanoseconds. One year is effectively never, and avoids an
+/// overflow of [`Instant`].
+const MAX_AHEAD_NS: Nanos = 365 * 24 * 3600 * 1_000_000_000;
 
-/// A monotonic clock that is set to Unix time once, at the start. The start times of replicas, which are Unix time, can
-/// be compared with it, and no step of the system's clock reaches it.
+/// A monotonic clock that is set to Unix time once, when it is created. It can be compared with the start times of replicas,
+/// which are in Unix time, and is not affected by steps of the system clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     unix: Nanos,
@@ -17,26 +17,26 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock set to the current Unix time.
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { unix: unix.as_nanos() as Nanos, start: Instant::now() }
     }
 
-    /// The time, in nanoseconds since 1970.
+    /// The current time, in nanoseconds since the Unix epoch.
     pub fn now(&self) -> Nanos {
         self.at(Instant::now())
     }
 
-    /// The time of an instant; that of the start, if it was before it.
+    /// Converts an instant to a time. An instant before the start of the clock gives the start time.
     pub fn at(&self, instant: Instant) -> Nanos {
         self.unix + instant.saturating_duration_since(self.start).as_nanos() as Nanos
     }
 
-    /// The instant of a time; the start, if it was before it.
+    /// Converts a time to an instant. A time before the start of the clock gives the start instant.
     pub fn instant(&self, at: Nanos) -> Instant {
-        let ahead = at.saturating_sub(self.unix).min(FARTHEST_AHEAD);
-        self.start + Duration::from_nanos(ahead)
+        let ahead_ns = at.saturating_sub(self.unix).min(MAX_AHEAD_NS);
+        self.start + Duration::from_nanos(ahead_ns)
     }
 }
 
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -130,7 +130,7 @@
             let answer = if complete { FinalAnswer::Completed } else { FinalAnswer::Interrupted };
             self.finish(now, id, answer, AnswerCause::StreamEnded);
         }
-        self.settle(now, id, attempt, result);
+        self.record_outcome(now, id, attempt, result);
         self.process_events(now);
     }
 
@@ -311,7 +311,7 @@
         let attempt = open.add_attempt(now);
         let decided = open.answered || open.streaming_attempt.is_some();
         if decided || now >= open.deadline || open.attempt_count() > self.attempt_limit {
-            return self.settle(now, id, attempt, Outcome::NotSent.into());
+            return self.record_outcome(now, id, attempt, Outcome::NotSent.into());
         }
         let timeout_at = match timeout {
             0 => open.deadline,
@@ -339,9 +339,9 @@
     }
 
     /// Records an attempt's outcome and queues the event for the decision module; [`Core::process_events`] delivers it.
-    fn settle(&mut self, now: Nanos, id: RequestId, attempt: u32, result: AttemptResult) {
+    fn record_outcome(&mut self, now: Nanos, id: RequestId, attempt: u32, result: AttemptResult) {
         let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(started_at) = open.settle(attempt, result.outcome) else { return };
+        let Some(started_at) = open.record_outcome(attempt, result.outcome) else { return };
         self.counts.count_outcome(result.outcome);
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
             request: id,
@@ -358,7 +358,7 @@
     /// Issues the instruction to abort an attempt, and records its outcome.
     fn abort(&mut self, now: Nanos, id: RequestId, attempt: u32, reason: AbortReason, outcome: Outcome) {
         self.instructions.push(Instruction::AbortAttempt { request: id, attempt, reason });
-        self.settle(now, id, attempt, outcome.into());
+        self.record_outcome(now, id, attempt, outcome.into());
     }
 
     /// Aborts the in-flight attempts of a request, except the attempt `except`.
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -158,7 +158,7 @@
     }
 
     /// Records an attempt's outcome. Returns its start time, or `None` if it already had an outcome.
-    pub(super) fn settle(&mut self, attempt: u32, outcome: Outcome) -> Option<Nanos> {
+    pub(super) fn record_outcome(&mut self, attempt: u32, outcome: Outcome) -> Option<Nanos> {
         let settled = self.in_flight_mut(attempt)?;
         settled.outcome = Some(outcome);
         Some(settled.started_at)
--- a/router/src/keep_alive/tests.rs
+++ b/router/src/keep_alive/tests.rs
@@ -8,10 +8,10 @@
 }
 
 #[test]
-fn after_an_answer_it_goes_on_only_if_all_agree() {
+fn a_connection_stays_open_only_if_answer_client_limit_and_stage_permit_it() {
     use Stage::{AnnouncingClose, Closing, ClosingIdle, Grace, Serving};
     let now = Instant::now();
-    for (then, keeps, crowded, stage, goes_on) in [
+    for (after_answer, keeps, over_limit, stage, stays_open) in [
         (AfterAnswer::KeepOpen, true, false, Serving, true),
         (AfterAnswer::KeepOpenAfterRejection, true, false, Serving, true),
         (AfterAnswer::KeepOpen, true, false, Grace, true),
@@ -23,15 +23,15 @@
         (AfterAnswer::KeepOpenAfterRejection, true, false, ClosingIdle, false),
         (AfterAnswer::KeepOpen, true, false, Closing, false),
     ] {
-        let mut connection = KeepAlive::new(now, crowded);
+        let mut connection = KeepAlive::new(now, over_limit);
         connection.request_started(now, &limits());
-        let answered = connection.stays_open_after(now, then, keeps, stage);
-        assert_eq!(answered, goes_on, "{then:?} keeps {keeps} crowded {crowded} {stage:?}");
+        let answered = connection.stays_open_after(now, after_answer, keeps, stage);
+        assert_eq!(answered, stays_open, "{after_answer:?} keeps {keeps} over_limit {over_limit} {stage:?}");
     }
 }
 
 #[test]
-fn a_first_request_is_timed_from_the_opening_and_others_from_their_beginning() {
+fn the_read_timeout_of_the_first_request_starts_at_the_connect() {
     let (limits, now) = (limits(), Instant::now());
     let mut connection = KeepAlive::new(now, false);
     assert_eq!(
@@ -55,10 +55,10 @@
 }
 
 #[test]
-fn only_refusals_asked_against_at_once_again_and_again_bring_a_pause() {
+fn only_repeated_immediate_retries_after_rejections_cause_a_pause() {
     let limits = limits();
-    // After how long the next one comes, what the last answer was, and whether it is read after a pause.
-    for (wait, then, pauses) in [
+    // The delay of the next request, the effect of the last answer, and whether the next request is read after a pause.
+    for (wait, after_answer, pauses) in [
         (Duration::ZERO, AfterAnswer::KeepOpenAfterRejection, true),
         (limits.immediate_retry_window, AfterAnswer::KeepOpenAfterRejection, true),
         (limits.immediate_retry_window + MS, AfterAnswer::KeepOpenAfterRejection, false),
@@ -68,12 +68,13 @@
         let mut connection = KeepAlive::new(now, false);
         for n in 0..=limits.max_immediate_retries + 1 {
             let pause = connection.request_started(now, &limits).pause;
-            let wanted = (pauses && n > limits.max_immediate_retries).then_some(limits.immediate_retry_pause);
-            assert_eq!(pause, wanted, "{wait:?} {then:?}, number {n}");
-            assert!(connection.stays_open_after(now, then, true, Stage::Serving));
+            let expected =
+                (pauses && n > limits.max_immediate_retries).then_some(limits.immediate_retry_pause);
+            assert_eq!(pause, expected, "{wait:?} {after_answer:?}, number {n}");
+            assert!(connection.stays_open_after(now, after_answer, true, Stage::Serving));
             now += wait;
         }
-        // One that waits is patient again.
+        // A request after the window resets the count.
         now += limits.immediate_retry_window + MS;
         assert_eq!(connection.request_started(now, &limits).pause, None);
     }
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -1,6 +1,6 @@
-//! The router around the decision module: real sockets on the outside, [`core`] in the middle, two fronts before it.
-//! `docs/ARCHITECTURE.md` follows a request through these modules. They form layers, and imports run one way: the table stands
-//! in `router/tests/layers.rs`, which holds them to it.
+//! The router around the decision module: sockets, the [`core`], and two fronts. `docs/ARCHITECTURE.md` follows a request
+//! through these modules. The modules form layers with imports in one direction only; `router/tests/layers.rs` lists the
+//! layers and checks the imports.
 
 pub mod bind;
 pub mod body_budget;
--- a/router/src/request_ids.rs
+++ b/router/src/request_ids.rs
@@ -1,5 +1,5 @@
-//! The identifiers of requests. One that is open belongs to its client: a second request with it is rejected before it can
-//! reach a replica, where both would be taken for copies of one. Requests whose clients give no identifier get one here.
+//! The identifiers of requests. A second request with the identifier of an open one is rejected, because a replica would take
+//! it for a copy of the first. Requests whose clients give no identifier get a generated one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,52 +11,52 @@
 #[derive(Default)]
 struct KnownIds {
     ids: FxHashSet<Bytes>,
-    /// Those whose requests are over, the latest last.
+    /// Identifiers of finished requests, the latest last.
     finished: VecDeque<Bytes>,
 }
 
-/// The identifiers in use.
+/// The identifiers of open and recent requests.
 pub struct RequestIds {
     known: Rc<RefCell<KnownIds>>,
     finished_limit: usize,
-    /// Part of every generated identifier, so that those of two routers or starts differ.
+    /// Part of every generated identifier. It makes identifiers differ between routers and starts.
     seed: u64,
     generated: Cell<u64>,
 }
 
 impl RequestIds {
-    /// None in use yet. `finished_limit` identifiers are remembered after their requests are over, as copies may still be on
-    /// their way; `seed` is another at every start and router.
+    /// Creates an empty set. `finished_limit` identifiers are remembered after their requests have finished, as copies may still
+    /// be in transit. `seed` must differ between routers and starts.
     pub fn new(seed: u64, finished_limit: usize) -> RequestIds {
         RequestIds { known: Rc::default(), finished_limit, seed, generated: Cell::new(0) }
     }
 
-    /// An identifier for a request whose client gives none.
+    /// Generates an identifier for a request whose client gives none.
     pub fn generate(&self) -> String {
         self.generated.set(self.generated.get() + 1);
         format!("msg_{:016x}{:08x}", self.seed, self.generated.get())
     }
 
-    /// Takes an identifier until the guard is dropped; `None` if it is in use.
+    /// Reserves an identifier until the guard is dropped; `None` if it is in use or was used recently.
     pub fn reserve(&self, id: &[u8]) -> Option<RequestIdGuard> {
-        // Copied: a slice would keep the whole head that it came in.
+        // Copied, as a slice would keep the complete request head in memory.
         let id = Bytes::copy_from_slice(id);
         let new = self.known.borrow_mut().ids.insert(id.clone());
         new.then(|| RequestIdGuard { id, known: self.known.clone(), finished_limit: self.finished_limit })
     }
 
-    /// How many are known.
+    /// Number of known identifiers, including those of finished requests.
     pub fn len(&self) -> usize {
         self.known.borrow().ids.len()
     }
 
-    /// Whether none is known.
+    /// Whether no identifier is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 }
 
-/// An identifier in use, until it is dropped.
+/// Reserves an identifier until it is dropped.
 pub struct RequestIdGuard {
     id: Bytes,
     known: Rc<RefCell<KnownIds>>,
--- a/router/src/shortage.rs
+++ b/router/src/shortage.rs
@@ -1,5 +1,5 @@
-//! Errors of system calls by which this machine or process says that something is short for a moment. They say nothing of
-//! the peer at the other end.
+//! Errors of system calls that report a temporary shortage of resources of this machine or process. They say nothing about
+//! the remote end of a connection.
 
 use std::io;
 
@@ -10,7 +10,7 @@
 /// No buffer space left.
 const ENOBUFS: i32 = 105;
 
-/// Whether descriptors, memory or buffers were short.
+/// Whether an error reports a shortage of file descriptors, memory or buffers.
 pub fn is_resource_shortage(e: &io::Error) -> bool {
     e.kind() == io::ErrorKind::OutOfMemory || matches!(e.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS))
 }
