--- a/router/src/core/timers/tests.rs
+++ b/router/src/core/timers/tests.rs
@@ -24,7 +24,7 @@
     let mut timers = Timers::default();
     let all = MIN_OBSOLETE_FOR_SWEEP * 4;
     (0..all as u64).for_each(|id| timers.schedule(id, deadline(id)));
-    timers.mark_obsolete(all / 2 - 1, |_| panic!("too early to look through all of them"));
+    timers.mark_obsolete(all / 2 - 1, |_| panic!("obsolete timers removed too early"));
     assert_eq!(timers.len(), all);
     timers.mark_obsolete(1, |timer| matches!(timer, TimerKind::Deadline(id) if id.0 % 2 == 0));
     assert_eq!((timers.len(), timers.next()), (all / 2, Some(0)));
--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -69,8 +69,8 @@
 }
 
 /// Watches the list at the configured address whenever the decision module requests it. After a change of the address, the
-/// former source stays in use until the new one has sent its first list. Where lists are pushed, a watch on the router's own agent
-/// is opened at the start without a request: it puts no load on others, and the router counts as notified through it.
+/// former source stays in use until the new one has sent its first list. Where lists are pushed, a watch on the router's own
+/// agent is opened at the start without a request: it puts no load on others, and the router counts as notified through it.
 /// Never returns.
 ///
 /// Each branch of the `select!` is cancel-safe: `Notify` keeps its permit, the address channel its newest value, and
--- a/router/src/endpoint_list/source.rs
+++ b/router/src/endpoint_list/source.rs
@@ -58,7 +58,7 @@
     pub error: WatchError,
     /// Whether the watch had been established.
     pub established: bool,
-    /// Whether the call failed in the middle of the response.
+    /// Whether the call was lost in the middle of its response, before the watch was established.
     pub truncated: bool,
     /// Time since the watch was opened.
     pub open_for: Duration,
--- a/router/src/endpoint_list/watch_clock/tests.rs
+++ b/router/src/endpoint_list/watch_clock/tests.rs
@@ -126,7 +126,7 @@
     clock.record_incomplete(300 * MS);
     assert_eq!(clock.next_step(1_100 * MS), WatchStep::Wait(Some(1_300 * MS)), "more of the message arrived");
     assert_eq!(clock.next_step(1_300 * MS), WatchStep::Abandon);
-    assert!(clock.record_activity(500 * MS), "the first sign of this watch");
+    assert!(clock.record_activity(500 * MS), "the first activity of this watch");
     assert!(!clock.record_activity(600 * MS));
     assert_eq!(clock.next_step(700 * MS), WatchStep::Wait(Some(3_600 * MS)));
     clock.record_incomplete(700 * MS);
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -115,7 +115,7 @@
 
 /// Minimum time from the stop signal to the kill of the process, in addition to the longest deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Maximum deadline that delays the kill.
+/// Maximum request deadline that the kill of the process waits for.
 const MAX_KILL_DEADLINE: Duration = Duration::from_secs(3);
 /// Time before the kill at which forwarding ends: the router may be delayed by 0.15 s before it sees the stop signal and by
 /// 0.15 s before it writes, and 0.1 s are a reserve.
--- a/router/src/replica/connection.rs
+++ b/router/src/replica/connection.rs
@@ -72,7 +72,7 @@
 impl ConnectError {
     /// Classifies a system error of a connection attempt.
     pub fn from_io(error: io::Error) -> ConnectError {
-        match is_local(&error) {
+        match is_local_error(&error) {
             true => ConnectError::Local(error),
             false => ConnectError::Refused(error),
         }
@@ -113,7 +113,7 @@
 
 /// Whether a connection failed for a reason of this machine or process, which says nothing about the replica: a call
 /// interrupted by a signal, or a lack of file descriptors, memory, buffers or addresses.
-fn is_local(error: &io::Error) -> bool {
+fn is_local_error(error: &io::Error) -> bool {
     let kinds = [io::ErrorKind::Interrupted, io::ErrorKind::WouldBlock, io::ErrorKind::AddrNotAvailable];
     kinds.contains(&error.kind()) || is_resource_shortage(error)
 }
--- a/router/src/replica/relay.rs
+++ b/router/src/replica/relay.rs
@@ -20,7 +20,7 @@
 }
 
 /// The response can't be relayed further. [`Relay::result`] holds the result of the attempt.
-struct Stopped;
+struct RelayStopped;
 
 /// The response of one attempt on its way to the front.
 pub(super) struct Relay<'a> {
@@ -64,13 +64,13 @@
         Relayed { result: self.result, at_message_end }
     }
 
-    async fn relay(&mut self, wire: &mut BufferedConnection) -> Result<(), Stopped> {
+    async fn relay(&mut self, wire: &mut BufferedConnection) -> Result<(), RelayStopped> {
         loop {
-            match self.body.next_part(&mut wire.unread).map_err(|_| Stopped)? {
+            match self.body.next_part(&mut wire.unread).map_err(|_| RelayStopped)? {
                 Some(BodyPart::Data(data)) => {
                     let complete_events = self.events.push(&data);
                     if self.events.held_size() > self.attempt.context.limits.max_event_size {
-                        return Err(Stopped);
+                        return Err(RelayStopped);
                     }
                     if let Some(bytes) = complete_events {
                         self.relay_events(bytes).await?;
@@ -94,23 +94,25 @@
 
     /// Reads more of the response. Once the stream has begun, the silence timeout applies; before that, the core's first-token
     /// timeout does.
-    async fn read_more(&self, wire: &mut BufferedConnection) -> Result<(), Stopped> {
+    async fn read_more(&self, wire: &mut BufferedConnection) -> Result<(), RelayStopped> {
         let more = match self.attempt.streams {
             true => {
                 let timeout_at = self.last_event_at + self.attempt.context.limits.stream_silence_timeout;
-                tokio::time::timeout_at(timeout_at.into(), wire.read_more()).await.map_err(|_| Stopped)?
+                tokio::time::timeout_at(timeout_at.into(), wire.read_more())
+                    .await
+                    .map_err(|_| RelayStopped)?
             }
             false => wire.read_more().await,
         };
         match more {
             Ok(true) => Ok(()),
-            _ => Err(Stopped),
+            _ => Err(RelayStopped),
         }
     }
 
     /// Relays complete events. Buffers them until one of them begins the stream; keep-alive events and events unknown to the
     /// dialect do not begin it.
-    async fn relay_events(&mut self, mut bytes: Bytes) -> Result<(), Stopped> {
+    async fn relay_events(&mut self, mut bytes: Bytes) -> Result<(), RelayStopped> {
         let mut events = self.read_events(&bytes);
         self.complete |= events.contains(&StreamEvent::Complete);
         let failed = events.contains(&StreamEvent::Failed);
@@ -125,19 +127,19 @@
             self.begin_stream(failed)?;
         }
         if self.attempt.events.send(ResponseEvent::Data(bytes, events)).await.is_err() || failed {
-            return Err(Stopped);
+            return Err(RelayStopped);
         }
         self.last_event_at = Instant::now();
         Ok(())
     }
 
     /// Begins the stream of this attempt, unless the attempt failed, another attempt streams, or the client has disconnected.
-    fn begin_stream(&mut self, failed: bool) -> Result<(), Stopped> {
+    fn begin_stream(&mut self, failed: bool) -> Result<(), RelayStopped> {
         let attempt = &mut *self.attempt;
         let (request, number) = (attempt.request, attempt.attempt);
         if failed || !attempt.dispatcher.with(|core, now| core.first_event(now, request, number)) {
             self.result.outcome = Outcome::ReplicaError;
-            return Err(Stopped);
+            return Err(RelayStopped);
         }
         tracing::debug!(target: "node", request = request.0, attempt = number, "stream begun");
         attempt.streams = true;
