--- a/router/src/components.rs
+++ b/router/src/components.rs
@@ -124,7 +124,7 @@
         let mut tasks = self.tasks.borrow_mut();
         tasks.spawn_local(self.dispatcher.clone().run_timers());
         if let Some(peers) = self.peers.clone() {
-            tasks.spawn_local(peers::receive_gossip(peers, self.dispatcher.clone()));
+            tasks.spawn_local(peers::receive_messages(peers, self.dispatcher.clone()));
         }
         tasks.spawn_local(endpoint_list::follow(self.endpoint_list.clone()));
         tasks.spawn_local(replica::close_idle_connections(self.replica_context.clone()));
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -89,7 +89,7 @@
 }
 
 impl AttemptRecord {
-    pub(super) fn begin(now: Nanos) -> AttemptRecord {
+    pub(super) fn new(now: Nanos) -> AttemptRecord {
         AttemptRecord { started_at: now, written: false, outcome: None }
     }
 
@@ -133,7 +133,7 @@
 
     /// Adds an attempt and returns its number.
     pub(super) fn add_attempt(&mut self, now: Nanos) -> u32 {
-        self.attempts.push(AttemptRecord::begin(now));
+        self.attempts.push(AttemptRecord::new(now));
         self.attempts.len() as u32 - 1
     }
 
--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -98,7 +98,7 @@
             moved = address.changed() => {
                 // Fails only if the sender was dropped, but the context holds it.
                 if moved.is_err() { return };
-                next = Some(successor(&context, &current, *address.borrow_and_update(), timeouts.next));
+                next = Some(create_successor(&context, &current, *address.borrow_and_update(), timeouts.next));
             }
             lost = or_pending(next.as_mut().map(|next| next.run(&context))) => {
                 let address = next_source.as_ref().map(|source| source.address);
@@ -129,7 +129,7 @@
 
 /// Creates the source at a new address, which replaces `current` when it answers. It is called immediately, as the former
 /// source may end soon, and is retried if it fails or does not answer in time.
-fn successor(
+fn create_successor(
     context: &EndpointListContext,
     current: &SourceWatch,
     address: SocketAddr,
--- a/router/src/endpoint_list/source.rs
+++ b/router/src/endpoint_list/source.rs
@@ -118,12 +118,12 @@
     /// Opens a watch. A current one is dropped: another watch was requested because it was not answered in time.
     fn open(&mut self, context: &Rc<EndpointListContext>) {
         if self.watching.take().is_some() {
-            context.state.count(|counts| counts.failed += 1);
+            context.state.update_counts(|counts| counts.failed += 1);
             tracing::debug!(target: "node_list", address = %self.source.address,
                 "endpoint list call not answered in time: replaced by a new call");
         }
         self.source.clock.watch_opened(context.clock.now());
-        context.state.count(|counts| counts.opened += 1);
+        context.state.update_counts(|counts| counts.opened += 1);
         tracing::debug!(target: "node_list", address = %self.source.address, since = self.source.version.get(),
             unheard_ms = context.state.time_since_activity().as_millis() as u64, "endpoint list watch opened");
         self.watching = Some(Box::pin(watch(context.clone(), self.source.clone())));
@@ -135,7 +135,7 @@
         let (now, established) = (context.clock.now(), clock.is_established());
         let truncated = !established && clock.is_incomplete();
         clock.watch_lost(now, context.random.borrow_mut().f64());
-        context.state.count(|counts| match established {
+        context.state.update_counts(|counts| match established {
             true => counts.lost += 1,
             false => counts.failed += 1,
         });
--- a/router/src/endpoint_list/watch.rs
+++ b/router/src/endpoint_list/watch.rs
@@ -132,7 +132,7 @@
 /// Records that a complete message or a blank line between messages arrived.
 fn record_activity(context: &EndpointListContext, source: &ListSource) {
     if source.clock.record_activity(context.clock.now()) {
-        context.state.count(|counts| counts.established += 1);
+        context.state.update_counts(|counts| counts.established += 1);
         tracing::info!(target: "node_list", address = %source.address, version = source.version.get(),
             unheard_ms = context.state.time_since_activity().as_millis() as u64, "endpoint list watch established");
     }
--- a/router/src/endpoint_list_state.rs
+++ b/router/src/endpoint_list_state.rs
@@ -93,7 +93,7 @@
     }
 
     /// Updates the counts of calls.
-    pub fn count(&self, change: impl FnOnce(&mut WatchCounts)) {
+    pub fn update_counts(&self, change: impl FnOnce(&mut WatchCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -186,7 +186,7 @@
 }
 
 /// Passes the messages of the other routers to the core. Never returns.
-pub async fn receive_gossip(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
+pub async fn receive_messages(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
     loop {
         let (from, bytes) = peers.receive().await;
         dispatcher.with(|core, now| core.peer_message_received(now, from, bytes));
--- a/router/src/replica/attempt.rs
+++ b/router/src/replica/attempt.rs
@@ -20,7 +20,7 @@
 /// Nanoseconds per millisecond, the unit of the deadline that is sent to replicas.
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 /// Initial buffer size for a request head without its target, in bytes. The buffer grows as needed.
-const HEAD_CAPACITY: usize = 256;
+const INITIAL_HEAD_CAPACITY_BYTES: usize = 256;
 
 /// One attempt. Dropping it closes its connection.
 pub struct Attempt {
@@ -127,7 +127,7 @@
         let request = self.upstream.as_ref()?;
         let time_left_ms = self.deadline.saturating_sub(self.context.clock.now()) / NANOS_PER_MILLI;
         let body = request.body.bytes.clone();
-        let mut head = Vec::with_capacity(HEAD_CAPACITY + request.target.len());
+        let mut head = Vec::with_capacity(INITIAL_HEAD_CAPACITY_BYTES + request.target.len());
         let request_line =
             [&request.method[..], b" ", &request.target, b" HTTP/1.1\r\nHost: backend.local\r\nReq-Id: "];
         request_line.iter().chain(&[&request.id[..]]).for_each(|part| head.extend_from_slice(part));
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -32,7 +32,7 @@
     let version = list.version().map_or("none".into(), |version| version.to_string());
     let WatchCounts { opened, established, failed, lost } = list.counts();
     format!(
-        "endpoint list version {version}, last heard {} ms ago, calls {opened} ({established} established, {failed} failed), \
+        "endpoint list version {version}, last activity {} ms ago, calls {opened} ({established} established, {failed} failed), \
          watches lost {lost}",
         list.time_since_activity().as_millis()
     )
@@ -65,14 +65,15 @@
         let _ = write!(line, " ({sent} sent)");
     }
     let waiting = replica.awaiting_first_token;
-    let _ = write!(line, ", {waiting} awaiting first token, {} ms", ms(replica.first_token_wait));
+    let _ =
+        write!(line, ", {waiting} awaiting first token, smoothed wait {} ms", ms(replica.first_token_wait));
     if let Some(age) = replica.wait_sample_age {
-        let _ = write!(line, " {} ms ago", ms(age));
+        let _ = write!(line, ", sampled {} ms ago", ms(age));
     }
     if replica.ejected_for > 0 {
         let _ = write!(line, ", ejected for {} ms", ms(replica.ejected_for));
     }
-    let _ = write!(line, ", streams {:.1} times as long", replica.decode_rate.factor);
+    let _ = write!(line, ", stream duration {:.1} times the mean", replica.decode_rate.factor);
     line.push_str(if replica.is_warming_up { ", warming up" } else { "" });
 }
 
