--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -1,5 +1,5 @@
-//! What a request, a change of the node list, a whole list and a tick cost the decision module, by the size of the fleet.
-//! `tests/size.rs` bounds how they may grow.
+//! Measures the time that the balancer takes for a request, a list change, a full list and the end of a report period, by
+//! the number of replicas. `tests/size.rs` bounds how these times grow.
 //! `cargo bench -p tallypin --bench pick`.
 #![allow(missing_docs)]
 
@@ -11,24 +11,32 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use sized::SizedFleet;
 
-fn pick(c: &mut Criterion) {
-    let mut group = c.benchmark_group("module");
+fn balancer_work(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("module");
     group.sample_size(20);
-    for nodes in [100u64, 1_000, 3_200] {
-        let mut fleet = SizedFleet::new(nodes);
-        group.bench_function(BenchmarkId::new("request", nodes), |b| b.iter(|| fleet.request()));
-        group.bench_function(BenchmarkId::new("change", nodes), |b| b.iter(|| fleet.change()));
-        group.bench_function(BenchmarkId::new("change and request", nodes), |b| {
-            b.iter(|| {
-                fleet.change();
+    for replicas in [100u64, 1_000, 3_200] {
+        let mut fleet = SizedFleet::new(replicas);
+        group.bench_function(BenchmarkId::new("request", replicas), |bencher| {
+            bencher.iter(|| fleet.request())
+        });
+        group.bench_function(BenchmarkId::new("change", replicas), |bencher| {
+            bencher.iter(|| fleet.drain_and_restore())
+        });
+        group.bench_function(BenchmarkId::new("change and request", replicas), |bencher| {
+            bencher.iter(|| {
+                fleet.drain_and_restore();
                 fleet.request();
             })
         });
-        group.bench_function(BenchmarkId::new("whole list", nodes), |b| b.iter(|| fleet.whole_list()));
-        group.bench_function(BenchmarkId::new("tick", nodes), |b| b.iter(|| fleet.tick()));
+        group.bench_function(BenchmarkId::new("whole list", replicas), |bencher| {
+            bencher.iter(|| fleet.full_list())
+        });
+        group.bench_function(BenchmarkId::new("tick", replicas), |bencher| {
+            bencher.iter(|| fleet.end_report_period())
+        });
     }
     group.finish();
 }
 
-criterion_group!(benches, pick);
+criterion_group!(benches, balancer_work);
 criterion_main!(benches);
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -1,4 +1,4 @@
-//! Wall clocks that are stepped: starts of replicas are told by them, and whoever has just started stays cold for as long.
+//! Steps of wall clocks. A replica reports its start by its wall clock, and it stays in slow start for a time after it.
 
 mod common;
 
@@ -8,110 +8,136 @@
 
 const HOUR: Nanos = 3600 * SECOND;
 const REPLICAS: u64 = 6;
-/// Between two requests.
-const GAP: Nanos = 20 * MS;
+/// Time between two requests.
+const REQUEST_INTERVAL: Nanos = 20 * MS;
 const REQUESTS: u64 = 1_000;
-/// So many streams are under way.
-const OUT: u64 = 20;
-/// Where the clock stands at first: more than a step from its zero.
-const BEGIN: Nanos = 10 * HOUR;
-/// The replica that restarts, and at which request.
+/// Number of concurrent streams.
+const CONCURRENT_STREAMS: u64 = 20;
+/// Time at the start of the run. It is larger than the largest step back.
+const START: Nanos = 10 * HOUR;
+/// The replica that restarts.
 const RESTARTED: u64 = 3;
-const RESTART_AT: u64 = 100;
+/// The request before which the replica restarts.
+const RESTART_AT_REQUEST: u64 = 100;
 
-/// How the list tells of the restart.
+/// Kind of the list update that reports the restart.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Told {
-    /// As a change.
+enum ReportedIn {
+    /// A list change.
     Change,
-    /// In a whole list, while changes follow it.
-    Whole,
+    /// A full list, after which changes follow.
+    FullList,
 }
 
-/// Plays a restart that is told with such a start; all actions, and what the restarted replica was sent in each second
-/// after it.
-fn play(told: Told, start_told: impl Fn(Nanos) -> Nanos) -> (Vec<Action>, Vec<usize>) {
-    let mut world = World::new(settings(1, 0), 11);
-    world.now = BEGIN;
-    // All have started some minutes ago: a clock that is set back by an hour tells an earlier start than that.
-    let started = |n| EndpointEntry { started_at: BEGIN - 300 * SECOND, ..row(n) };
-    world.update_list(ListUpdate::Full, (0..REPLICAS).map(started).collect());
-    let (begun, mut sent) = (world.now, vec![0; 20]);
+/// Simulates a restart that the list reports with the start `reported_start(now)`. Returns all actions, and the number of
+/// requests that the restarted replica got in each second after the restart.
+fn simulate_restart(
+    reported_in: ReportedIn,
+    reported_start: impl Fn(Nanos) -> Nanos,
+) -> (Vec<Action>, Vec<usize>) {
+    let mut router = TestRouter::new(test_settings(1, 0), 11);
+    router.now = START;
+    // All replicas started 5 min ago, so a clock that is set back by an hour reports an earlier start than that.
+    let started = |n| EndpointEntry { started_at: START - 300 * SECOND, ..ready_entry(n) };
+    router.update_list(ListUpdate::Full, (0..REPLICAS).map(started).collect());
+    let (start, mut sent) = (router.now, vec![0; 20]);
     for n in 0..REQUESTS {
-        world.run_to(begun + n * GAP);
-        if n == RESTART_AT {
-            let restarted = EndpointEntry { started_at: start_told(world.now), ..started(RESTARTED) };
+        router.run_to(start + n * REQUEST_INTERVAL);
+        if n == RESTART_AT_REQUEST {
+            let restarted = EndpointEntry { started_at: reported_start(router.now), ..started(RESTARTED) };
             let all = (0..REPLICAS).filter(|r| *r != RESTARTED).map(started).chain([restarted.clone()]);
-            match told {
-                Told::Change => world.update_list(ListUpdate::Delta, vec![restarted]),
-                Told::Whole => world.update_list(ListUpdate::Full, all.collect()),
+            match reported_in {
+                ReportedIn::Change => router.update_list(ListUpdate::Delta, vec![restarted]),
+                ReportedIn::FullList => router.update_list(ListUpdate::Full, all.collect()),
             };
         }
-        let replica = World::sent_to(&world.submit(request(n))).expect("there is room for all");
-        if n >= RESTART_AT && replica == ReplicaId(RESTARTED) {
-            sent[((n - RESTART_AT) * GAP / SECOND) as usize] += 1;
+        let replica = TestRouter::sent_to(&router.submit(request(n)))
+            .expect("the fleet has capacity for every request");
+        if n >= RESTART_AT_REQUEST && replica == ReplicaId(RESTARTED) {
+            sent[((n - RESTART_AT_REQUEST) * REQUEST_INTERVAL / SECOND) as usize] += 1;
         }
-        world.first_token(RequestId(n), 0);
-        if n >= OUT {
-            world.end_attempt(RequestId(n - OUT), 0, Outcome::Completed);
+        router.first_token(RequestId(n), 0);
+        if n >= CONCURRENT_STREAMS {
+            router.end_attempt(RequestId(n - CONCURRENT_STREAMS), 0, Outcome::Completed);
         }
     }
-    (world.actions, sent)
+    (router.actions, sent)
 }
 
-/// Guards against a start that lies ahead, which made a replica cold for the whole step, and one that seems long gone,
-/// which made it warm at once.
+/// Guards against a start in the future, which kept a replica cold for the whole step, and a start far in the past, which
+/// made it warm at once.
 #[test]
 fn a_stepped_clock_changes_no_decision_on_a_restarted_replica() {
-    for told in [Told::Change, Told::Whole] {
-        let (as_it_is, sent) = play(told, |now| now);
-        assert!(sent[0] < sent[15] / 2, "cold, then warm: {sent:?}");
+    for reported_in in [ReportedIn::Change, ReportedIn::FullList] {
+        let (unstepped, sent) = simulate_restart(reported_in, |now| now);
+        assert!(
+            sent[0] < sent[15] / 2,
+            "the replica gets few requests while cold, and more when warm: {sent:?}"
+        );
         for (step, start) in [
             ("an hour ahead", (|now| now + HOUR) as fn(Nanos) -> Nanos),
             ("an hour back", |now| now.saturating_sub(HOUR)),
             ("half a minute ahead", |now| now + 30 * SECOND),
             ("half a minute back", |now| now - 30 * SECOND),
         ] {
-            let (stepped, sent) = play(told, start);
-            assert!(stepped == as_it_is, "{told:?}, {step}: sent in each second {sent:?}");
+            let (stepped, sent) = simulate_restart(reported_in, start);
+            assert!(
+                stepped == unstepped,
+                "reported in {reported_in:?}, start {step}: sent in each second {sent:?}"
+            );
         }
     }
 }
 
-/// A replica's warmth once the list tells, after an outage of so long, that it started at `start(now)`.
+/// Capacity share of a replica when the first list after an outage of the list reports that it started at `start(now)`.
 fn capacity_share_after_outage(outage: Nanos, start: impl Fn(Nanos) -> Nanos) -> f64 {
-    let mut world = World::new(settings(1, 0), 3);
-    world.now = BEGIN;
-    world.update_list(ListUpdate::Full, vec![row(0)]);
-    world.run_to(world.now + 30 * SECOND);
-    world.update_list(ListUpdate::Failed, Vec::new());
-    world.run_to(world.now + outage);
-    world.update_list(ListUpdate::Full, vec![EndpointEntry { started_at: start(world.now), ..row(0) }]);
-    world.balancer.replica_snapshots(world.now)[0].capacity_share
+    let mut router = TestRouter::new(test_settings(1, 0), 3);
+    router.now = START;
+    router.update_list(ListUpdate::Full, vec![ready_entry(0)]);
+    router.run_to(router.now + 30 * SECOND);
+    router.update_list(ListUpdate::Failed, Vec::new());
+    router.run_to(router.now + outage);
+    router.update_list(
+        ListUpdate::Full,
+        vec![EndpointEntry { started_at: start(router.now), ..ready_entry(0) }],
+    );
+    router.balancer.replica_snapshots(router.now)[0].capacity_share
 }
 
-/// After an outage a start may be as old as the outage, with the silence before it, and no older.
+/// After an outage of the list, a start may be as old as the outage and the time without a list before it, but no older.
 #[test]
-fn a_start_learnt_after_an_outage_is_no_older_than_the_last_list() {
-    assert_eq!(capacity_share_after_outage(0, |now| now - HOUR), 0.2 + 0.8 * 0.4, "4 s of 10");
-    assert_eq!(capacity_share_after_outage(3 * SECOND, |now| now - HOUR), 0.2 + 0.8 * 0.7, "7 s of 10");
+fn a_start_reported_after_an_outage_is_no_older_than_the_last_list() {
+    assert_eq!(
+        capacity_share_after_outage(0, |now| now - HOUR),
+        0.2 + 0.8 * 0.4,
+        "a start 4 s ago of 10 s warm-up"
+    );
+    assert_eq!(
+        capacity_share_after_outage(3 * SECOND, |now| now - HOUR),
+        0.2 + 0.8 * 0.7,
+        "a start 7 s ago of 10 s warm-up"
+    );
     assert_eq!(
         capacity_share_after_outage(9 * SECOND, |now| now - 8 * SECOND),
         0.2 + 0.8 * 0.8,
-        "as it is told"
+        "the reported start"
+    );
+    assert_eq!(
+        capacity_share_after_outage(9 * SECOND, |now| now + HOUR),
+        0.2,
+        "a start in the future counts as now"
     );
-    assert_eq!(capacity_share_after_outage(9 * SECOND, |now| now + HOUR), 0.2, "not before it started");
 }
 
 proptest! {
-    /// Whatever a row says of its start, a replica is cold no longer than the settings tell.
+    /// Whatever start an entry reports, a replica is cold for no longer than `warm_up_time`.
     #[test]
     fn no_start_keeps_a_replica_warming_up_for_longer_than_its_time(start in any::<u64>()) {
-        let mut world = World::new(settings(1, 0), 3);
-        world.update_list(ListUpdate::Full, vec![row(0)]);
-        world.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at: start, ..row(0) }]);
-        world.run_to(world.now + world.settings.warm_up_time);
-        let seen = world.balancer.replica_snapshots(world.now).into_iter().next().expect("it is ready");
-        prop_assert_eq!(seen.capacity_share, 1.0);
+        let mut router = TestRouter::new(test_settings(1, 0), 3);
+        router.update_list(ListUpdate::Full, vec![ready_entry(0)]);
+        router.update_list(ListUpdate::Delta, vec![EndpointEntry { started_at: start, ..ready_entry(0) }]);
+        router.run_to(router.now + router.settings.warm_up_time);
+        let snapshot = router.balancer.replica_snapshots(router.now).into_iter().next().expect("the replica is ready");
+        prop_assert_eq!(snapshot.capacity_share, 1.0);
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router under test: settings, events in, actions out, and the rules checked on every action.
+//! A router under test: it gets settings and events, and each action that it returns is checked against the four rules.
 #![allow(dead_code, missing_docs)]
 
 use std::collections::BTreeMap;
@@ -6,14 +6,16 @@
 use tallypin::api::*;
 use tallypin::Balancer;
 
+/// One millisecond.
 pub const MS: Nanos = 1_000_000;
 
-/// Requests of a tenant that a router has served.
+/// A count of a served report: requests of one tenant.
 pub fn served(requests: u32, tenant: u32) -> tallypin::served_report::ServedCount {
     tallypin::served_report::ServedCount { tenant: TenantId(tenant), requests }
 }
 
-pub fn settings(routers: u32, me: u32) -> Settings {
+/// Settings with one idempotent class and one tenant whose quota is not reached.
+pub fn test_settings(router_count: u32, own_index: u32) -> Settings {
     let class = Class {
         latency_objective: 1_000 * MS,
         latency_objective_per_1000_tokens: 30 * MS,
@@ -23,8 +25,8 @@
         late_value_share: 0.2,
     };
     Settings {
-        own_index: PeerId(me),
-        router_count: routers,
+        own_index: PeerId(own_index),
+        router_count,
         zone: ZoneId(0),
         tenants: vec![Tenant { quota_per_s: 1000.0 }],
         digest: TenantsDigest::default(),
@@ -46,7 +48,8 @@
     }
 }
 
-pub fn row(n: u64) -> EndpointEntry {
+/// The endpoint entry of ready replica `n`; even and odd replicas are in different zones.
+pub fn ready_entry(n: u64) -> EndpointEntry {
     EndpointEntry {
         replica: ReplicaId(n),
         state: EndpointState::Ready,
@@ -57,6 +60,7 @@
     }
 }
 
+/// A request of its own session, with one of five prefixes.
 pub fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -72,7 +76,7 @@
     }
 }
 
-/// One attempt as the world outside the module knows it.
+/// One attempt, as seen from outside the balancer.
 #[derive(Debug, Clone)]
 pub struct SentAttempt {
     pub entry: EndpointEntry,
@@ -82,6 +86,7 @@
     pub has_first_token: bool,
 }
 
+/// A request with its attempts and its final answers, as seen from outside the balancer.
 #[derive(Debug, Clone)]
 pub struct TrackedRequest {
     pub request: Request,
@@ -91,26 +96,29 @@
     pub attempts: Vec<SentAttempt>,
 }
 
-/// A router and the world it has seen; every action is checked against the four rules.
-pub struct World {
+/// A balancer with its clock, its endpoint list, its requests and the actions it has returned. Every action is checked
+/// against the four rules.
+pub struct TestRouter {
     pub settings: Settings,
     pub balancer: Balancer,
     pub now: Nanos,
     pub entries: BTreeMap<ReplicaId, EndpointEntry>,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
     pub timers: Vec<(Nanos, u64)>,
+    /// Messages to all other routers.
     pub gossip: Vec<Vec<u8>>,
-    /// Messages to one other router.
+    /// Messages to one other router each, with the receiver.
     pub peer_messages: Vec<(PeerId, Vec<u8>)>,
     pub list_polls: u32,
+    /// All actions since the start.
     pub actions: Vec<Action>,
 }
 
-impl World {
-    pub fn new(set: Settings, seed: u64) -> Self {
-        World {
-            balancer: Balancer::new(set.clone(), seed).expect("usable settings"),
-            settings: set,
+impl TestRouter {
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        TestRouter {
+            balancer: Balancer::new(settings.clone(), seed).expect("usable settings"),
+            settings,
             now: SECOND * 1000,
             entries: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -122,105 +130,108 @@
         }
     }
 
-    pub fn with_replicas(set: Settings, seed: u64, n: u64) -> Self {
-        let mut w = World::new(set, seed);
-        w.update_list(ListUpdate::Cached, (0..n).map(row).collect());
-        w
+    /// A router whose cached endpoint list has `replicas` ready replicas.
+    pub fn with_replicas(settings: Settings, seed: u64, replicas: u64) -> Self {
+        let mut router = TestRouter::new(settings, seed);
+        router.update_list(ListUpdate::Cached, (0..replicas).map(ready_entry).collect());
+        router
     }
 
     pub fn update_list(&mut self, kind: ListUpdate, rows: Vec<EndpointEntry>) -> Vec<Action> {
         if kind == ListUpdate::Full || kind == ListUpdate::Cached {
             self.entries.clear();
         }
-        for r in &rows {
-            self.entries.insert(r.replica, r.clone());
+        for entry in &rows {
+            self.entries.insert(entry.replica, entry.clone());
         }
         self.handle(Event::EndpointList { kind, rows })
     }
 
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
-        let known = TrackedRequest {
+        let tracked = TrackedRequest {
             deadline: self.now + request.time_left,
             request: request.clone(),
             answers: 0,
             is_over: false,
             attempts: vec![],
         };
-        assert!(self.requests.insert(request.id, known).is_none(), "ids are new");
+        assert!(self.requests.insert(request.id, tracked).is_none(), "a request id is used once");
         self.handle(Event::Request(request))
     }
 
     pub fn first_token(&mut self, id: RequestId, attempt: u32) -> Vec<Action> {
-        let s = &mut self.requests.get_mut(&id).unwrap().attempts[attempt as usize];
-        s.has_first_token = true;
-        let after = self.now - s.sent_at;
-        self.handle(Event::FirstToken { request: id, attempt, elapsed: after })
+        let sent = &mut self.requests.get_mut(&id).unwrap().attempts[attempt as usize];
+        sent.has_first_token = true;
+        let elapsed = self.now - sent.sent_at;
+        self.handle(Event::FirstToken { request: id, attempt, elapsed })
     }
 
     pub fn end_attempt(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
         let now = self.now;
-        let k = self.requests.get_mut(&id).unwrap();
-        let s = &mut k.attempts[attempt as usize];
-        s.outcome = Some(outcome);
-        let after = now - s.sent_at;
-        if outcome == Outcome::Completed && !k.is_over {
-            k.answers += 1;
-            k.is_over = true;
+        let tracked = self.requests.get_mut(&id).unwrap();
+        let sent = &mut tracked.attempts[attempt as usize];
+        sent.outcome = Some(outcome);
+        let since_send = now - sent.sent_at;
+        if outcome == Outcome::Completed && !tracked.is_over {
+            tracked.answers += 1;
+            tracked.is_over = true;
         }
-        if s.has_first_token {
-            k.is_over = true; // A break in a started stream ends the request, too.
+        if sent.has_first_token {
+            tracked.is_over = true; // A broken stream ends the request, because its first token has reached the client.
         }
-        let over = k.is_over;
-        let kept_tokens = (outcome == Outcome::Completed).then_some(0);
+        let is_over = tracked.is_over;
+        let cached_tokens = (outcome == Outcome::Completed).then_some(0);
         let load = vec![];
         self.handle(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
             outcome,
-            elapsed: after,
-            request_over: over,
-            cached_tokens: kept_tokens,
+            elapsed: since_send,
+            request_over: is_over,
+            cached_tokens,
             load,
         }))
     }
 
-    /// Lets time pass to `to`, delivering timers on the way.
+    /// Advances the clock to `to` and delivers the timers that are due by then.
     pub fn run_to(&mut self, to: Nanos) -> Vec<Action> {
-        let mut all = vec![];
+        let mut actions = vec![];
         loop {
             self.timers.sort_unstable();
             match self.timers.first().copied() {
                 Some((at, token)) if at <= to => {
                     self.timers.remove(0);
                     self.now = self.now.max(at);
-                    all.extend(self.handle(Event::Timer(token)));
+                    actions.extend(self.handle(Event::Timer(token)));
                 }
                 _ => break,
             }
         }
         self.now = to;
-        all
+        actions
     }
 
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = vec![];
-        self.balancer.handle(self.now, event, &mut out);
-        for a in &out {
-            self.check(a);
+        let mut actions = vec![];
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in &actions {
+            self.check(action);
         }
-        self.actions.extend(out.iter().cloned());
-        out
+        self.actions.extend(actions.iter().cloned());
+        actions
     }
 
     fn check(&mut self, action: &Action) {
         match action {
             Action::Send { request, replica, timeout } => self.check_send(*request, *replica, *timeout),
             Action::Reject { request, retry_after, .. } => self.check_reject(*request, *retry_after),
-            Action::Fail(request) => Self::answer(self.requests.get_mut(request).expect("given")),
+            Action::Fail(request) => {
+                Self::answer(self.requests.get_mut(request).expect("the failed request was submitted"))
+            }
             Action::Cancel { request, attempt } => {
-                assert!(self.settings.can_cancel, "only where it is allowed");
+                assert!(self.settings.can_cancel, "attempts are cancelled only where the settings allow it");
                 let tracked = &self.requests[request];
-                assert!((*attempt as usize) < tracked.attempts.len(), "of an attempt that was made");
+                assert!((*attempt as usize) < tracked.attempts.len(), "the cancelled attempt was sent");
             }
             Action::Gossip(bytes) => {
                 assert!(bytes.len() <= 256 && self.settings.has_peers);
@@ -247,16 +258,22 @@
 
     fn check_send(&mut self, request: RequestId, replica: ReplicaId, timeout: Nanos) {
         let now = self.now;
-        let effect = self.effect(&self.requests.get(&request).expect("a request that was given").request);
-        let tracked = self.requests.get_mut(&request).expect("a request that was given");
-        assert!(!tracked.is_over, "rule 1: nothing after the end");
-        assert!(now <= tracked.deadline, "rule 1: not after the deadline");
-        assert!(tracked.attempts.len() < self.settings.max_attempts as usize, "within the limit of attempts");
-        assert!(timeout > 0 && now + timeout <= tracked.deadline + MS, "ends by the deadline");
-        let target = self.entries.get(&replica).expect("a replica that was listed");
-        assert_eq!(target.state, EndpointState::Ready, "rule 3: only to ready replicas");
+        let effect = self.effect(&self.requests.get(&request).expect("the request was submitted").request);
+        let tracked = self.requests.get_mut(&request).expect("the request was submitted");
+        assert!(!tracked.is_over, "rule 1: no attempt after the request is over");
+        assert!(now <= tracked.deadline, "rule 1: no attempt after the deadline");
+        assert!(
+            tracked.attempts.len() < self.settings.max_attempts as usize,
+            "no more attempts than max_attempts"
+        );
+        assert!(timeout > 0 && now + timeout <= tracked.deadline + MS, "the timeout ends by the deadline");
+        let target = self.entries.get(&replica).expect("the replica is in the endpoint list");
+        assert_eq!(target.state, EndpointState::Ready, "rule 3: attempts go only to ready replicas");
         for earlier in &tracked.attempts {
-            assert!(earlier.outcome.is_some() || self.settings.concurrent_attempts, "rule 2: one at a time");
+            assert!(
+                earlier.outcome.is_some() || self.settings.concurrent_attempts,
+                "rule 2: one attempt at a time"
+            );
             if !earlier.outcome.is_some_and(Outcome::never_ran) {
                 Self::check_repeat(now, effect, earlier, target);
             }
@@ -270,18 +287,27 @@
         });
     }
 
-    /// An attempt follows one that may have run.
+    /// Checks an attempt that follows one that may have run.
     fn check_repeat(now: Nanos, effect: Effect, earlier: &SentAttempt, target: &EndpointEntry) {
         match effect {
             Effect::Idempotent => {}
-            Effect::NotIdempotent => panic!("rule 2: an effect could happen twice"),
+            Effect::NotIdempotent => {
+                panic!("rule 2: a request that is not idempotent could take effect twice")
+            }
             Effect::IdempotentByKey { scope, window } => {
-                assert!(now < earlier.sent_at + window, "rule 2: within the window");
-                let from = &earlier.entry;
+                assert!(
+                    now < earlier.sent_at + window,
+                    "rule 2: a keyed request is repeated only within the deduplication window"
+                );
+                let earlier_entry = &earlier.entry;
                 match scope {
                     DeduplicationScope::AllReplicas => {}
-                    DeduplicationScope::Zone => assert_eq!(from.zone, target.zone, "rule 2: same zone"),
-                    DeduplicationScope::Cell => assert_eq!(from.cell, target.cell, "rule 2: same cell"),
+                    DeduplicationScope::Zone => {
+                        assert_eq!(earlier_entry.zone, target.zone, "rule 2: a repeat stays in the zone")
+                    }
+                    DeduplicationScope::Cell => {
+                        assert_eq!(earlier_entry.cell, target.cell, "rule 2: a repeat stays in the cell")
+                    }
                 }
             }
         }
@@ -289,25 +315,25 @@
 
     fn check_reject(&mut self, request: RequestId, retry_after: Nanos) {
         assert!(retry_after <= self.settings.max_retry_after);
-        let effect = self.effect(&self.requests.get(&request).expect("a request that was given").request);
-        let tracked = self.requests.get_mut(&request).expect("a request that was given");
+        let effect = self.effect(&self.requests.get(&request).expect("the request was submitted").request);
+        let tracked = self.requests.get_mut(&request).expect("the request was submitted");
         let may_have_run = |attempt: &SentAttempt| attempt.outcome.is_none_or(|o| !o.never_ran());
         let allowed = match effect {
             Effect::Idempotent => true,
             Effect::IdempotentByKey { scope: DeduplicationScope::AllReplicas, .. } => true,
             _ => !tracked.attempts.iter().any(may_have_run),
         };
-        assert!(allowed, "rule 2: a rejection says that repeating is harmless");
+        assert!(allowed, "rule 2: a request that may have run is not rejected");
         Self::answer(tracked);
     }
 
-    fn answer(k: &mut TrackedRequest) {
-        assert!(!k.is_over && k.answers == 0, "rule 1: one final answer");
-        k.answers += 1;
-        k.is_over = true;
+    fn answer(tracked: &mut TrackedRequest) {
+        assert!(!tracked.is_over && tracked.answers == 0, "rule 1: a request gets one final answer");
+        tracked.answers += 1;
+        tracked.is_over = true;
     }
 
-    /// The replica of the only attempt in `actions`.
+    /// The replica of the first attempt that `actions` send.
     pub fn sent_to(actions: &[Action]) -> Option<ReplicaId> {
         actions.iter().find_map(|a| match a {
             Action::Send { replica, .. } => Some(*replica),
@@ -315,6 +341,7 @@
         })
     }
 
+    /// The retry time of the first rejection in `actions`.
     pub fn retry_after_of(actions: &[Action]) -> Option<Nanos> {
         actions.iter().find_map(|a| match a {
             Action::Reject { retry_after, .. } => Some(*retry_after),
@@ -322,10 +349,10 @@
         })
     }
 
-    /// A request served at once: its whole life, or `false` if it was refused.
-    pub fn serve(&mut self, r: Request) -> bool {
-        let id = r.id;
-        if World::sent_to(&self.submit(r)).is_none() {
+    /// Submits a request and completes its attempt at once; `false` if no attempt was sent.
+    pub fn serve(&mut self, request: Request) -> bool {
+        let id = request.id;
+        if TestRouter::sent_to(&self.submit(request)).is_none() {
             return false;
         }
         self.first_token(id, 0);
--- a/tests/common/played.rs
+++ b/tests/common/played.rs
@@ -1,5 +1,5 @@
-//! Seeded deployments played event by event against the decision module: routers, model servers, clients, lists and
-//! faults. Whole numbers only, and a generator of its own, so that a play is the same on every machine.
+//! Simulates seeded deployments event by event with real balancers: routers, model servers, clients, endpoint lists and
+//! faults. Integers and its own random number generator make a run the same on every machine.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,15 +10,15 @@
 use super::common::MS;
 use super::trace_text::Trace;
 
-/// When plays begin: no time is near zero.
-const BEGIN: Nanos = 1_000 * SECOND;
-/// Events between two looks at what the module holds of its replicas.
-const LOOK_EVERY: u64 = 250;
+/// Time at the start of a run. It is large, so that no subtraction reaches zero.
+const START: Nanos = 1_000 * SECOND;
+/// Number of events between two snapshots of the balancer's replicas.
+const EVENTS_PER_SNAPSHOT: u64 = 250;
 
-/// SplitMix64.
-pub struct Draw(u64);
+/// A SplitMix64 random number generator.
+pub struct RandomSource(u64);
 
-impl Draw {
+impl RandomSource {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.0;
@@ -31,76 +31,86 @@
         self.next() % n.max(1)
     }
 
-    /// True for so many of a thousand.
+    /// True with a probability in thousandths.
     fn chance(&mut self, per_mille: u64) -> bool {
         self.below(1000) < per_mille
     }
 }
 
-/// What is played.
+/// A deployment and its faults.
 pub struct Scenario {
     pub name: &'static str,
     pub seed: u64,
-    /// The settings of every router, but for its own number.
+    /// Settings of every router, except for its own index.
     pub settings: Settings,
-    /// The numbers of the routers that are played; others send what the played ones sent.
-    pub played: Vec<u32>,
+    /// Indices of the simulated routers. If the settings name more, copies of gossip messages stand for theirs.
+    pub routers: Vec<u32>,
     pub replicas: u64,
     pub zones: u32,
     pub kinds: u32,
-    /// Requests in ten seconds, over all routers, in calm times.
+    /// Requests per 10 s over all routers, outside of load peaks.
     pub per_10_s: u64,
-    /// A first token in an idle server, without the reading of the prompt.
-    pub first: Nanos,
-    /// Attempts of a thousand that end badly, in calm times.
-    pub faults: u64,
-    /// Attempts of a thousand whose server stands still for some seconds.
-    pub freezes: u64,
-    /// Milliseconds between two changes of the list or faults of servers.
-    pub trouble_ms: u64,
+    /// Time to the first token in an idle server, without the prefill.
+    pub first_token: Nanos,
+    /// Attempts per thousand that fail, outside of the phases with many faults.
+    pub faults_per_mille: u64,
+    /// Attempts per thousand whose server stops for 4 s.
+    pub freezes_per_mille: u64,
+    /// Mean time between two changes of the endpoint list or faults of servers, in milliseconds.
+    pub disruption_ms: u64,
+    /// Number of events after which the run ends.
     pub events: u64,
 }
 
 #[derive(Clone)]
 struct Server {
-    row: EndpointEntry,
-    alive: bool,
+    entry: EndpointEntry,
+    is_alive: bool,
     frozen_until: Nanos,
-    began: Nanos,
-    open: u64,
+    started_at: Nanos,
+    open_attempts: u64,
 }
 
 struct Attempt {
     server: usize,
-    at: Nanos,
-    started: bool,
-    ended: bool,
+    sent_at: Nanos,
+    has_first_token: bool,
+    has_ended: bool,
 }
 
 struct Client {
     request: Request,
     attempts: Vec<Attempt>,
-    over: bool,
+    is_over: bool,
 }
 
+/// A simulated router with the clients of its requests.
 struct Router {
-    me: u32,
-    module: Balancer,
+    own_index: u32,
+    balancer: Balancer,
     clients: BTreeMap<u64, Client>,
 }
 
+/// A scheduled event. The first field is the router's position in `Simulation::routers`.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Arrival,
-    Trouble,
+    Disruption,
+    /// Token of the timer.
     Timer(usize, u64),
-    First(usize, u64, u32),
-    End(usize, u64, u32, u8),
+    /// Request and attempt.
+    FirstTokenDue(usize, u64, u32),
+    /// Request, attempt and position of its outcome in [`OUTCOMES`].
+    AttemptEnd(usize, u64, u32, u8),
+    /// Request.
     Deadline(usize, u64),
+    /// Index of the sender, and the message.
     Message(usize, u32, Vec<u8>),
-    List(usize, u8),
+    /// Kind of the update, as in [`Simulation::deliver_list`].
+    ListDue(usize, u8),
 }
 
+/// Outcomes of attempts, by the positions below.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Completed,
     Outcome::ReplicaError,
@@ -111,21 +121,22 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-const DONE: u8 = 0;
+const COMPLETED: u8 = 0;
 const ERROR: u8 = 1;
-const BUSY: u8 = 2;
+const REJECTED: u8 = 2;
 const TIMED_OUT: u8 = 3;
 const REFUSED: u8 = 4;
 const RESET: u8 = 5;
 const CANCELLED: u8 = 6;
-const SKIPPED: u8 = 7;
+const NOT_SENT: u8 = 7;
 
-pub struct Scene {
-    d: Scenario,
-    draw: Draw,
+/// A running deployment.
+pub struct Simulation {
+    scenario: Scenario,
+    rng: RandomSource,
     now: Nanos,
-    due: BinaryHeap<Reverse<(Nanos, u64, Due)>>,
-    dues: u64,
+    schedule: BinaryHeap<Reverse<(Nanos, u64, ScheduledEvent)>>,
+    scheduled_count: u64,
     routers: Vec<Router>,
     servers: Vec<Server>,
     requests: u64,
@@ -133,42 +144,59 @@
     trace: Trace,
 }
 
-impl Scene {
-    /// Plays a deployment to its end; the text of what was done.
-    pub fn whole(d: Scenario) -> String {
-        let mut draw = Draw(d.seed);
-        let routers = d.played.iter().map(|&me| {
-            let settings = Settings { own_index: PeerId(me), ..d.settings.clone() };
-            let module = Balancer::new(settings, d.seed + u64::from(me)).expect("usable settings");
-            Router { me, module, clients: BTreeMap::new() }
+impl Simulation {
+    /// Runs a deployment to its end and returns the text of its trace.
+    pub fn run(scenario: Scenario) -> String {
+        let mut rng = RandomSource(scenario.seed);
+        let routers = scenario.routers.iter().map(|&own_index| {
+            let settings = Settings { own_index: PeerId(own_index), ..scenario.settings.clone() };
+            let balancer =
+                Balancer::new(settings, scenario.seed + u64::from(own_index)).expect("usable settings");
+            Router { own_index, balancer, clients: BTreeMap::new() }
         });
         let routers = routers.collect();
-        let servers = (0..d.replicas).map(|n| server(&mut draw, n, d.zones, d.kinds)).collect();
-        let due = BinaryHeap::new();
-        let trace = Trace::new(d.name);
-        let mut play =
-            Scene { d, draw, now: BEGIN, due, dues: 0, routers, servers, requests: 0, events: 0, trace };
-        for g in 0..play.routers.len() {
-            play.later(g as u64 * 40 * MS, Due::List(g, if g % 2 == 0 { 1 } else { 2 }));
+        let servers =
+            (0..scenario.replicas).map(|n| server(&mut rng, n, scenario.zones, scenario.kinds)).collect();
+        let schedule = BinaryHeap::new();
+        let trace = Trace::new(scenario.name);
+        let mut simulation = Simulation {
+            scenario,
+            rng,
+            now: START,
+            schedule,
+            scheduled_count: 0,
+            routers,
+            servers,
+            requests: 0,
+            events: 0,
+            trace,
+        };
+        for router in 0..simulation.routers.len() {
+            simulation.schedule_after(
+                router as u64 * 40 * MS,
+                ScheduledEvent::ListDue(router, if router % 2 == 0 { 1 } else { 2 }),
+            );
         }
-        play.later(100 * MS, Due::Arrival);
-        play.later(3 * SECOND, Due::Trouble);
-        while play.events < play.d.events {
-            let Reverse((at, _, due)) = play.due.pop().expect("arrivals never end");
-            play.now = play.now.max(at);
-            play.take(due);
+        simulation.schedule_after(100 * MS, ScheduledEvent::Arrival);
+        simulation.schedule_after(3 * SECOND, ScheduledEvent::Disruption);
+        while simulation.events < simulation.scenario.events {
+            let Reverse((at, _, event)) =
+                simulation.schedule.pop().expect("each arrival schedules the next one");
+            simulation.now = simulation.now.max(at);
+            simulation.process(event);
         }
-        play.trace.text()
+        simulation.trace.text()
     }
 
-    fn later(&mut self, after: Nanos, due: Due) {
-        self.dues += 1;
-        self.due.push(Reverse((self.now + after, self.dues, due)));
+    fn schedule_after(&mut self, after: Nanos, event: ScheduledEvent) {
+        self.scheduled_count += 1;
+        self.schedule.push(Reverse((self.now + after, self.scheduled_count, event)));
     }
 
-    /// Of each 40 s: 15 calm, 5 with three times the requests, 10 calm, 5 with servers at a third, 5 with many faults.
+    /// Phase of the load. Of each 40 s, 15 are normal (0), 5 have three times the requests (1), 10 are normal, in 5 the
+    /// servers are three times slower (2), and in 5 many attempts fail (3).
     fn phase(&self) -> u64 {
-        match (self.now - BEGIN) / SECOND % 40 {
+        match (self.now - START) / SECOND % 40 {
             15..=19 => 1,
             30..=34 => 2,
             35..=39 => 3,
@@ -176,319 +204,342 @@
         }
     }
 
-    fn take(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.arrival(),
-            Due::Trouble => self.trouble(),
-            Due::Timer(g, token) => self.hand(g, Event::Timer(token)),
-            Due::First(g, id, attempt) => self.first(g, id, attempt),
-            Due::End(g, id, attempt, outcome) => self.end(g, id, attempt, outcome),
-            Due::Deadline(g, id) => self.deadline(g, id),
-            Due::Message(g, from, bytes) => self.hand(g, Event::PeerMessage { from: PeerId(from), bytes }),
-            Due::List(g, kind) => self.list(g, kind),
+    fn process(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival => self.arrival(),
+            ScheduledEvent::Disruption => self.disrupt(),
+            ScheduledEvent::Timer(router, token) => self.deliver(router, Event::Timer(token)),
+            ScheduledEvent::FirstTokenDue(router, id, attempt) => {
+                self.handle_first_token(router, id, attempt)
+            }
+            ScheduledEvent::AttemptEnd(router, id, attempt, outcome) => {
+                self.end_attempt(router, id, attempt, outcome)
+            }
+            ScheduledEvent::Deadline(router, id) => self.deadline(router, id),
+            ScheduledEvent::Message(router, from, bytes) => {
+                self.deliver(router, Event::PeerMessage { from: PeerId(from), bytes })
+            }
+            ScheduledEvent::ListDue(router, kind) => self.deliver_list(router, kind),
         }
     }
 
-    fn hand(&mut self, g: usize, event: Event) {
+    fn deliver(&mut self, router: usize, event: Event) {
         let mut out = Vec::new();
-        self.routers[g].module.handle(self.now, event, &mut out);
+        self.routers[router].balancer.handle(self.now, event, &mut out);
         self.events += 1;
         for action in out {
-            self.trace.action(self.now - BEGIN, self.routers[g].me, &action);
-            self.act(g, action);
+            self.trace.action(self.now - START, self.routers[router].own_index, &action);
+            self.apply(router, action);
         }
         self.trace.event(self.events);
-        if self.events % LOOK_EVERY == 0 {
-            let seen = self.routers[g].module.replica_snapshots(self.now);
-            self.trace.view(&seen);
+        if self.events % EVENTS_PER_SNAPSHOT == 0 {
+            let snapshots = self.routers[router].balancer.replica_snapshots(self.now);
+            self.trace.snapshots(&snapshots);
         }
     }
 
-    fn act(&mut self, g: usize, action: Action) {
+    fn apply(&mut self, router: usize, action: Action) {
         match action {
-            Action::Send { request, replica, timeout: limit } => self.sent(g, request.0, replica, limit),
-            Action::Reject { request, .. } | Action::Fail(request) => self.over(g, request.0),
-            Action::Cancel { request, attempt } => self.later(MS, Due::End(g, request.0, attempt, CANCELLED)),
+            Action::Send { request, replica, timeout } => {
+                self.start_attempt(router, request.0, replica, timeout)
+            }
+            Action::Reject { request, .. } | Action::Fail(request) => self.mark_over(router, request.0),
+            Action::Cancel { request, attempt } => {
+                self.schedule_after(MS, ScheduledEvent::AttemptEnd(router, request.0, attempt, CANCELLED))
+            }
             Action::Probe(_) => {}
             Action::WatchEndpoints => {
-                let kind = if self.draw.chance(300) { 3 } else { 1 };
-                self.later(20 * MS, Due::List(g, kind));
+                let kind = if self.rng.chance(300) { 3 } else { 1 };
+                self.schedule_after(20 * MS, ScheduledEvent::ListDue(router, kind));
+            }
+            Action::Gossip(bytes) => self.deliver_gossip(router, &bytes),
+            Action::SendToPeer { peer, bytes } => self.deliver_to_peer(router, peer.0, &bytes),
+            Action::WakeAt { at, token } => {
+                self.schedule_after(at.saturating_sub(self.now), ScheduledEvent::Timer(router, token))
             }
-            Action::Gossip(bytes) => self.told(g, &bytes),
-            Action::SendToPeer { peer, bytes } => self.told_one(g, peer.0, &bytes),
-            Action::WakeAt { at, token } => self.later(at.saturating_sub(self.now), Due::Timer(g, token)),
         }
     }
 
-    fn over(&mut self, g: usize, id: u64) {
-        self.routers[g].clients.get_mut(&id).expect("asked").over = true;
+    fn mark_over(&mut self, router: usize, id: u64) {
+        self.routers[router].clients.get_mut(&id).expect("the request was submitted").is_over = true;
     }
 
-    /// A message reaches the other routers, a few of them torn or lost; where many aren't played, it comes from those too.
-    fn told(&mut self, g: usize, bytes: &[u8]) {
-        let all = u64::from(self.d.settings.router_count);
+    /// Delivers a gossip message to the other routers. Some copies are lost or corrupted. If not all routers are simulated,
+    /// each simulated one gets a copy from a random sender, too.
+    fn deliver_gossip(&mut self, router: usize, bytes: &[u8]) {
+        let router_count = u64::from(self.scenario.settings.router_count);
         for to in 0..self.routers.len() {
-            let me = self.routers[g].me;
-            if to != g && !self.draw.chance(30) {
+            let own_index = self.routers[router].own_index;
+            if to != router && !self.rng.chance(30) {
                 let mut bytes = bytes.to_vec();
-                if self.draw.chance(20) {
-                    let at = self.draw.below(bytes.len() as u64) as usize;
-                    bytes[at] ^= 0x81;
+                if self.rng.chance(20) {
+                    let position = self.rng.below(bytes.len() as u64) as usize;
+                    bytes[position] ^= 0x81;
                 }
-                let after = (1 + self.draw.below(20)) * MS;
-                self.later(after, Due::Message(to, me, bytes));
+                let after = (1 + self.rng.below(20)) * MS;
+                self.schedule_after(after, ScheduledEvent::Message(to, own_index, bytes));
             }
-            if all > self.routers.len() as u64 {
-                let from = self.draw.below(all + 1) as u32;
-                let after = (1 + self.draw.below(900)) * MS;
-                self.later(after, Due::Message(to, from, bytes.to_vec()));
+            if router_count > self.routers.len() as u64 {
+                let from = self.rng.below(router_count + 1) as u32;
+                let after = (1 + self.rng.below(900)) * MS;
+                self.schedule_after(after, ScheduledEvent::Message(to, from, bytes.to_vec()));
             }
         }
     }
 
-    /// A message reaches one other router, if that is one of those that are played.
-    fn told_one(&mut self, g: usize, peer: u32, bytes: &[u8]) {
-        let me = self.routers[g].me;
-        let to = self.routers.iter().position(|router| router.me == peer);
-        if let Some(to) = to.filter(|_| !self.draw.chance(30)) {
-            let after = (1 + self.draw.below(20)) * MS;
-            self.later(after, Due::Message(to, me, bytes.to_vec()));
+    /// Delivers a message to one other router if that router is simulated; some messages are lost.
+    fn deliver_to_peer(&mut self, router: usize, peer: u32, bytes: &[u8]) {
+        let own_index = self.routers[router].own_index;
+        let to = self.routers.iter().position(|router| router.own_index == peer);
+        if let Some(to) = to.filter(|_| !self.rng.chance(30)) {
+            let after = (1 + self.rng.below(20)) * MS;
+            self.schedule_after(after, ScheduledEvent::Message(to, own_index, bytes.to_vec()));
         }
     }
 
     fn arrival(&mut self) {
-        let rate = self.d.per_10_s * if self.phase() == 1 { 3 } else { 1 };
-        let gap = 2 * self.draw.below(10 * SECOND / rate);
-        self.later(gap, Due::Arrival);
-        let g = self.draw.below(self.routers.len() as u64) as usize;
+        let rate = self.scenario.per_10_s * if self.phase() == 1 { 3 } else { 1 };
+        let gap = 2 * self.rng.below(10 * SECOND / rate);
+        self.schedule_after(gap, ScheduledEvent::Arrival);
+        let router = self.rng.below(self.routers.len() as u64) as usize;
         let request = self.request();
-        self.ask(g, request);
+        self.submit(router, request);
     }
 
     fn request(&mut self) -> Request {
         self.requests += 1;
-        let d = &mut self.draw;
-        let prompt = if d.chance(200) { 4000 + d.below(12_000) } else { 50 + d.below(2000) } as u32;
-        // One of a few beginnings is in most prompts.
-        let prefix = (!d.chance(100)).then(|| PrefixKey(if d.chance(400) { 0 } else { 1 + d.below(9) }));
+        let rng = &mut self.rng;
+        let prompt = if rng.chance(200) { 4000 + rng.below(12_000) } else { 50 + rng.below(2000) } as u32;
+        // Nine in ten prompts start with one of ten prefixes.
+        let prefix =
+            (!rng.chance(100)).then(|| PrefixKey(if rng.chance(400) { 0 } else { 1 + rng.below(9) }));
         Request {
             id: RequestId(self.requests),
-            // Now and then a class or tenant that is not in the settings.
-            class: ClassId(d.below(self.d.settings.classes.len() as u64) as u32 + 9 * u32::from(d.chance(5))),
-            tenant: TenantId(if d.chance(500) { 0 } else { d.below(4) as u32 }),
-            time_left: (1500 + d.below(6000)) * MS,
+            // Some requests name a class or a tenant that is not in the settings.
+            class: ClassId(
+                rng.below(self.scenario.settings.classes.len() as u64) as u32 + 9 * u32::from(rng.chance(5)),
+            ),
+            tenant: TenantId(if rng.chance(500) { 0 } else { rng.below(4) as u32 }),
+            time_left: (1500 + rng.below(6000)) * MS,
             prompt_tokens: prompt,
-            prefix_tokens: if prefix.is_some() { d.below(u64::from(prompt) * 11 / 10) as u32 } else { 0 },
-            session: d.chance(700).then(|| SessionKey(1 + d.below(80))),
+            prefix_tokens: if prefix.is_some() { rng.below(u64::from(prompt) * 11 / 10) as u32 } else { 0 },
+            session: rng.chance(700).then(|| SessionKey(1 + rng.below(80))),
             prefix,
-            resumes_stream: d.chance(15),
-            is_client_retry: d.chance(30),
+            resumes_stream: rng.chance(15),
+            is_client_retry: rng.chance(30),
         }
     }
 
-    fn ask(&mut self, g: usize, request: Request) {
-        let (id, left) = (request.id.0, request.time_left);
-        self.routers[g]
+    fn submit(&mut self, router: usize, request: Request) {
+        let (id, time_left) = (request.id.0, request.time_left);
+        self.routers[router]
             .clients
-            .insert(id, Client { request: request.clone(), attempts: vec![], over: false });
-        let leaves = if self.draw.chance(30) { left / 5 } else { left };
-        self.later(leaves, Due::Deadline(g, id));
-        self.hand(g, Event::Request(request));
+            .insert(id, Client { request: request.clone(), attempts: vec![], is_over: false });
+        let leaves_after = if self.rng.chance(30) { time_left / 5 } else { time_left };
+        self.schedule_after(leaves_after, ScheduledEvent::Deadline(router, id));
+        self.deliver(router, Event::Request(request));
     }
 
-    /// The client leaves unless it has been served: what is out for it is called off.
-    fn deadline(&mut self, g: usize, id: u64) {
-        let client = self.routers[g].clients.get_mut(&id).expect("asked");
-        if client.over || client.attempts.iter().any(|a| a.started) {
+    /// The client leaves unless its stream has started, and its open attempts are cancelled.
+    fn deadline(&mut self, router: usize, id: u64) {
+        let client = self.routers[router].clients.get_mut(&id).expect("the request was submitted");
+        if client.is_over || client.attempts.iter().any(|a| a.has_first_token) {
             return;
         }
-        client.over = true;
-        let out: Vec<u32> =
-            (0..client.attempts.len() as u32).filter(|&a| !client.attempts[a as usize].ended).collect();
-        self.hand(g, Event::ClientLeft(RequestId(id)));
-        for attempt in out {
-            self.later(2 * MS, Due::End(g, id, attempt, CANCELLED));
+        client.is_over = true;
+        let open_attempts: Vec<u32> =
+            (0..client.attempts.len() as u32).filter(|&a| !client.attempts[a as usize].has_ended).collect();
+        self.deliver(router, Event::ClientLeft(RequestId(id)));
+        for attempt in open_attempts {
+            self.schedule_after(2 * MS, ScheduledEvent::AttemptEnd(router, id, attempt, CANCELLED));
         }
     }
 
-    fn sent(&mut self, g: usize, id: u64, replica: ReplicaId, limit: Nanos) {
-        let server = self.servers.iter().position(|s| s.row.replica == replica).expect("listed");
-        let (now, phase, times) = (self.now, self.phase(), if self.phase() == 3 { 15 } else { 1 });
-        let client = self.routers[g].clients.get_mut(&id).expect("asked");
+    fn start_attempt(&mut self, router: usize, id: u64, replica: ReplicaId, timeout: Nanos) {
+        let server = self
+            .servers
+            .iter()
+            .position(|target| target.entry.replica == replica)
+            .expect("the replica is in the endpoint list");
+        let (now, phase, fault_factor) = (self.now, self.phase(), if self.phase() == 3 { 15 } else { 1 });
+        let client = self.routers[router].clients.get_mut(&id).expect("the request was submitted");
         let attempt = client.attempts.len() as u32;
-        client.attempts.push(Attempt { server, at: now, started: false, ended: false });
+        client.attempts.push(Attempt { server, sent_at: now, has_first_token: false, has_ended: false });
         let prompt = u64::from(client.request.prompt_tokens);
-        let freezes = self.draw.chance(self.d.freezes);
-        let s = &mut self.servers[server];
-        s.open += 1;
+        let freezes = self.rng.chance(self.scenario.freezes_per_mille);
+        let target = &mut self.servers[server];
+        target.open_attempts += 1;
         if freezes {
-            s.frozen_until = now + 4 * SECOND;
+            target.frozen_until = now + 4 * SECOND;
         }
-        // Slower by kind, while young, with each open stream, and in its phase.
-        let young = if now - s.began.min(now) < 8 * SECOND { 3 } else { 1 };
-        let slow = (2 + u64::from(s.row.kind)) * young * if phase == 2 { 3 } else { 1 };
-        let frozen = s.frozen_until.saturating_sub(now);
-        let (alive, open) = (s.alive, s.open);
-        let first = frozen + (self.d.first + prompt * 10_000) * slow / 2 * (3 + open) / 4;
-        let first = first + self.draw.below(first / 2 + 1);
-        let stream = (100 + self.draw.below(1500)) * MS * slow / 2;
-        let fate = if !alive {
+        // A server is slower by its kind, in the first 8 s after its start, with each open attempt and in phase 2.
+        let start_factor = if now - target.started_at.min(now) < 8 * SECOND { 3 } else { 1 };
+        let slowness = (2 + u64::from(target.entry.kind)) * start_factor * if phase == 2 { 3 } else { 1 };
+        let frozen = target.frozen_until.saturating_sub(now);
+        let (is_alive, open_attempts) = (target.is_alive, target.open_attempts);
+        let first_token_after =
+            frozen + (self.scenario.first_token + prompt * 10_000) * slowness / 2 * (3 + open_attempts) / 4;
+        let first_token_after = first_token_after + self.rng.below(first_token_after / 2 + 1);
+        let stream_duration = (100 + self.rng.below(1500)) * MS * slowness / 2;
+        let planned_end = if !is_alive {
             (MS, REFUSED)
-        } else if self.draw.chance(self.d.faults * times) {
-            match self.draw.below(7) {
+        } else if self.rng.chance(self.scenario.faults_per_mille * fault_factor) {
+            match self.rng.below(7) {
                 0 | 1 => (5 * MS, ERROR),
-                2 => (2 * MS, BUSY),
+                2 => (2 * MS, REJECTED),
                 3 => (MS, REFUSED),
-                4 => (MS, SKIPPED),
-                5 => (first + stream / 2, RESET),
-                _ => (first / 2, RESET),
+                4 => (MS, NOT_SENT),
+                5 => (first_token_after + stream_duration / 2, RESET),
+                _ => (first_token_after / 2, RESET),
             }
         } else {
-            (first + stream, DONE)
+            (first_token_after + stream_duration, COMPLETED)
         };
-        let (end, outcome) = if first.min(fate.0) > limit { (limit, TIMED_OUT) } else { fate };
-        if first < end {
-            self.later(first, Due::First(g, id, attempt));
+        let (end_after, outcome) =
+            if first_token_after.min(planned_end.0) > timeout { (timeout, TIMED_OUT) } else { planned_end };
+        if first_token_after < end_after {
+            self.schedule_after(first_token_after, ScheduledEvent::FirstTokenDue(router, id, attempt));
         }
-        self.later(end, Due::End(g, id, attempt, outcome));
+        self.schedule_after(end_after, ScheduledEvent::AttemptEnd(router, id, attempt, outcome));
     }
 
-    fn first(&mut self, g: usize, id: u64, attempt: u32) {
-        let client = self.routers[g].clients.get_mut(&id).expect("asked");
-        let a = &mut client.attempts[attempt as usize];
-        if a.ended || client.over {
+    fn handle_first_token(&mut self, router: usize, id: u64, attempt: u32) {
+        let client = self.routers[router].clients.get_mut(&id).expect("the request was submitted");
+        let first_attempt = &mut client.attempts[attempt as usize];
+        if first_attempt.has_ended || client.is_over {
             return;
         }
-        a.started = true;
-        let after = self.now - a.at;
-        let others: Vec<u32> = (0..client.attempts.len() as u32)
-            .filter(|&o| o != attempt && !client.attempts[o as usize].ended)
+        first_attempt.has_first_token = true;
+        let elapsed = self.now - first_attempt.sent_at;
+        let other_attempts: Vec<u32> = (0..client.attempts.len() as u32)
+            .filter(|&other| other != attempt && !client.attempts[other as usize].has_ended)
             .collect();
-        self.hand(g, Event::FirstToken { request: RequestId(id), attempt, elapsed: after });
-        // Its copies are called off.
-        for other in others {
-            self.end(g, id, other, CANCELLED);
+        self.deliver(router, Event::FirstToken { request: RequestId(id), attempt, elapsed });
+        // Cancels the other attempts of the request.
+        for other in other_attempts {
+            self.end_attempt(router, id, other, CANCELLED);
         }
     }
 
-    fn end(&mut self, g: usize, id: u64, attempt: u32, outcome: u8) {
+    fn end_attempt(&mut self, router: usize, id: u64, attempt: u32, outcome: u8) {
         let now = self.now;
-        let client = self.routers[g].clients.get_mut(&id).expect("asked");
-        let a = &mut client.attempts[attempt as usize];
-        if std::mem::replace(&mut a.ended, true) {
+        let client = self.routers[router].clients.get_mut(&id).expect("the request was submitted");
+        let ended_attempt = &mut client.attempts[attempt as usize];
+        if std::mem::replace(&mut ended_attempt.has_ended, true) {
             return;
         }
-        let (server, after, started) = (a.server, now - a.at, a.started);
-        let broken = started && outcome != DONE && !client.over;
-        client.over |= outcome == DONE || started;
-        let (over, request) = (client.over, client.request.clone());
-        self.servers[server].open -= 1;
-        let kept_tokens = match self.draw.below(4) {
-            _ if outcome != DONE => None,
+        let (server, since_send, has_first_token) =
+            (ended_attempt.server, now - ended_attempt.sent_at, ended_attempt.has_first_token);
+        let stream_broke = has_first_token && outcome != COMPLETED && !client.is_over;
+        client.is_over |= outcome == COMPLETED || has_first_token;
+        let (is_over, request) = (client.is_over, client.request.clone());
+        self.servers[server].open_attempts -= 1;
+        let cached_tokens = match self.rng.below(4) {
+            _ if outcome != COMPLETED => None,
             0 => None,
-            1 => Some(self.draw.below(200) as u32),
+            1 => Some(self.rng.below(200) as u32),
             _ => Some(request.prefix_tokens.min(request.prompt_tokens)),
         };
-        let load = self.load();
+        let load = self.random_load_report();
         let outcome = OUTCOMES[outcome as usize];
         let request_id = RequestId(id);
         let ended = AttemptEnded {
             request: request_id,
             attempt,
             outcome,
-            elapsed: after,
-            request_over: over,
-            cached_tokens: kept_tokens,
+            elapsed: since_send,
+            request_over: is_over,
+            cached_tokens,
             load,
         };
-        self.hand(g, Event::AttemptEnded(ended));
-        // A client whose stream broke comes back for the rest, to any router.
-        if broken && self.draw.chance(600) {
+        self.deliver(router, Event::AttemptEnded(ended));
+        // Some clients resume a broken stream, at any router.
+        if stream_broke && self.rng.chance(600) {
             self.requests += 1;
-            let g = self.draw.below(self.routers.len() as u64) as usize;
-            self.ask(g, Request { id: RequestId(self.requests), resumes_stream: true, ..request });
+            let router = self.rng.below(self.routers.len() as u64) as usize;
+            self.submit(router, Request { id: RequestId(self.requests), resumes_stream: true, ..request });
         }
     }
 
-    fn load(&mut self) -> Vec<f64> {
-        let fields = self.d.settings.report_fields.len();
-        if self.draw.chance(100) {
+    fn random_load_report(&mut self) -> Vec<f64> {
+        let fields = self.scenario.settings.report_fields.len();
+        if self.rng.chance(100) {
             return vec![];
         }
-        let mut load: Vec<f64> = (0..fields).map(|_| self.draw.below(4000) as f64 / 512.0).collect();
-        if self.draw.chance(20) && fields > 0 {
-            load[fields - 1] = if self.draw.chance(500) { f64::NAN } else { -1.0 };
+        let mut load: Vec<f64> = (0..fields).map(|_| self.rng.below(4000) as f64 / 512.0).collect();
+        if self.rng.chance(20) && fields > 0 {
+            load[fields - 1] = if self.rng.chance(500) { f64::NAN } else { -1.0 };
         }
         load
     }
 
-    /// The list as it is: 1 whole, 2 as last held before a restart, 3 failed.
-    fn list(&mut self, g: usize, kind: u8) {
-        let mut rows: Vec<EndpointEntry> = self.servers.iter().map(|s| s.row.clone()).collect();
+    /// Delivers the current endpoint list: 1 in full, 2 as cached before a restart; 3 reports a failed poll.
+    fn deliver_list(&mut self, router: usize, kind: u8) {
+        let mut rows: Vec<EndpointEntry> = self.servers.iter().map(|s| s.entry.clone()).collect();
         rows.retain(|r| r.state != EndpointState::Gone);
         match kind {
-            1 => self.hand(g, Event::EndpointList { kind: ListUpdate::Full, rows }),
-            2 => self.hand(g, Event::EndpointList { kind: ListUpdate::Cached, rows }),
-            _ => self.hand(g, Event::EndpointList { kind: ListUpdate::Failed, rows: vec![] }),
+            1 => self.deliver(router, Event::EndpointList { kind: ListUpdate::Full, rows }),
+            2 => self.deliver(router, Event::EndpointList { kind: ListUpdate::Cached, rows }),
+            _ => self.deliver(router, Event::EndpointList { kind: ListUpdate::Failed, rows: vec![] }),
         }
     }
 
-    /// Something changes, and all routers that can know it do.
-    fn trouble(&mut self) {
-        let next = self.d.trouble_ms / 2 + self.draw.below(self.d.trouble_ms);
-        self.later(next * MS, Due::Trouble);
-        let at = self.draw.below(self.servers.len() as u64) as usize;
-        let (now, replica) = (self.now, self.servers[at].row.replica);
-        let server = &mut self.servers[at];
-        match self.draw.below(16) {
-            0 | 1 => server.row.state = EndpointState::Draining,
-            2 => server.row.state = EndpointState::Gone,
+    /// Causes a random change or fault, and delivers list changes to all routers.
+    fn disrupt(&mut self) {
+        let next = self.scenario.disruption_ms / 2 + self.rng.below(self.scenario.disruption_ms);
+        self.schedule_after(next * MS, ScheduledEvent::Disruption);
+        let server_index = self.rng.below(self.servers.len() as u64) as usize;
+        let (now, replica) = (self.now, self.servers[server_index].entry.replica);
+        let server = &mut self.servers[server_index];
+        match self.rng.below(16) {
+            0 | 1 => server.entry.state = EndpointState::Draining,
+            2 => server.entry.state = EndpointState::Gone,
             3..=5 => {
-                (server.row.state, server.row.started_at) = (EndpointState::Ready, now - 200 * MS);
-                (server.alive, server.began) = (true, now);
+                (server.entry.state, server.entry.started_at) = (EndpointState::Ready, now - 200 * MS);
+                (server.is_alive, server.started_at) = (true, now);
             }
             6 => {
-                // A clock that was set back tells an earlier start.
-                (server.row.state, server.row.started_at) = (EndpointState::Ready, now - 50 * SECOND);
-                (server.alive, server.began) = (true, now);
+                // The replica restarted, but its clock was set back, so that it reports an earlier start.
+                (server.entry.state, server.entry.started_at) = (EndpointState::Ready, now - 50 * SECOND);
+                (server.is_alive, server.started_at) = (true, now);
             }
-            7 => return server.alive = false,
+            7 => return server.is_alive = false,
             8 => return server.frozen_until = now + 4 * SECOND,
-            9 => return self.odd(replica),
-            10 => return (0..self.routers.len()).for_each(|g| self.list(g, 3)),
-            11 => return (0..self.routers.len()).for_each(|g| self.list(g, 1)),
+            9 => return self.deliver_unexpected_events(replica),
+            10 => return (0..self.routers.len()).for_each(|router| self.deliver_list(router, 3)),
+            11 => return (0..self.routers.len()).for_each(|router| self.deliver_list(router, 1)),
             12 => {
                 let n = self.servers.len() as u64;
-                let mut new = self::server(&mut self.draw, n, self.d.zones, self.d.kinds);
-                (new.row.started_at, new.began) = (now, now);
-                self.servers.push(new);
-                return self.news(n as usize);
+                let mut new_server = self::server(&mut self.rng, n, self.scenario.zones, self.scenario.kinds);
+                (new_server.entry.started_at, new_server.started_at) = (now, now);
+                self.servers.push(new_server);
+                return self.announce(n as usize);
             }
             _ => {
-                server.row.state = EndpointState::Ready;
-                server.alive = true;
+                server.entry.state = EndpointState::Ready;
+                server.is_alive = true;
             }
         }
-        self.news(at);
+        self.announce(server_index);
     }
 
-    fn news(&mut self, at: usize) {
-        for g in 0..self.routers.len() {
-            let rows = vec![self.servers[at].row.clone()];
-            self.hand(g, Event::EndpointList { kind: ListUpdate::Delta, rows });
+    fn announce(&mut self, server_index: usize) {
+        for router in 0..self.routers.len() {
+            let rows = vec![self.servers[server_index].entry.clone()];
+            self.deliver(router, Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
     }
 
-    /// Events that tell nothing, or what nobody asked for.
-    fn odd(&mut self, replica: ReplicaId) {
-        let load = self.load();
+    /// Delivers unexpected events: probes that nobody sent, unknown requests and timers, a malformed message.
+    fn deliver_unexpected_events(&mut self, replica: ReplicaId) {
+        let load = self.random_load_report();
         for outcome in [Outcome::Completed, Outcome::ConnectionRefused] {
-            self.hand(0, Event::ProbeEnded { replica, outcome, load: load.clone() });
+            self.deliver(0, Event::ProbeEnded { replica, outcome, load: load.clone() });
         }
         let unknown = RequestId(1 << 40);
-        self.hand(0, Event::Timer(99));
-        self.hand(0, Event::ClientLeft(unknown));
-        self.hand(0, Event::FirstToken { request: unknown, attempt: 0, elapsed: MS });
+        self.deliver(0, Event::Timer(99));
+        self.deliver(0, Event::ClientLeft(unknown));
+        self.deliver(0, Event::FirstToken { request: unknown, attempt: 0, elapsed: MS });
         let (outcome, load) = (Outcome::Completed, vec![]);
         let ended = AttemptEnded {
             request: unknown,
@@ -499,21 +550,22 @@
             cached_tokens: None,
             load,
         };
-        self.hand(0, Event::AttemptEnded(ended));
-        self.hand(0, Event::PeerMessage { from: PeerId(1), bytes: vec![1, 2, 3, 255] });
+        self.deliver(0, Event::AttemptEnded(ended));
+        self.deliver(0, Event::PeerMessage { from: PeerId(1), bytes: vec![1, 2, 3, 255] });
     }
 }
 
-fn server(draw: &mut Draw, n: u64, zones: u32, kinds: u32) -> Server {
-    let row = EndpointEntry {
+/// Replica `n` with a random start, zone and kind.
+fn server(rng: &mut RandomSource, n: u64, zones: u32, kinds: u32) -> Server {
+    let entry = EndpointEntry {
         replica: ReplicaId(n * 31 + 7),
         state: EndpointState::Ready,
-        // Some have just started with the routers, some minutes ago, the rest are not told of.
-        started_at: [0, 0, BEGIN - 2 * SECOND, BEGIN - 300 * SECOND][draw.below(4) as usize],
-        zone: ZoneId(draw.below(u64::from(zones)) as u32),
+        // A quarter started 2 s ago, a quarter 5 min ago; for the rest no start is reported.
+        started_at: [0, 0, START - 2 * SECOND, START - 300 * SECOND][rng.below(4) as usize],
+        zone: ZoneId(rng.below(u64::from(zones)) as u32),
         cell: (n / 4) as u32,
-        kind: draw.below(u64::from(kinds)) as u32,
+        kind: rng.below(u64::from(kinds)) as u32,
     };
-    let began = row.started_at;
-    Server { row, alive: true, frozen_until: 0, began, open: 0 }
+    let started_at = entry.started_at;
+    Server { entry, is_alive: true, frozen_until: 0, started_at, open_attempts: 0 }
 }
--- a/tests/common/recorded.rs
+++ b/tests/common/recorded.rs
@@ -1,5 +1,5 @@
-//! Outputs recorded as files and compared byte for byte. `RECORD=1` writes the files anew; without it a missing file is a
-//! failure like any other difference.
+//! Outputs that are recorded in files and compared byte for byte. `RECORD=1` writes the files again; without it a missing
+//! file fails the test like any other difference.
 #![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
@@ -17,7 +17,7 @@
         Recording { file, text: String::new() }
     }
 
-    /// Adds a case: its title and what came of it.
+    /// Adds a case: its title and its outcome.
     pub fn case(&mut self, title: &str, outcome: &str) {
         self.text += &format!("=== {title}\n{outcome}");
         if !outcome.ends_with('\n') {
@@ -25,28 +25,33 @@
         }
     }
 
-    /// Compares with the file, or writes it where `RECORD` says so.
+    /// Compares the text with the file, or writes the file if `RECORD` is set.
     pub fn finish(self) {
         if std::env::var_os("RECORD").is_some() {
-            std::fs::create_dir_all(self.file.parent().expect("a folder")).expect("the folder is made");
-            std::fs::write(&self.file, &self.text).expect("the recording is written");
+            std::fs::create_dir_all(self.file.parent().expect("the file is in a folder"))
+                .expect("the folder can be created");
+            std::fs::write(&self.file, &self.text).expect("the recording can be written");
             return;
         }
-        let recorded = std::fs::read(&self.file)
-            .unwrap_or_else(|e| panic!("{}: {e}; every recording has to be there", self.file.display()));
+        let recorded = std::fs::read(&self.file).unwrap_or_else(|error| {
+            panic!(
+                "{}: {error}; a recording of this name is required (RECORD=1 writes it)",
+                self.file.display()
+            )
+        });
         if recorded == self.text.as_bytes() {
             return;
         }
         let recorded = String::from_utf8_lossy(&recorded).into_owned();
-        let (old, new) =
+        let (recorded_lines, current_lines) =
             (recorded.split('\n').collect::<Vec<_>>(), self.text.split('\n').collect::<Vec<_>>());
-        let line = (0..).find(|&i| old.get(i) != new.get(i)).unwrap_or(0);
+        let line = (0..).find(|&i| recorded_lines.get(i) != current_lines.get(i)).unwrap_or(0);
         panic!(
             "{} differs from line {} on:\nrecorded: {:?}\nnow:      {:?}",
             self.file.display(),
             line + 1,
-            old.get(line),
-            new.get(line)
+            recorded_lines.get(line),
+            current_lines.get(line)
         );
     }
 }
@@ -56,7 +61,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The text with the number behind each occurrence of `before` replaced by `<name>`: a value that differs from run to run.
+/// Replaces the number behind each occurrence of `before` by `<name>`, for values that differ between runs.
 pub fn mask_number(text: &str, before: &str, name: &str) -> String {
     let mut masked = String::new();
     let mut rest = text;
--- a/tests/common/sized.rs
+++ b/tests/common/sized.rs
@@ -1,68 +1,63 @@
-//! A router before a fleet of any size, for measurements.
+//! A router with a fleet of a given size, for benchmarks and tests of its cost.
 
 use tallypin::api::*;
 use tallypin::Balancer;
 
-use super::common::{request, row, settings, MS};
+use super::common::{ready_entry, request, test_settings, MS};
 
-/// The module's timer of the report period.
-const TICK: u64 = 1;
+/// Token of the balancer's report period timer.
+const REPORT_TIMER: u64 = 1;
 
-/// A router that knows so many nodes and has had an answer from some.
+/// A router whose endpoint list has a given number of replicas, some of which have answered requests.
 pub struct SizedFleet {
     balancer: Balancer,
     replicas: u64,
     now: Nanos,
-    pub next: u64,
+    pub next_request: u64,
     actions: Vec<Action>,
 }
 
 impl SizedFleet {
-    pub fn new(nodes: u64) -> SizedFleet {
-        let module = Balancer::new(settings(2, 0), 7).expect("the settings are good");
-        let mut fleet = SizedFleet {
-            balancer: module,
-            replicas: nodes,
-            now: 1_000_000 * MS,
-            next: 0,
-            actions: Vec::new(),
-        };
-        let rows = (0..nodes).map(row).collect();
-        fleet.tell(Event::EndpointList { kind: ListUpdate::Full, rows });
+    pub fn new(replicas: u64) -> SizedFleet {
+        let balancer = Balancer::new(test_settings(2, 0), 7).expect("the settings are valid");
+        let mut fleet =
+            SizedFleet { balancer, replicas, now: 1_000_000 * MS, next_request: 0, actions: Vec::new() };
+        let rows = (0..replicas).map(ready_entry).collect();
+        fleet.handle(Event::EndpointList { kind: ListUpdate::Full, rows });
         for _ in 0..200 {
             fleet.request();
         }
         fleet
     }
 
-    /// The whole list comes once more.
-    pub fn whole_list(&mut self) {
+    /// Delivers the full endpoint list again.
+    pub fn full_list(&mut self) {
         self.now += MS;
-        let rows = (0..self.replicas).map(row).collect();
-        self.tell(Event::EndpointList { kind: ListUpdate::Full, rows });
+        let rows = (0..self.replicas).map(ready_entry).collect();
+        self.handle(Event::EndpointList { kind: ListUpdate::Full, rows });
     }
 
-    /// The report period is over.
-    pub fn tick(&mut self) {
+    /// Ends the report period.
+    pub fn end_report_period(&mut self) {
         self.now += MS;
-        self.tell(Event::Timer(TICK));
+        self.handle(Event::Timer(REPORT_TIMER));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.actions.clear();
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 
-    /// A request from its arrival to the end of its stream.
+    /// Handles a request from its arrival to the end of its stream.
     pub fn request(&mut self) {
-        self.next += 1;
+        self.next_request += 1;
         self.now += MS;
-        let id = RequestId(self.next);
-        // A few hundred sessions on five beginnings.
-        let session = Some(SessionKey(self.next % 300));
-        self.tell(Event::Request(Request { session, ..request(self.next) }));
-        self.tell(Event::FirstToken { request: id, attempt: 0, elapsed: 20 * MS });
-        let end = AttemptEnded {
+        let id = RequestId(self.next_request);
+        // Requests belong to 300 sessions and share five prefixes.
+        let session = Some(SessionKey(self.next_request % 300));
+        self.handle(Event::Request(Request { session, ..request(self.next_request) }));
+        self.handle(Event::FirstToken { request: id, attempt: 0, elapsed: 20 * MS });
+        let ended = AttemptEnded {
             request: id,
             attempt: 0,
             outcome: Outcome::Completed,
@@ -71,15 +66,15 @@
             cached_tokens: Some(800),
             load: Vec::new(),
         };
-        self.tell(Event::AttemptEnded(end));
+        self.handle(Event::AttemptEnded(ended));
     }
 
-    /// A node drains and is ready again.
-    pub fn change(&mut self) {
+    /// Delivers two list changes: a replica drains and is ready again.
+    pub fn drain_and_restore(&mut self) {
         self.now += MS;
         for state in [EndpointState::Draining, EndpointState::Ready] {
-            let rows = vec![EndpointEntry { state, ..row(3) }];
-            self.tell(Event::EndpointList { kind: ListUpdate::Delta, rows });
+            let rows = vec![EndpointEntry { state, ..ready_entry(3) }];
+            self.handle(Event::EndpointList { kind: ListUpdate::Delta, rows });
         }
     }
 }
--- a/tests/common/trace_text.rs
+++ b/tests/common/trace_text.rs
@@ -1,5 +1,4 @@
-//! The text of a trace. It is written here, word for word, so that names in the program may change while the recorded
-//! traces stay.
+//! The text of a trace. Its words are spelled out here, so that recorded traces stay valid when names in the program change.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,21 +6,22 @@
 use tallypin::api::*;
 use tallypin::replica_snapshot::ReplicaSnapshot;
 
-/// Lines kept in clear, so that a difference can be read.
-const CLEAR: usize = 300;
-/// Events between two digests.
-const DIGEST_EVERY: u64 = 100;
+/// Number of lines that are recorded in full, to make a difference readable; the digests cover all lines.
+const FULL_LINES: usize = 300;
+/// Number of events between two digests.
+const EVENTS_PER_DIGEST: u64 = 100;
 
-/// What the traces count: every kind of action, and every reason of a rejection.
-pub const COUNTED: [&str; 8] =
+/// Kinds of action that are counted, with a kind for each reason of a rejection.
+pub const COUNTED_KINDS: [&str; 8] =
     ["send", "refuse share", "refuse room", "fail", "cancel", "watch", "tell", "wake"];
 
+/// The trace of a simulated deployment.
 pub struct Trace {
     text: String,
     lines: usize,
     digests: String,
     counts: BTreeMap<&'static str, u64>,
-    /// FNV-1a over all lines.
+    /// FNV-1a hash of all lines.
     hash: u64,
 }
 
@@ -31,11 +31,11 @@
         Trace { text: format!("deployment {name}\n"), lines: 0, digests, counts, hash: 0xcbf2_9ce4_8422_2325 }
     }
 
-    /// One action of a router at a time since the beginning, ns.
-    pub fn action(&mut self, at: Nanos, me: u32, action: &Action) {
-        let (kind, rest) = match action {
-            Action::Send { request, replica, timeout: limit } => {
-                ("send", format!("{} to {} limit {limit}", request.0, replica.0))
+    /// Records an action of a router; `at` is the time since the start in ns.
+    pub fn action(&mut self, at: Nanos, own_index: u32, action: &Action) {
+        let (kind, details) = match action {
+            Action::Send { request, replica, timeout } => {
+                ("send", format!("{} to {} limit {timeout}", request.0, replica.0))
             }
             Action::Reject { request, retry_after, reason: RejectReason::QuotaExceeded } => {
                 ("refuse share", format!("{} after {retry_after}", request.0))
@@ -52,35 +52,35 @@
                 let text: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
                 ("tell one", format!("{} {text}", peer.0))
             }
-            Action::WakeAt { at: when, token } => ("wake", format!("{when} token {token}")),
+            Action::WakeAt { at: due_at, token } => ("wake", format!("{due_at} token {token}")),
         };
         *self.counts.entry(kind).or_default() += 1;
-        self.line(&format!("{at} gateway {me}: {kind} {rest}"));
+        self.line(&format!("{at} gateway {own_index}: {kind} {details}"));
     }
 
-    /// What the module holds of its replicas; fractions as their bits.
-    pub fn view(&mut self, seen: &[ReplicaSnapshot]) {
-        for s in seen {
+    /// Records the balancer's snapshots of its replicas; fractions are written as their bits.
+    pub fn snapshots(&mut self, snapshots: &[ReplicaSnapshot]) {
+        for snapshot in snapshots {
             let line = format!(
                 "seen {} open {} waiting {} wait {} sampled {:?} excluded {} cold {} warmth {:016x} times {:016x} unsure {:016x}",
-                s.replica.0,
-                s.in_flight,
-                s.awaiting_first_token,
-                s.first_token_wait,
-                s.wait_sample_age,
-                s.ejected_for,
-                s.is_warming_up,
-                s.capacity_share.to_bits(),
-                s.decode_rate.factor.to_bits(),
-                s.decode_rate.log_std_dev.to_bits(),
+                snapshot.replica.0,
+                snapshot.in_flight,
+                snapshot.awaiting_first_token,
+                snapshot.first_token_wait,
+                snapshot.wait_sample_age,
+                snapshot.ejected_for,
+                snapshot.is_warming_up,
+                snapshot.capacity_share.to_bits(),
+                snapshot.decode_rate.factor.to_bits(),
+                snapshot.decode_rate.log_std_dev.to_bits(),
             );
             self.line(&line);
         }
     }
 
-    /// So many events have been handed in.
+    /// Records a digest if the number of delivered events is a multiple of the interval.
     pub fn event(&mut self, events: u64) {
-        if events % DIGEST_EVERY == 0 {
+        if events % EVENTS_PER_DIGEST == 0 {
             writeln!(self.digests, "after {events} events {:016x}", self.hash).expect("text");
         }
     }
@@ -89,7 +89,7 @@
         for byte in line.bytes().chain([b'\n']) {
             self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
-        if self.lines < CLEAR {
+        if self.lines < FULL_LINES {
             self.text += line;
             self.text.push('\n');
         }
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that the attempts of one router take, by the number of replicas, at the same traffic.
+//! Number of connections that one router opens at the same traffic, by the number of replicas.
 
 mod common;
 
@@ -7,80 +7,94 @@
 use common::*;
 use tallypin::api::*;
 
-/// Between two requests: 35 a second.
-const GAP: Nanos = SECOND / 35;
+/// Time between two requests, of which there are 35 a second.
+const REQUEST_INTERVAL: Nanos = SECOND / 35;
 const REQUESTS: u64 = 35 * 30;
-/// A first token comes between two requests; an answer takes so long.
-const FIRST: Nanos = 20 * MS;
-const ANSWER: Nanos = 420 * MS;
-/// So many sessions are under way; each asks three times, 3 s apart.
+/// Time to the first token, less than the time between two requests.
+const FIRST_TOKEN_TIME: Nanos = 20 * MS;
+/// Time after its send at which an attempt ends.
+const ANSWER_TIME: Nanos = 420 * MS;
+/// Number of concurrent sessions. Each sends three requests, 3 s apart.
 const SESSIONS: u64 = 105;
 
-/// Connections to replicas, as a router keeps them: one that rests for too long is closed.
-struct Connections {
-    idle_close: Nanos,
-    /// Since when each rests, by replica; the latest last.
-    resting: BTreeMap<ReplicaId, Vec<Nanos>>,
-    made: usize,
+/// Connection pool of a router, which closes connections that have been idle for too long.
+struct ConnectionPool {
+    idle_timeout: Nanos,
+    /// Times since which the connections to each replica have been idle, in ascending order.
+    idle_since: BTreeMap<ReplicaId, Vec<Nanos>>,
+    opened: usize,
 }
 
-impl Connections {
-    fn take(&mut self, now: Nanos, replica: ReplicaId) {
-        let resting = self.resting.entry(replica).or_default();
-        resting.retain(|since| now < since + self.idle_close * 7 / 10);
-        if resting.pop().is_none() {
-            self.made += 1;
+impl ConnectionPool {
+    fn acquire(&mut self, now: Nanos, replica: ReplicaId) {
+        let idle_since = self.idle_since.entry(replica).or_default();
+        idle_since.retain(|since| now < since + self.idle_timeout * 7 / 10);
+        if idle_since.pop().is_none() {
+            self.opened += 1;
         }
     }
 
-    fn give_back(&mut self, now: Nanos, replica: ReplicaId) {
-        self.resting.entry(replica).or_default().push(now);
+    fn release(&mut self, now: Nanos, replica: ReplicaId) {
+        self.idle_since.entry(replica).or_default().push(now);
     }
 }
 
-/// An attempt that is out: when it was sent, of which request, to which replica.
-type Out = (Nanos, RequestId, ReplicaId);
+/// An attempt in flight: time of its send, request and replica.
+type OpenAttempt = (Nanos, RequestId, ReplicaId);
 
-/// Ends what is answered by then.
-fn end_until(world: &mut World, connections: &mut Connections, until: Nanos, out: &mut VecDeque<Out>) {
-    while let Some(&(sent, id, replica)) = out.front().filter(|(sent, ..)| sent + ANSWER <= until) {
-        out.pop_front();
-        world.run_to(sent + ANSWER);
-        world.end_attempt(id, 0, Outcome::Completed);
-        connections.give_back(world.now, replica);
+/// Ends the attempts whose answer is complete at `until`.
+fn end_attempts_until(
+    router: &mut TestRouter,
+    pool: &mut ConnectionPool,
+    until: Nanos,
+    open_attempts: &mut VecDeque<OpenAttempt>,
+) {
+    while let Some(&(sent_at, id, replica)) =
+        open_attempts.front().filter(|(sent_at, ..)| sent_at + ANSWER_TIME <= until)
+    {
+        open_attempts.pop_front();
+        router.run_to(sent_at + ANSWER_TIME);
+        router.end_attempt(id, 0, Outcome::Completed);
+        pool.release(router.now, replica);
     }
 }
 
-/// Plays the traffic before so many replicas; the connections that were made.
-fn connections_made(replicas: u64) -> usize {
-    let set = Settings { tenants: vec![Tenant { quota_per_s: 1e6 }], ..settings(300, 0) };
-    let mut connections = Connections { idle_close: set.idle_timeout, resting: BTreeMap::new(), made: 0 };
-    let mut world = World::with_replicas(set, 7, replicas);
-    let mut out = VecDeque::new();
-    let begun = world.now;
+/// Simulates the traffic with a given number of replicas, and returns the number of connections that were opened.
+fn connections_opened(replicas: u64) -> usize {
+    let settings = Settings { tenants: vec![Tenant { quota_per_s: 1e6 }], ..test_settings(300, 0) };
+    let mut pool =
+        ConnectionPool { idle_timeout: settings.idle_timeout, idle_since: BTreeMap::new(), opened: 0 };
+    let mut router = TestRouter::with_replicas(settings, 7, replicas);
+    let mut open_attempts = VecDeque::new();
+    let start = router.now;
     for n in 0..REQUESTS {
-        let at = begun + n * GAP;
-        end_until(&mut world, &mut connections, at, &mut out);
-        world.run_to(at);
+        let now = start + n * REQUEST_INTERVAL;
+        end_attempts_until(&mut router, &mut pool, now, &mut open_attempts);
+        router.run_to(now);
         let session = SessionKey(n % SESSIONS + n / (3 * SESSIONS) * SESSIONS);
-        let beginning = (session.0 * session.0 % 30) + 1;
-        let asked = Request { session: Some(session), prefix: Some(PrefixKey(beginning)), ..request(n) };
-        let replica = World::sent_to(&world.submit(asked)).expect("there is room for all");
-        connections.take(at, replica);
-        out.push_back((at, RequestId(n), replica));
-        world.now += FIRST;
-        world.first_token(RequestId(n), 0);
+        let prefix = (session.0 * session.0 % 30) + 1;
+        let new_request = Request { session: Some(session), prefix: Some(PrefixKey(prefix)), ..request(n) };
+        let replica = TestRouter::sent_to(&router.submit(new_request))
+            .expect("the fleet has capacity for every request");
+        pool.acquire(now, replica);
+        open_attempts.push_back((now, RequestId(n), replica));
+        router.now += FIRST_TOKEN_TIME;
+        router.first_token(RequestId(n), 0);
     }
-    connections.made
+    pool.opened
 }
 
-/// Guards against picks by a hair's difference among thousands, each of which opens a connection.
+/// Among thousands of replicas many rank almost equal. Guards against choosing another one for each request, which opens a
+/// connection each time.
 #[test]
-fn sixteen_times_the_replicas_take_few_more_connections() {
-    let usual = connections_made(100);
+fn many_more_replicas_at_the_same_traffic_take_few_more_connections() {
+    let opened_with_100 = connections_opened(100);
     for replicas in [1_600, 3_200] {
-        let made = connections_made(replicas);
-        println!("{replicas} replicas: {made} connections made, {usual} with 100");
-        assert!(made <= usual * 2, "{replicas} replicas: {made} made, {usual} with 100");
+        let opened = connections_opened(replicas);
+        println!("{replicas} replicas: {opened} connections opened, {opened_with_100} with 100");
+        assert!(
+            opened <= opened_with_100 * 2,
+            "{replicas} replicas: {opened} connections opened, {opened_with_100} with 100"
+        );
     }
 }
--- a/tests/decision_imports.rs
+++ b/tests/decision_imports.rs
@@ -1,12 +1,12 @@
-//! Imports of the decisions run one way: what they decide with knows nothing of who decides.
+//! Checks the imports of the decision modules: lower layers import nothing from the layers above.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The layers of `src/decisions/` from below; a module imports only from layers below its own, or its own.
+/// Layers of `src/decisions/`, the lowest first. A module imports only from its own layer and those below.
 const LAYERS: [(&str, &[&str]); 3] = [
     (
-        "values to decide with",
+        "state of single decisions",
         &[
             "attempt_checks",
             "candidate",
@@ -17,9 +17,9 @@
             "retry_budget",
         ],
     ),
-    ("the balancer that holds them", &["mod"]),
+    ("the balancer", &["mod"]),
     (
-        "what is decided",
+        "decisions",
         &[
             "admission",
             "affinity",
@@ -36,15 +36,17 @@
     ),
 ];
 
-fn texts(folder: &str) -> BTreeMap<String, String> {
+fn source_texts(folder: &str) -> BTreeMap<String, String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
-    let files = std::fs::read_dir(folder).expect("a folder").map(|e| e.expect("an entry").path());
+    let files = std::fs::read_dir(folder)
+        .expect("the folder exists")
+        .map(|e| e.expect("the entry can be read").path());
     let files = files.filter(|path| path.extension().is_some_and(|e| e == "rs"));
-    let name = |path: &Path| path.file_stem().expect("a file").to_str().expect("text").to_string();
-    files.map(|path| (name(&path), std::fs::read_to_string(&path).expect("text"))).collect()
+    let name = |path: &Path| path.file_stem().expect("a file name").to_str().expect("UTF-8").to_string();
+    files.map(|path| (name(&path), std::fs::read_to_string(&path).expect("UTF-8"))).collect()
 }
 
-/// The modules of the decisions that a text imports, by `super::`, or by name in `mod.rs`.
+/// Decision modules that a source text imports: by `super::`, or by their names in `mod.rs`.
 fn imports(module: &str, text: &str) -> BTreeSet<String> {
     let start = if module == "mod" { "use " } else { "use super::" };
     let elsewhere = ["crate", "std", "fastrand", "rustc_hash"];
@@ -57,43 +59,52 @@
 }
 
 #[test]
-fn a_module_of_the_decisions_imports_from_its_own_layer_and_those_below() {
-    let texts = texts("src/decisions");
+fn decision_modules_import_only_from_their_own_and_lower_layers() {
+    let source_texts = source_texts("src/decisions");
     let layer = |name: &str| LAYERS.iter().position(|(_, modules)| modules.contains(&name));
-    let mut all = BTreeMap::new();
-    for (module, text) in &texts {
-        let own = layer(module).unwrap_or_else(|| panic!("{module} is in no layer"));
+    let mut remaining = BTreeMap::new();
+    for (module, text) in &source_texts {
+        let own_layer = layer(module).unwrap_or_else(|| panic!("module {module} is in no layer"));
         let imports = imports(module, text);
         for import in &imports {
-            let other =
-                layer(import).unwrap_or_else(|| panic!("{module} imports {import}, which is in no layer"));
-            assert!(other <= own, "{module} imports {import} of a layer above: {}", LAYERS[other].0);
+            let import_layer = layer(import)
+                .unwrap_or_else(|| panic!("module {module} imports {import}, which is in no layer"));
+            assert!(
+                import_layer <= own_layer,
+                "module {module} imports {import} from a layer above: {}",
+                LAYERS[import_layer].0
+            );
         }
-        all.insert(module.clone(), imports);
+        remaining.insert(module.clone(), imports);
     }
-    // Nor is there a circle within a layer: modules whose imports are all gone go, until none is left.
-    while let Some(free) = all.iter().find(|(_, i)| i.is_empty()).map(|(m, _)| m.clone()) {
-        all.remove(&free);
-        for imports in all.values_mut() {
-            imports.remove(&free);
+    // Imports have no cycle: modules without remaining imports are removed until none is left.
+    while let Some(module) =
+        remaining.iter().find(|(_, imports)| imports.is_empty()).map(|(module, _)| module.clone())
+    {
+        remaining.remove(&module);
+        for imports in remaining.values_mut() {
+            imports.remove(&module);
         }
     }
-    assert!(all.is_empty(), "these import each other in a circle: {all:?}");
+    assert!(remaining.is_empty(), "modules that import each other in a cycle: {remaining:?}");
 }
 
 #[test]
-fn the_state_and_what_is_measured_import_nothing_of_the_decisions() {
+fn state_and_estimators_import_nothing_from_the_decisions() {
     let above = ["crate::decisions", "crate::Balancer", "crate::replica_snapshot"];
-    for (module, text) in texts("src").into_iter().chain(texts("src/state")) {
+    for (module, text) in source_texts("src").into_iter().chain(source_texts("src/state")) {
         if ["lib", "replica_snapshot"].contains(&module.as_str()) {
             continue;
         }
         let code: Vec<&str> = text.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
         for name in above {
-            assert!(!code.iter().any(|line| line.contains(name)), "{module} names {name}");
+            assert!(!code.iter().any(|line| line.contains(name)), "module {module} names {name}");
         }
-        if module != "state" && !texts("src/state").contains_key(&module) {
-            assert!(!code.iter().any(|line| line.contains("crate::state")), "{module} imports the state");
+        if module != "state" && !source_texts("src/state").contains_key(&module) {
+            assert!(
+                !code.iter().any(|line| line.contains("crate::state")),
+                "module {module} imports crate::state"
+            );
         }
     }
 }
--- a/tests/list_polling.rs
+++ b/tests/list_polling.rs
@@ -9,35 +9,35 @@
 #[test]
 fn a_polled_list_is_watched_in_time_and_again_after_failures() {
     for seed in 0..50 {
-        let mut set = settings(4, 0);
+        let mut settings = test_settings(4, 0);
         let must_ask_in = 10 * SECOND;
-        set.list_mode = EndpointListMode::Polled { max_poll_interval: must_ask_in };
-        let mut w = World::with_replicas(set, seed, 3);
-        let start = w.now;
-        w.run_to(start + must_ask_in / 2);
-        assert!(w.list_polls >= 1, "asked well inside the time");
+        settings.list_mode = EndpointListMode::Polled { max_poll_interval: must_ask_in };
+        let mut router = TestRouter::with_replicas(settings, seed, 3);
+        let start = router.now;
+        router.run_to(start + must_ask_in / 2);
+        assert!(router.list_polls >= 1, "asked well inside the time");
         for failures in 1..6 {
-            let before = w.list_polls;
-            w.update_list(ListUpdate::Failed, vec![]);
-            assert_eq!(w.list_polls, before, "not at once: the list may be overrun");
-            w.run_to(w.now + must_ask_in / 2);
-            assert!(w.list_polls > before, "again after failure {failures}");
+            let before = router.list_polls;
+            router.update_list(ListUpdate::Failed, vec![]);
+            assert_eq!(router.list_polls, before, "not at once: the list may be overrun");
+            router.run_to(router.now + must_ask_in / 2);
+            assert!(router.list_polls > before, "again after failure {failures}");
         }
-        w.update_list(ListUpdate::Delta, vec![]);
-        let before = w.list_polls;
-        w.run_to(w.now + 60 * SECOND);
-        assert_eq!(w.list_polls, before, "subscribed: nothing more to ask");
-        w.update_list(ListUpdate::Failed, vec![]);
-        w.run_to(w.now + must_ask_in / 2);
-        assert!(w.list_polls > before, "the subscription dropped: asked for again");
+        router.update_list(ListUpdate::Delta, vec![]);
+        let before = router.list_polls;
+        router.run_to(router.now + 60 * SECOND);
+        assert_eq!(router.list_polls, before, "subscribed: nothing more to ask");
+        router.update_list(ListUpdate::Failed, vec![]);
+        router.run_to(router.now + must_ask_in / 2);
+        assert!(router.list_polls > before, "the subscription dropped: asked for again");
     }
 }
 
 fn polled(router_count: u32) -> Settings {
-    let mut set = settings(4, 0);
-    set.list_mode = EndpointListMode::Polled { max_poll_interval: 14 * SECOND };
-    (set.has_peers, set.router_count) = (false, router_count);
-    set
+    let mut settings = test_settings(4, 0);
+    settings.list_mode = EndpointListMode::Polled { max_poll_interval: 14 * SECOND };
+    (settings.has_peers, settings.router_count) = (false, router_count);
+    settings
 }
 
 /// Polls are looked for so often.
@@ -45,15 +45,15 @@
 
 /// The times of polls that are all refused at once, since the start.
 fn refused_polls(router_count: u32, seed: u64, until: Nanos) -> Vec<Nanos> {
-    let mut world = World::new(polled(router_count), seed);
-    world.update_list(ListUpdate::Cached, vec![EndpointEntry::default()]);
-    let (start, mut polls) = (world.now, Vec::new());
-    while world.now < start + until {
-        let before = world.list_polls;
-        world.run_to(world.now + STEP);
-        if world.list_polls > before {
-            polls.push(world.now - start);
-            world.update_list(ListUpdate::Failed, vec![]);
+    let mut router = TestRouter::new(polled(router_count), seed);
+    router.update_list(ListUpdate::Cached, vec![EndpointEntry::default()]);
+    let (start, mut polls) = (router.now, Vec::new());
+    while router.now < start + until {
+        let before = router.list_polls;
+        router.run_to(router.now + STEP);
+        if router.list_polls > before {
+            polls.push(router.now - start);
+            router.update_list(ListUpdate::Failed, vec![]);
         }
     }
     polls
@@ -89,26 +89,26 @@
 /// Guards against a router that takes an operator's order for a sign of the list, and never calls for it again.
 #[test]
 fn an_operators_order_is_no_sign_of_the_list() {
-    let mut world = World::with_replicas(polled(1), 1, 3);
-    let row = vec![row(0)];
-    world.update_list(ListUpdate::Failed, vec![]);
-    world.update_list(ListUpdate::Override, row);
-    let before = world.list_polls;
-    world.run_to(world.now + 4 * SECOND);
-    assert!(world.list_polls > before, "the lost watch is asked for");
+    let mut router = TestRouter::with_replicas(polled(1), 1, 3);
+    let row = vec![ready_entry(0)];
+    router.update_list(ListUpdate::Failed, vec![]);
+    router.update_list(ListUpdate::Override, row);
+    let before = router.list_polls;
+    router.run_to(router.now + 4 * SECOND);
+    assert!(router.list_polls > before, "the lost watch is asked for");
 }
 
 /// Guards against a call without any answer that is waited for past the time from which the router counts as notified.
 #[test]
 fn a_call_that_is_never_answered_is_followed_by_another_within_half_of_the_time() {
-    let mut world = World::new(polled(1), 1);
-    world.update_list(ListUpdate::Cached, vec![EndpointEntry::default()]);
-    world.run_to(world.now + 2 * SECOND);
-    let polls = world.list_polls;
+    let mut router = TestRouter::new(polled(1), 1);
+    router.update_list(ListUpdate::Cached, vec![EndpointEntry::default()]);
+    router.run_to(router.now + 2 * SECOND);
+    let polls = router.list_polls;
     assert!(polls >= 1);
-    world.run_to(world.now + NOTIFICATION_LIMIT / 2);
+    router.run_to(router.now + NOTIFICATION_LIMIT / 2);
     assert!(
-        world.list_polls > polls,
+        router.list_polls > polls,
         "a further call within 3 s, where the settings allow 14 s between calls"
     );
 }
@@ -131,17 +131,17 @@
     let given_up_after = 31 * SECOND / 30;
     for seed in 0..50 {
         let next_poll = |update, after| {
-            let mut world = World::new(polled(5), seed);
-            world.update_list(ListUpdate::Cached, vec![EndpointEntry::default()]);
-            world.run_to(world.now + SECOND / 4);
-            let (polls, failed_at) = (world.list_polls, world.now + after);
+            let mut router = TestRouter::new(polled(5), seed);
+            router.update_list(ListUpdate::Cached, vec![EndpointEntry::default()]);
+            router.run_to(router.now + SECOND / 4);
+            let (polls, failed_at) = (router.list_polls, router.now + after);
             assert_eq!(polls, 1);
-            world.run_to(failed_at);
-            world.update_list(update, vec![]);
-            while world.list_polls == polls {
-                world.run_to(world.now + STEP);
+            router.run_to(failed_at);
+            router.update_list(update, vec![]);
+            while router.list_polls == polls {
+                router.run_to(router.now + STEP);
             }
-            world.now - failed_at
+            router.now - failed_at
         };
         assert!(next_poll(ListUpdate::Truncated, given_up_after) <= SECOND * 2 / 5 + STEP);
         assert!(next_poll(ListUpdate::Failed, given_up_after) >= SECOND / 2, "a refused one waits");
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -13,18 +13,18 @@
 #[test]
 fn under_load_nothing_is_sent_that_would_be_late() {
     let begun = |late_share: f64, wait: Nanos, returned: bool| {
-        let mut set = settings(1, 0);
-        set.classes[0].late_value_share = late_share;
-        let mut w = World::with_replicas(set, 5, 2);
+        let mut settings = test_settings(1, 0);
+        settings.classes[0].late_value_share = late_share;
+        let mut router = TestRouter::with_replicas(settings, 5, 2);
         for n in 0..60 {
-            w.submit(plain(n));
-            w.run_to(w.now + wait);
-            w.first_token(RequestId(n), 0);
-            w.end_attempt(RequestId(n), 0, Outcome::Completed);
+            router.submit(plain(n));
+            router.run_to(router.now + wait);
+            router.first_token(RequestId(n), 0);
+            router.end_attempt(RequestId(n), 0, Outcome::Completed);
         }
         // 15,000 tokens to read: within the 4 s that the client waits, not within the aim of 1.45 s.
         let long = Request { prompt_tokens: 15_000, resumes_stream: returned, ..plain(99) };
-        World::sent_to(&w.submit(long)).is_some()
+        TestRouter::sent_to(&router.submit(long)).is_some()
     };
     assert!(begun(0.2, 20 * MS, false), "while most begin at once the prediction is not held against it");
     assert!(!begun(0.2, 300 * MS, false));
@@ -35,17 +35,17 @@
 #[test]
 fn a_request_with_less_time_than_first_tokens_take_is_rejected_at_once() {
     let begun = |wait: Nanos, left: Nanos| {
-        let mut w = World::with_replicas(settings(1, 0), 5, 4);
+        let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 4);
         for n in 0..20 {
-            w.submit(plain(n));
-            w.run_to(w.now + wait);
-            w.first_token(RequestId(n), 0);
-            w.end_attempt(RequestId(n), 0, Outcome::Completed);
+            router.submit(plain(n));
+            router.run_to(router.now + wait);
+            router.first_token(RequestId(n), 0);
+            router.end_attempt(RequestId(n), 0, Outcome::Completed);
         }
         // Others take their place: of these no more is known than the reading.
-        w.update_list(ListUpdate::Full, (10..14).map(row).collect());
+        router.update_list(ListUpdate::Full, (10..14).map(ready_entry).collect());
         let asked = Request { time_left: left, prompt_tokens: 100, prefix_tokens: 0, ..plain(99) };
-        World::sent_to(&w.submit(asked)).is_some()
+        TestRouter::sent_to(&router.submit(asked)).is_some()
     };
     assert!(begun(20 * MS, 200 * MS), "where first tokens take 20 ms there is time");
     assert!(!begun(600 * MS, 200 * MS), "where they take 600 ms there is not");
@@ -55,22 +55,22 @@
 #[test]
 fn load_cuts_every_tenant_s_quota_alike() {
     // First tokens at twice the aim: less is admitted than the quota, so that some come in time.
-    let mut set = settings(1, 0);
-    set.tenants = vec![Tenant { quota_per_s: 20.0 }];
+    let mut settings = test_settings(1, 0);
+    settings.tenants = vec![Tenant { quota_per_s: 20.0 }];
     let admitted = |after: Nanos| {
-        let mut w = World::with_replicas(set.clone(), 5, 8);
+        let mut router = TestRouter::with_replicas(settings.clone(), 5, 8);
         let mut count = 0;
         let mut pending = std::collections::VecDeque::new();
         for n in 0..600 {
-            w.run_to(w.now + 50 * MS);
-            while pending.front().is_some_and(|&(at, _)| w.now >= at) {
+            router.run_to(router.now + 50 * MS);
+            while pending.front().is_some_and(|&(at, _)| router.now >= at) {
                 let (_, id) = pending.pop_front().unwrap();
-                w.first_token(id, 0);
-                w.end_attempt(id, 0, Outcome::Completed);
+                router.first_token(id, 0);
+                router.end_attempt(id, 0, Outcome::Completed);
             }
-            if World::sent_to(&w.submit(plain(n))).is_some() {
+            if TestRouter::sent_to(&router.submit(plain(n))).is_some() {
                 count += u32::from(n >= 300);
-                pending.push_back((w.now + after, RequestId(n)));
+                pending.push_back((router.now + after, RequestId(n)));
             }
         }
         count
--- a/tests/outlier_ejection.rs
+++ b/tests/outlier_ejection.rs
@@ -12,22 +12,22 @@
 }
 
 /// Serves everything but what goes to `dead`, which answers nothing; returns what `dead` was sent.
-fn serve_around(w: &mut World, dead: ReplicaId, ids: std::ops::Range<u64>) -> usize {
+fn serve_around(router: &mut TestRouter, dead: ReplicaId, ids: std::ops::Range<u64>) -> usize {
     let mut to_dead = 0;
     for n in ids {
-        w.run_to(w.now + 20 * MS);
-        let mut out = w.submit(plain(n));
-        while let Some(to) = World::sent_to(&out) {
+        router.run_to(router.now + 20 * MS);
+        let mut out = router.submit(plain(n));
+        while let Some(to) = TestRouter::sent_to(&out) {
             let id = RequestId(n);
-            let a = w.requests[&id].attempts.len() as u32 - 1;
-            w.run_to(w.now + 20 * MS);
+            let a = router.requests[&id].attempts.len() as u32 - 1;
+            router.run_to(router.now + 20 * MS);
             if to == dead {
                 to_dead += 1;
-                w.run_to(w.now + 1200 * MS);
-                out = w.end_attempt(id, a, Outcome::Cancelled);
+                router.run_to(router.now + 1200 * MS);
+                out = router.end_attempt(id, a, Outcome::Cancelled);
             } else {
-                w.first_token(id, a);
-                out = w.end_attempt(id, a, Outcome::Completed);
+                router.first_token(id, a);
+                out = router.end_attempt(id, a, Outcome::Completed);
             }
         }
     }
@@ -36,22 +36,22 @@
 
 #[test]
 fn a_hung_replica_is_ejected_and_gets_single_half_open_checks() {
-    let mut w = World::with_replicas(settings(1, 0), 5, 8);
+    let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 8);
     let dead = ReplicaId(2);
-    let first = serve_around(&mut w, dead, 0..200);
-    let then = serve_around(&mut w, dead, 200..600);
+    let first = serve_around(&mut router, dead, 0..200);
+    let then = serve_around(&mut router, dead, 200..600);
     assert!((1..=8).contains(&first), "{first} until it was known");
     assert!(then <= 6, "{then} single trials later");
     // It answers again: the trial brings it back, slowly, as if cold.
     let mut back = 0;
     for n in 600..2600 {
-        w.run_to(w.now + 20 * MS);
+        router.run_to(router.now + 20 * MS);
         let r = plain(n);
-        if World::sent_to(&w.submit(r)) == Some(dead) {
+        if TestRouter::sent_to(&router.submit(r)) == Some(dead) {
             back += 1;
         }
-        w.first_token(RequestId(n), 0);
-        w.end_attempt(RequestId(n), 0, Outcome::Completed);
+        router.first_token(RequestId(n), 0);
+        router.end_attempt(RequestId(n), 0, Outcome::Completed);
     }
     assert!(back > 50, "{back} once it answers");
 }
@@ -59,23 +59,23 @@
 #[test]
 fn a_replica_that_fails_all_it_gets_is_ejected_and_one_that_fails_some_is_not() {
     for (every, bounds) in [(1, 3..=30), (4, 60..=400)] {
-        let mut w = World::with_replicas(settings(1, 0), 5, 5);
+        let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 5);
         let failing = ReplicaId(2);
         let mut got = 0;
         for n in 0..1000 {
-            w.run_to(w.now + 20 * MS);
-            let mut out = w.submit(plain(n));
-            while let Some(to) = World::sent_to(&out) {
+            router.run_to(router.now + 20 * MS);
+            let mut out = router.submit(plain(n));
+            while let Some(to) = TestRouter::sent_to(&out) {
                 let id = RequestId(n);
-                let a = w.requests[&id].attempts.len() as u32 - 1;
+                let a = router.requests[&id].attempts.len() as u32 - 1;
                 got += u32::from(to == failing);
                 if to == failing && got % every == 0 {
-                    w.run_to(w.now + MS);
-                    out = w.end_attempt(id, a, Outcome::ReplicaError);
+                    router.run_to(router.now + MS);
+                    out = router.end_attempt(id, a, Outcome::ReplicaError);
                 } else {
-                    w.run_to(w.now + 20 * MS);
-                    w.first_token(id, a);
-                    out = w.end_attempt(id, a, Outcome::Completed);
+                    router.run_to(router.now + 20 * MS);
+                    router.first_token(id, a);
+                    out = router.end_attempt(id, a, Outcome::Completed);
                 }
             }
         }
@@ -86,47 +86,50 @@
 #[test]
 fn slowness_is_not_silence() {
     // A replica that answers others meanwhile is not called off, however long one prompt takes.
-    let mut w = World::with_replicas(settings(1, 0), 5, 1);
-    w.submit(plain(1));
+    let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 1);
+    router.submit(plain(1));
     for n in 2..20 {
-        w.run_to(w.now + 200 * MS);
-        w.submit(plain(n));
-        w.first_token(RequestId(n), 0);
+        router.run_to(router.now + 200 * MS);
+        router.submit(plain(n));
+        router.first_token(RequestId(n), 0);
     }
-    assert!(!w.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
+    assert!(!router.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
     // One that says nothing to anyone is.
-    let mut w = World::with_replicas(settings(1, 0), 5, 2);
-    w.submit(plain(1));
-    let out = w.run_to(w.now + 4 * SECOND);
+    let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 2);
+    router.submit(plain(1));
+    let out = router.run_to(router.now + 4 * SECOND);
     assert!(out.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }));
 }
 
 #[test]
 fn a_refused_connection_ejects_at_once() {
-    let mut w = World::with_replicas(settings(1, 0), 5, 4);
-    let dead = World::sent_to(&w.submit(plain(1))).unwrap();
-    assert_ne!(World::sent_to(&w.end_attempt(RequestId(1), 0, Outcome::ConnectionRefused)), Some(dead));
+    let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 4);
+    let dead = TestRouter::sent_to(&router.submit(plain(1))).unwrap();
+    assert_ne!(
+        TestRouter::sent_to(&router.end_attempt(RequestId(1), 0, Outcome::ConnectionRefused)),
+        Some(dead)
+    );
     for n in 2..100 {
-        assert_ne!(World::sent_to(&w.submit(plain(n))), Some(dead));
+        assert_ne!(TestRouter::sent_to(&router.submit(plain(n))), Some(dead));
     }
 }
 
 #[test]
 fn when_a_zone_is_lost_the_other_gets_the_work_and_the_lost_one_half_open_checks() {
-    let mut w = World::with_replicas(settings(1, 0), 5, 8);
+    let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 8);
     let (mut lost, mut served) = (0, 0);
     for n in 0..1000 {
-        w.run_to(w.now + 20 * MS);
-        let (mut out, mut a) = (w.submit(request(n)), 0);
-        while let Some(to) = World::sent_to(&out) {
-            if w.entries[&to].zone == ZoneId(1) {
-                w.first_token(RequestId(n), a);
-                out = w.end_attempt(RequestId(n), a, Outcome::Completed);
+        router.run_to(router.now + 20 * MS);
+        let (mut out, mut a) = (router.submit(request(n)), 0);
+        while let Some(to) = TestRouter::sent_to(&out) {
+            if router.entries[&to].zone == ZoneId(1) {
+                router.first_token(RequestId(n), a);
+                out = router.end_attempt(RequestId(n), a, Outcome::Completed);
                 served += 1;
             } else {
                 lost += 1;
-                w.run_to(w.now + 250 * MS);
-                out = w.end_attempt(RequestId(n), a, Outcome::ConnectionRefused);
+                router.run_to(router.now + 250 * MS);
+                out = router.end_attempt(RequestId(n), a, Outcome::ConnectionRefused);
             }
             a += 1;
         }
@@ -138,16 +141,21 @@
 
 #[test]
 fn if_most_look_bad_the_rest_are_not_overloaded() {
-    let mut w = World::with_replicas(settings(1, 0), 5, 4);
+    let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 4);
     for n in 0..40 {
-        w.run_to(w.now + 100 * MS);
-        if World::sent_to(&w.submit(plain(n))).is_some() {
+        router.run_to(router.now + 100 * MS);
+        if TestRouter::sent_to(&router.submit(plain(n))).is_some() {
             let mut a = 0;
-            while World::sent_to(&w.end_attempt(RequestId(n), a, Outcome::ConnectionRefused)).is_some() {
+            while TestRouter::sent_to(&router.end_attempt(RequestId(n), a, Outcome::ConnectionRefused))
+                .is_some()
+            {
                 a += 1;
             }
         }
     }
-    w.run_to(w.now + 300 * MS); // the next tick counts the ejected
-    assert!(World::sent_to(&w.submit(plain(99))).is_some(), "all look bad: suspect the own view, go on");
+    router.run_to(router.now + 300 * MS); // the next tick counts the ejected
+    assert!(
+        TestRouter::sent_to(&router.submit(plain(99))).is_some(),
+        "all look bad: suspect the own view, go on"
+    );
 }
--- a/tests/rejection_fairness.rs
+++ b/tests/rejection_fairness.rs
@@ -15,7 +15,7 @@
 
 /// Replicas that read prompts in turn, before one router.
 struct Engine {
-    world: World,
+    router: TestRouter,
     /// When each has read all that it was sent.
     read_by: Vec<Nanos>,
     /// First tokens and ends to come: when, of which attempt, whether it has begun.
@@ -28,17 +28,17 @@
         for action in actions {
             match action {
                 Action::Send { request, replica, .. } => {
-                    let known = &self.world.requests[&request];
+                    let known = &self.router.requests[&request];
                     let (attempt, tokens) =
                         (known.attempts.len() as u32 - 1, u64::from(known.request.prompt_tokens));
                     let at = &mut self.read_by[replica.0 as usize];
-                    *at = self.world.now.max(*at) + tokens * SECOND / READS;
+                    *at = self.router.now.max(*at) + tokens * SECOND / READS;
                     self.due.push((*at, request, attempt, false));
                 }
                 // What is called off while it waits is read all the same: a jam is paid for.
                 Action::Cancel { request, attempt } => {
                     self.due.retain(|d| (d.1, d.2) != (request, attempt));
-                    let actions = self.world.end_attempt(request, attempt, Outcome::Cancelled);
+                    let actions = self.router.end_attempt(request, attempt, Outcome::Cancelled);
                     self.does(actions);
                 }
                 _ => {}
@@ -50,29 +50,29 @@
     fn run_to(&mut self, to: Nanos) {
         loop {
             self.due.sort_unstable();
-            let timer = self.world.timers.iter().map(|t| t.0).min();
+            let timer = self.router.timers.iter().map(|t| t.0).min();
             let next = self.due.first().map(|d| d.0);
             let at = [timer, next].into_iter().flatten().min().filter(|at| *at <= to);
             let Some(at) = at else { break };
-            let actions = self.world.run_to(at);
+            let actions = self.router.run_to(at);
             self.does(actions);
             if next != Some(at) || self.due.first().is_none_or(|d| d.0 != at) {
                 continue;
             }
             let (_, id, attempt, begun) = self.due.remove(0);
-            let known = &self.world.requests[&id];
+            let known = &self.router.requests[&id];
             if known.is_over && !begun || known.attempts[attempt as usize].outcome.is_some() {
                 continue;
             }
             if begun {
-                self.world.end_attempt(id, attempt, Outcome::Completed);
+                self.router.end_attempt(id, attempt, Outcome::Completed);
             } else {
                 self.begun.insert(id, at - (known.deadline - known.request.time_left));
-                self.world.first_token(id, attempt);
+                self.router.first_token(id, attempt);
                 self.due.push((at + SECOND / 2, id, attempt, true));
             }
         }
-        let actions = self.world.run_to(to);
+        let actions = self.router.run_to(to);
         self.does(actions);
     }
 }
@@ -101,16 +101,16 @@
 
 /// A minute with so many requests a second; the fleet can read 16. The smallest partner wants four times its share.
 fn day(seed: u64, per_second: f64) -> Day {
-    let mut set = settings(1, 0);
-    set.tenants = [12.0, 8.0, 4.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
-    let chat = set.classes[0].clone();
-    set.classes.push(Class { latency_objective: 1_500 * MS, priority_weight: 5.0, ..chat });
-    set.concurrent_attempts = true;
+    let mut settings = test_settings(1, 0);
+    settings.tenants = [12.0, 8.0, 4.0].map(|quota_per_s| Tenant { quota_per_s }).to_vec();
+    let chat = settings.classes[0].clone();
+    settings.classes.push(Class { latency_objective: 1_500 * MS, priority_weight: 5.0, ..chat });
+    settings.concurrent_attempts = true;
     let mut rng = fastrand::Rng::with_seed(seed);
-    let world = World::with_replicas(set, seed, REPLICAS);
-    let (start, mut now) = (world.now, world.now);
+    let router = TestRouter::with_replicas(settings, seed, REPLICAS);
+    let (start, mut now) = (router.now, router.now);
     let read_by = vec![0; REPLICAS as usize];
-    let mut engine = Engine { world, read_by, due: vec![], begun: BTreeMap::new() };
+    let mut engine = Engine { router, read_by, due: vec![], begun: BTreeMap::new() };
     let (mut n, mut wanted) = (0, BTreeMap::new());
     while now < start + 60 * SECOND {
         now += (-(1.0 - rng.f64()).ln() * SECOND as f64 / per_second) as Nanos;
@@ -129,7 +129,7 @@
             ..request(n)
         };
         wanted.insert(RequestId(n), asked.clone());
-        let actions = engine.world.submit(asked);
+        let actions = engine.router.submit(asked);
         engine.does(actions);
     }
     engine.run_to(now + 10 * SECOND);
@@ -195,16 +195,16 @@
 fn no_more_sessions_are_always_rejected_than_chance_has_it() {
     const SESSIONS: u64 = 400;
     for seed in 1..=3 {
-        let mut set = settings(1, 0);
-        set.tenants = vec![Tenant { quota_per_s: 10.0 }];
-        let mut world = World::with_replicas(set, seed, REPLICAS);
+        let mut settings = test_settings(1, 0);
+        settings.tenants = vec![Tenant { quota_per_s: 10.0 }];
+        let mut router = TestRouter::with_replicas(settings, seed, REPLICAS);
         let mut rng = fastrand::Rng::with_seed(seed);
         // Turns and refusals of each.
         let mut sessions = vec![(0u32, 0u32); SESSIONS as usize];
         for id in 1..=1200 {
-            world.run_to(world.now + (-(1.0 - rng.f64()).ln() * SECOND as f64 / 22.5) as Nanos);
+            router.run_to(router.now + (-(1.0 - rng.f64()).ln() * SECOND as f64 / 22.5) as Nanos);
             let session = rng.u64(..SESSIONS);
-            let served = world.serve(Request { session: Some(SessionKey(session + 1)), ..request(id) });
+            let served = router.serve(Request { session: Some(SessionKey(session + 1)), ..request(id) });
             let (turns, refused) = &mut sessions[session as usize];
             *turns += 1;
             *refused += u32::from(!served);
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,4 +1,4 @@
-//! How the cost of the module's work grows from 100 replicas to 3,200, and what a replica takes of memory.
+//! Bounds how the cost of the balancer's work grows from 100 to 3,200 replicas, and its memory for each replica.
 #![allow(missing_docs)]
 
 mod common;
@@ -7,65 +7,77 @@
 
 use std::time::{Duration, Instant};
 
-use common::{row, settings, MS};
+use common::{ready_entry, test_settings, MS};
 use sized::SizedFleet;
 use tallypin::api::*;
 use tallypin::Balancer;
 
-const USUAL: u64 = 100;
-const LARGE: u64 = 3_200;
-/// The quickest of so many rounds counts: others are held up by whatever else runs on the machine.
+const USUAL_REPLICAS: u64 = 100;
+const MANY_REPLICAS: u64 = 3_200;
+/// Rounds that are measured. The fastest one counts, because other load on the machine slows rounds down.
 const ROUNDS: usize = 30;
 
-/// What some work costs at the least, done so often in a round.
-fn cost(fleet: &mut SizedFleet, times: u32, mut work: impl FnMut(&mut SizedFleet)) -> Duration {
+/// Time that `work` takes in the fastest round, which repeats it `times` times.
+fn fastest_time(fleet: &mut SizedFleet, times: u32, mut work: impl FnMut(&mut SizedFleet)) -> Duration {
     let mut round = || {
-        let began = Instant::now();
+        let start = Instant::now();
         (0..times).for_each(|_| work(fleet));
-        began.elapsed()
+        start.elapsed()
     };
-    (0..ROUNDS).map(|_| round()).min().expect("there are rounds") / times
+    (0..ROUNDS).map(|_| round()).min().expect("at least one round") / times
 }
 
-/// Work, how often it is done in a round, and by how much it may be dearer with 32 times as many replicas: far less than the
-/// square of that for what looks at all of them.
-type Work = (&'static str, u32, f64, fn(&mut SizedFleet));
+/// A name, repetitions in a round, the largest allowed ratio of the times with 32 times as many replicas, and the work.
+/// Work on all replicas may take far less than the square of 32.
+type MeasuredWork = (&'static str, u32, f64, fn(&mut SizedFleet));
 
-const WORK: [Work; 4] = [
+const WORK: [MeasuredWork; 4] = [
     ("a request", 50, 5.0, SizedFleet::request),
-    ("a changed row", 50, 5.0, SizedFleet::change),
-    ("a whole list", 1, 150.0, SizedFleet::whole_list),
-    ("a tick", 10, 150.0, SizedFleet::tick),
+    ("a list change", 50, 5.0, SizedFleet::drain_and_restore),
+    ("a full list", 1, 150.0, SizedFleet::full_list),
+    ("the end of a report period", 10, 150.0, SizedFleet::end_report_period),
 ];
 
-/// Guards against work on all replicas for each request or changed row, and against a list that costs its square.
+/// Guards against work on all replicas for each request or changed entry, and against a quadratic cost of a full list.
 #[test]
-fn work_grows_with_what_changes_and_not_with_the_fleet() {
-    let (mut usual, mut large) = (SizedFleet::new(USUAL), SizedFleet::new(LARGE));
-    for (name, times, most, work) in WORK {
-        let (one, other) = (cost(&mut usual, times, work), cost(&mut large, times, work));
-        let ratio = other.as_secs_f64() / one.as_secs_f64();
-        println!("{name}: {one:?} with {USUAL}, {other:?} with {LARGE}: {ratio:.1} times, at most {most}");
-        assert!(ratio <= most, "{name}: {one:?} with {USUAL} and {other:?} with {LARGE}");
+fn the_cost_of_a_request_does_not_grow_with_the_fleet_and_a_full_list_costs_less_than_its_square() {
+    let (mut usual_fleet, mut large_fleet) =
+        (SizedFleet::new(USUAL_REPLICAS), SizedFleet::new(MANY_REPLICAS));
+    for (name, times, max_ratio, work) in WORK {
+        let (usual_time, large_time) =
+            (fastest_time(&mut usual_fleet, times, work), fastest_time(&mut large_fleet, times, work));
+        let ratio = large_time.as_secs_f64() / usual_time.as_secs_f64();
+        println!("{name}: {usual_time:?} with {USUAL_REPLICAS}, {large_time:?} with {MANY_REPLICAS}: {ratio:.1} times, at most {max_ratio}");
+        assert!(
+            ratio <= max_ratio,
+            "{name}: {usual_time:?} with {USUAL_REPLICAS} and {large_time:?} with {MANY_REPLICAS}"
+        );
     }
 }
 
-/// Bytes that the module may hold for a replica: its entry, its row, its places in tables and rings.
-const BYTES_A_REPLICA: u64 = 512;
+/// Bytes that the balancer may use for a replica: its state, its endpoint entry, its places in hash tables and rings.
+const MAX_BYTES_PER_REPLICA: u64 = 512;
 
 #[test]
-fn a_replica_takes_a_bounded_part_of_memory() {
-    for replicas in [USUAL, 1_000, LARGE, 10_000] {
-        let mut module = Balancer::new(settings(1, 0), 7).expect("the settings are good");
-        let rows = (0..replicas).map(row).collect();
-        let mut out = Vec::with_capacity(64);
-        let held = allocation_counter::measure(|| {
-            module.handle(1_000_000 * MS, Event::EndpointList { kind: ListUpdate::Full, rows }, &mut out);
+fn memory_per_replica_is_bounded() {
+    for replicas in [USUAL_REPLICAS, 1_000, MANY_REPLICAS, 10_000] {
+        let mut balancer = Balancer::new(test_settings(1, 0), 7).expect("the settings are valid");
+        let rows = (0..replicas).map(ready_entry).collect();
+        let mut actions = Vec::with_capacity(64);
+        let allocated = allocation_counter::measure(|| {
+            balancer.handle(
+                1_000_000 * MS,
+                Event::EndpointList { kind: ListUpdate::Full, rows },
+                &mut actions,
+            );
         });
-        // The rows themselves were allocated before, and are given back within.
+        // The entries were allocated before the measurement and freed within it.
         let rows = replicas as i64 * size_of::<EndpointEntry>() as i64;
-        let each = (held.bytes_current + rows) / replicas as i64;
-        println!("{replicas} replicas: {each} bytes each");
-        assert!(each > 0 && each as u64 <= BYTES_A_REPLICA, "{replicas} replicas: {each} bytes each");
+        let bytes_per_replica = (allocated.bytes_current + rows) / replicas as i64;
+        println!("{replicas} replicas: {bytes_per_replica} bytes each");
+        assert!(
+            bytes_per_replica > 0 && bytes_per_replica as u64 <= MAX_BYTES_PER_REPLICA,
+            "{replicas} replicas: {bytes_per_replica} bytes each"
+        );
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -10,7 +10,7 @@
 
 /// Routers that each take a request a second, and what became of the requests.
 struct Fleet {
-    routers: Vec<World>,
+    routers: Vec<TestRouter>,
     next: u64,
     /// Beginnings that the requests share.
     beginnings: u64,
@@ -29,8 +29,8 @@
         let mut fleet = Fleet::of(routers);
         if trouble == Trouble::Uncounted {
             fleet.routers.extend((0..routers.div_ceil(4)).map(|n| {
-                let set = settings(routers, n);
-                World::with_replicas(set, u64::from(1000 + n), REPLICAS)
+                let settings = test_settings(routers, n);
+                TestRouter::with_replicas(settings, u64::from(1000 + n), REPLICAS)
             }));
         }
         if trouble == Trouble::Unequal {
@@ -41,7 +41,7 @@
 
     /// A router starts anew, with the list as it was last held.
     fn restart(&mut self, router: usize, seed: u64, now: Nanos) {
-        let mut anew = World::new(self.routers[router].settings.clone(), seed);
+        let mut anew = TestRouter::new(self.routers[router].settings.clone(), seed);
         anew.now = now;
         let entries = self.routers[router].entries.values().cloned().collect();
         anew.update_list(ListUpdate::Cached, entries);
@@ -54,8 +54,9 @@
     }
 
     fn of(routers: u32) -> Fleet {
-        let set = |g| Settings { cross_zone_cost: 0.0, ..settings(routers, g) };
-        let routers = (0..routers).map(|g| World::with_replicas(set(g), u64::from(g), REPLICAS)).collect();
+        let settings = |g| Settings { cross_zone_cost: 0.0, ..test_settings(routers, g) };
+        let routers =
+            (0..routers).map(|g| TestRouter::with_replicas(settings(g), u64::from(g), REPLICAS)).collect();
         Fleet {
             routers,
             next: 0,
@@ -79,8 +80,8 @@
             let mut left = rng.f64() * all;
             weights
                 .iter()
-                .position(|w| {
-                    left -= w;
+                .position(|router| {
+                    left -= router;
                     left < 0.0
                 })
                 .unwrap_or(0)
@@ -94,12 +95,12 @@
             self.due.sort_unstable();
             let ripe: Vec<_> = self.due.drain(..self.due.partition_point(|d| d.0 <= now)).collect();
             for (_, g, id, begun) in ripe {
-                let w = &mut self.routers[g];
-                w.run_to(now);
+                let router = &mut self.routers[g];
+                router.run_to(now);
                 match begun {
-                    true => drop(w.end_attempt(id, 0, Outcome::Completed)),
+                    true => drop(router.end_attempt(id, 0, Outcome::Completed)),
                     false => {
-                        w.first_token(id, 0);
+                        router.first_token(id, 0);
                         self.due.push((now + SECOND / 2, g, id, true));
                     }
                 }
@@ -109,7 +110,7 @@
                 self.due.push((now + first(to.0), g, RequestId(self.next), false));
             }
         }
-        self.routers.iter_mut().for_each(|w| drop(w.run_to(from + ms * MS)));
+        self.routers.iter_mut().for_each(|router| drop(router.run_to(from + ms * MS)));
     }
 
     /// The next router has a request: which it is, and where the request went.
@@ -120,12 +121,12 @@
     /// A router has a request: the same.
     fn ask_at(&mut self, now: Nanos, g: usize) -> Option<(usize, ReplicaId)> {
         self.next += 1;
-        let w = &mut self.routers[g];
-        w.run_to(now);
+        let router = &mut self.routers[g];
+        router.run_to(now);
         let prefix = Some(PrefixKey(self.next % self.beginnings + 1));
         let prompt_tokens = self.prompts[(self.next * 7919 / 13) as usize % self.prompts.len()];
         let asked = Request { prompt_tokens, prefix_tokens: 2000, prefix, ..request(self.next) };
-        let to = World::sent_to(&w.submit(asked))?;
+        let to = TestRouter::sent_to(&router.submit(asked))?;
         self.sends[to.0 as usize] += 1;
         self.work.push((to.0, prompt_tokens, g));
         Some((g, to))
@@ -135,8 +136,8 @@
     fn half_starts_anew(&mut self) {
         let last_start = self.routers[0].now - SECOND;
         let rows: Vec<_> =
-            (0..REPLICAS / 2).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect();
-        self.routers.iter_mut().for_each(|w| drop(w.update_list(ListUpdate::Delta, rows.clone())));
+            (0..REPLICAS / 2).map(|n| EndpointEntry { started_at: last_start, ..ready_entry(n) }).collect();
+        self.routers.iter_mut().for_each(|router| drop(router.update_list(ListUpdate::Delta, rows.clone())));
         self.sends.fill(0);
     }
 
@@ -212,9 +213,9 @@
         fleet.play(12_000, slow);
         fleet.half_starts_anew();
         fleet.play(3_000, slow);
-        let gone = |n| EndpointEntry { state: EndpointState::Gone, ..row(n) };
+        let gone = |n| EndpointEntry { state: EndpointState::Gone, ..ready_entry(n) };
         let left: Vec<_> = (REPLICAS / 2..REPLICAS).map(gone).collect();
-        fleet.routers.iter_mut().for_each(|w| drop(w.update_list(ListUpdate::Delta, left.clone())));
+        fleet.routers.iter_mut().for_each(|router| drop(router.update_list(ListUpdate::Delta, left.clone())));
         fleet.sends.fill(0);
         let now = fleet.routers[0].now;
         for _ in 0..1200 {
@@ -308,12 +309,12 @@
     fleet.play_by(12_000, &mut rng, &weights, |_| SECOND / 20);
     fleet.play_by(20_000, &mut rng, &weights, |_| SECOND);
     if trouble == Trouble::Dead && n > 1 {
-        weights.iter_mut().enumerate().for_each(|(g, w)| *w *= f64::from(u8::from(g % 10 < 3)));
+        weights.iter_mut().enumerate().for_each(|(g, router)| *router *= f64::from(u8::from(g % 10 < 3)));
     }
     let told = fleet.routers[0].now;
     let mut last_start = told - SECOND;
     let rows = |last_start| -> Vec<EndpointEntry> {
-        (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect()
+        (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..ready_entry(n) }).collect()
     };
     let late: Vec<Nanos> = (0..n).map(|_| rng.u64(..2 * SECOND)).collect();
     let late = |g: usize| if trouble == Trouble::LateLists { late[g] } else { 0 };
@@ -411,8 +412,9 @@
         play(&mut fleet, 4_000, &|_, _| 1.0);
         let told = fleet.routers[0].now;
         let last_start = told - SECOND;
-        let rows: Vec<_> = (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..row(n) }).collect();
-        fleet.routers.iter_mut().for_each(|w| drop(w.update_list(ListUpdate::Delta, rows.clone())));
+        let rows: Vec<_> =
+            (0..STARTED).map(|n| EndpointEntry { started_at: last_start, ..ready_entry(n) }).collect();
+        fleet.routers.iter_mut().for_each(|router| drop(router.update_list(ListUpdate::Delta, rows.clone())));
         let warm = |at: Nanos| 0.2 + 0.8 * ((at - last_start) as f64 / (10 * SECOND) as f64).min(1.0);
         let sends = play(&mut fleet, 600, &|now, r| if r < STARTED { warm(now) } else { 1.0 });
         let (mut worst, mut most) = (0.0f64, 0);
