--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! The decisions on the simulator's text protocol, standard input to standard output: one [`Balancer`] for each router
-//! that the simulator plays, nothing shared among them.
+//! Runs the balancer behind the simulator's text protocol on standard input and output. Each simulated router has its own
+//! [`Balancer`]; the balancers share no state.
 
 mod wire;
 
@@ -12,6 +12,7 @@
 use tallypin::Balancer;
 use wire::{Fields, MalformedLine, ReplicaNames};
 
+/// A simulated router: its balancer and the names of its replicas.
 struct Instance {
     balancer: Balancer,
     names: ReplicaNames,
@@ -26,31 +27,31 @@
 }
 
 impl Instances {
-    /// Takes one line of a batch; a list event also takes its rows from `lines`.
-    fn take(&mut self, line: &str, lines: &mut InputLines) -> io::Result<Result<(), MalformedLine>> {
+    /// Handles one line of a batch. A list event also reads its rows from `lines`.
+    fn handle_line(&mut self, line: &str, lines: &mut InputLines) -> io::Result<Result<(), MalformedLine>> {
         let fields = Fields::new(line);
         let router = match fields.message() {
             "BORN" | "KILLED" | "BACKENDS_CHANGED" | "DEMAND" | "STREAMING" | "FINISHED" | "VANISHED"
             | "WAKEUP" | "PROBE_DONE" | "PEER" => match fields.router() {
                 Ok(router) => router,
-                Err(e) => return Ok(Err(e)),
+                Err(error) => return Ok(Err(error)),
             },
             _ => return Ok(Ok(())),
         };
         if fields.message() == "BACKENDS_CHANGED" {
-            return self.take_list(router, &fields, lines);
+            return self.handle_list(router, &fields, lines);
         }
-        Ok(self.take_message(router, &fields))
+        Ok(self.handle_message(router, &fields))
     }
 
-    fn take_message(&mut self, router: u32, fields: &Fields) -> Result<(), MalformedLine> {
+    fn handle_message(&mut self, router: u32, fields: &Fields) -> Result<(), MalformedLine> {
         match fields.message() {
             "BORN" => {
                 let (seed, settings) = wire::parse_born(fields)?;
-                let balancer = Balancer::new(settings, seed).map_err(|e| MalformedLine {
+                let balancer = Balancer::new(settings, seed).map_err(|error| MalformedLine {
                     message: "BORN".into(),
                     field: "ProfileData".into(),
-                    reason: e.to_string(),
+                    reason: error.to_string(),
                     router: Some(router),
                 })?;
                 self.instances.insert(router, Instance { balancer, names: ReplicaNames::default() });
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    fn take_list(
+    fn handle_list(
         &mut self,
         router: u32,
         fields: &Fields,
@@ -76,17 +77,17 @@
     ) -> io::Result<Result<(), MalformedLine>> {
         let (kind, count) = match wire::parse_list(fields) {
             Ok(head) => head,
-            Err(e) => return Ok(Err(e)),
+            Err(error) => return Ok(Err(error)),
         };
         let mut names = ReplicaNames::default();
-        let known = self.instances.get_mut(&router);
-        let names = known.map_or(&mut names, |i| &mut i.names);
+        let instance = self.instances.get_mut(&router);
+        let names = instance.map_or(&mut names, |instance| &mut instance.names);
         let mut rows = Vec::new();
         for _ in 0..count {
             let Some(line) = lines.next()? else { break };
             match wire::parse_row(line, names) {
                 Ok(row) => rows.push(row),
-                Err(e) => return Ok(Err(MalformedLine { router: Some(router), ..e })),
+                Err(error) => return Ok(Err(MalformedLine { router: Some(router), ..error })),
             }
         }
         self.handle(router, Event::EndpointList { kind, rows });
@@ -96,23 +97,23 @@
     fn handle(&mut self, router: u32, event: Event) {
         let Some(instance) = self.instances.get_mut(&router) else { return };
         let (now, actions) = (self.now, &mut self.actions);
-        let done = catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
+        let result = catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
         for action in self.actions.drain(..) {
             wire::write_action(router, &action, &instance.names, &mut self.reply);
         }
-        if let Err(panic) = done {
+        if let Err(panic) = result {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            self.report_broken(router, text);
+            self.write_broken(router, text);
         }
     }
 
-    fn report_broken(&mut self, router: u32, text: &str) {
+    fn write_broken(&mut self, router: u32, text: &str) {
         self.reply.push_str(&format!("BROKEN Who=gateway-{router} NoteText={}\n", text.replace('\n', " ")));
     }
 }
 
-/// Standard input, line by line, counted.
+/// Lines of standard input, with the number of the current line.
 struct InputLines {
     input: io::BufReader<io::Stdin>,
     buffer: String,
@@ -131,8 +132,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(code) => code,
-        Err(e) => {
-            eprintln!("tallypin-simhost: {e}");
+        Err(error) => {
+            eprintln!("tallypin-simhost: {error}");
             ExitCode::from(2)
         }
     }
@@ -145,28 +146,28 @@
         buffer: String::new(),
         number: 0,
     };
-    let mut host = Instances::default();
+    let mut instances = Instances::default();
     let mut output = io::stdout().lock();
     let mut line = String::new();
     while let Some(next) = lines.next()? {
         line.clear();
         line.push_str(next);
         let number = lines.number;
-        let taken = match line.split(' ').next() {
-            Some("BATCH") => wire::parse_batch(&Fields::new(&line)).map(|now| host.now = now),
+        let result = match line.split(' ').next() {
+            Some("BATCH") => wire::parse_batch(&Fields::new(&line)).map(|now| instances.now = now),
             Some("FLUSH") => {
-                host.reply.push_str("END\n");
-                output.write_all(host.reply.as_bytes())?;
+                instances.reply.push_str("END\n");
+                output.write_all(instances.reply.as_bytes())?;
                 output.flush()?;
-                host.reply.clear();
+                instances.reply.clear();
                 Ok(())
             }
-            _ => host.take(&line, &mut lines)?,
+            _ => instances.handle_line(&line, &mut lines)?,
         };
-        if let Err(e) = taken {
-            let text = format!("line {number}: {e}");
-            match e.router {
-                Some(router) => host.report_broken(router, &text),
+        if let Err(error) = result {
+            let text = format!("line {number}: {error}");
+            match error.router {
+                Some(router) => instances.write_broken(router, &text),
                 None => {
                     eprintln!("tallypin-simhost: {text}");
                     return Ok(ExitCode::from(2));
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's text protocol, to and from the events and actions of the decisions. Nothing is decided here.
+//! Converts between the simulator's text protocol and the events and actions of the balancer.
 
 use std::fmt::Write as _;
 
@@ -6,16 +6,16 @@
 use tallypin::api::*;
 use tallypin::{deployment, name_hash};
 
-/// What is wrong with a line: the field, and the reason.
+/// A line that cannot be parsed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MalformedLine {
-    /// The message.
+    /// Name of the message.
     pub message: String,
-    /// The field.
+    /// Name of the invalid field.
     pub field: String,
-    /// Why it cannot be read.
+    /// Reason why the field is invalid.
     pub reason: String,
-    /// The router, if the line names one.
+    /// Number of the router, if the line has a valid one.
     pub router: Option<u32>,
 }
 
@@ -25,20 +25,20 @@
     }
 }
 
-/// A line's fields, looked up by name; a text field (the last one) may hold spaces.
+/// Fields of a line, looked up by name. A text field is the last one and may contain spaces.
 pub struct Fields<'a> {
     message: &'a str,
     rest: &'a str,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits off the message name.
+    /// Splits a line into the message name and the fields.
     pub fn new(line: &'a str) -> Self {
         let (message, rest) = line.split_once(' ').unwrap_or((line, ""));
         Fields { message, rest }
     }
 
-    /// The name of the message.
+    /// Name of the message.
     pub fn message(&self) -> &'a str {
         self.message
     }
@@ -65,10 +65,10 @@
         self.required(name)?.parse().map_err(|_| self.error(name, "not a number in range"))
     }
 
-    fn number_or<T: std::str::FromStr>(&self, name: &str, otherwise: T) -> Result<T, MalformedLine> {
+    fn number_or<T: std::str::FromStr>(&self, name: &str, default: T) -> Result<T, MalformedLine> {
         match self.get(name) {
-            None => Ok(otherwise),
-            Some(s) => s.parse().map_err(|_| self.error(name, "not a number in range")),
+            None => Ok(default),
+            Some(value) => value.parse().map_err(|_| self.error(name, "not a number in range")),
         }
     }
 
@@ -88,17 +88,20 @@
         }
     }
 
-    fn row(&self, name: &str) -> Result<Vec<f64>, MalformedLine> {
-        let Some(s) = self.get(name) else { return Ok(Vec::new()) };
-        if s.is_empty() || s == "-" {
+    fn numbers(&self, name: &str) -> Result<Vec<f64>, MalformedLine> {
+        let Some(list) = self.get(name) else { return Ok(Vec::new()) };
+        if list.is_empty() || list == "-" {
             return Ok(Vec::new());
         }
-        // A value that is not there is written as nothing: unknown, so skipped by the module.
-        let value = |x: &str| if x.is_empty() || x == "-" { Ok(f64::NAN) } else { x.parse::<f64>() };
-        s.split(',').map(|x| value(x).map_err(|_| self.error(name, "not a row of numbers"))).collect()
+        // An empty value or `-` is unknown; the balancer skips it.
+        let number =
+            |value: &str| if value.is_empty() || value == "-" { Ok(f64::NAN) } else { value.parse::<f64>() };
+        list.split(',')
+            .map(|value| number(value).map_err(|_| self.error(name, "not a comma-separated list of numbers")))
+            .collect()
     }
 
-    /// The number of the instance.
+    /// Number of the router in the field `Who`.
     pub fn router(&self) -> Result<u32, MalformedLine> {
         let message = || self.message.to_string();
         let error = |reason: &str| MalformedLine {
@@ -109,7 +112,7 @@
         };
         let name = self.get("Who").ok_or_else(|| error("missing"))?;
         let number = name.strip_prefix("gateway-").and_then(|n| n.parse().ok());
-        number.ok_or_else(|| error("not gateway- and a number"))
+        number.ok_or_else(|| error("not of the form gateway-NUMBER"))
     }
 
     fn outcome(&self) -> Result<Outcome, MalformedLine> {
@@ -127,7 +130,7 @@
     }
 }
 
-/// The replicas' names as an instance has heard them.
+/// Replica names by id, as received for one router.
 #[derive(Default)]
 pub struct ReplicaNames {
     by_id: FxHashMap<ReplicaId, String>,
@@ -145,19 +148,19 @@
     }
 }
 
-/// The clock of a batch.
+/// Parses the time of a batch, in ns.
 pub fn parse_batch(fields: &Fields) -> Result<Nanos, MalformedLine> {
     fields.number("WallNs")
 }
 
-/// A row of a list event.
+/// Parses a row of a list event.
 pub fn parse_row(line: &str, names: &mut ReplicaNames) -> Result<EndpointEntry, MalformedLine> {
     let fields = Fields::new(line);
     let state = match fields.required("Status")? {
         "0" => EndpointState::Gone,
         "1" => EndpointState::Ready,
         "2" => EndpointState::Draining,
-        _ => return Err(fields.error("Status", "none of 0, 1, 2")),
+        _ => return Err(fields.error("Status", "not one of 0, 1, 2")),
     };
     Ok(EndpointEntry {
         replica: names.id(fields.required("Replica")?),
@@ -169,19 +172,19 @@
     })
 }
 
-/// The head of a list event: its kind and how many rows follow.
+/// Parses the head of a list event: its kind and the number of rows that follow.
 pub fn parse_list(fields: &Fields) -> Result<(ListUpdate, usize), MalformedLine> {
     let kind = match fields.required("Form")? {
         "0" => ListUpdate::Delta,
         "1" => ListUpdate::Full,
         "2" => ListUpdate::Cached,
         "3" => ListUpdate::Failed,
-        _ => return Err(fields.error("Form", "none of 0, 1, 2, 3")),
+        _ => return Err(fields.error("Form", "not one of 0, 1, 2, 3")),
     };
     Ok((kind, fields.number_or("RowsIn", 0)?))
 }
 
-/// Any other event; `None` for a message that is not known.
+/// Parses any other event. Returns `None` for an unknown message or timer.
 pub fn parse_event(fields: &Fields, names: &mut ReplicaNames) -> Result<Option<Event>, MalformedLine> {
     Ok(Some(match fields.message() {
         "DEMAND" => Event::Request(Request {
@@ -191,8 +194,8 @@
             time_left: fields.number("LeftNs")?,
             prompt_tokens: fields.tokens("NPrompt")?,
             prefix_tokens: fields.tokens("NPrefix")?,
-            session: fields.get("Resource").map(|s| name_hash::session_key(s.as_bytes())),
-            prefix: fields.get("PrefixId").map(|s| name_hash::prefix_key(s.as_bytes())),
+            session: fields.get("Resource").map(|value| name_hash::session_key(value.as_bytes())),
+            prefix: fields.get("PrefixId").map(|value| name_hash::prefix_key(value.as_bytes())),
             resumes_stream: fields.flag("Returned")?,
             is_client_retry: fields.flag("AgainByClient")?,
         }),
@@ -207,19 +210,19 @@
             outcome: fields.outcome()?,
             elapsed: fields.number_or("DurationNs", 0)?,
             request_over: fields.flag("DoneFlag")?,
-            // A zero is not written: an answer without a note found nothing kept.
+            // The simulator omits a zero, so a completed attempt without `Note` had no cached tokens.
             cached_tokens: Some(fields.tokens("Note")?).filter(|_| fields.get("How") == Some("done")),
-            load: fields.row("Telemetry")?,
+            load: fields.numbers("Telemetry")?,
         }),
         "VANISHED" => Event::ClientLeft(RequestId(fields.number("Ref")?)),
         "WAKEUP" => match fields.required("KeyBack")?.parse() {
             Ok(token) => Event::Timer(token),
-            Err(_) => return Ok(None), // Not one of ours.
+            Err(_) => return Ok(None), // The timer was not set by the balancer.
         },
         "PROBE_DONE" => Event::ProbeEnded {
             replica: names.id(fields.required("Replica")?),
             outcome: fields.outcome()?,
-            load: fields.row("Telemetry")?,
+            load: fields.numbers("Telemetry")?,
         },
         "PEER" => Event::PeerMessage { from: PeerId(fields.number("From")?), bytes: parse_hex(fields)? },
         _ => return Ok(None),
@@ -227,56 +230,63 @@
 }
 
 fn parse_hex(fields: &Fields) -> Result<Vec<u8>, MalformedLine> {
-    let s = fields.required("Content")?.as_bytes();
-    if s == b"-" {
+    let digits = fields.required("Content")?.as_bytes();
+    if digits == b"-" {
         return Ok(Vec::new());
     }
-    let digit = |b: u8| char::from(b).to_digit(16).map(|d| d as u8);
-    let pair = |p: &[u8]| Some(digit(p[0])? << 4 | digit(*p.get(1)?)?);
-    s.chunks(2).map(|p| pair(p).ok_or_else(|| fields.error("Content", "not hex digits"))).collect()
+    let digit = |byte: u8| char::from(byte).to_digit(16).map(|digit| digit as u8);
+    let byte = |pair: &[u8]| Some(digit(pair[0])? << 4 | digit(*pair.get(1)?)?);
+    digits
+        .chunks(2)
+        .map(|pair| byte(pair).ok_or_else(|| fields.error("Content", "not pairs of hex digits")))
+        .collect()
 }
 
 /// Appends one action as a line.
-pub fn write_action(router: u32, action: &Action, names: &ReplicaNames, to: &mut String) {
-    let name = |r: &ReplicaId| names.name(*r);
-    let written = match action {
+pub fn write_action(router: u32, action: &Action, names: &ReplicaNames, output: &mut String) {
+    let name = |replica: &ReplicaId| names.name(*replica);
+    let result = match action {
         Action::Send { request, replica, timeout } => {
             let replica = name(replica);
-            writeln!(to, "ISSUE Who=gateway-{router} Ref={} Replica={replica} LimitNs={timeout}", request.0)
+            writeln!(
+                output,
+                "ISSUE Who=gateway-{router} Ref={} Replica={replica} LimitNs={timeout}",
+                request.0
+            )
         }
         Action::Reject { request, retry_after: 0, .. } => {
-            writeln!(to, "REJECT Who=gateway-{router} Ref={}", request.0)
+            writeln!(output, "REJECT Who=gateway-{router} Ref={}", request.0)
         }
         Action::Reject { request, retry_after, .. } => {
-            writeln!(to, "REJECT Who=gateway-{router} Ref={} ComeBackNs={retry_after}", request.0)
+            writeln!(output, "REJECT Who=gateway-{router} Ref={} ComeBackNs={retry_after}", request.0)
         }
-        Action::Fail(request) => writeln!(to, "LOSE Who=gateway-{router} Ref={}", request.0),
+        Action::Fail(request) => writeln!(output, "LOSE Who=gateway-{router} Ref={}", request.0),
         Action::Cancel { request, attempt } => {
-            writeln!(to, "REVOKE Who=gateway-{router} Ref={} N={attempt}", request.0)
+            writeln!(output, "REVOKE Who=gateway-{router} Ref={} N={attempt}", request.0)
         }
-        Action::Probe(replica) => writeln!(to, "PROBE Who=gateway-{router} Replica={}", name(replica)),
-        Action::WatchEndpoints => writeln!(to, "KEEP_INFORMED Who=gateway-{router} Active=1"),
-        Action::Gossip(bytes) => write_tell(router, "*", bytes, to),
-        Action::SendToPeer { peer, bytes } => write_tell(router, &peer.0.to_string(), bytes, to),
+        Action::Probe(replica) => writeln!(output, "PROBE Who=gateway-{router} Replica={}", name(replica)),
+        Action::WatchEndpoints => writeln!(output, "KEEP_INFORMED Who=gateway-{router} Active=1"),
+        Action::Gossip(bytes) => write_peer_message(router, "*", bytes, output),
+        Action::SendToPeer { peer, bytes } => write_peer_message(router, &peer.0.to_string(), bytes, output),
         Action::WakeAt { at, token } => {
-            writeln!(to, "WAKE_AT Who=gateway-{router} DueAtNs={at} KeyBack={token}")
+            writeln!(output, "WAKE_AT Who=gateway-{router} DueAtNs={at} KeyBack={token}")
         }
     };
-    written.expect("writing to a string");
+    result.expect("writing to a string");
 }
 
-fn write_tell(router: u32, receiver: &str, bytes: &[u8], to: &mut String) -> std::fmt::Result {
-    write!(to, "TELL Who=gateway-{router} To={receiver} Content=")?;
+fn write_peer_message(router: u32, receiver: &str, bytes: &[u8], output: &mut String) -> std::fmt::Result {
+    write!(output, "TELL Who=gateway-{router} To={receiver} Content=")?;
     if bytes.is_empty() {
-        to.push('-');
+        output.push('-');
     }
     for byte in bytes {
-        write!(to, "{byte:02x}")?;
+        write!(output, "{byte:02x}")?;
     }
-    writeln!(to)
+    writeln!(output)
 }
 
-/// What an instance is born with: its seed and settings.
+/// Parses the seed and the settings of a new router.
 pub fn parse_born(fields: &Fields) -> Result<(u64, Settings), MalformedLine> {
     let seed = fields.number("Nonce64")?;
     let text = fields.text("ProfileData").ok_or_else(|| fields.error("ProfileData", "missing"))?;
