--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -1,6 +1,6 @@
 //! Measures the time that the balancer takes for a request, a list change, a full list and the end of a report period, by
 //! the number of replicas. `tests/size.rs` bounds how these times grow.
-//! `cargo bench -p tallypin --bench pick`.
+//! Run with `cargo bench -p tallypin --bench pick`.
 #![allow(missing_docs)]
 
 #[path = "../tests/common/mod.rs"]
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -271,7 +271,7 @@
     let session = Some(SessionKey(11));
     let mut turn = |n: u64, slow: Option<ReplicaId>| {
         // Requests of other sessions keep the waits of all replicas sampled.
-        let of_others = (1..8).map(|k| plain(1000 * k + n));
+        let of_others = (1..8).map(|k| request_without_affinity(1000 * k + n));
         let new_request = Request { session, prompt_tokens: 900, prefix_tokens: 200, ..request(n) };
         let mut to = None;
         for new_request in of_others.chain([Request { prefix: Some(PrefixKey(1)), ..new_request }]) {
@@ -292,6 +292,6 @@
 }
 
 /// A request without a session or a prefix.
-fn plain(id: u64) -> Request {
+fn request_without_affinity(id: u64) -> Request {
     Request { prefix: None, session: None, prefix_tokens: 0, ..request(id) }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -107,7 +107,7 @@
     pub timers: Vec<(Nanos, u64)>,
     /// Messages to all other routers.
     pub gossip: Vec<Vec<u8>>,
-    /// Messages to one other router each, with the receiver.
+    /// Messages to single routers, each with its receiver.
     pub peer_messages: Vec<(PeerId, Vec<u8>)>,
     pub list_polls: u32,
     /// All actions since the start.
--- a/tests/common/played.rs
+++ b/tests/common/played.rs
@@ -102,7 +102,7 @@
     FirstTokenDue(usize, u64, u32),
     /// Request, attempt and position of its outcome in [`OUTCOMES`].
     AttemptEnd(usize, u64, u32, u8),
-    /// Request.
+    /// Request whose client leaves.
     Deadline(usize, u64),
     /// Index of the sender, and the message.
     Message(usize, u32, Vec<u8>),
@@ -110,7 +110,7 @@
     ListDue(usize, u8),
 }
 
-/// Outcomes of attempts, by the positions below.
+/// Outcomes of attempts. The constants below are positions in this array.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Completed,
     Outcome::ReplicaError,
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -7,7 +7,7 @@
 use tallypin::api::*;
 
 /// A request without a session or a prefix.
-fn plain(id: u64) -> Request {
+fn request_without_affinity(id: u64) -> Request {
     Request { prefix: None, session: None, prefix_tokens: 0, ..request(id) }
 }
 
@@ -18,13 +18,13 @@
         settings.classes[0].late_value_share = late_value_share;
         let mut router = TestRouter::with_replicas(settings, 5, 2);
         for n in 0..60 {
-            router.submit(plain(n));
+            router.submit(request_without_affinity(n));
             router.run_to(router.now + wait);
             router.first_token(RequestId(n), 0);
             router.end_attempt(RequestId(n), 0, Outcome::Completed);
         }
         // A prefill of 15,000 tokens ends within the deadline of 4 s, but not within the latency objective of 1.45 s.
-        let long_request = Request { prompt_tokens: 15_000, resumes_stream, ..plain(99) };
+        let long_request = Request { prompt_tokens: 15_000, resumes_stream, ..request_without_affinity(99) };
         TestRouter::sent_to(&router.submit(long_request)).is_some()
     };
     assert!(
@@ -41,14 +41,15 @@
     let is_sent = |wait: Nanos, time_left: Nanos| {
         let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 4);
         for n in 0..20 {
-            router.submit(plain(n));
+            router.submit(request_without_affinity(n));
             router.run_to(router.now + wait);
             router.first_token(RequestId(n), 0);
             router.end_attempt(RequestId(n), 0, Outcome::Completed);
         }
         // Other replicas replace them. Of these only the prefill speed is known.
         router.update_list(ListUpdate::Full, (10..14).map(ready_entry).collect());
-        let short_request = Request { time_left, prompt_tokens: 100, prefix_tokens: 0, ..plain(99) };
+        let short_request =
+            Request { time_left, prompt_tokens: 100, prefix_tokens: 0, ..request_without_affinity(99) };
         TestRouter::sent_to(&router.submit(short_request)).is_some()
     };
     assert!(is_sent(20 * MS, 200 * MS), "200 ms are enough if first tokens take 20 ms");
@@ -72,7 +73,7 @@
                 router.first_token(id, 0);
                 router.end_attempt(id, 0, Outcome::Completed);
             }
-            if TestRouter::sent_to(&router.submit(plain(n))).is_some() {
+            if TestRouter::sent_to(&router.submit(request_without_affinity(n))).is_some() {
                 count += u32::from(n >= 300);
                 pending.push_back((router.now + after, RequestId(n)));
             }
--- a/tests/outlier_ejection.rs
+++ b/tests/outlier_ejection.rs
@@ -8,7 +8,7 @@
 use tallypin::api::*;
 
 /// A request without a session or a prefix.
-fn plain(id: u64) -> Request {
+fn request_without_affinity(id: u64) -> Request {
     Request { prefix: None, session: None, prefix_tokens: 0, ..request(id) }
 }
 
@@ -17,7 +17,7 @@
     let mut to_dead = 0;
     for n in ids {
         router.run_to(router.now + 20 * MS);
-        let mut actions = router.submit(plain(n));
+        let mut actions = router.submit(request_without_affinity(n));
         while let Some(replica) = TestRouter::sent_to(&actions) {
             let id = RequestId(n);
             let attempt = router.requests[&id].attempts.len() as u32 - 1;
@@ -47,7 +47,7 @@
     let mut sent_after_recovery = 0;
     for n in 600..2600 {
         router.run_to(router.now + 20 * MS);
-        let new_request = plain(n);
+        let new_request = request_without_affinity(n);
         if TestRouter::sent_to(&router.submit(new_request)) == Some(dead) {
             sent_after_recovery += 1;
         }
@@ -68,7 +68,7 @@
         let mut sent_to_failing = 0;
         for n in 0..1000 {
             router.run_to(router.now + 20 * MS);
-            let mut actions = router.submit(plain(n));
+            let mut actions = router.submit(request_without_affinity(n));
             while let Some(replica) = TestRouter::sent_to(&actions) {
                 let id = RequestId(n);
                 let attempt = router.requests[&id].attempts.len() as u32 - 1;
@@ -94,16 +94,16 @@
 fn a_slow_replica_is_not_treated_as_silent() {
     // An attempt at a replica that answers other requests is not cancelled, however long its prompt takes.
     let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 1);
-    router.submit(plain(1));
+    router.submit(request_without_affinity(1));
     for n in 2..20 {
         router.run_to(router.now + 200 * MS);
-        router.submit(plain(n));
+        router.submit(request_without_affinity(n));
         router.first_token(RequestId(n), 0);
     }
     assert!(!router.actions.iter().any(|action| matches!(action, Action::Cancel { .. })));
     // An attempt at a replica that answers no request is cancelled.
     let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 2);
-    router.submit(plain(1));
+    router.submit(request_without_affinity(1));
     let actions = router.run_to(router.now + 4 * SECOND);
     assert!(actions.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }));
 }
@@ -111,13 +111,13 @@
 #[test]
 fn a_refused_connection_ejects_at_once() {
     let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 4);
-    let dead = TestRouter::sent_to(&router.submit(plain(1))).unwrap();
+    let dead = TestRouter::sent_to(&router.submit(request_without_affinity(1))).unwrap();
     assert_ne!(
         TestRouter::sent_to(&router.end_attempt(RequestId(1), 0, Outcome::ConnectionRefused)),
         Some(dead)
     );
     for n in 2..100 {
-        assert_ne!(TestRouter::sent_to(&router.submit(plain(n))), Some(dead));
+        assert_ne!(TestRouter::sent_to(&router.submit(request_without_affinity(n))), Some(dead));
     }
 }
 
@@ -152,7 +152,7 @@
     let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 4);
     for n in 0..40 {
         router.run_to(router.now + 100 * MS);
-        if TestRouter::sent_to(&router.submit(plain(n))).is_some() {
+        if TestRouter::sent_to(&router.submit(request_without_affinity(n))).is_some() {
             let mut attempt = 0;
             while TestRouter::sent_to(&router.end_attempt(RequestId(n), attempt, Outcome::ConnectionRefused))
                 .is_some()
@@ -163,7 +163,7 @@
     }
     router.run_to(router.now + 300 * MS); // the next report period counts the ejected replicas
     assert!(
-        TestRouter::sent_to(&router.submit(plain(99))).is_some(),
+        TestRouter::sent_to(&router.submit(request_without_affinity(99))).is_some(),
         "if all replicas look failed, the router's own view is suspect"
     );
 }
--- a/tests/retries_and_hedging.rs
+++ b/tests/retries_and_hedging.rs
@@ -7,7 +7,7 @@
 use tallypin::api::*;
 
 /// A request without a session or a prefix.
-fn plain(id: u64) -> Request {
+fn request_without_affinity(id: u64) -> Request {
     Request { prefix: None, session: None, prefix_tokens: 0, ..request(id) }
 }
 
@@ -18,7 +18,7 @@
         let mut router = TestRouter::with_replicas(settings, 5, 4);
         for n in 0..200 {
             router.run_to(router.now + 20 * MS);
-            router.submit(plain(n));
+            router.submit(request_without_affinity(n));
             router.run_to(router.now + first_token_time);
             let attempt = router.requests[&RequestId(n)].attempts.len() as u32 - 1;
             router.first_token(RequestId(n), attempt);
@@ -26,8 +26,8 @@
         }
         router.run_to(router.now + MS);
         let id = RequestId(1000);
-        let silent_replica =
-            TestRouter::sent_to(&router.submit(plain(1000))).expect("the fleet has capacity");
+        let silent_replica = TestRouter::sent_to(&router.submit(request_without_affinity(1000)))
+            .expect("the fleet has capacity");
         let actions = router.run_to(router.now + 900 * MS);
         let second = TestRouter::sent_to(&actions);
         assert_eq!(second.is_some(), hedged, "hedged or not if first tokens take {first_token_time} ns");
@@ -50,7 +50,7 @@
         let mut settings = Settings { concurrent_attempts, ..test_settings(1, 0) };
         settings.classes[0].late_value_share = late_value_share;
         let mut router = TestRouter::with_replicas(settings, 5, replicas);
-        router.submit(plain(1));
+        router.submit(request_without_affinity(1));
         let end = router.now + 4 * SECOND;
         let mut actions = router.run_to(end);
         actions.retain(|action| matches!(action, Action::Cancel { .. }));
@@ -66,7 +66,7 @@
     let mut router = TestRouter::with_replicas(test_settings(1, 0), 5, 30);
     let mut retries = 0;
     for n in 0..200 {
-        router.submit(plain(n));
+        router.submit(request_without_affinity(n));
         let mut attempt = 0;
         while TestRouter::sent_to(&router.end_attempt(RequestId(n), attempt, Outcome::Rejected)).is_some() {
             attempt += 1;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -28,7 +28,7 @@
 }
 
 /// A name, repetitions in a round, the largest allowed ratio of the times with 32 times as many replicas, and the work.
-/// Work on all replicas may take far less than the square of 32.
+/// Work on all replicas may take much less than 32² times as long.
 type MeasuredWork = (&'static str, u32, f64, fn(&mut SizedFleet));
 
 const WORK: [MeasuredWork; 4] = [
@@ -40,7 +40,7 @@
 
 /// Guards against work on all replicas for each request or changed entry, and against a quadratic cost of a full list.
 #[test]
-fn the_cost_of_a_request_does_not_grow_with_the_fleet_and_a_full_list_costs_less_than_its_square() {
+fn a_request_hardly_costs_more_in_a_large_fleet_and_a_full_list_less_than_its_square() {
     let (mut usual_fleet, mut large_fleet) =
         (SizedFleet::new(USUAL_REPLICAS), SizedFleet::new(MANY_REPLICAS));
     for (name, times, max_ratio, work) in WORK {
