--- a/router/tests/fleet/failed_releases.rs
+++ b/router/tests/fleet/failed_releases.rs
@@ -1,127 +1,140 @@
-//! Releases that do not start, answer badly, or are lost by a disk.
+//! Releases that do not start, give bad answers, or are damaged on disk.
 
 use std::time::Duration;
 
 use tallypin_test_support::park::{Does, List, Node};
 
-use crate::fleet_rig::{answer, row, send};
-use crate::release_rig::{installed, phase, prepare_release, released, reseeded, starts, WAVES};
+use crate::fleet_rig::{endpoint_entry, read_response, send_request};
+use crate::release_rig::{
+    installed_digest, prepare_release, release_phase, start_counts, supervised_fleet, with_other_seed,
+    TWO_WAVES,
+};
 
-/// A release that the program does not come up with: the router goes back by itself, and the release with it.
+/// A router that cannot start on the release returns to its former configuration by itself, and the release is rolled back.
 #[test]
-fn what_does_not_start_goes_back_by_itself_and_stays_at_one_router() {
+fn a_release_that_does_not_start_is_rolled_back_after_the_first_router() {
     let node = Node::start("127.53.9.1");
-    let list = List::start("127.53.9.1", &[row("n0", &node, 1)]);
-    let fleet = released("crash", 53, &list);
-    let old = installed(&fleet, 0);
-    // It parses, and the program ends at once: its peers' address is another's.
-    let taken = std::net::UdpSocket::bind("127.53.9.1:0").unwrap();
-    let at = taken.local_addr().unwrap();
+    let list = List::start("127.53.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let fleet = supervised_fleet("crash", 53, &list);
+    let old = installed_digest(&fleet, 0);
+    // The configuration is valid, but the program exits at once: its address for peers is in use.
+    let socket = std::net::UdpSocket::bind("127.53.9.1:0").unwrap();
+    let addr = socket.local_addr().unwrap();
     let crashes = |_: usize, text: &str| {
         let text =
-            text.replace("\"peers\": [],", &format!("\"peers\": [\"{at}\"], \"peer_listen\": \"{at}\","));
+            text.replace("\"peers\": [],", &format!("\"peers\": [\"{addr}\"], \"peer_listen\": \"{addr}\","));
         text.replace("\"Peers\": false", "\"Peers\": true")
     };
-    let (order, digest) =
-        prepare_release(&fleet, "configuration", crashes, &format!("{WAVES}\n on-failure back"));
-    assert_eq!(fleet.order(2, &order)["code"], 0);
-    fleet.until_within("it crashes again and again, and is undone", 2, || phase(&fleet, 1) == "undone");
-    assert!(starts(&fleet)[3] > 3, "{:?}", starts(&fleet));
+    let (release_command, digest) =
+        prepare_release(&fleet, "configuration", crashes, &format!("{TWO_WAVES}\n on-failure back"));
+    assert_eq!(fleet.run_command(2, &release_command)["code"], 0);
+    fleet.wait_until_with_max_out("r3 has crashed several times and the release is rolled back", 2, || {
+        release_phase(&fleet, 1) == "undone"
+    });
+    assert!(start_counts(&fleet)[3] > 3, "{:?}", start_counts(&fleet));
     assert_ne!(digest, old);
-    assert!((0..5).all(|r| installed(&fleet, r) == old));
-    assert_eq!([0, 1, 2, 4].map(|r| starts(&fleet)[r]), [1; 4], "nobody else went");
-    fleet.until("all serve", || fleet.all_out().is_empty() && fleet.out(3) == Some(false));
+    assert!((0..5).all(|r| installed_digest(&fleet, r) == old));
+    assert_eq!([0, 1, 2, 4].map(|r| start_counts(&fleet)[r]), [1; 4], "no other router restarts");
+    fleet.wait_until("all routers are in service", || {
+        fleet.routers_out().is_empty() && fleet.is_out(3) == Some(false)
+    });
 }
 
-/// A release that starts and answers 500: seen by its answers against those of the others, and halted.
+/// A release that starts but answers 500 is halted by a comparison with the answers of the other routers.
 #[test]
-fn what_answers_badly_is_halted_after_the_first_router() {
-    halted_by_its_answers("bad", 54, Does::Fails);
+fn a_release_with_failing_answers_is_halted_after_the_first_router() {
+    release_is_halted_by_its_answers("bad", 54, Does::Fails);
 }
 
-/// One that is slow only once there is load, and well at the checks.
+/// A release that passes its health checks but is slow under load is halted in the same way.
 #[test]
-fn what_is_slow_only_under_load_is_halted_after_the_first_router() {
-    halted_by_its_answers("slow", 59, Does::Waits(Duration::from_millis(2500)));
+fn a_release_that_is_slow_under_load_is_halted_after_the_first_router() {
+    release_is_halted_by_its_answers("slow", 59, Does::Waits(Duration::from_millis(2500)));
 }
 
-fn halted_by_its_answers(test: &str, net: u8, does: Does) {
+fn release_is_halted_by_its_answers(test: &str, net: u8, behavior: Does) {
     let ip = format!("127.{net}.9.1");
     let (good, bad) = (Node::start(&ip), Node::start(&ip));
-    bad.does(does);
-    let list = List::start(&ip, &[row("n0", &good, 1)]);
-    let wrong = List::start(&ip, &[row("n0", &bad, 1)]);
-    let fleet = released(test, net, &list);
-    let elsewhere = |_: usize, text: &str| text.replace(&list.at.to_string(), &wrong.at.to_string());
+    bad.does(behavior);
+    let list = List::start(&ip, &[endpoint_entry("n0", &good, 1)]);
+    let bad_list = List::start(&ip, &[endpoint_entry("n0", &bad, 1)]);
+    let fleet = supervised_fleet(test, net, &list);
+    let with_bad_list = |_: usize, text: &str| text.replace(&list.at.to_string(), &bad_list.at.to_string());
     let plan = " wave r3\n wave rest\n watch 300ms\n ready 20s\n enough 20";
-    let (order, digest) = prepare_release(&fleet, "configuration", elsewhere, plan);
-    assert_eq!(fleet.order(2, &order)["code"], 0);
-    let over = std::sync::atomic::AtomicBool::new(false);
+    let (release_command, digest) = prepare_release(&fleet, "configuration", with_bad_list, plan);
+    assert_eq!(fleet.run_command(2, &release_command)["code"], 0);
+    let is_over = std::sync::atomic::AtomicBool::new(false);
     std::thread::scope(|s| {
-        // Limit of them where it is released: what is slow answers seldom.
+        // Ten more clients for the router with the release, since slow answers are few.
         for r in (0..5).chain([3; 10]) {
-            let (fleet, over) = (&fleet, &over);
+            let (fleet, is_over) = (&fleet, &is_over);
             s.spawn(move || {
-                while !over.load(std::sync::atomic::Ordering::SeqCst) {
-                    answer(send(fleet.routers[r].front));
+                while !is_over.load(std::sync::atomic::Ordering::SeqCst) {
+                    read_response(send_request(fleet.routers[r].front_addr));
                     std::thread::sleep(Duration::from_millis(10));
                 }
             });
         }
-        let told = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            fleet.until_within("it is told by its answers", 2, || phase(&fleet, 1) == "failed");
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            fleet.wait_until_with_max_out("the release fails by its answers", 2, || {
+                release_phase(&fleet, 1) == "failed"
+            });
         }));
-        // Whatever came of it: the clients would go on for ever.
-        over.store(true, std::sync::atomic::Ordering::SeqCst);
-        told.unwrap();
+        // Also after a failure, since the clients would run for ever.
+        is_over.store(true, std::sync::atomic::Ordering::SeqCst);
+        result.unwrap();
+    });
+    let reply = fleet.run_command(4, "status");
+    assert!(reply["halted"].as_str().unwrap().contains("where it is released"), "{reply}");
+    assert_eq!([0, 1, 2, 4].map(|r| start_counts(&fleet)[r]), [1; 4], "no other router restarts");
+    assert_eq!(installed_digest(&fleet, 3), digest);
+    // The roll-back waits until an operator resumes the fleet.
+    assert_eq!(fleet.run_command(0, "back")["code"], 0);
+    fleet.wait_until("r3 has requested to drain", || fleet.stage(0, 3) == "wanted");
+    assert_eq!(installed_digest(&fleet, 3), digest);
+    assert_eq!(fleet.run_command(0, "resume")["code"], 0);
+    fleet.wait_until_with_max_out("the release is rolled back", 2, || release_phase(&fleet, 1) == "undone");
+    assert_ne!(installed_digest(&fleet, 3), digest);
+    fleet.wait_until("r3 serves requests again", || {
+        read_response(send_request(fleet.routers[3].front_addr)) == (200, true)
     });
-    let said = fleet.order(4, "status");
-    assert!(said["halted"].as_str().unwrap().contains("where it is released"), "{said}");
-    assert_eq!([0, 1, 2, 4].map(|r| starts(&fleet)[r]), [1; 4], "nobody else went");
-    assert_eq!(installed(&fleet, 3), digest);
-    // The way back waits for whoever halted to let it go on.
-    assert_eq!(fleet.order(0, "back")["code"], 0);
-    fleet.until("r3 wants to", || fleet.stage(0, 3) == "wanted");
-    assert_eq!(installed(&fleet, 3), digest);
-    assert_eq!(fleet.order(0, "resume")["code"], 0);
-    fleet.until_within("it is undone", 2, || phase(&fleet, 1) == "undone");
-    assert_ne!(installed(&fleet, 3), digest);
-    fleet.until("r3 serves well", || answer(send(fleet.routers[3].front)) == (200, true));
 }
 
-/// Disks that have lost or torn what is released, or can't be written: its wave fails before anybody drains, or the router
-/// comes back as it was.
+/// If the released file is missing or damaged in the store, its wave fails before a router drains. If the file cannot be
+/// installed, the router returns to service unchanged.
 #[test]
-fn what_a_disk_has_lost_or_torn_is_not_run() {
+fn a_release_that_is_missing_or_damaged_on_disk_is_not_installed() {
     let node = Node::start("127.55.9.1");
-    let list = List::start("127.55.9.1", &[row("n0", &node, 1)]);
-    let fleet = released("disk", 55, &list);
-    let old = installed(&fleet, 0);
-    let (order, digest) = prepare_release(&fleet, "configuration", reseeded, WAVES);
+    let list = List::start("127.55.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let fleet = supervised_fleet("disk", 55, &list);
+    let old = installed_digest(&fleet, 0);
+    let (release_command, digest) = prepare_release(&fleet, "configuration", with_other_seed, TWO_WAVES);
     let stored = fleet.routers[3].dir.join("store").join(&digest);
-    let whole = std::fs::read(&stored).unwrap();
+    let intact = std::fs::read(&stored).unwrap();
     let damage: [(&str, &dyn Fn()); 3] = [
-        ("torn", &|| std::fs::write(&stored, &whole[..whole.len() / 2]).unwrap()),
-        // Still a configuration, though not the one that was agreed on.
+        ("torn", &|| std::fs::write(&stored, &intact[..intact.len() / 2]).unwrap()),
+        // A valid configuration, but not the one of the digest.
         ("flipped", &|| {
             let text =
-                String::from_utf8(whole.clone()).unwrap().replace("8c1f30d27a5be965", "8c1f30d27a5be967");
+                String::from_utf8(intact.clone()).unwrap().replace("8c1f30d27a5be965", "8c1f30d27a5be967");
             std::fs::write(&stored, text).unwrap();
         }),
         ("lost", &|| std::fs::remove_file(&stored).unwrap()),
     ];
     for (name, damage) in damage {
         damage();
-        assert_eq!(fleet.order(2, &order)["code"], 0, "{name}");
-        fleet.until_within("it fails", 0, || phase(&fleet, 1) == "failed");
-        assert_eq!((installed(&fleet, 3), starts(&fleet)[3]), (old.clone(), 1), "{name}");
-        assert_eq!(fleet.order(0, "resume")["code"], 0);
+        assert_eq!(fleet.run_command(2, &release_command)["code"], 0, "{name}");
+        fleet.wait_until_with_max_out("the release fails", 0, || release_phase(&fleet, 1) == "failed");
+        assert_eq!((installed_digest(&fleet, 3), start_counts(&fleet)[3]), (old.clone(), 1), "{name}");
+        assert_eq!(fleet.run_command(0, "resume")["code"], 0);
     }
-    // What is to be put in place can't be, once it is out: it serves again, as it was.
-    std::fs::write(&stored, &whole).unwrap();
+    // The installation fails after the drain, and the router returns to service with its former configuration.
+    std::fs::write(&stored, &intact).unwrap();
     std::fs::create_dir(fleet.routers[3].dir.join("config.json.trial")).unwrap();
-    assert_eq!(fleet.order(2, &order)["code"], 0);
-    fleet.until_within("it fails", 2, || phase(&fleet, 1) == "failed");
-    fleet.until("r3 serves again", || fleet.out(3) == Some(false) && fleet.stage(0, 3).is_empty());
-    assert_eq!((installed(&fleet, 3), starts(&fleet)), (old, vec![1; 5]));
+    assert_eq!(fleet.run_command(2, &release_command)["code"], 0);
+    fleet.wait_until_with_max_out("the release fails", 2, || release_phase(&fleet, 1) == "failed");
+    fleet.wait_until("r3 is in service again", || {
+        fleet.is_out(3) == Some(false) && fleet.stage(0, 3).is_empty()
+    });
+    assert_eq!((installed_digest(&fleet, 3), start_counts(&fleet)), (old, vec![1; 5]));
 }
--- a/router/tests/fleet/main.rs
+++ b/router/tests/fleet/main.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program that agree on who goes out of service, with links cut and stalled between them and
-//! processes killed and stopped. Who is out is seen from outside, as balancers see it.
+//! Several router processes agree on which routers go out of service, while links between them are cut or stalled and
+//! processes are killed or stopped. The tests see who is out of service through the agent check, as balancers do.
 #![allow(missing_docs)]
 
 mod council_restarts;
--- a/router/tests/fleet/replica_drains.rs
+++ b/router/tests/fleet/replica_drains.rs
@@ -1,94 +1,117 @@
-//! Replicas that operators take out and put back.
+//! Drains of replicas that operators order and end.
 
 use serde_json::Value;
 use tallypin_test_support::park::{Does, List, Node};
 
-use crate::fleet_rig::{answer, config, row, send, FleetProcesses};
+use crate::fleet_rig::{config, endpoint_entry, read_response, send_request, FleetProcesses};
 
-const NODES: &str = " out-most 2\n out-zone 1\n nodes-out-most 1";
+const LIMITS: &str = " out-most 2\n out-zone 1\n nodes-out-most 1";
 
-/// What the fleet says of a model node: its stage, whether it is clear, and who keeps it from being so.
-fn said_of(fleet: &FleetProcesses, at: usize, node: &str) -> (String, bool, Value) {
-    let said = fleet.order(at, "status");
-    let entry = said["nodes"].as_array().and_then(|all| all.iter().find(|n| n["node"] == node)).cloned();
+/// Returns the stage of a replica's drain, whether the replica is free of requests, and which routers still use it.
+fn replica_status(fleet: &FleetProcesses, queried: usize, replica: &str) -> (String, bool, Value) {
+    let reply = fleet.run_command(queried, "status");
+    let entry = reply["nodes"].as_array().and_then(|all| all.iter().find(|n| n["node"] == replica)).cloned();
     let entry = entry.unwrap_or_default();
     (entry["stage"].as_str().unwrap_or("").into(), entry["clear"] == true, entry["first"].clone())
 }
 
-/// Requests through all routers, each with a whole answer. One that starves for processors may refuse some.
-fn serves(fleet: &FleetProcesses, each: usize) {
+/// Sends requests through each router and expects complete answers. A router short of processor time may refuse some.
+fn check_requests(fleet: &FleetProcesses, requests_per_router: usize) {
     for r in 0..fleet.routers.len() {
-        let answers: Vec<_> = (0..each).map(|_| answer(send(fleet.routers[r].front))).collect();
+        let answers: Vec<_> = (0..requests_per_router)
+            .map(|_| read_response(send_request(fleet.routers[r].front_addr)))
+            .collect();
         assert!(answers.iter().all(|a| matches!(a, (200 | 503, true))), "through r{r}: {answers:?}");
     }
 }
 
-/// Taken out at one router, all send nothing new there, whatever becomes of the node's entry in the list and of routers;
-/// it is clear when the last stream there has ended; and it comes back cold, so the next one waits.
+/// A drain that is ordered at one router keeps all routers from sending new requests to the replica, also after the replica's
+/// entry changes and after a router restarts. The replica is clear once its last stream ends. After the drain it has to warm
+/// up, and the next drain waits until then.
 #[test]
-fn a_model_node_that_is_taken_out_is_out_for_all_until_it_is_put_back() {
-    let nodes: Vec<Node> = (0..3).map(|_| Node::start("127.49.9.1")).collect();
-    let rows = |first: &Node, started: u64| {
-        vec![row("n0", first, started), row("n1", &nodes[1], 1), row("n2", &nodes[2], 1)]
+fn a_drained_replica_receives_no_new_requests_until_the_drain_is_ended() {
+    let replicas: Vec<Node> = (0..3).map(|_| Node::start("127.49.9.1")).collect();
+    let entries = |first: &Node, started_ms: u64| {
+        vec![
+            endpoint_entry("n0", first, started_ms),
+            endpoint_entry("n1", &replicas[1], 1),
+            endpoint_entry("n2", &replicas[2], 1),
+        ]
     };
-    let list = List::start("127.49.9.1", &rows(&nodes[0], 1));
-    let fleet = FleetProcesses::with("nodes", 49, 3, 3, NODES, &config(&list));
-    fleet.until("all serve", || (0..3).all(|r| answer(send(fleet.routers[r].front)) == (200, true)));
-    nodes[0].does(Does::Holds);
-    // One after the other, until one is held there.
-    let held = loop {
-        let before: Vec<usize> = nodes.iter().map(Node::served).collect();
-        let stream = send(fleet.routers[1].front);
-        fleet.until("it has come somewhere", || nodes.iter().zip(&before).any(|(n, b)| n.served() > *b));
-        match nodes[0].served() > before[0] {
+    let list = List::start("127.49.9.1", &entries(&replicas[0], 1));
+    let fleet = FleetProcesses::resumed_with_config("nodes", 49, 3, 3, LIMITS, &config(&list));
+    fleet.wait_until("all routers serve requests", || {
+        (0..3).all(|r| read_response(send_request(fleet.routers[r].front_addr)) == (200, true))
+    });
+    replicas[0].does(Does::Holds);
+    // Sends requests one after the other until n0 holds one.
+    let held_request = loop {
+        let before: Vec<usize> = replicas.iter().map(Node::served).collect();
+        let stream = send_request(fleet.routers[1].front_addr);
+        fleet.wait_until("a replica has received the request", || {
+            replicas.iter().zip(&before).any(|(n, b)| n.served() > *b)
+        });
+        match replicas[0].served() > before[0] {
             true => break stream,
-            false => drop(answer(stream)),
+            false => drop(read_response(stream)),
         }
     };
-    let unknown = fleet.order(2, "take-out n7");
+    let unknown = fleet.run_command(2, "take-out n7");
     assert!(unknown["code"] == 1 && unknown["why"].as_str().unwrap().contains("`n7`"), "{unknown}");
-    assert_eq!(fleet.order(2, "take-out n0")["code"], 0);
-    fleet.until("only r1, which has a stream there, keeps it", || {
-        said_of(&fleet, 0, "n0") == ("out".into(), false, serde_json::json!(["r1"]))
+    assert_eq!(fleet.run_command(2, "take-out n0")["code"], 0);
+    fleet.wait_until("only r1, which has an open stream, still uses n0", || {
+        replica_status(&fleet, 0, "n0") == ("out".into(), false, serde_json::json!(["r1"]))
     });
-    let before = nodes[0].served();
-    serves(&fleet, 10);
-    // One may be out: another waits.
-    assert_eq!(fleet.order(0, "take-out n1")["code"], 0);
-    nodes[0].does(Does::Answers);
-    assert_eq!(answer(held), (200, true), "what was open there ended as ever");
-    fleet.until("it is clear", || said_of(&fleet, 1, "n0").1);
-    // It starts again, elsewhere; a router starts anew; the list is told anew: it is still out.
-    let elsewhere = Node::start("127.49.9.1");
-    list.set(&rows(&elsewhere, 2));
+    let before = replicas[0].served();
+    check_requests(&fleet, 10);
+    // Only one replica may be out, so the drain of n1 waits.
+    assert_eq!(fleet.run_command(0, "take-out n1")["code"], 0);
+    replicas[0].does(Does::Answers);
+    assert_eq!(read_response(held_request), (200, true), "the open stream completes");
+    fleet.wait_until("n0 is clear", || replica_status(&fleet, 1, "n0").1);
+    // n0 stays drained after it restarts at another address, a router restarts and the list changes.
+    let restarted_replica = Node::start("127.49.9.1");
+    list.set(&entries(&restarted_replica, 2));
     fleet.kill(0);
     fleet.start(0);
-    fleet.until("r0 is back", || answer(send(fleet.routers[0].front)) == (200, true));
-    serves(&fleet, 10);
-    assert_eq!((nodes[0].served(), elsewhere.served()), (before, 0), "nothing new went there");
-    assert_eq!(said_of(&fleet, 1, "n1").0, "wanted", "one is out, and one may be");
-    assert_eq!(fleet.order(1, "put-back n0")["code"], 0);
-    fleet.until("it serves again", || {
-        serves(&fleet, 1);
-        elsewhere.served() > 0
+    fleet.wait_until("r0 serves requests again", || {
+        read_response(send_request(fleet.routers[0].front_addr)) == (200, true)
+    });
+    check_requests(&fleet, 10);
+    assert_eq!(
+        (replicas[0].served(), restarted_replica.served()),
+        (before, 0),
+        "n0 receives no new requests"
+    );
+    assert_eq!(
+        replica_status(&fleet, 1, "n1").0,
+        "wanted",
+        "n1 waits, since one replica is out and one may be"
+    );
+    assert_eq!(fleet.run_command(1, "put-back n0")["code"], 0);
+    fleet.wait_until("n0 receives requests again", || {
+        check_requests(&fleet, 1);
+        restarted_replica.served() > 0
     });
-    fleet.until("n0 is warm, and n1 goes", || {
-        serves(&fleet, 1);
-        said_of(&fleet, 1, "n1").0 == "out"
+    fleet.wait_until("n0 has warmed up and n1 is drained", || {
+        check_requests(&fleet, 1);
+        replica_status(&fleet, 1, "n1").0 == "out"
     });
-    assert_eq!(fleet.order(1, "put-back n1")["code"], 0);
+    assert_eq!(fleet.run_command(1, "put-back n1")["code"], 0);
 }
 
-/// For a stated time: it comes back by itself, whoever of the council is dead.
+/// A drain with a duration ends by itself, also while a council member is dead.
 #[test]
-fn a_model_node_that_is_out_for_a_time_comes_back_without_an_order() {
-    let nodes: Vec<Node> = (0..2).map(|_| Node::start("127.50.9.1")).collect();
-    let rows = [row("n0", &nodes[0], 1), row("n1", &nodes[1], 1)];
-    let list = List::start("127.50.9.1", &rows);
-    let fleet = FleetProcesses::with("time", 50, 3, 3, NODES, &config(&list));
-    fleet.until("the list is heard", || answer(send(fleet.routers[1].front)) == (200, true));
-    fleet.until("n0 is known", || fleet.order(1, "take-out n0 for 2s")["code"] == 0);
+fn a_replica_drain_with_a_duration_ends_without_a_command() {
+    let replicas: Vec<Node> = (0..2).map(|_| Node::start("127.50.9.1")).collect();
+    let entries = [endpoint_entry("n0", &replicas[0], 1), endpoint_entry("n1", &replicas[1], 1)];
+    let list = List::start("127.50.9.1", &entries);
+    let fleet = FleetProcesses::resumed_with_config("time", 50, 3, 3, LIMITS, &config(&list));
+    fleet.wait_until("r1 has received the endpoint list", || {
+        read_response(send_request(fleet.routers[1].front_addr)) == (200, true)
+    });
+    fleet.wait_until("n0 can be drained", || fleet.run_command(1, "take-out n0 for 2s")["code"] == 0);
     fleet.kill(0);
-    fleet.until("it is out", || said_of(&fleet, 1, "n0").0 == "out");
-    fleet.until("it is back", || said_of(&fleet, 2, "n0").0 == "back");
+    fleet.wait_until("n0 is out", || replica_status(&fleet, 1, "n0").0 == "out");
+    fleet.wait_until("n0 is back", || replica_status(&fleet, 2, "n0").0 == "back");
 }
--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use fleet_rig::{answer, config, row, send, FleetProcesses};
+use fleet_rig::{config, endpoint_entry, read_response, send_request, FleetProcesses};
 use tallypin_test_support::park::{List, Node};
 use tallypin_test_support::relay::Link;
 
@@ -49,14 +49,14 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let nodes: Vec<Node> = (0..4).map(|_| Node::start("127.60.9.3")).collect();
     let rows: Vec<String> =
-        nodes.iter().enumerate().map(|(i, node)| row(&format!("n{i}"), node, 1)).collect();
+        nodes.iter().enumerate().map(|(i, node)| endpoint_entry(&format!("n{i}"), node, 1)).collect();
     let list = List::start("127.60.9.3", &rows);
     let (all, zone) = ((n / 10).max(2), (n / 15).max(1));
     let begun = Instant::now();
     let bounds = format!(" out-most {all}\n out-zone {zone}");
     // A member has connections of all routers.
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
-    let fleet = FleetProcesses::with("full", 60, n, COUNCIL, &bounds, &config);
+    let fleet = FleetProcesses::resumed_with_config("full", 60, n, COUNCIL, &bounds, &config);
     fleet.supervised.store(true, Ordering::SeqCst);
     println!(
         "seed {seed}: {n} routers, {all} may be out, {zone} of a zone; all serve after {:.1} s",
@@ -97,10 +97,10 @@
                 while !over.load(Ordering::SeqCst) {
                     // As a balancer does: only to one that says it is ready, and to another if it does not connect.
                     let r = rng.usize(..n);
-                    if fleet.out(r) != Some(false) {
+                    if fleet.is_out(r) != Some(false) {
                         continue;
                     }
-                    match answer(send(fleet.routers[r].front)) {
+                    match read_response(send_request(fleet.routers[r].front_addr)) {
                         (200, true) => served,
                         (503, true) => refused,
                         _ => lost,
@@ -111,16 +111,16 @@
         }
         s.spawn(|| {
             while !over.load(Ordering::SeqCst) {
-                let (before, gone) = (faults.load(Ordering::SeqCst), fleet.gone().len());
+                let (before, gone) = (faults.load(Ordering::SeqCst), fleet.unavailable_routers().len());
                 let faults = before.max(faults.load(Ordering::SeqCst));
                 most.fetch_max(gone.saturating_sub(faults), Ordering::SeqCst);
             }
         });
         let tried = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             let at = Instant::now();
-            assert_eq!(fleet.order(1, &format!("release {}", plan.display()))["code"], 0);
-            let release = |at: usize| fleet.order(at, "status")["release"].clone();
-            fleet.until("the last wave", || release(1)["wave"] == 3);
+            assert_eq!(fleet.run_command(1, &format!("release {}", plan.display()))["code"], 0);
+            let release = |at: usize| fleet.run_command(at, "status")["release"].clone();
+            fleet.wait_until("the last wave", || release(1)["wave"] == 3);
             println!("  two waves after {:.1} s", at.elapsed().as_secs_f64());
             // Faults, one after the other: a member is killed, a router is stopped, two members are cut off.
             let member = rng.usize(2..COUNCIL);
@@ -128,40 +128,40 @@
             fleet.kill(member);
             fleet.start(member);
             let stopped = rng.usize(COUNCIL..n - 1);
-            fleet.until("one to stop", || fleet.out(stopped) == Some(false));
+            fleet.wait_until("one to stop", || fleet.is_out(stopped) == Some(false));
             faults.fetch_add(1, Ordering::SeqCst);
             fleet.signal(stopped, "-STOP");
             let part = |fleet: &FleetProcesses| fleet.log(member).matches("joined the council").count();
-            fleet.until("the killed member takes part again", || part(&fleet) >= fleet.starts(member));
+            fleet.wait_until("the killed member takes part again", || part(&fleet) >= fleet.starts(member));
             println!("  a member killed, and part of it again");
-            fleet.until("it serves", || fleet.out(member) == Some(false));
+            fleet.wait_until("it serves", || fleet.is_out(member) == Some(false));
             faults.fetch_sub(1, Ordering::SeqCst);
             let halted = Instant::now();
-            let said = fleet.order(1, "halt measured");
+            let said = fleet.run_command(1, "halt measured");
             println!(
                 "  halt, one router stopped: {:.2} s, code {}",
                 halted.elapsed().as_secs_f64(),
                 said["code"]
             );
-            assert_eq!(fleet.order(0, "resume")["code"], 0);
+            assert_eq!(fleet.run_command(0, "resume")["code"], 0);
             fleet.signal(stopped, "-CONT");
-            fleet.until("the stopped one serves", || fleet.out(stopped) == Some(false));
+            fleet.wait_until("the stopped one serves", || fleet.is_out(stopped) == Some(false));
             faults.fetch_sub(1, Ordering::SeqCst);
-            fleet.between(&[3, 4], &[0, 1, 2], Link::Cut);
+            fleet.set_links(&[3, 4], &[0, 1, 2], Link::Cut);
             let halted = Instant::now();
-            let said = fleet.order(0, "halt measured again");
+            let said = fleet.run_command(0, "halt measured again");
             println!(
                 "  halt, two of five members cut off: {:.2} s, code {}",
                 halted.elapsed().as_secs_f64(),
                 said["code"]
             );
-            fleet.between(&[3, 4], &[0, 1, 2], Link::Whole);
-            assert_eq!(fleet.order(0, "resume")["code"], 0);
-            fleet.until("it is done", || release(1)["phase"] == "done");
+            fleet.set_links(&[3, 4], &[0, 1, 2], Link::Whole);
+            assert_eq!(fleet.run_command(0, "resume")["code"], 0);
+            fleet.wait_until("it is done", || release(1)["phase"] == "done");
             println!("  released after {:.1} s in all", at.elapsed().as_secs_f64());
             let at = Instant::now();
-            assert_eq!(fleet.order(1, "back")["code"], 0);
-            fleet.until("it is undone", || release(1)["phase"] == "undone");
+            assert_eq!(fleet.run_command(1, "back")["code"], 0);
+            fleet.wait_until("it is undone", || release(1)["phase"] == "undone");
             println!("  undone after {:.1} s", at.elapsed().as_secs_f64());
         }));
         over.store(true, Ordering::SeqCst);
@@ -188,9 +188,9 @@
 fn what_agreement_costs_a_request() {
     let n = number("FLEET", 300);
     let node = Node::start("127.60.9.3");
-    let list = List::start("127.60.9.3", &[row("n0", &node, 1)]);
+    let list = List::start("127.60.9.3", &[endpoint_entry("n0", &node, 1)]);
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
-    let fleet = FleetProcesses::with(
+    let fleet = FleetProcesses::resumed_with_config(
         "cost",
         60,
         n,
@@ -204,17 +204,19 @@
     std::fs::write(&path, &text[..text.find("fleet {\n").unwrap()]).unwrap();
     fleet.kill(without);
     fleet.start(without);
-    fleet.until("it serves", || answer(send(fleet.routers[without].front)) == (200, true));
+    fleet.wait_until("it serves", || {
+        read_response(send_request(fleet.routers[without].front_addr)) == (200, true)
+    });
     let kinds = [("member", 0), ("router", n - 2), ("without", without)];
     let mut all: [Vec<u64>; 3] = Default::default();
     for round in 0..number("ROUNDS", 20) {
         for k in 0..3 {
             // Another one begins each time.
             let k = (k + round) % 3;
-            let front = fleet.routers[kinds[k].1].front;
+            let front = fleet.routers[kinds[k].1].front_addr;
             for _ in 0..200 {
                 let at = Instant::now();
-                assert_eq!(answer(send(front)), (200, true));
+                assert_eq!(read_response(send_request(front)), (200, true));
                 all[k].push(at.elapsed().as_micros() as u64);
             }
         }
--- a/router/tests/fleet_rig/mod.rs
+++ b/router/tests/fleet_rig/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of processes of the program, with relays between all of them.
+//! Starts a fleet of router processes whose connections to each other pass through relays.
 #![allow(dead_code)]
 
 use std::fs::File;
@@ -14,40 +14,43 @@
 use tallypin_test_support::park::{List, Node, Reserved};
 use tallypin_test_support::relay::{Link, Relay};
 
-/// What is awaited comes within this, or the test fails: far more than any of it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// The same of a large fleet.
-const PATIENCE_LARGE: Duration = Duration::from_secs(180);
-/// Up to so many routers a fleet is a small one.
-const SMALL: usize = 20;
-const KEY: &str = "the key of this fleet of tests\n";
-
-const QUICK: &str = "beat 100ms\n silent 1500ms\n lease 1500ms\n answer 400ms\n within 4s";
-pub const ONE: &str = " out-most 1\n out-zone 1";
-pub const THREE: &str = " out-most 3\n out-zone 2";
+/// Maximum wait for a condition in a small fleet, well above what any condition takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum wait for a condition in a large fleet.
+const LARGE_FLEET_WAIT_TIMEOUT: Duration = Duration::from_secs(180);
+/// Maximum number of routers of a small fleet.
+const SMALL_FLEET_ROUTERS: usize = 20;
+const FLEET_KEY: &str = "the key of this fleet of tests\n";
+
+/// Settings of the heartbeats and leases of a small fleet, shorter than the defaults.
+const FAST_TIMINGS: &str = "beat 100ms\n silent 1500ms\n lease 1500ms\n answer 400ms\n within 4s";
+/// Settings that allow one router to be out of service at a time.
+pub const ONE_OUT: &str = " out-most 1\n out-zone 1";
+/// Settings that allow three routers to be out of service at a time, two of them in one zone.
+pub const THREE_OUT: &str = " out-most 3\n out-zone 2";
 pub const CONFIG: &str = include_str!("../../../examples/config.json");
 
-/// A configuration that watches this list; replicas warm up for a second, and tenants' quotas are wide.
+/// Returns the example configuration with this endpoint list service, a warm-up of 1 s and large tenant quotas.
 pub fn config(list: &List) -> String {
     let config = CONFIG.replace("127.0.0.1:8500", &list.at.to_string());
     let config = config.replace("\"ColdNs\": 23000000000", "\"ColdNs\": 1000000000");
     config.replace("\"QuotaPerS\": 19.0", "\"QuotaPerS\": 1900.0")
 }
 
-/// A row of the list.
-pub fn row(id: &str, node: &Node, started_ms: u64) -> String {
+/// Returns an active entry of the endpoint list as JSON.
+pub fn endpoint_entry(id: &str, node: &Node, started_ms: u64) -> String {
     let at = node.at;
     format!(
         r#"{{"id":"{id}","addr":"{at}","zone":"rz-garching","kind":"gpu-neu","state":"active","started_ms":{started_ms}}}"#
     )
 }
 
-/// Sends a request; its connection, to read the answer from.
-pub fn send(front: SocketAddr) -> Option<TcpStream> {
-    static LAST: AtomicUsize = AtomicUsize::new(0);
-    let mut stream = TcpStream::connect(front).ok()?;
+/// Sends a request and returns the connection to read the response from.
+pub fn send_request(front_addr: SocketAddr) -> Option<TcpStream> {
+    static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
+    let mut stream = TcpStream::connect(front_addr).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(8))).ok()?;
-    let id = LAST.fetch_add(1, Ordering::SeqCst);
+    let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let head = format!("Req-Id: t-{id}\r\nReq-Kind: chat\r\nReq-Owner: haendlerbund\r\nConnection: close\r\nContent-Length: 2\r\n");
     stream
         .write_all(format!("POST /v1/chat/completions HTTP/1.1\r\nHost: t\r\n{head}\r\n{{}}").as_bytes())
@@ -55,179 +58,194 @@
     Some(stream)
 }
 
-/// The status of an answer, and whether it is whole; 0: there was none.
-pub fn answer(stream: Option<TcpStream>) -> (u16, bool) {
-    let mut said = String::new();
-    let read = stream.map(|mut s| s.read_to_string(&mut said));
-    let status = said.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0);
-    (status, matches!(read, Some(Ok(_))) && (status != 200 || said.contains("[DONE]")))
+/// Returns the status of a response, 0 if there was none, and whether the response is complete.
+pub fn read_response(stream: Option<TcpStream>) -> (u16, bool) {
+    let mut response = String::new();
+    let read = stream.map(|mut s| s.read_to_string(&mut response));
+    let status = response.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0);
+    (status, matches!(read, Some(Ok(_))) && (status != 200 || response.contains("[DONE]")))
 }
 
 pub struct RouterProcess {
     pub name: String,
-    pub agent: SocketAddr,
-    pub at: SocketAddr,
+    /// Address of the agent check.
+    pub agent_addr: SocketAddr,
+    /// Address for messages of the fleet.
+    pub fleet_addr: SocketAddr,
+    /// Holds the files of this router: settings, configuration, key, log, control socket and release store.
     pub dir: PathBuf,
     pub child: Mutex<Option<Child>>,
-    /// How often it was started.
+    /// Number of times the process was started.
     pub starts: AtomicUsize,
-    pub front: SocketAddr,
+    /// Address for client requests.
+    pub front_addr: SocketAddr,
 }
 
 impl RouterProcess {
-    /// One that has not been started, with addresses of its own.
+    /// Reserves the addresses of a router and creates its directory, without starting the process.
     fn new(r: usize, ip: &str, dir: PathBuf, reserved: &mut Vec<Reserved>) -> RouterProcess {
-        let [agent, at, front] = [(); 3].map(|()| {
+        let [agent_addr, fleet_addr, front_addr] = [(); 3].map(|()| {
             reserved.push(Reserved::on(ip).unwrap());
             reserved[reserved.len() - 1].at
         });
         std::fs::create_dir_all(&dir).unwrap();
         let (child, starts) = (Mutex::default(), AtomicUsize::new(0));
-        RouterProcess { name: format!("r{r}"), agent, at, dir, child, starts, front }
+        RouterProcess { name: format!("r{r}"), agent_addr, fleet_addr, dir, child, starts, front_addr }
     }
 }
 
 pub struct FleetProcesses {
     pub routers: Vec<RouterProcess>,
-    /// Whoever has ended is started again, as a supervisor does.
+    /// Whether waiting for a condition restarts routers that have ended, as a supervisor does.
     pub supervised: AtomicBool,
-    /// The endpoint list and the replica where a test brings none.
-    pub park: (List, Node),
-    /// By who calls and who is called.
+    /// Endpoint list service and replica for tests that provide none.
+    pub default_endpoints: (List, Node),
+    /// By the index of the calling router, then of the called one.
     relays: Vec<Vec<Option<Relay>>>,
-    /// Their addresses, kept from everybody else.
+    /// Keeps other processes from being given the addresses of the routers.
     _reserved: Vec<Reserved>,
 }
 
-fn ip(net: u8, r: usize) -> String {
+/// Returns the loopback address of the router with index `r`; `net` separates concurrent tests.
+fn router_ip(net: u8, r: usize) -> String {
     format!("127.{net}.{}.{}", r % 250 + 1, r / 250 + 1)
 }
 
-/// Only members are called. Of a large fleet only members have relays: each takes threads.
-fn relays(net: u8, routers: &[RouterProcess], council: usize) -> Vec<Vec<Option<Relay>>> {
-    let relayed =
-        |from: usize, to: usize| from != to && to < council && (from < council || routers.len() <= SMALL);
+/// Starts relays to the council members, as other routers are not called. In a large fleet only links between members have
+/// a relay, because each relay takes threads.
+fn start_relays(net: u8, routers: &[RouterProcess], council: usize) -> Vec<Vec<Option<Relay>>> {
+    let relayed = |from: usize, to: usize| {
+        from != to && to < council && (from < council || routers.len() <= SMALL_FLEET_ROUTERS)
+    };
     let relay = |from: usize, to: usize| {
-        relayed(from, to).then(|| Relay::start(&ip(net, from), routers[to].at).unwrap())
+        relayed(from, to).then(|| Relay::start(&router_ip(net, from), routers[to].fleet_addr).unwrap())
     };
     (0..routers.len()).map(|from| (0..routers.len()).map(|to| relay(from, to)).collect()).collect()
 }
 
-/// The settings of a router.
+/// Returns the text of a router's settings.
 fn settings(
     own: usize,
     routers: &[RouterProcess],
     relays: &[Option<Relay>],
     council: usize,
-    bounds: &str,
+    limits: &str,
 ) -> String {
     let router = &routers[own];
     let dir = router.dir.display();
-    // A small fleet at a pace of its own, a large one as it ships.
-    let pace = if routers.len() > SMALL { "" } else { QUICK };
+    // A large fleet has the default timings.
+    let timings = if routers.len() > SMALL_FLEET_ROUTERS { "" } else { FAST_TIMINGS };
     let mut text = format!(
         "log {{\n level warn\n target fleet debug\n}}\n\
          checks {{\n agent {{\n listen {}\n}}\n}}\ncontrol {{\n socket {dir}/ctl\n}}\n\
          drain {{\n least 1ms\n settle 1ms\n parting 1ms\n unknown-interval 1ms\n intervals 1\n}}\n\
-         fleet {{\n name test\n me r{own}\n key {dir}/key\n {pace}\n{bounds}\n\
+         fleet {{\n name test\n me r{own}\n key {dir}/key\n {timings}\n{limits}\n\
          store {dir}/stored\n release settings {dir}/t.conf {dir}/store\n \
          release configuration {dir}/config.json {dir}/store\n council",
-        router.agent,
+        router.agent_addr,
     );
     (0..council).for_each(|r| text += &format!(" r{r}"));
     for (r, other) in routers.iter().enumerate() {
-        let at = relays[r].as_ref().map_or(other.at, |relay| relay.at);
-        text += &format!("\n router r{r} {at} zone-{}", r % 2);
+        let addr = relays[r].as_ref().map_or(other.fleet_addr, |relay| relay.at);
+        text += &format!("\n router r{r} {addr} zone-{}", r % 2);
     }
     text + "\n}\n"
 }
 
 impl FleetProcesses {
-    /// So many routers, alternately of two zones, the first of them the council; `bounds` are lines of the settings.
+    /// Starts a fleet in which routers alternate between two zones and the first `council` routers are the council.
+    /// `limits` are lines of the settings.
     pub fn new(
         test: &str,
         net: u8,
         routers: usize,
         council: usize,
-        bounds: &str,
+        limits: &str,
         config: &str,
     ) -> FleetProcesses {
-        // Without replicas nobody would be ready.
+        // Routers without replicas do not become ready.
         let node = Node::start(&format!("127.{net}.9.2"));
-        let list = List::start(&format!("127.{net}.9.2"), &[row("n0", &node, 1)]);
+        let list = List::start(&format!("127.{net}.9.2"), &[endpoint_entry("n0", &node, 1)]);
         let config = if config == CONFIG { &self::config(&list) } else { config };
         let base = std::env::temp_dir().join(format!("tallypin-fleet-{test}-{}", std::process::id()));
         let mut reserved = Vec::new();
         let routers: Vec<RouterProcess> = (0..routers)
-            .map(|r| RouterProcess::new(r, &ip(net, r), base.join(format!("r{r}")), &mut reserved))
+            .map(|r| RouterProcess::new(r, &router_ip(net, r), base.join(format!("r{r}")), &mut reserved))
             .collect();
-        let relays = relays(net, &routers, council);
+        let relays = start_relays(net, &routers, council);
         for (own, router) in routers.iter().enumerate() {
-            std::fs::write(router.dir.join("key"), KEY).unwrap();
+            std::fs::write(router.dir.join("key"), FLEET_KEY).unwrap();
             std::fs::write(router.dir.join("config.json"), config).unwrap();
             std::fs::create_dir_all(router.dir.join("store")).unwrap();
-            let text = settings(own, &routers, &relays[own], council, bounds);
+            let text = settings(own, &routers, &relays[own], council, limits);
             std::fs::write(router.dir.join("t.conf"), text).unwrap();
         }
         let fleet = FleetProcesses {
             routers,
             relays,
             supervised: AtomicBool::new(false),
-            park: (list, node),
+            default_endpoints: (list, node),
             _reserved: reserved,
         };
         (0..fleet.routers.len()).for_each(|r| fleet.start(r));
         fleet
     }
 
-    /// The same, bootstrapped and resumed.
-    pub fn begun(test: &str, net: u8, routers: usize, council: usize, bounds: &str) -> FleetProcesses {
-        FleetProcesses::with(test, net, routers, council, bounds, CONFIG)
+    /// Starts a fleet, then bootstraps and resumes it.
+    pub fn resumed(test: &str, net: u8, routers: usize, council: usize, limits: &str) -> FleetProcesses {
+        FleetProcesses::resumed_with_config(test, net, routers, council, limits, CONFIG)
     }
 
-    /// The same with another configuration.
-    pub fn with(
+    /// Starts a fleet with this configuration, then bootstraps and resumes it.
+    pub fn resumed_with_config(
         test: &str,
         net: u8,
         routers: usize,
         council: usize,
-        bounds: &str,
+        limits: &str,
         config: &str,
     ) -> FleetProcesses {
-        let fleet = FleetProcesses::new(test, net, routers, council, bounds, config);
-        fleet.until("all are of the council", || fleet.order(0, "status")["halted"].is_string());
-        // With an id it runs once, however often it is sent.
-        fleet.until("it goes on", || fleet.order(0, "--id begin resume")["done"] == true);
-        fleet.until("all take orders", || (0..routers).all(|r| fleet.order(r, "status")["done"] == true));
-        let none = serde_json::json!([]);
-        fleet.until("all are seen to serve", || {
-            (0..council).all(|r| fleet.order(r, "status")["out_here"] == none)
+        let fleet = FleetProcesses::new(test, net, routers, council, limits, config);
+        fleet.wait_until("the council is bootstrapped", || {
+            fleet.run_command(0, "status")["halted"].is_string()
+        });
+        // A command with an id takes effect once, however often it is sent.
+        fleet
+            .wait_until("the fleet is resumed", || fleet.run_command(0, "--id begin resume")["done"] == true);
+        fleet.wait_until("all routers answer commands", || {
+            (0..routers).all(|r| fleet.run_command(r, "status")["done"] == true)
+        });
+        let nobody = serde_json::json!([]);
+        fleet.wait_until("every council member sees all routers in service", || {
+            (0..council).all(|r| fleet.run_command(r, "status")["out_here"] == nobody)
         });
         fleet
     }
 
     pub fn start(&self, r: usize) {
-        self.start_with(r, &[]);
+        self.start_with_env(r, &[]);
     }
 
-    /// The same, with more in its environment.
-    pub fn start_with(&self, r: usize, environment: &[(&str, &str)]) {
+    /// Starts a router with additional environment variables.
+    pub fn start_with_env(&self, r: usize, environment: &[(&str, &str)]) {
         let router = &self.routers[r];
         let log = File::options().create(true).append(true).open(router.dir.join("log")).unwrap();
         let mut serve = Command::new(env!("CARGO_BIN_EXE_tallypin"));
         serve.env_clear().arg("serve").arg("--settings").arg(router.dir.join("t.conf"));
         serve.env("PROXY_CONFIG", router.dir.join("config.json"));
-        serve.env("PROXY_LISTEN", router.front.to_string()).stdout(Stdio::null()).stderr(log);
+        serve.env("PROXY_LISTEN", router.front_addr.to_string()).stdout(Stdio::null()).stderr(log);
         serve.envs(environment.iter().copied());
         *router.child.lock().unwrap() = Some(serve.spawn().unwrap());
         router.starts.fetch_add(1, Ordering::SeqCst);
     }
 
+    /// Sends a router a signal, named as `kill` takes it.
     pub fn signal(&self, r: usize, name: &str) {
         let id = self.routers[r].child.lock().unwrap().as_ref().unwrap().id();
         assert!(Command::new("kill").args([name, &id.to_string()]).status().unwrap().success());
     }
 
+    /// Kills a router and waits for its end.
     pub fn kill(&self, r: usize) {
         let mut child = self.routers[r].child.lock().unwrap().take().unwrap();
         child.kill().unwrap();
@@ -238,8 +256,8 @@
         self.routers[r].starts.load(Ordering::SeqCst)
     }
 
-    /// Starts again whoever has ended by itself.
-    pub fn supervise(&self) {
+    /// Restarts the routers whose process has ended by itself.
+    pub fn restart_ended_routers(&self) {
         for r in 0..self.routers.len() {
             let ended = |child: &mut Child| child.try_wait().unwrap().is_some();
             let ended = self.routers[r].child.lock().unwrap().as_mut().is_some_and(ended);
@@ -249,42 +267,43 @@
         }
     }
 
-    /// An order at a router, as an operator gives it; what it prints, and `code`, the exit code.
-    pub fn order(&self, r: usize, order: &str) -> Value {
+    /// Runs `tallypin fleet` at a router and returns the JSON that it prints, with the exit code as `code`.
+    pub fn run_command(&self, r: usize, arguments: &str) -> Value {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tallypin"));
-        command.arg("fleet").arg("--socket").arg(self.routers[r].dir.join("ctl")).args(order.split(' '));
+        command.arg("fleet").arg("--socket").arg(self.routers[r].dir.join("ctl")).args(arguments.split(' '));
         let out = command.output().unwrap();
-        let mut said: Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
-        if said.is_object() {
-            said["code"] = out.status.code().into();
+        let mut reply: Value = serde_json::from_slice(&out.stdout).unwrap_or_default();
+        if reply.is_object() {
+            reply["code"] = out.status.code().into();
         }
-        said
+        reply
     }
 
-    /// Whether a router is out of service, as a balancer's check has it; `None`: it does not answer.
-    pub fn out(&self, r: usize) -> Option<bool> {
-        let mut stream = TcpStream::connect(self.routers[r].agent).ok()?;
+    /// Returns whether a router is out of service by its agent check, as a balancer sees it, or `None` without an answer.
+    pub fn is_out(&self, r: usize) -> Option<bool> {
+        let mut stream = TcpStream::connect(self.routers[r].agent_addr).ok()?;
         stream.set_read_timeout(Some(Duration::from_millis(500))).ok()?;
         stream.write_all(b"\n").ok()?;
-        let mut said = String::new();
-        stream.read_to_string(&mut said).ok()?;
-        Some(!said.contains("ready"))
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer).ok()?;
+        Some(!answer.contains("ready"))
     }
 
-    /// Who is out at one moment: asked one after the other, so whoever is out both before and after the others were asked.
-    pub fn all_out(&self) -> Vec<usize> {
-        let mut out: Vec<usize> = (0..self.routers.len()).filter(|&r| self.out(r) == Some(true)).collect();
-        out.retain(|&r| self.out(r) == Some(true));
+    /// Returns the routers that are out of service at the same moment. Routers are checked one after the other, so only
+    /// those that are out in two consecutive rounds count.
+    pub fn routers_out(&self) -> Vec<usize> {
+        let mut out: Vec<usize> = (0..self.routers.len()).filter(|&r| self.is_out(r) == Some(true)).collect();
+        out.retain(|&r| self.is_out(r) == Some(true));
         out
     }
 
-    /// How many do not serve, seen from outside: drained, starting, dead or stopped.
-    pub fn gone(&self) -> Vec<usize> {
+    /// Returns the routers whose agent check does not report them ready: drained, starting, dead or stopped.
+    pub fn unavailable_routers(&self) -> Vec<usize> {
         let all: Vec<usize> = (0..self.routers.len()).collect();
         std::thread::scope(|s| {
             let parts = all.chunks(60).map(|part| {
                 s.spawn(move || {
-                    part.iter().copied().filter(|&r| self.out(r) != Some(false)).collect::<Vec<_>>()
+                    part.iter().copied().filter(|&r| self.is_out(r) != Some(false)).collect::<Vec<_>>()
                 })
             });
             let parts: Vec<_> = parts.collect();
@@ -292,34 +311,45 @@
         })
     }
 
-    /// Waits until it is so; what is out by the way must never be more than `most`.
-    pub fn until_within(&self, what: &str, most: usize, so: impl Fn() -> bool) {
-        let begun = Instant::now();
-        while !so() {
+    /// Waits until the condition holds, and fails if more than `max_out` routers are out of service meanwhile.
+    pub fn wait_until_with_max_out(&self, what: &str, max_out: usize, condition: impl Fn() -> bool) {
+        let started_at = Instant::now();
+        while !condition() {
             if self.supervised.load(Ordering::SeqCst) {
-                self.supervise();
+                self.restart_ended_routers();
             }
-            let out = self.all_out();
-            assert!(out.len() <= most, "{out:?} are out at once: {what}");
-            let patience = if self.routers.len() > SMALL { PATIENCE_LARGE } else { PATIENCE };
-            assert!(begun.elapsed() < patience, "not in time: {what}; {}", self.order(0, "status"));
+            let out = self.routers_out();
+            assert!(
+                out.len() <= max_out,
+                "too many routers are out of service at once: {out:?}, while waiting until {what}"
+            );
+            let timeout = if self.routers.len() > SMALL_FLEET_ROUTERS {
+                LARGE_FLEET_WAIT_TIMEOUT
+            } else {
+                WAIT_TIMEOUT
+            };
+            assert!(
+                started_at.elapsed() < timeout,
+                "timed out waiting until {what}; status: {}",
+                self.run_command(0, "status")
+            );
         }
     }
 
-    pub fn until(&self, what: &str, so: impl Fn() -> bool) {
-        self.until_within(what, usize::MAX, so);
+    pub fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
+        self.wait_until_with_max_out(what, usize::MAX, condition);
     }
 
-    /// The order that a router is out, or to go, by, and how far it has come.
-    pub fn stage(&self, at: usize, of: usize) -> String {
-        let said = self.order(at, "status");
-        let name = self.routers[of].name.as_str();
-        let entry = said["entries"].as_array().and_then(|all| all.iter().find(|e| e["router"] == name));
+    /// Returns the stage of a router's drain, as the router `queried` reports it; empty if none is ordered.
+    pub fn stage(&self, queried: usize, router: usize) -> String {
+        let status = self.run_command(queried, "status");
+        let name = self.routers[router].name.as_str();
+        let entry = status["entries"].as_array().and_then(|all| all.iter().find(|e| e["router"] == name));
         entry.map_or(String::new(), |e| e["stage"].as_str().unwrap_or_default().to_string())
     }
 
-    /// How often a router has asked for leave and was refused for want of room, as its log tells.
-    pub fn refused(&self, r: usize) -> usize {
+    /// Counts in a router's log the lease requests that were refused because too many routers were out.
+    pub fn lease_refusals(&self, r: usize) -> usize {
         let log = self.log(r);
         log.lines()
             .filter(|l| {
@@ -332,8 +362,8 @@
         std::fs::read_to_string(self.routers[r].dir.join("log")).unwrap()
     }
 
-    /// Links between two sides, both ways.
-    pub fn between(&self, one: &[usize], other: &[usize], link: Link) {
+    /// Sets the links between two groups of routers, in both directions.
+    pub fn set_links(&self, one: &[usize], other: &[usize], link: Link) {
         let pairs = one.iter().flat_map(|&a| other.iter().flat_map(move |&b| [(a, b), (b, a)]));
         pairs.filter_map(|(from, to)| self.relays[from][to].as_ref()).for_each(|relay| relay.set(link));
     }
--- a/router/tests/recorded_fleet/messages.rs
+++ b/router/tests/recorded_fleet/messages.rs
@@ -95,7 +95,7 @@
 /// version, which is not answered.
 #[test]
 fn a_running_router_answers_a_sealed_call_as_recorded() {
-    let fleet = FleetProcesses::begun("recorded-calls", 73, 1, 1, fleet_rig::ONE);
+    let fleet = FleetProcesses::resumed("recorded-calls", 73, 1, 1, fleet_rig::ONE_OUT);
     let keys = Keys::read("test", "the key of this fleet of tests").unwrap();
     let mut got = String::new();
     for (case, body) in [
@@ -104,7 +104,7 @@
         ("of a later version", r#"{"v":2,"from":200,"life":7,"number":5,"what":"life"}"#),
     ] {
         let value: Box<serde_json::value::RawValue> = serde_json::from_str(body).unwrap();
-        let mut stream = TcpStream::connect(fleet.routers[0].at).unwrap();
+        let mut stream = TcpStream::connect(fleet.routers[0].fleet_addr).unwrap();
         stream.write_all(&keys.seal(Direction::Call, &value).unwrap()).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         let mut said = Vec::new();
@@ -112,6 +112,6 @@
         let (head, json) = said.split_at(HEAD.min(said.len()));
         writeln!(got, "{case}: {} {}", hex(head), std::str::from_utf8(json).unwrap()).unwrap();
     }
-    fleet.until("two are counted", || fleet.order(0, "status")["spoilt"] == 2);
+    fleet.wait_until("two are counted", || fleet.run_command(0, "status")["spoilt"] == 2);
     same("answered.txt", &got);
 }
--- a/router/tests/recorded_fleet/orders.rs
+++ b/router/tests/recorded_fleet/orders.rs
@@ -5,7 +5,7 @@
 
 use crate::command_line::{masked, order};
 use crate::data::same;
-use crate::fleet_rig::{answer, send, FleetProcesses};
+use crate::fleet_rig::{read_response, send_request, FleetProcesses};
 
 /// The version after the first state and the order that resumes it, where one round bootstraps the fleet.
 const VERSION_AT_FIRST: u64 = 1_000_001;
@@ -31,9 +31,11 @@
 #[test]
 fn orders_to_a_running_fleet_are_answered_as_recorded() {
     let bounds = " out-most 1\n out-zone 1\n nodes-out-most 1";
-    let fleet = FleetProcesses::begun("recorded-orders", 72, 3, 3, bounds);
-    fleet.until("the list is heard", || answer(send(fleet.routers[1].front)) == (200, true));
-    let skipped = fleet.order(0, "status")["version"].as_u64().unwrap() - VERSION_AT_FIRST;
+    let fleet = FleetProcesses::resumed("recorded-orders", 72, 3, 3, bounds);
+    fleet.wait_until("the list is heard", || {
+        read_response(send_request(fleet.routers[1].front_addr)) == (200, true)
+    });
+    let skipped = fleet.run_command(0, "status")["version"].as_u64().unwrap() - VERSION_AT_FIRST;
     assert_eq!(skipped % SKIPPED_BY_A_ROUND, 0, "the fleet begins with one order");
     let plan = |name: &str, text: &str| std::fs::write(fleet.routers[0].dir.join(name), text).unwrap();
     let digest = "ab".repeat(32);
@@ -45,7 +47,7 @@
     let mut got = String::new();
     let all = serde_json::json!(["r0", "r1", "r2"]);
     let mut play = |words: &str| {
-        fleet.until("all answer", || fleet.order(0, "status")["council"] == all);
+        fleet.wait_until("all answer", || fleet.run_command(0, "status")["council"] == all);
         let (code, text) = order(&fleet, 0, words);
         writeln!(got, "$ fleet {words}\nexit {code}\n{}", masked(&fleet, &text)).unwrap();
     };
@@ -92,16 +94,16 @@
     let (code, text) = order(&fleet, 0, "--id r1 resume");
     writeln!(got, "$ fleet --id r1 resume\nexit {code}\n{}", masked(&fleet, &text)).unwrap();
     let status_of_node = |stage: &'static str| {
-        let node = |key: &str| fleet.order(0, "status")["nodes"][0][key].clone();
-        fleet.until("the node's stage", || node("stage") == stage && node("clear") != false);
+        let node = |key: &str| fleet.run_command(0, "status")["nodes"][0][key].clone();
+        fleet.wait_until("the node's stage", || node("stage") == stage && node("clear") != false);
         let (code, text) = order(&fleet, 0, "status");
         format!("$ fleet status, of a node that is {stage}\nexit {code}\n{}\n", masked(&fleet, &text))
     };
-    assert_eq!(fleet.order(0, "--id t6 take-out n0 for 2h")["code"], 0);
+    assert_eq!(fleet.run_command(0, "--id t6 take-out n0 for 2h")["code"], 0);
     got += &status_of_node("out");
-    assert_eq!(fleet.order(0, "--id t7 put-back n0")["code"], 0);
+    assert_eq!(fleet.run_command(0, "--id t7 put-back n0")["code"], 0);
     got += &status_of_node("back");
-    let status = fleet.order(0, "status");
+    let status = fleet.run_command(0, "status");
     assert_eq!(status["runs"][status["release"]["runs_here"].as_str().unwrap()], 3);
     same("orders.txt", &from_the_first_round(&got, skipped));
 }
--- a/router/tests/recorded_fleet/stored_folder.rs
+++ b/router/tests/recorded_fleet/stored_folder.rs
@@ -4,15 +4,15 @@
 
 use crate::command_line::{masked, order};
 use crate::data::{read, same};
-use crate::fleet_rig::{self, answer, send, FleetProcesses, CONFIG};
+use crate::fleet_rig::{self, read_response, send_request, FleetProcesses, CONFIG};
 
 /// All of a council start from what is recorded in `folder`, one with a release on trial that has never come to serve: they
 /// begin on it and serve.
 #[test]
 fn routers_start_from_a_recorded_folder_and_serve() {
-    let fleet = FleetProcesses::new("recorded-folder", 71, 3, 3, fleet_rig::ONE, CONFIG);
+    let fleet = FleetProcesses::new("recorded-folder", 71, 3, 3, fleet_rig::ONE_OUT, CONFIG);
     let none = serde_json::json!([]);
-    fleet.until("all begin", || fleet.order(0, "status")["halted"].is_string());
+    fleet.wait_until("all begin", || fleet.run_command(0, "status")["halted"].is_string());
     (0..3).for_each(|r| fleet.kill(r));
     let old = std::fs::read(fleet.routers[2].dir.join("config.json")).unwrap();
     for r in 0..3 {
@@ -30,7 +30,9 @@
     std::fs::write(dir.join("config.json.trial"), trial.replace("NEW", &release_files::digest(&new)))
         .unwrap();
     (0..3).for_each(|r| fleet.start(r));
-    fleet.until("they begin on it", || fleet.order(0, "status")["version"].as_u64() >= Some(1_000_042));
+    fleet.wait_until("they begin on it", || {
+        fleet.run_command(0, "status")["version"].as_u64() >= Some(1_000_042)
+    });
     assert_eq!(std::fs::read(dir.join("config.json")).unwrap(), old, "the trial is gone back from");
     assert!(!dir.join("config.json.trial").exists());
     let said = fleet.log(2);
@@ -39,9 +41,9 @@
         release_files::digest(&new)
     );
     assert!(said.contains(&format!("tallypin: {rolled_back}\n")), "{said}");
-    fleet.until("all are heard", || (0..3).all(|r| fleet.order(r, "status")["out_here"] == none));
-    fleet.until("all have told what they do", || {
-        let status = fleet.order(0, "status");
+    fleet.wait_until("all are heard", || (0..3).all(|r| fleet.run_command(r, "status")["out_here"] == none));
+    fleet.wait_until("all have told what they do", || {
+        let status = fleet.run_command(0, "status");
         status["council"].as_array().unwrap().len() == 3
             && status["nodes"][0]["clear"] == true
             && status["runs"] == serde_json::json!({ digest.as_str(): 3 })
@@ -49,8 +51,10 @@
     let (code, text) = order(&fleet, 0, "status");
     same("folder/status.txt", &format!("exit {code}\n{}", masked(&fleet, &text)));
     for r in 0..3 {
-        fleet.until("it serves", || answer(send(fleet.routers[r].front)) == (200, true));
+        fleet.wait_until("it serves", || {
+            read_response(send_request(fleet.routers[r].front_addr)) == (200, true)
+        });
     }
-    assert_eq!(fleet.order(1, "resume")["code"], 0);
-    fleet.until("what was ordered before goes on", || fleet.stage(0, 1) == "out");
+    assert_eq!(fleet.run_command(1, "resume")["code"], 0);
+    fleet.wait_until("what was ordered before goes on", || fleet.stage(0, 1) == "out");
 }
