--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -1,6 +1,7 @@
-//! Fleets of full size, outside CI: `FLEET=300 SEEDS=1-5 cargo test --release -p tallypin-router --test fleet_full --
-//! --ignored --nocapture`. A release in waves under load, with a member killed, a router stopped and a zone of members cut
-//! off from the others; a halt in the middle of it, and the way back. It prints figures; what must never be fails it.
+//! Tests with fleets of full size, outside CI: `FLEET=300 SEED=1 SEEDS=5 cargo test --release -p tallypin-router --test
+//! fleet_full -- --ignored --nocapture`. `FLEET` is the number of routers, `SEED` the first seed and `SEEDS` the number of
+//! seeds. A release runs in waves under load while a member is killed, a router is stopped, two members are cut off and
+//! the fleet is halted; then it is rolled back. The tests print measurements.
 #![allow(missing_docs)]
 
 mod fleet_rig;
@@ -14,69 +15,71 @@
 
 const COUNCIL: usize = 5;
 
-fn number(name: &str, otherwise: usize) -> usize {
-    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(otherwise)
+/// Returns a number from the environment.
+fn env_number(name: &str, default: usize) -> usize {
+    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// User and system time of all routers so far, s.
-fn processor(fleet: &FleetProcesses) -> f64 {
-    let one = |r: &fleet_rig::RouterProcess| -> Option<f64> {
+/// Returns the user and system time that all routers have used so far, in seconds.
+fn cpu_seconds(fleet: &FleetProcesses) -> f64 {
+    let router_seconds = |r: &fleet_rig::RouterProcess| -> Option<f64> {
         let id = r.child.lock().unwrap().as_ref()?.id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
-        let words: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-        Some((words.get(11)?.parse::<f64>().ok()? + words.get(12)?.parse::<f64>().ok()?) / 100.0)
+        let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
+        Some((fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?) / 100.0)
     };
-    fleet.routers.iter().filter_map(one).sum()
+    fleet.routers.iter().filter_map(router_seconds).sum()
 }
 
-/// Packets and bytes of the loopback so far.
-fn loopback() -> (f64, f64) {
+/// Returns the packets and bytes that the loopback interface has received so far.
+fn loopback_traffic() -> (f64, f64) {
     let dev = std::fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = dev.lines().find(|l| l.trim_start().starts_with("lo:")).unwrap_or("");
-    let words: Vec<f64> = line.split_whitespace().skip(1).filter_map(|w| w.parse().ok()).collect();
-    (words.get(1).copied().unwrap_or(0.0), words.first().copied().unwrap_or(0.0))
+    let fields: Vec<f64> = line.split_whitespace().skip(1).filter_map(|w| w.parse().ok()).collect();
+    (fields.get(1).copied().unwrap_or(0.0), fields.first().copied().unwrap_or(0.0))
 }
 
 #[test]
 #[ignore = "full size: minutes, hundreds of processes"]
-fn a_release_under_load_and_faults_at_full_size() {
-    let n = number("FLEET", 300);
-    let (first, last) = (number("SEED", 1), number("SEED", 1) + number("SEEDS", 1));
-    (first..last).for_each(|seed| one(n, seed as u64));
+fn a_release_keeps_to_the_limit_under_load_and_faults_at_full_size() {
+    let n = env_number("FLEET", 300);
+    let (first, last) = (env_number("SEED", 1), env_number("SEED", 1) + env_number("SEEDS", 1));
+    (first..last).for_each(|seed| run_release(n, seed as u64));
 }
 
-fn one(n: usize, seed: u64) {
+/// Runs a release with faults that the seed picks in a fleet of `n` routers.
+fn run_release(n: usize, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let nodes: Vec<Node> = (0..4).map(|_| Node::start("127.60.9.3")).collect();
-    let rows: Vec<String> =
+    let entries: Vec<String> =
         nodes.iter().enumerate().map(|(i, node)| endpoint_entry(&format!("n{i}"), node, 1)).collect();
-    let list = List::start("127.60.9.3", &rows);
-    let (all, zone) = ((n / 10).max(2), (n / 15).max(1));
-    let begun = Instant::now();
-    let bounds = format!(" out-most {all}\n out-zone {zone}");
-    // A member has connections of all routers.
+    let list = List::start("127.60.9.3", &entries);
+    let (max_out, max_out_in_zone) = ((n / 10).max(2), (n / 15).max(1));
+    let started_at = Instant::now();
+    let limits = format!(" out-most {max_out}\n out-zone {max_out_in_zone}");
+    // A member of the council holds a connection of each router.
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
-    let fleet = FleetProcesses::resumed_with_config("full", 60, n, COUNCIL, &bounds, &config);
+    let fleet = FleetProcesses::resumed_with_config("full", 60, n, COUNCIL, &limits, &config);
     fleet.supervised.store(true, Ordering::SeqCst);
     println!(
-        "seed {seed}: {n} routers, {all} may be out, {zone} of a zone; all serve after {:.1} s",
-        begun.elapsed().as_secs_f64()
+        "seed {seed}: {n} routers, at most {max_out} out of service, {max_out_in_zone} in a zone; all in service after {:.1} s",
+        started_at.elapsed().as_secs_f64()
     );
 
-    // Nothing going on: what agreement costs by itself.
-    let (cpu, (packets, bytes), at) = (processor(&fleet), loopback(), Instant::now());
-    std::thread::sleep(Duration::from_secs(10)); // A span that is measured, nothing that is waited for.
-    let (took, each) = (at.elapsed().as_secs_f64(), n as f64);
-    let (p, b) = loopback();
+    // Measures the cost of agreement in an idle fleet.
+    let (cpu, (packets, bytes), measured_from) = (cpu_seconds(&fleet), loopback_traffic(), Instant::now());
+    std::thread::sleep(Duration::from_secs(10)); // The measured period.
+    let (duration_s, router_count) = (measured_from.elapsed().as_secs_f64(), n as f64);
+    let (packets_after, bytes_after) = loopback_traffic();
     println!(
-        "  at rest, a router a second: {:.1} packets, {:.0} bytes, {:.2} ms of processor",
-        (p - packets) / took / each,
-        (b - bytes) / took / each,
-        (processor(&fleet) - cpu) / took / each * 1000.0
+        "  idle fleet, per router and second: {:.1} packets, {:.0} bytes, {:.2} ms of processor time",
+        (packets_after - packets) / duration_s / router_count,
+        (bytes_after - bytes) / duration_s / router_count,
+        (cpu_seconds(&fleet) - cpu) / duration_s / router_count * 1000.0
     );
 
-    let text = std::fs::read_to_string(fleet.routers[0].dir.join("config.json")).unwrap();
-    let new = text.replace("8c1f30d27a5be964", "8c1f30d27a5be965");
+    let old = std::fs::read_to_string(fleet.routers[0].dir.join("config.json")).unwrap();
+    let new = old.replace("8c1f30d27a5be964", "8c1f30d27a5be965");
     let digest = blake3::hash(new.as_bytes()).to_hex().to_string();
     fleet.routers.iter().for_each(|r| std::fs::write(r.dir.join("store").join(&digest), &new).unwrap());
     let plan = fleet.routers[0].dir.join("plan");
@@ -84,18 +87,18 @@
     std::fs::write(&plan, format!("release {{\n what configuration\n digest {digest}\n{waves}\n}}\n"))
         .unwrap();
 
-    let over = AtomicBool::new(false);
-    let (served, lost, refused, most) =
+    let is_over = AtomicBool::new(false);
+    let (served, lost, refused, most_out) =
         (AtomicUsize::new(0), AtomicUsize::new(0), AtomicUsize::new(0), AtomicUsize::new(0));
-    // Those that were killed or stopped here count besides what was planned.
+    // Number of routers that the test has killed or stopped. They may be out in addition to the limit.
     let faults = AtomicUsize::new(0);
     std::thread::scope(|s| {
         for client in 0..4 {
-            let (fleet, over, served, lost, refused) = (&fleet, &over, &served, &lost, &refused);
+            let (fleet, is_over, served, lost, refused) = (&fleet, &is_over, &served, &lost, &refused);
             let mut rng = fastrand::Rng::with_seed(seed * 100 + client);
             s.spawn(move || {
-                while !over.load(Ordering::SeqCst) {
-                    // As a balancer does: only to one that says it is ready, and to another if it does not connect.
+                while !is_over.load(Ordering::SeqCst) {
+                    // Sends only to routers that report ready, as a balancer does.
                     let r = rng.usize(..n);
                     if fleet.is_out(r) != Some(false) {
                         continue;
@@ -110,83 +113,82 @@
             });
         }
         s.spawn(|| {
-            while !over.load(Ordering::SeqCst) {
-                let (before, gone) = (faults.load(Ordering::SeqCst), fleet.unavailable_routers().len());
-                let faults = before.max(faults.load(Ordering::SeqCst));
-                most.fetch_max(gone.saturating_sub(faults), Ordering::SeqCst);
+            while !is_over.load(Ordering::SeqCst) {
+                let (faults_before, unavailable) =
+                    (faults.load(Ordering::SeqCst), fleet.unavailable_routers().len());
+                let faults = faults_before.max(faults.load(Ordering::SeqCst));
+                most_out.fetch_max(unavailable.saturating_sub(faults), Ordering::SeqCst);
             }
         });
-        let tried = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            let at = Instant::now();
+        let result = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            let release_started_at = Instant::now();
             assert_eq!(fleet.run_command(1, &format!("release {}", plan.display()))["code"], 0);
-            let release = |at: usize| fleet.run_command(at, "status")["release"].clone();
-            fleet.wait_until("the last wave", || release(1)["wave"] == 3);
-            println!("  two waves after {:.1} s", at.elapsed().as_secs_f64());
+            let release = |queried: usize| fleet.run_command(queried, "status")["release"].clone();
+            fleet.wait_until("the last wave runs", || release(1)["wave"] == 3);
+            println!("  two waves complete after {:.1} s", release_started_at.elapsed().as_secs_f64());
             // Faults, one after the other: a member is killed, a router is stopped, two members are cut off.
             let member = rng.usize(2..COUNCIL);
             faults.fetch_add(1, Ordering::SeqCst);
             fleet.kill(member);
             fleet.start(member);
             let stopped = rng.usize(COUNCIL..n - 1);
-            fleet.wait_until("one to stop", || fleet.is_out(stopped) == Some(false));
+            fleet.wait_until("the router to stop is in service", || fleet.is_out(stopped) == Some(false));
             faults.fetch_add(1, Ordering::SeqCst);
             fleet.signal(stopped, "-STOP");
-            let part = |fleet: &FleetProcesses| fleet.log(member).matches("joined the council").count();
-            fleet.wait_until("the killed member takes part again", || part(&fleet) >= fleet.starts(member));
-            println!("  a member killed, and part of it again");
-            fleet.wait_until("it serves", || fleet.is_out(member) == Some(false));
+            let joined = |fleet: &FleetProcesses| fleet.log(member).matches("joined the council").count();
+            fleet.wait_until("the killed member has rejoined", || joined(&fleet) >= fleet.starts(member));
+            println!("  a member was killed and has rejoined");
+            fleet.wait_until("the killed member is in service", || fleet.is_out(member) == Some(false));
             faults.fetch_sub(1, Ordering::SeqCst);
-            let halted = Instant::now();
-            let said = fleet.run_command(1, "halt measured");
+            let halt_sent_at = Instant::now();
+            let reply = fleet.run_command(1, "halt measured");
             println!(
-                "  halt, one router stopped: {:.2} s, code {}",
-                halted.elapsed().as_secs_f64(),
-                said["code"]
+                "  halt with one router stopped: {:.2} s, exit code {}",
+                halt_sent_at.elapsed().as_secs_f64(),
+                reply["code"]
             );
             assert_eq!(fleet.run_command(0, "resume")["code"], 0);
             fleet.signal(stopped, "-CONT");
-            fleet.wait_until("the stopped one serves", || fleet.is_out(stopped) == Some(false));
+            fleet.wait_until("the stopped router is in service", || fleet.is_out(stopped) == Some(false));
             faults.fetch_sub(1, Ordering::SeqCst);
             fleet.set_links(&[3, 4], &[0, 1, 2], Link::Cut);
-            let halted = Instant::now();
-            let said = fleet.run_command(0, "halt measured again");
+            let halt_sent_at = Instant::now();
+            let reply = fleet.run_command(0, "halt measured again");
             println!(
-                "  halt, two of five members cut off: {:.2} s, code {}",
-                halted.elapsed().as_secs_f64(),
-                said["code"]
+                "  halt with two of five members cut off: {:.2} s, exit code {}",
+                halt_sent_at.elapsed().as_secs_f64(),
+                reply["code"]
             );
             fleet.set_links(&[3, 4], &[0, 1, 2], Link::Whole);
             assert_eq!(fleet.run_command(0, "resume")["code"], 0);
-            fleet.wait_until("it is done", || release(1)["phase"] == "done");
-            println!("  released after {:.1} s in all", at.elapsed().as_secs_f64());
-            let at = Instant::now();
+            fleet.wait_until("the release is complete", || release(1)["phase"] == "done");
+            println!("  release complete after {:.1} s in all", release_started_at.elapsed().as_secs_f64());
+            let roll_back_started_at = Instant::now();
             assert_eq!(fleet.run_command(1, "back")["code"], 0);
-            fleet.wait_until("it is undone", || release(1)["phase"] == "undone");
-            println!("  undone after {:.1} s", at.elapsed().as_secs_f64());
+            fleet.wait_until("the release is rolled back", || release(1)["phase"] == "undone");
+            println!("  roll-back complete after {:.1} s", roll_back_started_at.elapsed().as_secs_f64());
         }));
-        over.store(true, Ordering::SeqCst);
-        tried.unwrap();
+        is_over.store(true, Ordering::SeqCst);
+        result.unwrap();
     });
-    let get = |of: &AtomicUsize| of.load(Ordering::SeqCst);
+    let get = |counter: &AtomicUsize| counter.load(Ordering::SeqCst);
     println!(
-        "  most out beside those killed or stopped at the time: {} of {all}; requests: {} served, {} refused, {} lost",
-        get(&most),
+        "  most routers out besides those killed or stopped: {} of {max_out}; requests: {} served, {} refused, {} lost",
+        get(&most_out),
         get(&served),
         get(&refused),
         get(&lost)
     );
-    assert!(get(&most) <= all, "more out than may be");
-    assert!(
-        (0..n).all(|r| std::fs::read_to_string(fleet.routers[r].dir.join("config.json")).unwrap() == text)
-    );
+    assert!(get(&most_out) <= max_out, "more routers are out of service than the limit allows");
+    assert!((0..n).all(|r| std::fs::read_to_string(fleet.routers[r].dir.join("config.json")).unwrap() == old));
 }
 
-/// What agreement costs a request: by turns through a member of the council, a router that is none, and one whose settings
-/// have no section `fleet`, each alone with a client that sends one after the other.
+/// Measures what agreement costs a request. One client sends requests one after the other, by turns through a council
+/// member, a router outside the council and a router whose settings have no section `fleet`.
 #[test]
 #[ignore = "full size: minutes, hundreds of processes"]
-fn what_agreement_costs_a_request() {
-    let n = number("FLEET", 300);
+fn measures_request_latency_with_and_without_a_fleet_section() {
+    let n = env_number("FLEET", 300);
     let node = Node::start("127.60.9.3");
     let list = List::start("127.60.9.3", &[endpoint_entry("n0", &node, 1)]);
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
@@ -198,38 +200,38 @@
         &format!(" out-most {}\n out-zone 1", (n / 10).max(1)),
         &config,
     );
-    let without = n - 1;
-    let path = fleet.routers[without].dir.join("t.conf");
+    let without_fleet = n - 1;
+    let path = fleet.routers[without_fleet].dir.join("t.conf");
     let text = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, &text[..text.find("fleet {\n").unwrap()]).unwrap();
-    fleet.kill(without);
-    fleet.start(without);
-    fleet.wait_until("it serves", || {
-        read_response(send_request(fleet.routers[without].front_addr)) == (200, true)
+    fleet.kill(without_fleet);
+    fleet.start(without_fleet);
+    fleet.wait_until("the router without a fleet section serves requests", || {
+        read_response(send_request(fleet.routers[without_fleet].front_addr)) == (200, true)
     });
-    let kinds = [("member", 0), ("router", n - 2), ("without", without)];
-    let mut all: [Vec<u64>; 3] = Default::default();
-    for round in 0..number("ROUNDS", 20) {
-        for k in 0..3 {
-            // Another one begins each time.
-            let k = (k + round) % 3;
-            let front = fleet.routers[kinds[k].1].front_addr;
+    let targets = [("member", 0), ("router", n - 2), ("without", without_fleet)];
+    let mut times_us: [Vec<u64>; 3] = Default::default();
+    for round in 0..env_number("ROUNDS", 20) {
+        for turn in 0..3 {
+            // Each round starts with another target.
+            let target = (turn + round) % 3;
+            let front_addr = fleet.routers[targets[target].1].front_addr;
             for _ in 0..200 {
-                let at = Instant::now();
-                assert_eq!(read_response(send_request(front)), (200, true));
-                all[k].push(at.elapsed().as_micros() as u64);
+                let sent_at = Instant::now();
+                assert_eq!(read_response(send_request(front_addr)), (200, true));
+                times_us[target].push(sent_at.elapsed().as_micros() as u64);
             }
         }
     }
-    for ((kind, _), mut times) in kinds.into_iter().zip(all) {
+    for ((label, _), mut times) in targets.into_iter().zip(times_us) {
         times.sort_unstable();
-        let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
+        let quantile = |share: f64| times[((times.len() - 1) as f64 * share) as usize];
         println!(
-            "{kind}, of {n}: {} requests, median {} us, 99% {} us, most {} us",
+            "{label}, fleet of {n}: {} requests, median {} us, 99% {} us, maximum {} us",
             times.len(),
-            at(0.5),
-            at(0.99),
-            at(1.0)
+            quantile(0.5),
+            quantile(0.99),
+            quantile(1.0)
         );
     }
 }
--- a/router/tests/recorded_fleet/invalid_input.rs
+++ b/router/tests/recorded_fleet/invalid_input.rs
@@ -1,21 +1,21 @@
-//! Settings, orders and plans that are invalid.
+//! Invalid settings, commands and release plans.
 
 use std::fmt::Write as _;
 
 use tallypin_router::fleet::release_plan;
 
 use crate::command_line::tallypin;
-use crate::data::same;
+use crate::data::assert_as_recorded;
 use crate::fleet_rig::CONFIG;
 
-const GOOD: &str = "control {\n socket s\n}\nfleet {\n name nord\n me r0\n key key\n router r0 127.0.0.1:7001 a\n router r1 127.0.0.1:7002 b\n router r2 127.0.0.1:7003 a\n council r0 r1 r2\n out-most 1\n out-zone 1\n}\n";
+const VALID_SETTINGS: &str = "control {\n socket s\n}\nfleet {\n name nord\n me r0\n key key\n router r0 127.0.0.1:7001 a\n router r1 127.0.0.1:7002 b\n router r2 127.0.0.1:7003 a\n council r0 r1 r2\n out-most 1\n out-zone 1\n}\n";
 
 #[test]
-fn bad_settings_of_a_fleet_are_told_as_recorded() {
+fn invalid_fleet_settings_are_reported_as_recorded() {
     let temporary = tempfile::tempdir().unwrap();
     std::fs::write(temporary.path().join("config.json"), CONFIG).unwrap();
     let mut got = String::new();
-    let more = |line: &str| format!(" out-zone 1\n {line}\n");
+    let with_line = |line: &str| format!(" out-zone 1\n {line}\n");
     for (from, to) in [
         ("", "".to_string()),
         (" name nord\n", "".into()),
@@ -34,22 +34,22 @@
         ("out-most 1", "out-most 101%".into()),
         ("out-most 1", "out-most many".into()),
         ("out-zone 1", "out-zone 10%".into()),
-        ("out-zone 1\n", more("nodes-out-zone 1")),
-        ("out-zone 1\n", more("nodes-out-most 0")),
-        ("out-zone 1\n", more("nodes-out-most 100%")),
-        ("out-zone 1\n", more("nodes-out-most some")),
-        ("out-zone 1\n", more("release settings a b\n release settings c d")),
-        ("out-zone 1\n", more("release else a b")),
-        ("out-zone 1\n", more("beat 2s")),
-        ("out-zone 1\n", more("beat 10ms")),
-        ("out-zone 1\n", more("lease 2m")),
-        ("out-zone 1\n", more("within never")),
+        ("out-zone 1\n", with_line("nodes-out-zone 1")),
+        ("out-zone 1\n", with_line("nodes-out-most 0")),
+        ("out-zone 1\n", with_line("nodes-out-most 100%")),
+        ("out-zone 1\n", with_line("nodes-out-most some")),
+        ("out-zone 1\n", with_line("release settings a b\n release settings c d")),
+        ("out-zone 1\n", with_line("release else a b")),
+        ("out-zone 1\n", with_line("beat 2s")),
+        ("out-zone 1\n", with_line("beat 10ms")),
+        ("out-zone 1\n", with_line("lease 2m")),
+        ("out-zone 1\n", with_line("within never")),
         (
             "out-zone 1\n",
-            more("nodes-out-most 10%\n nodes-out-kind 1\n store s\n release program p q\n answer 2s"),
+            with_line("nodes-out-most 10%\n nodes-out-kind 1\n store s\n release program p q\n answer 2s"),
         ),
     ] {
-        std::fs::write(temporary.path().join("t.conf"), GOOD.replacen(from, &to, 1)).unwrap();
+        std::fs::write(temporary.path().join("t.conf"), VALID_SETTINGS.replacen(from, &to, 1)).unwrap();
         let (code, text) = tallypin(&["check", "--settings", "t.conf"], temporary.path());
         writeln!(got, "{from:?} -> {to:?}\nexit {code}\n{text}").unwrap();
         if from.is_empty() || code == 0 {
@@ -57,19 +57,19 @@
             writeln!(got, "--print\nexit {code}\n{text}").unwrap();
         }
     }
-    same("settings.txt", &got);
+    assert_as_recorded("settings.txt", &got);
 }
 
 #[test]
-fn bad_orders_and_plans_are_told_as_recorded() {
+fn invalid_commands_and_plans_are_reported_as_recorded() {
     let temporary = tempfile::tempdir().unwrap();
-    let written = |text: &str| std::fs::write(temporary.path().join("plan"), text).unwrap();
+    let write_plan = |text: &str| std::fs::write(temporary.path().join("plan"), text).unwrap();
     let mut got = String::new();
-    let mut play = |case: &str, words: &[&str]| {
-        let (code, text) = tallypin(words, temporary.path());
-        writeln!(got, "{case}$ {}\nexit {code}\n{text}", words.join(" ")).unwrap();
+    let mut record_run = |case: &str, arguments: &[&str]| {
+        let (code, text) = tallypin(arguments, temporary.path());
+        writeln!(got, "{case}$ {}\nexit {code}\n{text}", arguments.join(" ")).unwrap();
     };
-    for words in [
+    for command in [
         "fleet",
         "fleet status",
         "fleet watch",
@@ -95,10 +95,10 @@
         "ctl --socket s fleet release {}",
         "ctl --socket s fleet release [",
     ] {
-        play("", &words.split(' ').collect::<Vec<_>>());
+        record_run("", &command.split(' ').collect::<Vec<_>>());
     }
     let digest = "ab".repeat(32);
-    let good =
+    let valid_plan =
         format!("release {{\n what settings\n digest {digest}\n wave r0\n wave zone a\n failed 0.5%\n}}\n");
     for (from, to) in [
         ("what settings", "what else"),
@@ -117,12 +117,12 @@
         ("}", ""),
         ("wave r0", &(0..65).map(|r| format!("wave r{r}\n ")).collect::<String>()),
     ] {
-        written(&good.replacen(from, to, 1));
-        play(&format!("{from:?} -> {to:?}\n"), &["fleet", "--socket", "s", "release", "plan"]);
+        write_plan(&valid_plan.replacen(from, to, 1));
+        record_run(&format!("{from:?} -> {to:?}\n"), &["fleet", "--socket", "s", "release", "plan"]);
     }
-    written(&good);
-    let read =
+    write_plan(&valid_plan);
+    let plan =
         release_plan::read(&temporary.path().join("plan"), &|path| std::fs::read_to_string(path)).unwrap();
-    writeln!(got, "a good one, as it is sent\n{}", serde_json::to_string(&read).unwrap()).unwrap();
-    same("plans.txt", &got);
+    writeln!(got, "a good one, as it is sent\n{}", serde_json::to_string(&plan).unwrap()).unwrap();
+    assert_as_recorded("plans.txt", &got);
 }
--- a/router/tests/recorded_fleet/main.rs
+++ b/router/tests/recorded_fleet/main.rs
@@ -1,5 +1,5 @@
-//! What a fleet sends, stores and answers, byte for byte as recorded in `tests/recorded/fleet`. Written anew by
-//! `RECORD=1 cargo test -p tallypin-router --test recorded_fleet`, never by a test that fails.
+//! Compares the messages, stored files and answers of a fleet byte for byte with `tests/recorded/fleet`. Only
+//! `RECORD=1 cargo test -p tallypin-router --test recorded_fleet` writes those files.
 #![allow(missing_docs)]
 
 mod command_line;
--- a/router/tests/recorded_fleet/messages.rs
+++ b/router/tests/recorded_fleet/messages.rs
@@ -1,4 +1,4 @@
-//! Sealed messages, and what is rejected.
+//! Sealed messages, and messages and keys that are rejected.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -8,31 +8,31 @@
 use serde::Serialize;
 use tallypin_router::fleet::wire::{self, Call, Direction, Keys, Reply};
 
-use crate::data::{hex, read, same, HEAD, KEY};
+use crate::data::{assert_as_recorded, hex, read_recorded, HEADER_BYTES, KEY};
 use crate::fleet_rig::{self, FleetProcesses};
 
-/// Each line of a file: the head of a sealed message in hex, and its JSON. Sealing has nothing random in it: the same
-/// message gives the same bytes.
-fn messages_are_as_recorded<T: Serialize + DeserializeOwned>(name: &str, way: Direction) {
+/// Seals and opens the messages of a recorded file. Each line has the header of a sealed message in hex and its JSON. Sealing
+/// is deterministic, so the bytes can be compared.
+fn messages_are_as_recorded<T: Serialize + DeserializeOwned>(name: &str, direction: Direction) {
     let keys = Keys::read("nord", KEY).unwrap();
-    let text = String::from_utf8(read(name)).unwrap();
+    let text = String::from_utf8(read_recorded(name)).unwrap();
     let mut got = String::new();
     for line in text.lines() {
         let json = line.split_once(' ').expect("a head and a body").1;
         let message: T = serde_json::from_str(json).unwrap_or_else(|e| panic!("{json}: {e}"));
-        let sealed = keys.seal(way, &message).unwrap();
-        let body = std::str::from_utf8(&sealed[HEAD..]).unwrap();
-        writeln!(got, "{} {body}", hex(&sealed[..HEAD])).unwrap();
-        // The recorded bytes, opened again.
+        let sealed = keys.seal(direction, &message).unwrap();
+        let body = std::str::from_utf8(&sealed[HEADER_BYTES..]).unwrap();
+        writeln!(got, "{} {body}", hex(&sealed[..HEADER_BYTES])).unwrap();
+        // Opens the recorded bytes.
         let head = line.split_once(' ').unwrap().0;
-        let head = (0..HEAD).map(|at| u8::from_str_radix(&head[2 * at..2 * at + 2], 16).unwrap());
+        let head = (0..HEADER_BYTES).map(|at| u8::from_str_radix(&head[2 * at..2 * at + 2], 16).unwrap());
         let bytes: Vec<u8> = head.chain(json.bytes()).collect();
         if std::env::var_os("RECORD").is_none() {
-            let opened: T = keys.open(way, &bytes[4..]).unwrap_or_else(|e| panic!("{json}: {e}"));
+            let opened: T = keys.open(direction, &bytes[4..]).unwrap_or_else(|e| panic!("{json}: {e}"));
             assert_eq!(serde_json::to_string(&opened).unwrap(), json);
         }
     }
-    same(name, &got);
+    assert_as_recorded(name, &got);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     messages_are_as_recorded::<Reply>("replies.txt", Direction::Reply);
 }
 
-fn message(json: &str) -> Vec<u8> {
+fn sealed_call(json: &str) -> Vec<u8> {
     let value: serde_json::Value = serde_json::from_str(json).unwrap();
     Keys::read("nord", KEY).unwrap().seal(Direction::Call, &value).unwrap()
 }
@@ -53,25 +53,30 @@
 #[tokio::test(flavor = "current_thread")]
 async fn messages_and_keys_are_rejected_as_recorded() {
     let mut got = String::new();
-    let line = String::from_utf8(read("calls.txt")).unwrap();
+    let line = String::from_utf8(read_recorded("calls.txt")).unwrap();
     let json = line.lines().next().unwrap().split_once(' ').unwrap().1.to_string();
-    let (right, whole) = (Keys::read("nord", KEY).unwrap(), message(&json));
-    let other = Keys::read("nord", "another key, also long enough").unwrap();
-    let foreign = Keys::read("sued", KEY).unwrap();
-    let flipped: Vec<u8> = whole.iter().enumerate().map(|(at, b)| b ^ u8::from(at == 40)).collect();
-    for (case, keys, way, bytes) in [
-        ("another key", &other, Direction::Call, &whole),
-        ("another fleet", &foreign, Direction::Call, &whole),
-        ("the other way", &right, Direction::Reply, &whole),
-        ("a bit flipped", &right, Direction::Call, &flipped),
-        ("cut", &right, Direction::Call, &whole[..60].to_vec()),
-        ("no whole hash", &right, Direction::Call, &whole[..20].to_vec()),
-        ("an unknown question", &right, Direction::Call, &message(&json.replace("beat", "dance"))),
-        ("an unknown state", &right, Direction::Call, &message(&json.replace("starting", "asleep"))),
-        ("a field missing", &right, Direction::Call, &message(r#"{"v":1}"#)),
-        ("a version above 255", &right, Direction::Call, &message(&json.replace("\"v\":1", "\"v\":256"))),
+    let (valid_keys, sealed) = (Keys::read("nord", KEY).unwrap(), sealed_call(&json));
+    let other_keys = Keys::read("nord", "another key, also long enough").unwrap();
+    let other_fleet = Keys::read("sued", KEY).unwrap();
+    let flipped: Vec<u8> = sealed.iter().enumerate().map(|(at, b)| b ^ u8::from(at == 40)).collect();
+    for (case, keys, direction, bytes) in [
+        ("another key", &other_keys, Direction::Call, &sealed),
+        ("another fleet", &other_fleet, Direction::Call, &sealed),
+        ("the other way", &valid_keys, Direction::Reply, &sealed),
+        ("a bit flipped", &valid_keys, Direction::Call, &flipped),
+        ("cut", &valid_keys, Direction::Call, &sealed[..60].to_vec()),
+        ("no whole hash", &valid_keys, Direction::Call, &sealed[..20].to_vec()),
+        ("an unknown question", &valid_keys, Direction::Call, &sealed_call(&json.replace("beat", "dance"))),
+        ("an unknown state", &valid_keys, Direction::Call, &sealed_call(&json.replace("starting", "asleep"))),
+        ("a field missing", &valid_keys, Direction::Call, &sealed_call(r#"{"v":1}"#)),
+        (
+            "a version above 255",
+            &valid_keys,
+            Direction::Call,
+            &sealed_call(&json.replace("\"v\":1", "\"v\":256")),
+        ),
     ] {
-        let why = keys.open::<Call>(way, &bytes[4..]).unwrap_err();
+        let why = keys.open::<Call>(direction, &bytes[4..]).unwrap_err();
         writeln!(got, "open, {case}: {:?}: {why}", why.kind()).unwrap();
     }
     for (case, length) in
@@ -81,18 +86,18 @@
         let why = wire::read(&mut &bytes[..]).await.unwrap_err();
         writeln!(got, "read, {case}: {:?}: {why}", why.kind()).unwrap();
     }
-    let why = right.seal(Direction::Call, &"x".repeat(wire::MAX_BODY_BYTES)).unwrap_err();
+    let why = valid_keys.seal(Direction::Call, &"x".repeat(wire::MAX_BODY_BYTES)).unwrap_err();
     writeln!(got, "seal, too long: {:?}: {why}", why.kind()).unwrap();
-    let three = format!("{KEY}\n{KEY}2\n{KEY}3\n");
-    for text in ["", "\n \n", "short", &format!("{KEY}\nshort"), &three] {
+    let three_keys = format!("{KEY}\n{KEY}2\n{KEY}3\n");
+    for text in ["", "\n \n", "short", &format!("{KEY}\nshort"), &three_keys] {
         writeln!(got, "keys {text:?}: {}", Keys::read("nord", text).unwrap_err()).unwrap();
     }
     writeln!(got, "debug: {:?}", Keys::read("nord", &format!("{KEY}\n\n{KEY}2")).unwrap()).unwrap();
-    same("rejected.txt", &got);
+    assert_as_recorded("rejected.txt", &got);
 }
 
-/// Calls at the socket of a router: one of a router that it does not know, which may ask for its life; one of a later
-/// version, which is not answered.
+/// A running router answers a call of an unknown router that requests its incarnation. It answers no other call of an unknown
+/// router and no call of a later version.
 #[test]
 fn a_running_router_answers_a_sealed_call_as_recorded() {
     let fleet = FleetProcesses::resumed("recorded-calls", 73, 1, 1, fleet_rig::ONE_OUT);
@@ -107,11 +112,11 @@
         let mut stream = TcpStream::connect(fleet.routers[0].fleet_addr).unwrap();
         stream.write_all(&keys.seal(Direction::Call, &value).unwrap()).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
-        let mut said = Vec::new();
-        let _ = stream.read_to_end(&mut said);
-        let (head, json) = said.split_at(HEAD.min(said.len()));
+        let mut answer = Vec::new();
+        let _ = stream.read_to_end(&mut answer);
+        let (head, json) = answer.split_at(HEADER_BYTES.min(answer.len()));
         writeln!(got, "{case}: {} {}", hex(head), std::str::from_utf8(json).unwrap()).unwrap();
     }
-    fleet.wait_until("two are counted", || fleet.run_command(0, "status")["spoilt"] == 2);
-    same("answered.txt", &got);
+    fleet.wait_until("two calls are counted as rejected", || fleet.run_command(0, "status")["spoilt"] == 2);
+    assert_as_recorded("answered.txt", &got);
 }
--- a/router/tests/recorded_fleet/orders.rs
+++ b/router/tests/recorded_fleet/orders.rs
@@ -1,57 +1,68 @@
-//! Answers of a running fleet to `tallypin fleet`.
+//! Answers of a running fleet to the commands of `tallypin fleet`.
 
 use std::fmt::Write as _;
 use std::process::{Command, Stdio};
 
-use crate::command_line::{masked, order};
-use crate::data::same;
+use crate::command_line::{fleet_command, mask_varying_parts};
+use crate::data::assert_as_recorded;
 use crate::fleet_rig::{read_response, send_request, FleetProcesses};
 
-/// The version after the first state and the order that resumes it, where one round bootstraps the fleet.
-const VERSION_AT_FIRST: u64 = 1_000_001;
-/// Versions that each further round of the bootstrap skips.
-const SKIPPED_BY_A_ROUND: u64 = 1_000_000;
+/// Version after the first state and the `resume` command, if one round bootstraps the fleet.
+const FIRST_VERSION: u64 = 1_000_001;
+/// Number of versions that each further round of the bootstrap skips.
+const VERSIONS_PER_ROUND: u64 = 1_000_000;
 
-/// Numbers versions as if one round had bootstrapped the fleet.
+/// Renumbers the versions as if one round had bootstrapped the fleet.
 ///
-/// Recorded 1000001, beside load 2000001 once in 44 runs: one member had accepted the first state when the two others
-/// promised a higher ballot, whose bootstrap goes on from it. Which round is first is up to the members' timing.
-fn from_the_first_round(text: &str, skipped: u64) -> String {
+/// The number of rounds depends on the members' timing. If one member has accepted the first state when the two others
+/// promise a higher ballot, the bootstrap continues with that ballot, and the first version is 2000001 instead of 1000001.
+fn as_bootstrapped_in_one_round(text: &str, skipped: u64) -> String {
     let mut parts = text.split("\"version\":");
-    let mut numbered = parts.next().unwrap_or_default().to_string();
+    let mut renumbered = parts.next().unwrap_or_default().to_string();
     for part in parts {
         let digits = part.bytes().take_while(u8::is_ascii_digit).count();
         let version: u64 = part[..digits].parse().unwrap();
-        write!(numbered, "\"version\":{}{}", version - skipped, &part[digits..]).unwrap();
+        write!(renumbered, "\"version\":{}{}", version - skipped, &part[digits..]).unwrap();
     }
-    numbered
+    renumbered
 }
 
-/// Halted, what is ordered waits: the answers don't depend on when they are asked for.
+/// The fleet is halted, so drains and releases wait and the answers do not depend on timing.
 #[test]
-fn orders_to_a_running_fleet_are_answered_as_recorded() {
-    let bounds = " out-most 1\n out-zone 1\n nodes-out-most 1";
-    let fleet = FleetProcesses::resumed("recorded-orders", 72, 3, 3, bounds);
-    fleet.wait_until("the list is heard", || {
+fn commands_to_a_running_fleet_are_answered_as_recorded() {
+    let limits = " out-most 1\n out-zone 1\n nodes-out-most 1";
+    let fleet = FleetProcesses::resumed("recorded-orders", 72, 3, 3, limits);
+    fleet.wait_until("r1 has received the endpoint list", || {
         read_response(send_request(fleet.routers[1].front_addr)) == (200, true)
     });
-    let skipped = fleet.run_command(0, "status")["version"].as_u64().unwrap() - VERSION_AT_FIRST;
-    assert_eq!(skipped % SKIPPED_BY_A_ROUND, 0, "the fleet begins with one order");
-    let plan = |name: &str, text: &str| std::fs::write(fleet.routers[0].dir.join(name), text).unwrap();
+    let skipped = fleet.run_command(0, "status")["version"].as_u64().unwrap() - FIRST_VERSION;
+    assert_eq!(skipped % VERSIONS_PER_ROUND, 0, "one command has run since the bootstrap");
+    let write_plan = |name: &str, text: &str| std::fs::write(fleet.routers[0].dir.join(name), text).unwrap();
     let digest = "ab".repeat(32);
-    plan("plan", &format!("release {{\n what configuration\n digest {digest}\n wave r2\n wave rest\n}}\n"));
-    plan("nobody", &format!("release {{\n what configuration\n digest {digest}\n wave r9\n}}\n"));
-    plan("no-zone", &format!("release {{\n what configuration\n digest {digest}\n wave zone mars\n}}\n"));
-    plan("twice", &format!("release {{\n what configuration\n digest {digest}\n wave r1\n wave r1\n}}\n"));
-    plan("share", &format!("release {{\n what configuration\n digest {digest}\n wave 0%\n}}\n"));
+    write_plan(
+        "plan",
+        &format!("release {{\n what configuration\n digest {digest}\n wave r2\n wave rest\n}}\n"),
+    );
+    write_plan("nobody", &format!("release {{\n what configuration\n digest {digest}\n wave r9\n}}\n"));
+    write_plan(
+        "no-zone",
+        &format!("release {{\n what configuration\n digest {digest}\n wave zone mars\n}}\n"),
+    );
+    write_plan(
+        "twice",
+        &format!("release {{\n what configuration\n digest {digest}\n wave r1\n wave r1\n}}\n"),
+    );
+    write_plan("share", &format!("release {{\n what configuration\n digest {digest}\n wave 0%\n}}\n"));
     let mut got = String::new();
-    let all = serde_json::json!(["r0", "r1", "r2"]);
-    let mut play = |words: &str| {
-        fleet.wait_until("all answer", || fleet.run_command(0, "status")["council"] == all);
-        let (code, text) = order(&fleet, 0, words);
-        writeln!(got, "$ fleet {words}\nexit {code}\n{}", masked(&fleet, &text)).unwrap();
+    let all_members = serde_json::json!(["r0", "r1", "r2"]);
+    let mut record_run = |command: &str| {
+        fleet.wait_until("r0 reaches all council members", || {
+            fleet.run_command(0, "status")["council"] == all_members
+        });
+        let (code, text) = fleet_command(&fleet, 0, command);
+        writeln!(got, "$ fleet {command}\nexit {code}\n{}", mask_varying_parts(&fleet, &text)).unwrap();
     };
-    for words in [
+    for command in [
         "status",
         "--id h1 halt late answers",
         "status",
@@ -77,33 +88,38 @@
         "--id v6 release plan",
         "status",
     ] {
-        play(words);
+        record_run(command);
     }
-    // It looks until the release has ended; the first line is of before.
+    // `watch` prints the status until the release ends. Its first line is from before the roll-back.
     let socket = fleet.routers[0].dir.join("ctl");
     let mut watch = Command::new(env!("CARGO_BIN_EXE_tallypin"));
     watch.env_clear().args(["fleet", "--socket", socket.to_str().unwrap(), "watch"]);
     let mut watch = watch.stdout(Stdio::piped()).spawn().unwrap();
     let mut lines = std::io::BufRead::lines(std::io::BufReader::new(watch.stdout.take().unwrap()));
     let first = lines.next().unwrap().unwrap();
-    play("--id v7 back late answers");
-    play("--id v8 back");
+    record_run("--id v7 back late answers");
+    record_run("--id v8 back");
     assert!(lines.last().unwrap().unwrap().contains("\"undone\""));
     let code = watch.wait().unwrap().code().unwrap();
-    writeln!(got, "$ fleet watch\n{}\nexit {code}\n", masked(&fleet, &first)).unwrap();
-    let (code, text) = order(&fleet, 0, "--id r1 resume");
-    writeln!(got, "$ fleet --id r1 resume\nexit {code}\n{}", masked(&fleet, &text)).unwrap();
-    let status_of_node = |stage: &'static str| {
+    writeln!(got, "$ fleet watch\n{}\nexit {code}\n", mask_varying_parts(&fleet, &first)).unwrap();
+    let (code, text) = fleet_command(&fleet, 0, "--id r1 resume");
+    writeln!(got, "$ fleet --id r1 resume\nexit {code}\n{}", mask_varying_parts(&fleet, &text)).unwrap();
+    let replica_status = |stage: &'static str| {
         let node = |key: &str| fleet.run_command(0, "status")["nodes"][0][key].clone();
-        fleet.wait_until("the node's stage", || node("stage") == stage && node("clear") != false);
-        let (code, text) = order(&fleet, 0, "status");
-        format!("$ fleet status, of a node that is {stage}\nexit {code}\n{}\n", masked(&fleet, &text))
+        fleet.wait_until("the replica has reached the stage", || {
+            node("stage") == stage && node("clear") != false
+        });
+        let (code, text) = fleet_command(&fleet, 0, "status");
+        format!(
+            "$ fleet status, of a node that is {stage}\nexit {code}\n{}\n",
+            mask_varying_parts(&fleet, &text)
+        )
     };
     assert_eq!(fleet.run_command(0, "--id t6 take-out n0 for 2h")["code"], 0);
-    got += &status_of_node("out");
+    got += &replica_status("out");
     assert_eq!(fleet.run_command(0, "--id t7 put-back n0")["code"], 0);
-    got += &status_of_node("back");
+    got += &replica_status("back");
     let status = fleet.run_command(0, "status");
     assert_eq!(status["runs"][status["release"]["runs_here"].as_str().unwrap()], 3);
-    same("orders.txt", &from_the_first_round(&got, skipped));
+    assert_as_recorded("orders.txt", &as_bootstrapped_in_one_round(&got, skipped));
 }
--- a/router/tests/recorded_fleet/stored_folder.rs
+++ b/router/tests/recorded_fleet/stored_folder.rs
@@ -1,60 +1,62 @@
-//! A start from a folder that an earlier version has left.
+//! A start from the stored files of an earlier version.
 
 use tallypin_router::fleet::release_files;
 
-use crate::command_line::{masked, order};
-use crate::data::{read, same};
+use crate::command_line::{fleet_command, mask_varying_parts};
+use crate::data::{assert_as_recorded, read_recorded};
 use crate::fleet_rig::{self, read_response, send_request, FleetProcesses, CONFIG};
 
-/// All of a council start from what is recorded in `folder`, one with a release on trial that has never come to serve: they
-/// begin on it and serve.
+/// Guards the formats of stored files: council members start from the files recorded in `folder` and serve. One of them
+/// has a release on trial that never reached service, and rolls it back.
 #[test]
-fn routers_start_from_a_recorded_folder_and_serve() {
+fn routers_start_from_recorded_files_and_serve() {
     let fleet = FleetProcesses::new("recorded-folder", 71, 3, 3, fleet_rig::ONE_OUT, CONFIG);
-    let none = serde_json::json!([]);
-    fleet.wait_until("all begin", || fleet.run_command(0, "status")["halted"].is_string());
+    let nobody = serde_json::json!([]);
+    fleet.wait_until("the council is bootstrapped", || fleet.run_command(0, "status")["halted"].is_string());
     (0..3).for_each(|r| fleet.kill(r));
     let old = std::fs::read(fleet.routers[2].dir.join("config.json")).unwrap();
     for r in 0..3 {
-        std::fs::write(fleet.routers[r].dir.join("stored"), read("folder/stored")).unwrap();
+        std::fs::write(fleet.routers[r].dir.join("stored"), read_recorded("folder/stored")).unwrap();
     }
     let dir = &fleet.routers[2].dir;
     let (store, digest, new) =
-        (dir.join("store"), release_files::digest(&old), read("folder/broken-configuration"));
+        (dir.join("store"), release_files::digest(&old), read_recorded("folder/broken-configuration"));
     std::fs::write(store.join(&digest), &old).unwrap();
     std::fs::write(store.join(release_files::digest(&new)), &new).unwrap();
     std::fs::remove_file(dir.join("config.json")).unwrap();
     std::os::unix::fs::symlink(store.join(release_files::digest(&new)), dir.join("config.json")).unwrap();
-    let trial = String::from_utf8(read("folder/config.json.trial")).unwrap();
+    let trial = String::from_utf8(read_recorded("folder/config.json.trial")).unwrap();
     let trial = trial.trim_end().replace("STORE", store.to_str().unwrap()).replace("OLD", &digest);
     std::fs::write(dir.join("config.json.trial"), trial.replace("NEW", &release_files::digest(&new)))
         .unwrap();
     (0..3).for_each(|r| fleet.start(r));
-    fleet.wait_until("they begin on it", || {
+    fleet.wait_until("the fleet has started from the recorded state", || {
         fleet.run_command(0, "status")["version"].as_u64() >= Some(1_000_042)
     });
-    assert_eq!(std::fs::read(dir.join("config.json")).unwrap(), old, "the trial is gone back from");
+    assert_eq!(std::fs::read(dir.join("config.json")).unwrap(), old, "the release on trial is rolled back");
     assert!(!dir.join("config.json.trial").exists());
-    let said = fleet.log(2);
+    let log = fleet.log(2);
     let rolled_back = format!(
         "released file {} did not reach service in 3 starts: rolled back to {digest}",
         release_files::digest(&new)
     );
-    assert!(said.contains(&format!("tallypin: {rolled_back}\n")), "{said}");
-    fleet.wait_until("all are heard", || (0..3).all(|r| fleet.run_command(r, "status")["out_here"] == none));
-    fleet.wait_until("all have told what they do", || {
+    assert!(log.contains(&format!("tallypin: {rolled_back}\n")), "{log}");
+    fleet.wait_until("every member sees all routers in service", || {
+        (0..3).all(|r| fleet.run_command(r, "status")["out_here"] == nobody)
+    });
+    fleet.wait_until("heartbeats have reported all routers and replicas", || {
         let status = fleet.run_command(0, "status");
         status["council"].as_array().unwrap().len() == 3
             && status["nodes"][0]["clear"] == true
             && status["runs"] == serde_json::json!({ digest.as_str(): 3 })
     });
-    let (code, text) = order(&fleet, 0, "status");
-    same("folder/status.txt", &format!("exit {code}\n{}", masked(&fleet, &text)));
+    let (code, text) = fleet_command(&fleet, 0, "status");
+    assert_as_recorded("folder/status.txt", &format!("exit {code}\n{}", mask_varying_parts(&fleet, &text)));
     for r in 0..3 {
-        fleet.wait_until("it serves", || {
+        fleet.wait_until("the router serves requests", || {
             read_response(send_request(fleet.routers[r].front_addr)) == (200, true)
         });
     }
     assert_eq!(fleet.run_command(1, "resume")["code"], 0);
-    fleet.wait_until("what was ordered before goes on", || fleet.stage(0, 1) == "out");
+    fleet.wait_until("the recorded drain of r1 goes on", || fleet.stage(0, 1) == "out");
 }
