--- a/router/tests/list_budget.rs
+++ b/router/tests/list_budget.rs
@@ -1,5 +1,5 @@
-//! When the node list is asked for, by module and clock together, before a service that is away for a while: how soon
-//! each router is told afterwards, and how many calls that takes. In virtual time, without sockets.
+//! Outages of the endpoint list service, simulated in virtual time without sockets. The tests check how soon each router
+//! receives the list after an outage and how many calls the routers make.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,144 +13,165 @@
 use tallypin_router::limits::Limits;
 
 const MS: Nanos = SECOND / 1000;
-/// What the list has to tell counts as told so long after it can be reached.
-const TOLD: Nanos = 6 * SECOND;
+/// Time after the end of an outage at which every router counts as notified of the list's changes.
+const NOTIFICATION_DEADLINE: Nanos = 6 * SECOND;
 
-/// How the service is away.
+/// How the service treats calls during an outage.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Away {
+enum OutageKind {
     /// Calls are refused at once.
     Refuses,
-    /// They are answered after a second, with an error.
+    /// Calls are answered with an error after 1 s.
     Fails,
-    /// They are never answered.
+    /// Calls are never answered.
     Hangs,
 }
 
-/// One service for all: it takes calls in turn, `cost` each, and fails those that have waited 2 s.
+/// List service of all routers. It answers calls one after the other and fails calls that have waited for 2 s.
 struct Service {
-    cost: Nanos,
+    /// Time that one answer takes.
+    answer_time: Nanos,
     free_at: Nanos,
-    /// Who called when.
+    /// Index of each calling router and time of its call.
     queue: VecDeque<(usize, Nanos)>,
 }
 
-struct Asker {
+struct SimulatedRouter {
     core: Core,
     clock: WatchClock,
-    told: Option<Nanos>,
+    /// When the router last received the complete list; `None` without a watch.
+    notified_at: Option<Nanos>,
 }
 
-fn asker(n: u32, of: u32, limits: &Limits) -> Asker {
+fn simulated_router(index: u32, router_count: u32, limits: &Limits) -> SimulatedRouter {
     let mut settings = common::config().deployment.decisions;
-    (settings.own_index, settings.router_count) = (PeerId(n), of);
+    (settings.own_index, settings.router_count) = (PeerId(index), router_count);
     settings.list_mode = EndpointListMode::Polled { max_poll_interval: 10 * SECOND };
-    let terms = WatchTimeouts {
+    let timeouts = WatchTimeouts {
         answer: limits.list_response_timeout,
         stall: limits.list_message_stall_timeout,
         silence: limits.watch_silence_timeout,
         reconnect: None,
     };
-    let mut core = Core::new(settings, 1000 + u64::from(n), 0).expect("settings to go by");
+    let mut core = Core::new(settings, 1000 + u64::from(index), 0).expect("the settings are valid");
     core.endpoints_changed(0, ListUpdate::Cached, vec![EndpointEntry::default()]);
-    Asker { core, clock: WatchClock::new(terms), told: None }
+    SimulatedRouter { core, clock: WatchClock::new(timeouts), notified_at: None }
 }
 
-/// Routers that start together before a service that is away from `from` to `to`; each watch ends when it goes. Gives
-/// when each was told after that, and how many calls were made in each second.
-fn play(of: u32, away: (Nanos, Nanos, Away), cost: Nanos, end: Nanos) -> (Vec<Option<Nanos>>, Vec<u32>) {
+/// Simulates routers that start together and an outage with a start, an end and a kind. Every watch is lost when the outage
+/// starts. Returns when each router received the list after the outage, and the number of calls in each second.
+fn simulate_outage(
+    router_count: u32,
+    outage: (Nanos, Nanos, OutageKind),
+    answer_time: Nanos,
+    end: Nanos,
+) -> (Vec<Option<Nanos>>, Vec<u32>) {
     let limits = common::config().limits;
-    let mut all: Vec<Asker> = (0..of).map(|n| asker(n, of, &limits)).collect();
-    let mut service = Service { cost, free_at: 0, queue: VecDeque::new() };
+    let mut routers: Vec<SimulatedRouter> =
+        (0..router_count).map(|index| simulated_router(index, router_count, &limits)).collect();
+    let mut service = Service { answer_time, free_at: 0, queue: VecDeque::new() };
     let mut calls = vec![0; (end / SECOND) as usize + 1];
-    let is_away = |t: Nanos| (away.0..away.1).contains(&t);
-    for t in (0..end).step_by(5 * MS as usize) {
-        for (i, a) in all.iter_mut().enumerate() {
-            a.core.run_timers(t);
-            if is_away(t) && a.told.take().is_some() {
-                a.clock.watch_lost(t, 0.0);
-                a.core.endpoints_changed(t, ListUpdate::Failed, Vec::new());
+    let is_outage = |time: Nanos| (outage.0..outage.1).contains(&time);
+    for now in (0..end).step_by(5 * MS as usize) {
+        for (index, router) in routers.iter_mut().enumerate() {
+            router.core.run_timers(now);
+            if is_outage(now) && router.notified_at.take().is_some() {
+                router.clock.watch_lost(now, 0.0);
+                router.core.endpoints_changed(now, ListUpdate::Failed, Vec::new());
             }
-            if a.core.take_instructions().contains(&Instruction::WatchEndpoints) {
-                a.clock.request_watch(t);
+            if router.core.take_instructions().contains(&Instruction::WatchEndpoints) {
+                router.clock.request_watch(now);
             }
-            match a.clock.next_step(t) {
+            match router.clock.next_step(now) {
                 WatchStep::Open => {
-                    a.clock.watch_opened(t);
-                    calls[(t / SECOND) as usize] += 1;
-                    service.queue.push_back((i, t));
+                    router.clock.watch_opened(now);
+                    calls[(now / SECOND) as usize] += 1;
+                    service.queue.push_back((index, now));
                 }
-                WatchStep::Abandon if a.told.is_none() => {
-                    service.queue.retain(|(who, _)| *who != i);
-                    a.clock.watch_lost(t, 0.0);
-                    a.core.endpoints_changed(t, ListUpdate::Failed, Vec::new());
+                WatchStep::Abandon if router.notified_at.is_none() => {
+                    service.queue.retain(|(caller, _)| *caller != index);
+                    router.clock.watch_lost(now, 0.0);
+                    router.core.endpoints_changed(now, ListUpdate::Failed, Vec::new());
                 }
                 _ => {}
             }
-            if a.told.is_some() {
-                a.clock.record_activity(t);
+            if router.notified_at.is_some() {
+                router.clock.record_activity(now);
             }
         }
         let mut failed = Vec::new();
-        service.queue.retain(|&(who, since)| {
-            let over = match away.2 {
-                _ if !is_away(t) => t - since >= 2 * SECOND,
-                Away::Refuses => true,
-                Away::Fails => t - since >= SECOND,
-                Away::Hangs => false,
+        service.queue.retain(|&(caller, called_at)| {
+            let is_failed = match outage.2 {
+                _ if !is_outage(now) => now - called_at >= 2 * SECOND,
+                OutageKind::Refuses => true,
+                OutageKind::Fails => now - called_at >= SECOND,
+                OutageKind::Hangs => false,
             };
-            if over {
-                failed.push(who);
+            if is_failed {
+                failed.push(caller);
             }
-            !over
+            !is_failed
         });
-        for who in failed {
-            all[who].clock.watch_lost(t, 0.0);
-            all[who].core.endpoints_changed(t, ListUpdate::Failed, Vec::new());
+        for caller in failed {
+            routers[caller].clock.watch_lost(now, 0.0);
+            routers[caller].core.endpoints_changed(now, ListUpdate::Failed, Vec::new());
         }
-        while !is_away(t) && service.free_at <= t {
-            // What hung when it came back hangs on: only later calls are answered.
-            let at = service.queue.iter().position(|(_, since)| !is_away(*since));
-            let Some((who, _)) = at.and_then(|at| service.queue.remove(at)) else { break };
-            service.free_at = service.free_at.max(t) + service.cost;
-            all[who].clock.record_activity(t);
-            all[who].core.endpoints_changed(t, ListUpdate::Full, vec![EndpointEntry::default()]);
-            all[who].told = Some(t);
+        while !is_outage(now) && service.free_at <= now {
+            // Calls from the time of the outage stay unanswered, as their connections hang.
+            let position = service.queue.iter().position(|(_, called_at)| !is_outage(*called_at));
+            let Some((caller, _)) = position.and_then(|at| service.queue.remove(at)) else { break };
+            service.free_at = service.free_at.max(now) + service.answer_time;
+            routers[caller].clock.record_activity(now);
+            routers[caller].core.endpoints_changed(now, ListUpdate::Full, vec![EndpointEntry::default()]);
+            routers[caller].notified_at = Some(now);
         }
     }
-    (all.iter().map(|a| a.told).collect(), calls)
+    (routers.iter().map(|router| router.notified_at).collect(), calls)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
-    /// Guards against a router that sleeps, or waits for a call that hangs, past the moment from which it counts as told.
+    /// Guards against a router that backs off, or waits for a hanging call, past the time at which it counts as notified.
     #[test]
-    fn whatever_the_outage_all_are_told_well_before_it_counts(
-        from in 0u64..8_000, long in 1u64..20_000,
-        how in prop::sample::select(vec![Away::Refuses, Away::Fails, Away::Hangs]), of in 1u32..7,
+    fn routers_receive_the_list_before_the_notification_deadline_after_any_outage(
+        start_ms in 0u64..8_000, duration_ms in 1u64..20_000,
+        kind in prop::sample::select(vec![OutageKind::Refuses, OutageKind::Fails, OutageKind::Hangs]),
+        router_count in 1u32..7,
     ) {
-        let back = (from + long) * MS;
-        let (told, _) = play(of, (from * MS, back, how), 5 * MS, back + TOLD);
-        for told in told {
-            let after = told.expect("told by then").saturating_sub(back);
-            prop_assert!(after <= TOLD - 700 * MS, "{} ms after it could be reached", after / MS);
+        let outage_end = (start_ms + duration_ms) * MS;
+        let (notified, _) = simulate_outage(
+            router_count, (start_ms * MS, outage_end, kind), 5 * MS, outage_end + NOTIFICATION_DEADLINE
+        );
+        for notified_at in notified {
+            let delay = notified_at.expect("every router receives the list").saturating_sub(outage_end);
+            prop_assert!(
+                delay <= NOTIFICATION_DEADLINE - 700 * MS,
+                "a router received the list only {} ms after the outage",
+                delay / MS
+            );
         }
     }
 }
 
-/// Guards against a herd that keeps the service down once it is back: three hundred routers at a service that can answer
-/// 28 of them in a second.
+/// Guards against a thundering herd of calls that overloads the service after an outage: 300 routers call a service that can
+/// answer 28 calls per second.
 #[test]
-fn hundreds_of_routers_are_told_about_as_fast_as_the_service_can() {
-    for how in [Away::Refuses, Away::Hangs] {
-        let back = 20 * SECOND;
-        let (told, calls) = play(300, (0, back, how), 35 * MS, 60 * SECOND);
-        let mut told: Vec<Nanos> = told.into_iter().map(|t| t.expect("told") - back).collect();
-        told.sort_unstable();
-        let settled = calls[8..20].iter().max().expect("some");
-        let (half, last) = (told[150] / MS, told[299] / MS);
-        println!("{how:?}: {settled} calls a second at the most while away; half told after {half} ms, all {last} ms");
-        assert!(*settled <= 150, "{settled} calls in a second: {calls:?}");
-        assert!(last <= 15_000, "the least possible is 10,500 ms, it took {last}");
+fn hundreds_of_routers_receive_the_list_about_as_fast_as_the_service_can_answer() {
+    for kind in [OutageKind::Refuses, OutageKind::Hangs] {
+        let outage_end = 20 * SECOND;
+        let (notified, calls) = simulate_outage(300, (0, outage_end, kind), 35 * MS, 60 * SECOND);
+        let mut delays: Vec<Nanos> =
+            notified.into_iter().map(|t| t.expect("every router receives the list") - outage_end).collect();
+        delays.sort_unstable();
+        let most_calls = calls[8..20].iter().max().expect("the range is not empty");
+        let (half_ms, last_ms) = (delays[150] / MS, delays[299] / MS);
+        println!(
+            "{kind:?}: at most {most_calls} calls/s in the outage; half notified after {half_ms} ms, all after {last_ms} ms"
+        );
+        assert!(*most_calls <= 150, "too many calls in one second, {most_calls}: {calls:?}");
+        assert!(
+            last_ms <= 15_000,
+            "the last router was notified after {last_ms} ms, 10,500 ms are the minimum"
+        );
     }
 }
--- a/router/tests/list_crowd.rs
+++ b/router/tests/list_crowd.rs
@@ -1,5 +1,5 @@
-//! Routers that are restarted together before a discovery service that has room for a part of them at a time, while a
-//! replica drains: by the decisions of many routers, in virtual time and without sockets.
+//! Simulates many routers that restart together while a replica drains and the endpoint list service cannot answer all of
+//! them in time. Runs the routers' decisions in virtual time without sockets.
 #![allow(missing_docs)]
 
 mod common;
@@ -14,42 +14,44 @@
 
 const MS: Nanos = SECOND / 1000;
 const STEP: Nanos = 2 * MS;
-/// A replica may be sent to so long after a router counts as notified that it drains.
-const GRACE: Nanos = SECOND / 2;
-/// A call that would wait for longer is refused at once.
-const PATIENCE: Nanos = 2 * SECOND;
-/// All routers together would be answered in this time, one after the other.
-const ALL_ANSWERED: Nanos = 6_800 * MS;
-/// Refusing a call takes this part of the time that an answer takes.
-const REFUSAL_SHARE: Nanos = 15;
-/// Changes reach watches, and messages reach routers, after this.
+/// Time after the notification limit at which no router may send to the drained replica any more.
+const DRAIN_GRACE: Nanos = SECOND / 2;
+/// Maximum time from a call to its answer. The service refuses calls that would take longer.
+const MAX_ANSWER_DELAY: Nanos = 2 * SECOND;
+/// Time in which the service can answer one call of each router.
+const TOTAL_ANSWER_TIME: Nanos = 6_800 * MS;
+/// Ratio of the time of an answer to the time of a refusal.
+const ANSWER_TO_REFUSAL_RATIO: Nanos = 15;
+/// Time from a change of the list to its arrival at the watches.
 const NOTICE_DELAY: Nanos = 300 * MS;
+/// Time that a message between routers takes.
 const MESSAGE_DELAY: Nanos = 10 * MS;
 const DRAINED: ReplicaId = ReplicaId(1);
 
-/// What happens.
 #[derive(Debug, Clone, Copy)]
 struct Scenario {
     routers: u32,
-    /// The share of messages between routers that are lost; `None`: there are none.
+    /// Share of lost messages between routers; `None` if routers exchange no messages.
     message_loss: Option<f64>,
     seed: u64,
 }
 
-/// A router, and its life, which tells its calls from those of its life before.
+/// A router. Its incarnation tells its calls from calls before its restart.
 struct Router {
     core: Core,
-    life: u32,
+    incarnation: u32,
     is_alive: bool,
     is_watching: bool,
 }
 
-/// The service: who is answered when.
+/// The endpoint list service.
 struct Service {
+    /// Time that one answer takes.
     answer_time: Nanos,
     free_at: Nanos,
+    /// Time of the answer, router index and router incarnation of each accepted call.
     queue: VecDeque<(Nanos, usize, u32)>,
-    refused: usize,
+    refused_calls: usize,
 }
 
 /// A message between routers.
@@ -60,7 +62,7 @@
     bytes: Vec<u8>,
 }
 
-struct World {
+struct Simulation {
     scenario: Scenario,
     rng: fastrand::Rng,
     routers: Vec<Router>,
@@ -78,79 +80,79 @@
     entries
 }
 
-impl World {
-    fn new(scenario: Scenario) -> World {
+impl Simulation {
+    fn new(scenario: Scenario) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(scenario.seed);
         let changed_at = (500 + rng.u64(..4_500)) * MS;
         let service = Service {
-            answer_time: ALL_ANSWERED / Nanos::from(scenario.routers),
+            answer_time: TOTAL_ANSWER_TIME / Nanos::from(scenario.routers),
             free_at: 0,
             queue: VecDeque::new(),
-            refused: 0,
+            refused_calls: 0,
         };
         let (routers, messages) = (Vec::new(), VecDeque::new());
-        let mut world = World { scenario, rng, routers, service, messages, changed_at };
+        let mut simulation = Simulation { scenario, rng, routers, service, messages, changed_at };
         for index in 0..scenario.routers {
-            let core = world.core(index, 0);
-            world.routers.push(Router { core, life: 0, is_alive: true, is_watching: false });
+            let core = simulation.core(index, 0);
+            simulation.routers.push(Router { core, incarnation: 0, is_alive: true, is_watching: false });
         }
-        world
+        simulation
     }
 
-    /// A router that starts with the list of its configuration.
+    /// Creates the core of a router that starts with the list of its configuration.
     fn core(&mut self, index: u32, now: Nanos) -> Core {
         let mut settings = common::config().deployment.decisions;
         (settings.own_index, settings.router_count) = (PeerId(index), self.scenario.routers);
         settings.list_mode = EndpointListMode::Polled { max_poll_interval: 10 * SECOND };
         settings.has_peers = self.scenario.message_loss.is_some();
-        let mut core = Core::new(settings, self.rng.u64(..), 0).expect("settings to go by");
+        let mut core = Core::new(settings, self.rng.u64(..), 0).expect("the settings are valid");
         core.endpoints_changed(now, ListUpdate::Cached, entries(false));
         core
     }
 
-    /// Plays until the drained replica may no longer be sent to. Gives how many routers would still send there.
-    fn play(&mut self) -> usize {
-        let mut order: Vec<usize> = (0..self.routers.len()).collect();
-        self.rng.shuffle(&mut order);
-        order.truncate(self.routers.len() * 6 / 10);
+    /// Runs until no router may send to the drained replica any more. Returns how many routers would still send to it.
+    fn run(&mut self) -> usize {
+        let mut restarting: Vec<usize> = (0..self.routers.len()).collect();
+        self.rng.shuffle(&mut restarting);
+        restarting.truncate(self.routers.len() * 6 / 10);
         let killed_at = self.changed_at / STEP * STEP + self.rng.u64(..400) * STEP;
-        let back_at = killed_at + self.rng.u64(100..700) * STEP;
-        for now in (0..self.changed_at + NOTIFICATION_LIMIT + GRACE).step_by(STEP as usize) {
+        let restarted_at = killed_at + self.rng.u64(100..700) * STEP;
+        for now in (0..self.changed_at + NOTIFICATION_LIMIT + DRAIN_GRACE).step_by(STEP as usize) {
             if now == killed_at {
-                order
+                restarting
                     .iter()
                     .for_each(|&i| (self.routers[i].is_alive, self.routers[i].is_watching) = (false, false));
             }
-            if now == back_at {
-                order.iter().for_each(|&i| self.restart(i, now));
+            if now == restarted_at {
+                restarting.iter().for_each(|&i| self.restart(i, now));
             }
             if now / STEP == (self.changed_at + NOTICE_DELAY) / STEP {
-                self.tell_watches(now);
+                self.notify_watches(now);
             }
-            self.deliver(now);
+            self.deliver_messages(now);
             for index in 0..self.routers.len() {
-                self.run(index, now);
+                self.run_router(index, now);
             }
-            self.answer(now);
+            self.answer_calls(now);
         }
-        let end = self.changed_at + NOTIFICATION_LIMIT + GRACE;
-        let sends = |router: &Router| router.core.view(end).iter().any(|seen| seen.replica == DRAINED);
+        let end = self.changed_at + NOTIFICATION_LIMIT + DRAIN_GRACE;
+        let sends = |router: &Router| router.core.view(end).iter().any(|replica| replica.replica == DRAINED);
         self.routers.iter().filter(|router| sends(router)).count()
     }
 
     fn restart(&mut self, index: usize, now: Nanos) {
         let core = self.core(index as u32, now);
-        let life = self.routers[index].life + 1;
-        self.routers[index] = Router { core, life, is_alive: true, is_watching: false };
+        let incarnation = self.routers[index].incarnation + 1;
+        self.routers[index] = Router { core, incarnation, is_alive: true, is_watching: false };
     }
 
-    fn tell_watches(&mut self, now: Nanos) {
+    fn notify_watches(&mut self, now: Nanos) {
         for router in self.routers.iter_mut().filter(|router| router.is_alive && router.is_watching) {
             router.core.endpoints_changed(now, ListUpdate::Delta, entries(true)[..1].to_vec());
         }
     }
 
-    fn deliver(&mut self, now: Nanos) {
+    fn deliver_messages(&mut self, now: Nanos) {
         while self.messages.front().is_some_and(|message| message.arrives_at <= now) {
             let Some(Message { to, from, bytes, .. }) = self.messages.pop_front() else { return };
             if self.routers[to].is_alive {
@@ -159,7 +161,7 @@
         }
     }
 
-    fn run(&mut self, index: usize, now: Nanos) {
+    fn run_router(&mut self, index: usize, now: Nanos) {
         if !self.routers[index].is_alive {
             return;
         }
@@ -181,27 +183,27 @@
     }
 
     fn call(&mut self, index: usize, now: Nanos) {
-        let Service { answer_time, free_at, queue, refused } = &mut self.service;
-        let turn = (*free_at).max(now) + *answer_time;
-        if turn - now <= PATIENCE {
-            *free_at = turn;
-            return queue.push_back((turn, index, self.routers[index].life));
+        let Service { answer_time, free_at, queue, refused_calls } = &mut self.service;
+        let answer_at = (*free_at).max(now) + *answer_time;
+        if answer_at - now <= MAX_ANSWER_DELAY {
+            *free_at = answer_at;
+            return queue.push_back((answer_at, index, self.routers[index].incarnation));
         }
-        let refusal = *answer_time / REFUSAL_SHARE;
-        *free_at += refusal;
-        queue.iter_mut().for_each(|(turn, ..)| *turn += refusal);
-        *refused += 1;
+        let refusal_time = *answer_time / ANSWER_TO_REFUSAL_RATIO;
+        *free_at += refusal_time;
+        queue.iter_mut().for_each(|(answer_at, ..)| *answer_at += refusal_time);
+        *refused_calls += 1;
         self.routers[index].core.endpoints_changed(now, ListUpdate::Failed, Vec::new());
     }
 
-    fn answer(&mut self, now: Nanos) {
-        while let Some(&(turn, index, life)) = self.service.queue.front() {
-            if turn > now {
+    fn answer_calls(&mut self, now: Nanos) {
+        while let Some(&(answer_at, index, incarnation)) = self.service.queue.front() {
+            if answer_at > now {
                 return;
             }
             self.service.queue.pop_front();
             let router = &mut self.routers[index];
-            if router.is_alive && router.life == life {
+            if router.is_alive && router.incarnation == incarnation {
                 router.is_watching = true;
                 router.core.endpoints_changed(now, ListUpdate::Full, entries(now >= self.changed_at));
             }
@@ -209,30 +211,34 @@
     }
 }
 
-/// Routers of so many deployments that would send to the drained replica too late, and refused calls.
+/// Runs one simulation per seed. Returns how many routers would send to the drained replica too late, and how many calls were
+/// refused.
 fn late_routers(routers: u32, message_loss: Option<f64>, seeds: std::ops::Range<u64>) -> (usize, usize) {
     let (mut late, mut refused) = (0, 0);
     for seed in seeds {
-        let mut world = World::new(Scenario { routers, message_loss, seed });
-        late += world.play();
-        refused += world.service.refused;
+        let mut simulation = Simulation::new(Scenario { routers, message_loss, seed });
+        late += simulation.run();
+        refused += simulation.service.refused_calls;
     }
     (late, refused)
 }
 
-/// The incident of 2026-12-03 in its own size and in others. Where calls alone leave routers without the list, as the
-/// service cannot answer all of them in time, the messages between routers leave none.
+/// Guards against the incident of 2026-12-03, in fleets of several sizes: the service cannot answer all calls in time, so that
+/// some routers do not receive the list and send to the drained replica. With messages between the routers, none does.
 #[test]
-fn a_crowded_restart_leaves_no_router_that_sends_to_a_draining_replica() {
-    let mut without_messages = 0;
+fn no_router_sends_to_a_draining_replica_after_many_routers_restart_together() {
+    let mut late_without_messages = 0;
     for routers in [6, 20, 44, 150] {
         let (late, refused) = late_routers(routers, None, 0..12);
-        println!("{routers} routers, no messages: {late} late, {refused} calls refused, in 12 restarts");
-        without_messages += late;
+        println!("{routers} routers without messages: {late} late routers and {refused} refused calls in 12 restarts");
+        late_without_messages += late;
         for loss in [0.0, 0.5] {
             let (late, _) = late_routers(routers, Some(loss), 0..12);
-            assert_eq!(late, 0, "{routers} routers, {loss} of the messages lost");
+            assert_eq!(late, 0, "no router of {routers} is late with {loss} of the messages lost");
         }
     }
-    assert!(without_messages > 0, "the service could answer all of them: nothing is shown");
+    assert!(
+        late_without_messages > 0,
+        "some routers are late without messages, otherwise the test shows nothing"
+    );
 }
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -1,4 +1,5 @@
-//! Node lists that are large, doubled or far too long: taken, or refused as a whole while the last one stays.
+//! Endpoint lists that are large, repeat entries or exceed the size limit. A list is applied, or rejected as a whole while the
+//! last list stays in use.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,61 +12,68 @@
 use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
 use tokio::net::TcpListener;
 
-/// So many rows stay within the longest object of the list.
-const MANY: usize = 30_000;
+/// Number of entries of a large list, still within the maximum size of a list message.
+const LARGE_LIST_ENTRIES: usize = 30_000;
 
-fn pages(kind: ListUpdate, rows: Vec<EndpointRecord>) -> EndpointListMessage {
-    EndpointListMessage { version: 1, full: kind == ListUpdate::Full, endpoints: rows }
+fn list_message(update: ListUpdate, endpoints: Vec<EndpointRecord>) -> EndpointListMessage {
+    EndpointListMessage { version: 1, full: update == ListUpdate::Full, endpoints }
 }
 
-/// Guards against a look at all rows for each of them: it held the router up for seconds.
+/// Guards against work that is quadratic in the number of entries and blocks the router for seconds.
 #[test]
-fn a_list_of_thousands_of_rows_holds_nothing_up() {
+fn a_list_with_thousands_of_entries_is_applied_without_blocking() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[], |_| {}).await;
-        let rows: Vec<EndpointRecord> =
-            (0..MANY).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
-        let began = Instant::now();
+        let records: Vec<EndpointRecord> =
+            (0..LARGE_LIST_ENTRIES).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
+        let started_at = Instant::now();
         endpoint_list::apply(
             &router.components.endpoint_list,
-            &pages(ListUpdate::Full, rows.clone()),
+            &list_message(ListUpdate::Full, records.clone()),
             ListUpdate::Full,
         );
         endpoint_list::apply(
             &router.components.endpoint_list,
-            &pages(ListUpdate::Full, rows),
+            &list_message(ListUpdate::Full, records),
             ListUpdate::Full,
         );
         let changed = vec![row("s-7", node.addr, "left")];
         endpoint_list::apply(
             &router.components.endpoint_list,
-            &pages(ListUpdate::Delta, changed),
+            &list_message(ListUpdate::Delta, changed),
             ListUpdate::Delta,
         );
-        let took = began.elapsed();
-        assert!(took < Duration::from_secs(3), "two whole lists of {MANY} rows took {took:?}");
-        assert_eq!(router.components.replicas.ready_count(), MANY - 1);
+        let duration = started_at.elapsed();
+        assert!(
+            duration < Duration::from_secs(3),
+            "two full lists of {LARGE_LIST_ENTRIES} entries took {duration:?}"
+        );
+        assert_eq!(router.components.replicas.ready_count(), LARGE_LIST_ENTRIES - 1);
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
     });
 }
 
-/// Guards against a node that is ready by one part of the router and unknown to the other.
+/// Guards against a replica that one part of the router takes for ready while another part does not know it.
 #[test]
-fn of_a_node_s_rows_in_one_page_the_last_counts_everywhere() {
+fn the_last_of_several_entries_of_a_replica_in_one_message_counts_everywhere() {
     run(async {
-        for kind in [ListUpdate::Delta, ListUpdate::Full] {
+        for update in [ListUpdate::Delta, ListUpdate::Full] {
             for (states, ready) in [(["left", "active"], true), (["active", "left"], false)] {
                 let node = Node::new(Chat).await;
                 let router = Router::new(Chat, &[&node], |_| {}).await;
-                let rows = states.iter().map(|state| row("s-0", node.addr, state)).collect();
-                endpoint_list::apply(&router.components.endpoint_list, &pages(kind, rows), kind);
-                let by_module = router.components.with(|core, _| {
+                let records = states.iter().map(|state| row("s-0", node.addr, state)).collect();
+                endpoint_list::apply(
+                    &router.components.endpoint_list,
+                    &list_message(update, records),
+                    update,
+                );
+                let ready_in_core = router.components.with(|core, _| {
                     core.listed_replicas().filter(|r| r.state == EndpointState::Ready).count()
                 });
-                let case = format!("{kind:?}, {states:?}");
+                let case = format!("{update:?}, {states:?}");
                 assert_eq!(
-                    (by_module, router.components.replicas.ready_count()),
+                    (ready_in_core, router.components.replicas.ready_count()),
                     (usize::from(ready), usize::from(ready)),
                     "{case}"
                 );
@@ -76,21 +84,21 @@
     });
 }
 
-/// A list object with so many rows beyond the one of a node, or with names so long.
-fn long_list(version: u64, rows: usize, name: &str, node: &Node) -> String {
+/// Returns a list message with the active entry of a replica and `count` leaving entries whose ids start with `name`.
+fn long_list(version: u64, count: usize, name: &str, node: &Node) -> String {
     let addr = node.addr;
-    let row = |n: usize| {
+    let leaving_entry = |n: usize| {
         format!(r#"{{"id":"{name}-{n}","addr":"{addr}","zone":"z-{n}","kind":"k-{n}","state":"leaving"}}"#)
     };
-    let rows: Vec<String> = (0..rows).map(row).collect();
+    let leaving: Vec<String> = (0..count).map(leaving_entry).collect();
     let first = format!(r#"{{"id":"s-1","addr":"{addr}","state":"active"}}"#);
-    chunk(&format!("{{\"version\":{version},\"full\":true,\"servers\":[{first},{}]}}\n", rows.join(",")))
+    chunk(&format!("{{\"version\":{version},\"full\":true,\"servers\":[{first},{}]}}\n", leaving.join(",")))
 }
 
-/// A row of 60 KB, and thousands of zones and kinds that the settings lack, are taken; 100,000 rows are more than a list may
-/// have: the watch is lost, and the last list stays.
+/// An entry of 60 KB and thousands of zones and kinds that are not in the settings are accepted. A list of 100,000 entries
+/// exceeds the limit: the router gives up the watch and keeps its last list.
 #[test]
-fn an_endless_list_is_refused_and_a_long_row_is_taken() {
+fn a_list_above_the_size_limit_is_rejected_and_a_long_entry_is_accepted() {
     run(async {
         let node = Node::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -102,10 +110,10 @@
         until(|| router.components.replicas.ready_count() == 1).await;
         call.send(&long_list(42, 5_000, "u", &node)).await;
         until(|| router.components.with(|core, _| core.listed_replicas().count()) == 5_001).await;
-        let endless = long_list(43, 100_000, "t", &node);
-        // The router closes before it has read all of it.
-        let _ = tokio::io::AsyncWriteExt::write_all(&mut call.stream, endless.as_bytes()).await;
-        let (_again, head) = next_call(&list).await;
+        let too_long = long_list(43, 100_000, "t", &node);
+        // The router closes the connection before it has read the whole list, so the write may fail.
+        let _ = tokio::io::AsyncWriteExt::write_all(&mut call.stream, too_long.as_bytes()).await;
+        let (_second_call, head) = next_call(&list).await;
         assert!(head.contains("since=42"), "{head}");
         assert_eq!(router.components.with(|core, _| core.listed_replicas().count()), 5_001);
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
