--- a/router/tests/recorded_fleet/messages.rs
+++ b/router/tests/recorded_fleet/messages.rs
@@ -76,18 +76,18 @@
             &sealed_call(&json.replace("\"v\":1", "\"v\":256")),
         ),
     ] {
-        let why = keys.open::<Call>(direction, &bytes[4..]).unwrap_err();
-        writeln!(got, "open, {case}: {:?}: {why}", why.kind()).unwrap();
+        let error = keys.open::<Call>(direction, &bytes[4..]).unwrap_err();
+        writeln!(got, "open, {case}: {:?}: {error}", error.kind()).unwrap();
     }
     for (case, length) in
         [("short", 31_u32), ("long", 32 + (128 << 10) + 1), ("all ones", u32::MAX), ("cut", 40)]
     {
         let bytes = [&length.to_be_bytes()[..], &[7; 39]].concat();
-        let why = wire::read(&mut &bytes[..]).await.unwrap_err();
-        writeln!(got, "read, {case}: {:?}: {why}", why.kind()).unwrap();
+        let error = wire::read(&mut &bytes[..]).await.unwrap_err();
+        writeln!(got, "read, {case}: {:?}: {error}", error.kind()).unwrap();
     }
-    let why = valid_keys.seal(Direction::Call, &"x".repeat(wire::MAX_BODY_BYTES)).unwrap_err();
-    writeln!(got, "seal, too long: {:?}: {why}", why.kind()).unwrap();
+    let error = valid_keys.seal(Direction::Call, &"x".repeat(wire::MAX_BODY_BYTES)).unwrap_err();
+    writeln!(got, "seal, too long: {:?}: {error}", error.kind()).unwrap();
     let three_keys = format!("{KEY}\n{KEY}2\n{KEY}3\n");
     for text in ["", "\n \n", "short", &format!("{KEY}\nshort"), &three_keys] {
         writeln!(got, "keys {text:?}: {}", Keys::read("nord", text).unwrap_err()).unwrap();
--- a/router/tests/recorded_fleet/orders.rs
+++ b/router/tests/recorded_fleet/orders.rs
@@ -16,13 +16,13 @@
 ///
 /// The number of rounds depends on the members' timing. If one member has accepted the first state when the two others
 /// promise a higher ballot, the bootstrap continues with that ballot, and the first version is 2000001 instead of 1000001.
-fn as_bootstrapped_in_one_round(text: &str, skipped: u64) -> String {
+fn as_bootstrapped_in_one_round(text: &str, skipped_versions: u64) -> String {
     let mut parts = text.split("\"version\":");
     let mut renumbered = parts.next().unwrap_or_default().to_string();
     for part in parts {
         let digits = part.bytes().take_while(u8::is_ascii_digit).count();
         let version: u64 = part[..digits].parse().unwrap();
-        write!(renumbered, "\"version\":{}{}", version - skipped, &part[digits..]).unwrap();
+        write!(renumbered, "\"version\":{}{}", version - skipped_versions, &part[digits..]).unwrap();
     }
     renumbered
 }
@@ -35,8 +35,8 @@
     fleet.wait_until("r1 has received the endpoint list", || {
         read_response(send_request(fleet.routers[1].front_addr)) == (200, true)
     });
-    let skipped = fleet.run_command(0, "status")["version"].as_u64().unwrap() - FIRST_VERSION;
-    assert_eq!(skipped % VERSIONS_PER_ROUND, 0, "one command has run since the bootstrap");
+    let skipped_versions = fleet.run_command(0, "status")["version"].as_u64().unwrap() - FIRST_VERSION;
+    assert_eq!(skipped_versions % VERSIONS_PER_ROUND, 0, "one command has run since the bootstrap");
     let write_plan = |name: &str, text: &str| std::fs::write(fleet.routers[0].dir.join(name), text).unwrap();
     let digest = "ab".repeat(32);
     write_plan(
@@ -105,9 +105,9 @@
     let (code, text) = fleet_command(&fleet, 0, "--id r1 resume");
     writeln!(got, "$ fleet --id r1 resume\nexit {code}\n{}", mask_varying_parts(&fleet, &text)).unwrap();
     let replica_status = |stage: &'static str| {
-        let node = |key: &str| fleet.run_command(0, "status")["nodes"][0][key].clone();
+        let replica_field = |key: &str| fleet.run_command(0, "status")["nodes"][0][key].clone();
         fleet.wait_until("the replica has reached the stage", || {
-            node("stage") == stage && node("clear") != false
+            replica_field("stage") == stage && replica_field("clear") != false
         });
         let (code, text) = fleet_command(&fleet, 0, "status");
         format!(
@@ -121,5 +121,5 @@
     got += &replica_status("back");
     let status = fleet.run_command(0, "status");
     assert_eq!(status["runs"][status["release"]["runs_here"].as_str().unwrap()], 3);
-    assert_as_recorded("orders.txt", &as_bootstrapped_in_one_round(&got, skipped));
+    assert_as_recorded("orders.txt", &as_bootstrapped_in_one_round(&got, skipped_versions));
 }
