--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router in the test's own process, stand-in model nodes of both dialects, and a plain client.
+//! A router that runs in the test process, fake replicas of both dialects, and a plain HTTP client.
 #![allow(dead_code, missing_docs)]
 
 use std::cell::{Cell, RefCell};
@@ -44,10 +44,10 @@
  }}"#;
 
 pub fn config() -> Config {
-    Config::parse(CONFIG).expect("the configuration is good")
+    Config::parse(CONFIG).expect("the configuration of the tests is valid")
 }
 
-/// The settings that ship, for the deployment of the tests, and more.
+/// Returns the shipped settings, adapted to the deployment of the tests, with `more` appended.
 pub fn settings(more: &str) -> String {
     include_str!("../../../deploy/tallypin.conf").replace("partner flughafen-schalter flughafen-schalter", "")
         + more
@@ -59,61 +59,66 @@
     read.unwrap_or_else(|problems| panic!("{problems}"))
 }
 
-/// Requests of a tenant that a router has served.
+/// Number of requests that a router has served for a tenant.
 pub fn served(requests: u32, tenant: u32) -> tallypin::served_report::ServedCount {
     tallypin::served_report::ServedCount { tenant: tallypin::api::TenantId(tenant), requests }
 }
 
-/// Runs a test on one thread, and ends it if it hangs.
+/// Runs a test on a single-threaded runtime. Panics if it takes longer than 20 s.
 pub fn run<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let tasks = tokio::task::LocalSet::new();
     tasks.block_on(&runtime, async {
-        tokio::time::timeout(Duration::from_secs(20), test).await.expect("the test hangs")
+        tokio::time::timeout(Duration::from_secs(20), test)
+            .await
+            .expect("the test did not finish within 20 s")
     });
 }
 
-/// What a stand-in node does with a request.
+/// How a fake replica handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// An event that no dialect names, in the middle.
+    /// Sends an event of an unknown type in the middle of the stream.
     UnknownEvent,
-    /// The stream breaks right after its first text.
+    /// Closes the connection right after the first text.
     Break,
-    /// The stream stops after its first text, and the connection stays.
+    /// Sends nothing after the first text and keeps the connection open.
     Silence,
-    /// Turned away unseen.
+    /// Declines the request without processing it.
     Decline,
+    /// Answers with status 500.
     Error,
-    /// The connection breaks before the answer.
+    /// Closes the connection before the answer.
     Reset,
-    /// The first event takes a while.
+    /// Sends the first event after 40 ms.
     Slow,
-    /// Nothing ever comes.
+    /// Never answers.
     Mute,
-    /// Text without end.
-    Flood,
+    /// Sends text events without end.
+    EndlessText,
 }
 
-/// What a stand-in node saw.
+/// What a fake replica observed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Seen {
     Connected,
     Request(String, Vec<u8>),
-    /// The router closed the connection in the middle of an answer.
+    /// The router closed the connection before the answer was complete.
     GivenUp,
 }
 
-/// What the next requests meet, in their order; nodes may share it.
+/// Faults of the next requests, in order. Several replicas may share one script.
 pub type Script = Rc<RefCell<VecDeque<Fault>>>;
 
+/// A fake replica.
 pub struct Node {
     pub addr: SocketAddr,
     pub script: Script,
     pub seen: tokio::sync::Mutex<mpsc::UnboundedReceiver<Seen>>,
-    pub flooded: Rc<Cell<usize>>,
-    /// Idle connections are closed as soon as an answer is complete.
+    /// Number of bytes sent by [`Fault::EndlessText`].
+    pub endless_text_bytes: Rc<Cell<usize>>,
+    /// Whether a connection is closed as soon as an answer is complete.
     pub hasty: Rc<Cell<bool>>,
 }
 
@@ -139,7 +144,7 @@
      \"usage\":{\"output_tokens\":2}}\n\n",
     "event: message_stop\ndata: {\"type\":\"message_stop\"}\n\n",
 ];
-const NOVEL: &str = "event: novelty\ndata: {\"type\":\"novelty\",\"n\":1}\n\n";
+const UNKNOWN_EVENT: &str = "event: novelty\ndata: {\"type\":\"novelty\",\"n\":1}\n\n";
 pub const HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -157,30 +162,32 @@
 
     pub async fn sharing(dialect: Dialect, script: &Script) -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (tell, seen) = mpsc::unbounded_channel();
+        let (observed, seen) = mpsc::unbounded_channel();
         let node = Node {
             addr: listener.local_addr().unwrap(),
             script: script.clone(),
             seen: tokio::sync::Mutex::new(seen),
-            flooded: Rc::default(),
+            endless_text_bytes: Rc::default(),
             hasty: Rc::default(),
         };
-        let (script, flooded, hasty) = (node.script.clone(), node.flooded.clone(), node.hasty.clone());
+        let (script, endless_text_bytes, hasty) =
+            (node.script.clone(), node.endless_text_bytes.clone(), node.hasty.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // Small writes go out at once, as a node's do; else each waits 40 ms for an acknowledgement.
+                // Sends small writes at once, as replicas do; otherwise each waits 40 ms for an acknowledgement.
                 let _ = stream.set_nodelay(true);
-                let _ = tell.send(Seen::Connected);
-                let (script, flooded, hasty) = (script.clone(), flooded.clone(), hasty.clone());
-                let tell = tell.clone();
+                let _ = observed.send(Seen::Connected);
+                let (script, endless_text_bytes, hasty) =
+                    (script.clone(), endless_text_bytes.clone(), hasty.clone());
+                let observed = observed.clone();
                 spawn_local(async move {
                     let mut client = Client { stream, buf: Vec::new() };
                     while let Some((head, body)) = client.message().await {
-                        let _ = tell.send(Seen::Request(head, body));
+                        let _ = observed.send(Seen::Request(head, body));
                         let fault = script.borrow_mut().pop_front().unwrap_or(Fault::None);
-                        let answered = client.serve(dialect, fault, &flooded).await;
+                        let answered = client.serve(dialect, fault, &endless_text_bytes).await;
                         if answered.is_none() {
-                            let _ = tell.send(Seen::GivenUp);
+                            let _ = observed.send(Seen::GivenUp);
                         }
                         if answered != Some(true) || hasty.get() {
                             return;
@@ -197,7 +204,7 @@
     }
 
     pub async fn next(&self) -> Seen {
-        self.seen.lock().await.recv().await.expect("the node runs")
+        self.seen.lock().await.recv().await.expect("the fake replica runs")
     }
 
     pub async fn next_request(&self) -> (String, Vec<u8>) {
@@ -208,9 +215,9 @@
         }
     }
 
-    /// What has been seen so far: how many connections and requests.
+    /// Returns the numbers of connections and requests since the previous call, and discards what was observed.
     pub fn so_far(&self) -> (usize, usize) {
-        let mut seen = self.seen.try_lock().expect("one looks at a time");
+        let mut seen = self.seen.try_lock().expect("no other task reads what the replica observed");
         let all: Vec<Seen> = std::iter::from_fn(|| seen.try_recv().ok()).collect();
         let requests = all.iter().filter(|s| matches!(s, Seen::Request(..))).count();
         (all.iter().filter(|s| **s == Seen::Connected).count(), requests)
@@ -231,17 +238,17 @@
         self.stream.write_all(text.as_bytes()).await.unwrap();
     }
 
-    async fn more(&mut self) -> bool {
+    async fn read_more(&mut self) -> bool {
         matches!(self.stream.read_buf(&mut self.buf).await, Ok(n) if n > 0)
     }
 
-    /// A message with a body of stated length.
+    /// Reads one message whose body length is given by Content-Length. Returns `None` if the connection ends first.
     pub async fn message(&mut self) -> Option<(String, Vec<u8>)> {
         let (head, rest) = self.head().await?;
         let length = field(&head, "content-length").map_or(0, |l| l.parse().unwrap());
         self.buf = rest;
         while self.buf.len() < length {
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
@@ -249,33 +256,35 @@
         Some((head, std::mem::replace(&mut self.buf, rest)))
     }
 
+    /// Reads one head. Returns it with the bytes that follow it.
     async fn head(&mut self) -> Option<(String, Vec<u8>)> {
         loop {
             if let Some(end) = self.buf.windows(4).position(|w| w == b"\r\n\r\n") {
                 let rest = self.buf.split_off(end + 4);
                 return Some((String::from_utf8(std::mem::take(&mut self.buf)).unwrap(), rest));
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return None;
             }
         }
     }
 
-    /// An answer: its status, head, body, and whether it is whole.
+    /// Reads an answer. Returns its status, head and body, and whether it is complete; the status is 0 if the connection ended
+    /// before the head.
     pub async fn answer(&mut self) -> (u16, String, String, bool) {
         let Some((head, rest)) = self.head().await else { return (0, String::new(), String::new(), false) };
         let status = head[9..12].parse().unwrap();
         self.buf = rest;
-        let (mut body, mut whole) = (Vec::new(), true);
+        let (mut body, mut complete) = (Vec::new(), true);
         if field(&head, "transfer-encoding").is_some() {
             loop {
-                while !self.buf.windows(2).any(|w| w == b"\r\n") && whole {
-                    whole = self.more().await;
+                while !self.buf.windows(2).any(|w| w == b"\r\n") && complete {
+                    complete = self.read_more().await;
                 }
                 let Some(at) = self.buf.windows(2).position(|w| w == b"\r\n") else { break };
                 let size = usize::from_str_radix(std::str::from_utf8(&self.buf[..at]).unwrap(), 16).unwrap();
-                while self.buf.len() < at + size + 4 && whole {
-                    whole = self.more().await;
+                while self.buf.len() < at + size + 4 && complete {
+                    complete = self.read_more().await;
                 }
                 body.extend_from_slice(&self.buf[at + 2..at + 2 + size]);
                 self.buf.drain(..at + size + 4);
@@ -285,22 +294,27 @@
             }
         } else {
             let length = field(&head, "content-length").map_or(0, |l| l.parse().unwrap());
-            while self.buf.len() < length && whole {
-                whole = self.more().await;
+            while self.buf.len() < length && complete {
+                complete = self.read_more().await;
             }
             body = self.buf.drain(..length).collect();
         }
-        (status, head, String::from_utf8(body).unwrap(), whole)
+        (status, head, String::from_utf8(body).unwrap(), complete)
     }
 
-    /// Sends one request of the platform and gives the answer.
+    /// Sends one request to the platform front and returns the answer.
     pub async fn ask(&mut self, fields: &str) -> (u16, String, String, bool) {
         self.send(&platform(fields, "{}")).await;
         self.answer().await
     }
 
-    /// Serves one request; `None` if the router gave it up, false if the connection is to close.
-    async fn serve(&mut self, dialect: Dialect, fault: Fault, flooded: &Cell<usize>) -> Option<bool> {
+    /// Serves one request. Returns `None` if the router closed the connection first, and false if the connection is to close.
+    async fn serve(
+        &mut self,
+        dialect: Dialect,
+        fault: Fault,
+        endless_text_bytes: &Cell<usize>,
+    ) -> Option<bool> {
         let events = events(dialect);
         match fault {
             Fault::Decline => {
@@ -313,7 +327,7 @@
             }
             Fault::Reset => return Some(false),
             Fault::Mute => {
-                while self.more().await {}
+                while self.read_more().await {}
                 return None;
             }
             Fault::Slow => tokio::time::sleep(Duration::from_millis(40)).await,
@@ -323,15 +337,15 @@
         match fault {
             Fault::Break => return Some(false),
             Fault::Silence => {
-                while self.more().await {}
+                while self.read_more().await {}
                 return None;
             }
-            Fault::Flood => loop {
+            Fault::EndlessText => loop {
                 let text = chunk(&events[1].repeat(20));
                 self.stream.write_all(text.as_bytes()).await.ok()?;
-                flooded.set(flooded.get() + text.len());
+                endless_text_bytes.set(endless_text_bytes.get() + text.len());
             },
-            Fault::UnknownEvent => self.stream.write_all(chunk(NOVEL).as_bytes()).await.ok()?,
+            Fault::UnknownEvent => self.stream.write_all(chunk(UNKNOWN_EVENT).as_bytes()).await.ok()?,
             _ => {}
         }
         for event in &events[1..] {
@@ -342,11 +356,13 @@
     }
 }
 
+/// Returns the value of a header field.
 pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let lines = head.split("\r\n").filter_map(|l| l.split_once(": "));
     lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v).next()
 }
 
+/// Returns a request to the platform front.
 pub fn platform(fields: &str, body: &str) -> String {
     static LAST: AtomicU64 = AtomicU64::new(0);
     let (length, id) = (body.len(), LAST.fetch_add(1, Ordering::Relaxed));
@@ -359,7 +375,7 @@
 pub const MESSAGE: &str = r#"{"model":"refund-chat","max_tokens":64,"stream":true,"system":"You help travellers.",
 "messages":[{"role":"user","content":[{"type":"text","text":"Where is my refund?"}]}]}"#;
 
-/// A request of the messages API.
+/// Returns a request to the messages API.
 pub fn messages(fields: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -368,22 +384,22 @@
     )
 }
 
-/// A front of a router: where it is, and a request there.
+/// Address of a front of the router, and a function that returns a request to that front.
 pub type At = (SocketAddr, fn() -> String);
 
-/// Both of them.
+/// Returns the platform front and the messages API of a router.
 pub fn fronts(router: &Router) -> [At; 2] {
     [(router.addr, || platform("", "{}")), (router.messages, || messages("", MESSAGE))]
 }
 
-/// A local port that stays this test's for as long as this lives: bound, but not listened at. Without it, the port of a
-/// listener that has closed goes to whoever asks for one next, and who connects there reaches another test.
+/// A local port that is bound but not listened on, so that it stays reserved for this test until the value is dropped.
+/// Otherwise the system may give the port of a closed listener to another test, and a client would connect to that test.
 pub struct ReservedPort(TcpSocket);
 
 impl ReservedPort {
     pub fn new() -> ReservedPort {
         let socket = TcpSocket::new_v4().unwrap();
-        // Lets a listener of this test have the port all the same; the system gives it to nobody who wants any.
+        // A listener of this test may still bind the port; the system does not pick it for a bind to port 0.
         socket.set_reuseaddr(true).unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
         ReservedPort(socket)
@@ -398,6 +414,7 @@
     }
 }
 
+/// A router in the test process.
 pub struct Router {
     pub components: Rc<Components>,
     pub addr: SocketAddr,
@@ -413,7 +430,7 @@
     }
 
     pub async fn by(config: Config, dialect: Dialect, nodes: &[&Node], peers: Option<Peers>) -> Router {
-        let front = installation(&config, &settings("")).messages.expect("it has the messages API");
+        let front = installation(&config, &settings("")).messages.expect("the settings have a messages API");
         let components = Components::new(config, dialect, peers).unwrap();
         components.start();
         let ports = [ReservedPort::new(), ReservedPort::new()];
@@ -432,6 +449,7 @@
         router
     }
 
+    /// Applies a complete endpoint list.
     pub fn list(&self, rows: impl IntoIterator<Item = EndpointRecord>) {
         let page = EndpointListMessage { version: 1, full: true, endpoints: rows.into_iter().collect() };
         endpoint_list::apply(&self.components.endpoint_list, &page, ListUpdate::Full);
@@ -441,12 +459,13 @@
         self.components.with(|core, _| core.counts().clone())
     }
 
+    /// Number of open requests.
     pub fn open(&self) -> usize {
         self.components.with(|core, _| core.open_requests())
     }
 }
 
-/// A router before one node that the test plays by hand, connection by connection.
+/// Starts a router with one replica whose connections the test accepts and serves itself.
 pub async fn by_hand(limits: impl FnOnce(&mut Limits)) -> (Router, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let router = Router::new(Dialect::Chat, &[], limits).await;
@@ -454,29 +473,31 @@
     (router, listener)
 }
 
-/// The next connection to that node, and its first request read.
+/// Accepts the next connection to that replica and reads its first request.
 pub async fn asked(listener: &TcpListener) -> Client {
-    let mut link = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
-    link.message().await.expect("a request");
-    link
+    let mut connection = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
+    connection.message().await.expect("a request");
+    connection
 }
 
+/// Returns a text as one chunk of the chunked transfer coding.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A whole answer with this text.
+/// Returns a complete streamed answer that contains this text.
 pub fn answer(text: &str) -> String {
     let events = CHAT.iter().map(|e| chunk(&e.replace("Gott", text))).collect::<String>();
     HEAD.to_string() + &events + "0\r\n\r\n"
 }
 
+/// Returns an endpoint record.
 pub fn row(id: &str, addr: SocketAddr, state: &str) -> EndpointRecord {
     let text = format!(r#"{{"id": "{id}", "addr": "{addr}", "state": "{state}"}}"#);
     serde_json::from_str(&text).unwrap()
 }
 
-/// The next call at a node list service that the test plays by hand, and its head.
+/// Accepts the next call to a discovery service that the test serves itself. Returns the connection and the request head.
 pub async fn next_call(list: &TcpListener) -> (Client, String) {
     let (stream, _) = list.accept().await.unwrap();
     let mut call = Client { stream, buf: Vec::new() };
@@ -484,16 +505,16 @@
     (call, head)
 }
 
-/// The head of a watch's answer.
+/// The response head of a watch.
 pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One object of the list, as a chunk.
+/// Returns an endpoint list message with one replica, as one chunk.
 pub fn page(version: u64, full: bool, id: &str, node: &Node, state: &str) -> String {
     let server = format!(r#"{{"id":"{id}","addr":"{}","state":"{state}"}}"#, node.addr);
     chunk(&format!("{{\"version\":{version},\"full\":{full},\"servers\":[{server}]}}\n"))
 }
 
-/// Lets the other tasks have their turns, so many times, without a look at the sockets in between.
+/// Yields to the other tasks `n` times without a poll of the sockets in between.
 pub async fn turns(mut n: usize) {
     poll_fn(|cx| {
         if n == 0 {
@@ -506,53 +527,55 @@
     .await;
 }
 
-/// Waits until something is so.
-pub async fn until(so: impl Fn() -> bool) {
-    while !so() {
+/// Yields to the other tasks until the condition holds.
+pub async fn until(condition: impl Fn() -> bool) {
+    while !condition() {
         tokio::task::yield_now().await;
     }
 }
 
-/// A client of the runtime's from one that blocks.
+/// Converts a blocking stream to a client of the runtime.
 pub fn into_client(stream: std::net::TcpStream) -> Client {
     stream.set_nonblocking(true).unwrap();
     Client { stream: TcpStream::from_std(stream).unwrap(), buf: Vec::new() }
 }
 
-/// The other way round: what it writes is in the system when the call returns.
+/// Converts a client to a blocking stream. The kernel has accepted what the stream writes when the write returns.
 pub fn into_blocking(client: Client) -> std::net::TcpStream {
     let stream = client.stream.into_std().unwrap();
     stream.set_nonblocking(false).unwrap();
     stream
 }
 
-/// What is waited for at the other end of a connection.
+/// What [`wait_for_arrival`] waits for at the other end of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Arrival {
-    /// Bytes that are not read yet.
+    /// Unread bytes.
     Data,
     /// The end of the stream.
     End,
 }
 
-/// Waits, without giving the router a turn, until what was sent from sockets has arrived at their other ends, which are of
-/// this machine: its table of connections says so.
-pub fn arrived(sockets: &[&std::net::TcpStream], what: Arrival) {
+/// Blocks until what the sockets sent has arrived at their other ends, which have to be on this machine. The router's tasks do
+/// not run meanwhile. Reads the state of the connections from `/proc/net/tcp`.
+pub fn wait_for_arrival(sockets: &[&std::net::TcpStream], arrival: Arrival) {
     const CLOSE_WAIT: &str = "08";
-    let coded = |address: SocketAddr| match address.ip() {
+    let hex_address = |address: SocketAddr| match address.ip() {
         std::net::IpAddr::V4(ip) => format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), address.port()),
         std::net::IpAddr::V6(_) => panic!("the tests use IPv4"),
     };
     let ends: Vec<_> = sockets
         .iter()
-        .map(|s| format!(" {} {} ", coded(s.peer_addr().unwrap()), coded(s.local_addr().unwrap())))
+        .map(|s| {
+            format!(" {} {} ", hex_address(s.peer_addr().unwrap()), hex_address(s.local_addr().unwrap()))
+        })
         .collect();
     let has_arrived = |table: &str, end: &str| {
-        // Of its line there follow the state, and the bytes not acknowledged and not read.
+        // The next fields of the line are the state, and the numbers of unacknowledged and of unread bytes.
         let rest = table.split_once(end).map_or("", |(_, rest)| rest);
         let mut fields = rest.split_ascii_whitespace();
         let (state, queues) = (fields.next().unwrap_or(""), fields.next().unwrap_or(""));
-        match what {
+        match arrival {
             Arrival::End => state == CLOSE_WAIT,
             Arrival::Data => queues.split_once(':').is_some_and(|(_, unread)| unread != "00000000"),
         }
@@ -565,9 +588,9 @@
     }
 }
 
-/// Clients leave: their ends have arrived at the router's machine when this returns, and the router has had no turn.
+/// Closes the clients' connections. Returns when the ends of stream have arrived, before any task of the router runs.
 pub fn leave(clients: impl IntoIterator<Item = Client>) {
     let streams: Vec<_> = clients.into_iter().map(into_blocking).collect();
     streams.iter().for_each(|s| s.shutdown(std::net::Shutdown::Write).unwrap());
-    arrived(&streams.iter().collect::<Vec<_>>(), Arrival::End);
+    wait_for_arrival(&streams.iter().collect::<Vec<_>>(), Arrival::End);
 }
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -1,4 +1,4 @@
-//! One test with real sockets for each rule that the router keeps.
+//! Tests of the router's rules over real sockets.
 #![allow(missing_docs)]
 
 mod common;
@@ -23,21 +23,21 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn events_pass_unchanged_and_the_prompt_does_too() {
+fn forwards_the_prompt_and_the_events_unchanged() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |l| l.replica_reuse_delay = Duration::ZERO).await;
         let mut client = Client::to(router.addr).await;
         client.send(&platform("Req-Deadline-Ms: 3000\r\n", "{\"stream\": true}")).await;
-        let (status, _, body, whole) = client.answer().await;
-        assert_eq!((status, body, whole), (200, CHAT.concat(), true));
+        let (status, _, body, complete) = client.answer().await;
+        assert_eq!((status, body, complete), (200, CHAT.concat(), true));
         let (head, body) = node.next_request().await;
         assert!(head.starts_with("POST /v1/chat/completions HTTP/1.1\r\n"), "{head}");
         assert_eq!(body, b"{\"stream\": true}");
         assert!(field(&head, "req-id").unwrap().starts_with("9b1f-"), "{head}");
-        let left: u64 = field(&head, "req-deadline-ms").unwrap().parse().unwrap();
-        assert!((2000..=3000).contains(&left), "{left}");
-        // The same connections serve the next one.
+        let remaining_ms: u64 = field(&head, "req-deadline-ms").unwrap().parse().unwrap();
+        assert!((2000..=3000).contains(&remaining_ms), "{remaining_ms}");
+        // The next request uses the same connections.
         assert_eq!(client.ask("").await.0, 200);
         assert_eq!(node.so_far(), (0, 1));
         assert_eq!(router.tallies().completed, 2);
@@ -45,18 +45,22 @@
 }
 
 #[test]
-fn what_the_module_gives_up_on_is_refused_at_once_with_advice() {
+fn rejects_at_once_with_retry_after_without_replicas_or_quota() {
     run(async {
         let router = Router::new(Chat, &[], |_| {}).await;
-        let (mut client, begun) = (Client::to(router.addr).await, Instant::now());
+        let (mut client, started_at) = (Client::to(router.addr).await, Instant::now());
         let (status, head, ..) = client.ask("").await;
-        assert!(begun.elapsed() < 500 * MS, "held back for {:?}", begun.elapsed());
-        let advice: f64 = field(&head, "retry-after").expect("advice").parse().unwrap();
-        assert!(status == 503 && advice > 0.0 && advice <= 2.0, "{status} {advice}");
-        let over_share = platform("", "{}").replace("haendlerbund", "grenzstellen");
+        assert!(
+            started_at.elapsed() < 500 * MS,
+            "the answer comes at once, not after {:?}",
+            started_at.elapsed()
+        );
+        let retry_after: f64 = field(&head, "retry-after").expect("a Retry-After field").parse().unwrap();
+        assert!(status == 503 && retry_after > 0.0 && retry_after <= 2.0, "{status} {retry_after}");
+        let over_quota = platform("", "{}").replace("haendlerbund", "grenzstellen");
         let mut statuses = Vec::new();
         for _ in 0..10 {
-            client.send(&over_share).await;
+            client.send(&over_quota).await;
             statuses.push(client.answer().await.0);
         }
         assert!(statuses.contains(&429), "{statuses:?}");
@@ -64,17 +68,21 @@
 }
 
 #[test]
-fn the_final_answer_comes_by_the_deadline() {
+fn answers_by_the_deadline_if_the_replica_does_not_answer() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute; 4]);
         let router = Router::new(Chat, &[&node], |_| {}).await;
-        let (mut client, begun) = (Client::to(router.addr).await, Instant::now());
+        let (mut client, started_at) = (Client::to(router.addr).await, Instant::now());
         let (status, ..) = client.ask("Req-Deadline-Ms: 120\r\n").await;
-        assert!(status == 503 && begun.elapsed() < 170 * MS, "{status} after {:?}", begun.elapsed());
+        assert!(
+            status == 503 && started_at.elapsed() < 170 * MS,
+            "{status} after {:?}",
+            started_at.elapsed()
+        );
         assert_eq!(node.next().await, Seen::Connected);
         assert!(matches!(node.next().await, Seen::Request(..)));
-        assert_eq!(node.next().await, Seen::GivenUp, "the attempt is closed");
+        assert_eq!(node.next().await, Seen::GivenUp, "the connection of the attempt is closed");
         assert_eq!((router.tallies().rejected, router.open()), (1, 0));
     });
 }
@@ -86,9 +94,13 @@
         node.plan(&[Fault::Break, Fault::Silence]);
         let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
         for count in 1..=2 {
-            let (status, _, body, whole) = Client::to(router.addr).await.ask("").await;
-            assert_eq!((status, &body[..], whole), (200, CHAT[0], false));
-            assert_eq!(router.tallies().interrupted, count, "bound: no further attempt");
+            let (status, _, body, complete) = Client::to(router.addr).await.ask("").await;
+            assert_eq!((status, &body[..], complete), (200, CHAT[0], false));
+            assert_eq!(
+                router.tallies().interrupted,
+                count,
+                "a stream that has begun gets no further attempt"
+            );
         }
         assert_eq!(node.so_far().1, 2);
         let (status, ..) = Client::to(router.addr).await.ask("Req-Retry: again\r\n").await;
@@ -97,10 +109,10 @@
 }
 
 #[test]
-fn further_attempts_are_the_module_s_and_are_counted() {
+fn retries_failed_attempts_and_counts_each_outcome() {
     run(async {
-        let plan = Script::default();
-        let (a, b) = (Node::sharing(Chat, &plan).await, Node::sharing(Chat, &plan).await);
+        let script = Script::default();
+        let (a, b) = (Node::sharing(Chat, &script).await, Node::sharing(Chat, &script).await);
         let router = Router::new(Chat, &[&a, &b], |_| {}).await;
         for fault in [Fault::Decline, Fault::Error, Fault::Reset] {
             a.plan(&[fault, Fault::None]);
@@ -108,14 +120,14 @@
         }
         let (first, second) = (a.so_far().1, b.so_far().1);
         assert_eq!((first + second, router.tallies().completed), (6, 3));
-        // done, error, busy, timed out, refused, reset, cancelled, skipped
+        // The order is: completed, replica error, rejected, timed out, connection refused, connection reset, cancelled, not sent.
         assert_eq!(router.tallies().outcomes, [3, 1, 1, 0, 0, 1, 0, 0]);
     });
 }
 
-/// Guards against a further attempt that tells its node the whole time of its client, of which part is gone.
+/// Guards against a retry that sends its replica the client's original deadline although part of the time has passed.
 #[test]
-fn a_further_attempt_tells_its_node_what_is_left() {
+fn each_attempt_carries_the_time_left_until_the_deadline() {
     run(async {
         let nodes = [
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
@@ -126,7 +138,7 @@
         router.list(rows.map(|(n, l)| row(&format!("s-{n}"), l.local_addr().unwrap(), "active")));
         let mut client = Client::to(router.addr).await;
         client.send(&platform("Req-Deadline-Ms: 3000\r\n", "{}")).await;
-        let mut left = Vec::new();
+        let mut remaining_ms = Vec::new();
         for _ in 0..2 {
             let stream = tokio::select! {
                 accepted = nodes[0].accept() => accepted.unwrap().0,
@@ -134,16 +146,16 @@
             };
             let mut node = Client { stream, buf: Vec::new() };
             let (head, _) = node.message().await.unwrap();
-            let told: u64 = field(&head, "req-deadline-ms").unwrap().parse().unwrap();
-            left.push(told);
+            let deadline_ms: u64 = field(&head, "req-deadline-ms").unwrap().parse().unwrap();
+            remaining_ms.push(deadline_ms);
             tokio::time::sleep(100 * MS).await;
             node.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n").await;
         }
-        assert!(left[0] <= 3000 && left[1] + 100 <= left[0], "{left:?}");
+        assert!(remaining_ms[0] <= 3000 && remaining_ms[1] + 100 <= remaining_ms[0], "{remaining_ms:?}");
     });
 }
 
-/// Guards against a repeat that a node takes for a new request, as the client's key was dropped on the way.
+/// Guards against a retry that a replica processes as a new request because the router dropped the client's key.
 #[test]
 fn each_attempt_carries_the_client_s_idempotency_key() {
     run(async {
@@ -162,7 +174,7 @@
             let (head, _) = node.next_request().await;
             assert_eq!(field(&head, "idempotency-key"), None, "front {front}: the key of another request");
             client.send(&with("Idempotency-Key: k-1\r\nIdempotency-Key: k-2\r\n")).await;
-            assert_eq!(client.answer().await.0, 400, "front {front}: ambiguous");
+            assert_eq!(client.answer().await.0, 400, "front {front}: two keys are ambiguous");
         }
         let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
         first.plan(&[Fault::Decline]);
@@ -177,7 +189,7 @@
 }
 
 #[test]
-fn a_connection_closed_while_idle_is_noticed_and_an_old_one_retired() {
+fn reuses_no_connection_that_was_closed_or_idle_for_too_long() {
     run(async {
         let node = Node::new(Chat).await;
         node.hasty.set(true);
@@ -185,22 +197,22 @@
         let mut client = Client::to(router.addr).await;
         for _ in 0..3 {
             assert_eq!(client.ask("").await.0, 200);
-            // The close is there when the next request comes: a round trip to the node orders the two.
+            // A round trip to the replica, so that its close arrives before the next request.
             drop(Client::to(node.addr).await);
             tokio::task::yield_now().await;
         }
-        assert_eq!(router.tallies().outcomes[0], 3, "none was written to a closed connection");
+        assert_eq!(router.tallies().outcomes[0], 3, "no request was written to a closed connection");
         node.hasty.set(false);
         assert_eq!(client.ask("").await.0, 200);
         node.so_far();
-        tokio::time::sleep(100 * MS).await; // the retirement itself is a matter of time
+        tokio::time::sleep(100 * MS).await; // exceeds the idle timeout
         assert_eq!(client.ask("").await.0, 200);
-        assert_eq!(node.so_far(), (1, 1), "a new connection");
+        assert_eq!(node.so_far(), (1, 1), "the request uses a new connection");
     });
 }
 
 #[test]
-fn a_node_that_drains_or_is_gone_gets_nothing_new() {
+fn a_draining_or_removed_replica_receives_no_new_requests() {
     run(async {
         let (a, b) = (Node::new(Chat).await, Node::new(Chat).await);
         let router = Router::new(Chat, &[&a, &b], |_| {}).await;
@@ -214,22 +226,24 @@
     });
 }
 
-/// Sends twenty requests at once to a warm node and one that has just started, and again once that started long ago. What
-/// the young one got each time, and how long the first sending took.
-async fn beside_a_young_node() -> ([usize; 2], Duration) {
-    let (warm, young) = (Node::new(Chat).await, Node::new(Chat).await);
+/// Sends twenty concurrent requests to a warm replica and one that has just started, and again with a start time long ago.
+/// Returns the number of requests that the new replica received in each round, and the duration of the first round.
+async fn send_to_warm_and_new_replica() -> ([usize; 2], Duration) {
+    let (warm, new_replica) = (Node::new(Chat).await, Node::new(Chat).await);
     let router = Router::new(Chat, &[&warm], |_| {}).await;
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    let (mut got, mut took) = ([0; 2], None);
-    // Unix time on the list, whatever the module's own clock: started now, or long ago.
-    for (got, (id, started_ms)) in got.iter_mut().zip([("now", unix.as_millis() as u64), ("once", 0)]) {
-        let mut row_of_young = row(id, young.addr, "active");
-        row_of_young.started_ms = started_ms;
-        router.list([row("s-0", warm.addr, "active"), row_of_young]);
-        // At once: one after the other, whoever answered sooner would get them all.
+    let (mut received, mut duration) = ([0; 2], None);
+    // The endpoint list has Unix time, unlike the clock of the decision module.
+    for (received, (id, started_ms)) in
+        received.iter_mut().zip([("now", unix.as_millis() as u64), ("once", 0)])
+    {
+        let mut new_row = row(id, new_replica.addr, "active");
+        new_row.started_ms = started_ms;
+        router.list([row("s-0", warm.addr, "active"), new_row]);
+        // Concurrent requests: sequential ones would all go to the replica that answers faster.
         warm.plan(&[Fault::Slow; 20]);
-        young.plan(&[Fault::Slow; 20]);
-        let (mut clients, begun) = (Vec::new(), Instant::now());
+        new_replica.plan(&[Fault::Slow; 20]);
+        let (mut clients, started_at) = (Vec::new(), Instant::now());
         for _ in 0..20 {
             let mut client = Client::to(router.addr).await;
             client.send(&platform("", "{}")).await;
@@ -238,70 +252,74 @@
         for client in &mut clients {
             assert_eq!(client.answer().await.0, 200);
         }
-        took.get_or_insert(begun.elapsed());
-        *got = young.so_far().1;
+        duration.get_or_insert(started_at.elapsed());
+        *received = new_replica.so_far().1;
     }
-    (got, took.unwrap_or_default())
+    (received, duration.unwrap_or_default())
 }
 
-/// What it may get grows with time, so a play in which the machine stood still says nothing.
+/// The share of a new replica grows with time, so a round that took 150 ms or longer says nothing and is repeated.
 #[test]
-fn a_node_that_has_just_started_is_not_pushed_over() {
+fn a_replica_that_has_just_started_receives_few_requests() {
     run(async {
         for _ in 0..20 {
-            let (got, took) = beside_a_young_node().await;
-            if took < 150 * MS {
-                return assert!(got[0] <= 2 && got[1] > 2, "{got:?} in {took:?}");
+            let (received, duration) = send_to_warm_and_new_replica().await;
+            if duration < 150 * MS {
+                return assert!(received[0] <= 2 && received[1] > 2, "{received:?} in {duration:?}");
             }
         }
-        panic!("the machine stood still in each of twenty plays");
+        panic!("the first round took 150 ms or longer in each of twenty runs");
     });
 }
 
 #[test]
-fn a_client_that_leaves_frees_what_it_held() {
+fn a_client_disconnect_aborts_the_attempt_and_frees_the_request() {
     run(async {
         let node = Node::new(Chat).await;
-        node.plan(&[Fault::Mute, Fault::Flood]);
+        node.plan(&[Fault::Mute, Fault::EndlessText]);
         let router = Router::new(Chat, &[&node], |_| {}).await;
-        for left in 1..=2 {
+        for disconnects in 1..=2 {
             let mut client = Client::to(router.addr).await;
             client.send(&platform("", "{}")).await;
             node.next_request().await;
             drop(client);
             while node.next().await != Seen::GivenUp {}
-            assert_eq!((router.tallies().client_disconnects, router.open()), (left, 0));
+            assert_eq!((router.tallies().client_disconnects, router.open()), (disconnects, 0));
         }
     });
 }
 
 #[test]
-fn a_slow_client_holds_up_the_node_and_not_the_memory() {
+fn a_slow_client_stops_the_replica_with_bounded_buffering() {
     run(async {
         let node = Node::new(Chat).await;
-        node.plan(&[Fault::Flood]);
+        node.plan(&[Fault::EndlessText]);
         let router = Router::new(Chat, &[&node], |_| {}).await;
         let mut client = Client::to(router.addr).await;
         client.send(&platform("", "{}")).await;
-        // The node goes on until everything between it and the client is full, then stands still.
-        let (mut before, mut still) = (0, 0);
-        while still < 20 {
+        // The replica sends until all buffers between it and the client are full.
+        let (mut last_sent_bytes, mut unchanged_samples) = (0, 0);
+        while unchanged_samples < 20 {
             tokio::time::sleep(5 * MS).await;
-            still = if node.flooded.get() == before && before > 0 { still + 1 } else { 0 };
-            before = node.flooded.get();
+            unchanged_samples = if node.endless_text_bytes.get() == last_sent_bytes && last_sent_bytes > 0 {
+                unchanged_samples + 1
+            } else {
+                0
+            };
+            last_sent_bytes = node.endless_text_bytes.get();
         }
-        assert!(before < 24 << 20, "{before} bytes taken from the node");
-        let mut some = vec![0; 1 << 20];
-        client.stream.read_exact(&mut some).await.unwrap();
-        until(|| node.flooded.get() > before).await;
+        assert!(last_sent_bytes < 24 << 20, "the buffers hold less than 24 MiB: {last_sent_bytes} bytes");
+        let mut part = vec![0; 1 << 20];
+        client.stream.read_exact(&mut part).await.unwrap();
+        until(|| node.endless_text_bytes.get() > last_sent_bytes).await;
     });
 }
 
 #[test]
-fn a_client_that_takes_nothing_for_too_long_has_left() {
+fn a_client_that_reads_nothing_until_the_write_timeout_is_disconnected() {
     run(async {
         let node = Node::new(Chat).await;
-        node.plan(&[Fault::Flood]);
+        node.plan(&[Fault::EndlessText]);
         let router = Router::new(Chat, &[&node], |l| l.client_write_timeout = 60 * MS).await;
         let mut client = Client::to(router.addr).await;
         client.send(&platform("", "{}")).await;
@@ -311,7 +329,7 @@
 }
 
 #[test]
-fn a_body_in_chunks_is_asked_for_and_passed_on_whole() {
+fn a_chunked_body_is_read_after_100_continue_and_forwarded_complete() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |_| {}).await;
@@ -326,7 +344,7 @@
 }
 
 #[test]
-fn what_fails_for_want_of_a_connection_here_is_not_held_against_the_node() {
+fn an_attempt_skipped_at_the_connection_limit_does_not_count_against_the_replica() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute]);
@@ -335,15 +353,15 @@
         first.send(&platform("", "{}")).await;
         node.next_request().await;
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 503);
-        assert_eq!(router.tallies().outcomes[7], 1, "skipped");
+        assert_eq!(router.tallies().outcomes[7], 1, "the attempt was skipped");
         drop(first);
         while node.next().await != Seen::GivenUp {}
-        assert_eq!(Client::to(router.addr).await.ask("").await.0, 200, "the node is not shunned");
+        assert_eq!(Client::to(router.addr).await.ask("").await.0, 200, "the replica still receives requests");
     });
 }
 
 #[test]
-fn a_probe_asks_for_the_load_and_gives_its_connection_back() {
+fn a_probe_fetches_the_load_report_and_returns_its_connection() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let router = Router::new(Chat, &[], |l| l.replica_reuse_delay = Duration::ZERO).await;
@@ -370,7 +388,7 @@
 }
 
 #[test]
-fn bad_input_is_turned_away_and_never_reaches_a_node() {
+fn bad_input_is_rejected_and_not_forwarded() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |l: &mut Limits| {
@@ -381,13 +399,17 @@
         let good = platform("", "{}");
         let long = "x".repeat(2000);
         let many = "X-A: b\r\n".repeat(20);
-        for (what, text, status) in [
-            ("no request at all", "\0\u{1}garbage\r\n\r\n".to_string(), 400),
+        for (case, text, status) in [
+            ("no HTTP request", "\0\u{1}garbage\r\n\r\n".to_string(), 400),
             ("two lengths", platform("Content-Length: 2\r\n", "{}"), 400),
             ("length and chunks", platform("Transfer-Encoding: chunked\r\n", "{}"), 400),
             ("a signed length", good.replace("Length: 2", "Length: +2"), 400),
-            ("a length beyond counting", good.replace("Length: 2", "Length: 99999999999999999999"), 400),
-            ("another coding", good.replace("Content-Length: 2", "Transfer-Encoding: gzip"), 501),
+            ("a length that overflows", good.replace("Length: 2", "Length: 99999999999999999999"), 400),
+            (
+                "an unsupported transfer coding",
+                good.replace("Content-Length: 2", "Transfer-Encoding: gzip"),
+                501,
+            ),
             ("a bad chunk", good.replace("Content-Length: 2", "Transfer-Encoding: chunked") + "\r\n", 400),
             ("a large body", good.replace("Length: 2", "Length: 5000"), 413),
             ("a large head", platform(&format!("X-A: {long}\r\n"), "{}"), 431),
@@ -397,41 +419,41 @@
             ("an id of two words", good.replace("9b1f", "9b 1f"), 400),
             ("an unknown class", good.replace("chat\r\nReq", "poem\r\nReq"), 400),
             ("an unknown partner", good.replace("haendlerbund", "nobody"), 400),
-            ("an endless wait", platform("Req-Deadline-Ms: 18446744073709551615\r\n", "{}"), 400),
-            ("a wait in words", platform("Req-Deadline-Ms: soon\r\n", "{}"), 400),
-            ("lengths of nothing", platform("Req-Extra: prompt_len=-1\r\n", "{}"), 400),
-            ("an extra without a value", platform("Req-Extra: prefix\r\n", "{}"), 400),
+            ("a deadline of 2^64 - 1 ms", platform("Req-Deadline-Ms: 18446744073709551615\r\n", "{}"), 400),
+            ("a deadline that is no number", platform("Req-Deadline-Ms: soon\r\n", "{}"), 400),
+            ("a negative length", platform("Req-Extra: prompt_len=-1\r\n", "{}"), 400),
+            ("an extra field without a value", platform("Req-Extra: prefix\r\n", "{}"), 400),
             ("another path", good.replace("/v1/chat", "/v2/chat"), 404),
             ("another method", good.replace("POST", "PUT"), 405),
             ("half a body", good.replace("Length: 2", "Length: 3"), 408),
         ] {
             let mut client = Client::to(router.addr).await;
             client.send(&text).await;
-            assert_eq!(client.answer().await.0, status, "{what}");
+            assert_eq!(client.answer().await.0, status, "{case}");
         }
         assert_eq!((node.so_far(), router.tallies().accepted), ((0, 0), 0));
-        assert_eq!(Client::to(router.addr).await.ask("").await.0, 200, "and all is well");
+        assert_eq!(Client::to(router.addr).await.ask("").await.0, 200, "the router still serves requests");
     });
 }
 
 #[test]
-fn over_budget_is_refused_and_idle_connections_make_room() {
+fn rejects_over_budget_and_closes_an_idle_connection_for_a_new_one() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute; 3]);
         let router = Router::new(Chat, &[&node], |l| (l.max_clients, l.body_budget) = (2, 100)).await;
         let mut idle = Client::to(router.addr).await;
         assert_eq!(idle.ask(&format!("Req-Deadline-Ms: {}\r\n", 30)).await.0, 503);
-        let mut large = Client::to(router.addr).await;
-        large.send(&platform("", &"x".repeat(101))).await;
-        assert_eq!(large.answer().await.0, 503, "more body than the budget holds");
-        drop(large);
+        let mut oversized = Client::to(router.addr).await;
+        oversized.send(&platform("", &"x".repeat(101))).await;
+        assert_eq!(oversized.answer().await.0, 503, "the body exceeds the budget");
+        drop(oversized);
         until(|| router.components.clients.open() == 1).await;
         let mut busy = Client::to(router.addr).await;
         busy.send(&platform("", "{}")).await;
         until(|| router.open() == 1).await;
         let mut third = Client::to(router.addr).await;
-        assert_eq!(idle.answer().await.0, 0, "the idle one is closed");
+        assert_eq!(idle.answer().await.0, 0, "the idle connection is closed");
         third.send(&platform("", "{}")).await;
         until(|| router.open() == 2).await;
         let (status, head, ..) = Client::to(router.addr).await.ask("").await;
@@ -440,7 +462,7 @@
 }
 
 #[test]
-fn the_planned_end_serves_who_still_comes_and_finishes_what_it_has() {
+fn graceful_shutdown_serves_new_requests_in_the_grace_and_completes_open_ones() {
     run(async {
         let (router, listener) =
             by_hand(|l| (l.shutdown_grace, l.replica_reuse_delay) = (500 * MS, Duration::ZERO)).await;
@@ -451,35 +473,38 @@
         let end = spawn_local(async move { shutdown::drain(&components).await });
         until(|| router.components.lifecycle.stage() != Stage::Serving).await;
         idle.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n").await;
-        assert_eq!(idle.answer().await.0, 503, "no more clients are wanted");
-        let mut late = Client::to(router.addr).await;
-        late.send(&platform("", "{}")).await;
+        assert_eq!(idle.answer().await.0, 503, "the health check fails during shutdown");
+        let mut late_client = Client::to(router.addr).await;
+        late_client.send(&platform("", "{}")).await;
         let mut node = asked(&listener).await;
         node.send(&answer("first")).await;
-        assert_eq!(late.answer().await.0, 200, "but who comes is served");
-        late.send(&platform("", "{}")).await;
+        assert_eq!(late_client.answer().await.0, 200, "a request during the grace is served");
+        late_client.send(&platform("", "{}")).await;
         node.message().await.expect("a request");
         until(|| router.components.lifecycle.stage() == Stage::Closing).await;
         node.send(&answer("second")).await;
-        assert_eq!((late.answer().await.0, late.answer().await.0), (200, 0), "to the end, then closed");
+        assert_eq!(
+            (late_client.answer().await.0, late_client.answer().await.0),
+            (200, 0),
+            "the open request is completed before the close"
+        );
         end.await.unwrap();
         assert_eq!((idle.answer().await.0, router.components.clients.open()), (0, 0));
-        assert!(TcpStream::connect(router.addr).await.is_err(), "nobody listens any more");
+        assert!(TcpStream::connect(router.addr).await.is_err(), "the listener is closed");
     });
 }
 
-/// The next call to a stand-in for the node list, and its head.
-/// Guards against a rolling restart that takes the last router down before the one before it is back.
+/// Guards against a rolling restart that stops the last router before the previously restarted one serves again.
 #[test]
-fn the_last_router_serves_the_connections_it_has_for_longer() {
-    for heard in [false, true] {
+fn a_router_whose_peers_are_silent_uses_the_longer_shutdown_grace() {
+    for peer_active in [false, true] {
         run(async move {
             let node = Node::new(Chat).await;
             let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-            let mine = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-            let each = vec![mine, other.local_addr().unwrap()];
+            let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+            let each = vec![own_addr, other.local_addr().unwrap()];
             let peers = Peers::new(
-                PeerAddresses { listen: mine, each, all: None },
+                PeerAddresses { listen: own_addr, each, all: None },
                 PeerId(0),
                 TenantsDigest::default(),
             )
@@ -493,8 +518,8 @@
             let mut client = Client::to(router.addr).await;
             assert_eq!(client.ask("").await.0, 200);
             tokio::time::sleep(120 * MS).await;
-            if heard {
-                other.send_to(b"here", mine).await.unwrap();
+            if peer_active {
+                other.send_to(b"here", own_addr).await.unwrap();
                 until(|| router.components.peers.as_ref().is_some_and(|p| p.received_within(100 * MS))).await;
             }
             let components = router.components.clone();
@@ -503,19 +528,19 @@
             let mut after = [0; 12];
             let _ = client.stream.write_all(platform("", "{}").as_bytes()).await;
             let served = client.stream.read_exact(&mut after).await.is_ok() && &after == b"HTTP/1.1 200";
-            assert_eq!(served, !heard);
+            assert_eq!(served, !peer_active);
             drop(client);
             end.await.unwrap();
         });
     }
 }
 
-/// Guards against a kill that finds what came late in the grace unanswered: that would be lost.
+/// Guards against requests accepted late in the grace that are lost because they are unanswered when the process is killed.
 #[test]
-fn what_came_late_in_the_grace_has_its_end_before_the_kill() {
+fn requests_accepted_late_in_the_grace_end_before_the_kill() {
     run(async {
         let node = Node::new(Chat).await;
-        node.plan(&[Fault::Flood, Fault::Mute, Fault::Flood]);
+        node.plan(&[Fault::EndlessText, Fault::Mute, Fault::EndlessText]);
         let router = Router::new(Chat, &[&node], |l| {
             (l.shutdown_grace, l.late_arrival_after_stop, l.forwarding_end_after_stop) =
                 (600 * MS, 2 * MS, 900 * MS);
@@ -524,33 +549,33 @@
         let mut early = Client::to(router.addr).await;
         early.send(&platform("", "{}")).await;
         node.next_request().await;
-        // Until all buffers are full: a flood that still runs leaves an unoptimised build no time for the others.
-        let mut flooded = 0;
-        while flooded == 0 || node.flooded.get() > flooded {
-            flooded = node.flooded.get();
+        // Waits until all buffers are full: as long as text is sent, an unoptimised build has no time for the other requests.
+        let mut sent_bytes = 0;
+        while sent_bytes == 0 || node.endless_text_bytes.get() > sent_bytes {
+            sent_bytes = node.endless_text_bytes.get();
             tokio::time::sleep(40 * MS).await;
         }
-        let (components, told) = (router.components.clone(), Instant::now());
+        let (components, stop_signal_at) = (router.components.clone(), Instant::now());
         let end = spawn_local(async move { shutdown::drain(&components).await });
         tokio::time::sleep(router.components.limits.late_arrival_after_stop * 5).await;
-        let (mut waiting, mut begun) = (Client::to(router.addr).await, Client::to(router.addr).await);
-        for late in [&mut waiting, &mut begun] {
-            late.send(&platform("", "{}")).await;
+        let (mut waiting, mut streaming) = (Client::to(router.addr).await, Client::to(router.addr).await);
+        for late_client in [&mut waiting, &mut streaming] {
+            late_client.send(&platform("", "{}")).await;
             node.next_request().await;
         }
         let mut read = Vec::new();
-        begun.stream.read_to_end(&mut read).await.unwrap();
+        streaming.stream.read_to_end(&mut read).await.unwrap();
         assert!(read.starts_with(b"HTTP/1.1 200") && !read.ends_with(b"0\r\n\r\n"));
         assert_eq!(waiting.answer().await.0, 503);
-        assert!((850 * MS..1250 * MS).contains(&told.elapsed()), "{:?}", told.elapsed());
-        assert_eq!((router.tallies().interrupted, router.open()), (1, 1), "the early one goes on");
-        drop((early, waiting, begun));
+        assert!((850 * MS..1250 * MS).contains(&stop_signal_at.elapsed()), "{:?}", stop_signal_at.elapsed());
+        assert_eq!((router.tallies().interrupted, router.open()), (1, 1), "the early request continues");
+        drop((early, waiting, streaming));
         end.await.unwrap();
     });
 }
 
 #[test]
-fn a_lost_list_goes_on_being_used_and_is_asked_for_again() {
+fn a_lost_watch_is_restarted_and_the_list_stays_in_use() {
     run(async {
         let node = Node::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -561,22 +586,22 @@
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
         call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
         until(|| router.components.replicas.ready_count() == 1).await;
-        // Silent for too long, malformed, refused: each time the list is kept and asked for anew.
+        // After a silent, a malformed and a rejected watch, the router keeps the list and calls again.
         for answer in ["", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", "HTTP/1.1 503 No\r\n\r\n"] {
             let (mut again, head) = next_call(&list).await;
             assert!(head.contains("since=41"), "{head}");
             assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
             again.send(answer).await;
-            call = again; // dropped, and so closed, only when the next call has come
+            call = again; // closes the former connection after the next call has arrived
         }
         drop(call);
     });
 }
 
-/// Guards against lists that are pushed and never read: the module asks for none there, and what the agent holds counts
-/// as told. In an outage the agent takes calls and answers none; each is given up for the next.
+/// Guards against pushed lists that are never read: the decision module requests none in this mode, and changes that the agent
+/// has received count as notified. In an outage the agent accepts calls and answers none; each call times out and is repeated.
 #[test]
-fn a_pushed_list_is_followed_from_the_start_and_called_for_until_the_agent_speaks_again() {
+fn a_pushed_list_is_watched_from_the_start_and_calls_repeat_until_the_agent_answers() {
     run(async {
         let node = Node::new(Chat).await;
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -587,7 +612,7 @@
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, head) = next_call(&agent).await;
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
-        // Indented, and in two pieces.
+        // The message is indented and split into two chunks.
         let text = format!(
             "{{\n  \"version\": 41,\n  \"full\": true,\n  \"servers\": [\n    {{\"id\": \"s-1\",\n     \"addr\": \"{}\",\n     \
              \"state\": \"active\"}}\n  ]\n}}\n\n",
@@ -597,12 +622,12 @@
         call.send(&format!("{WATCH}{:x}\r\n{first}\r\n", first.len())).await;
         call.send(&format!("{:x}\r\n{second}\r\n", second.len())).await;
         until(|| router.components.replicas.ready_count() == 1).await;
-        // It falls silent, and so does whoever is called after it.
+        // The watch falls silent, and the agent does not answer the next three calls.
         let mut unanswered = Vec::new();
         for _ in 0..3 {
             let (call, head) = next_call(&agent).await;
             assert!(head.contains("since=41"), "{head}");
-            assert_eq!(Client::to(router.addr).await.ask("").await.0, 200, "what is held goes on being used");
+            assert_eq!(Client::to(router.addr).await.ask("").await.0, 200, "the retained list is still used");
             unanswered.push(call);
         }
         let (mut back, _) = next_call(&agent).await;
@@ -612,10 +637,10 @@
     });
 }
 
-/// Guards against a list that is followed for good where the start found it: its place moves, the old one
-/// ends, and nothing further would be heard.
+/// Guards against a router that watches only the address of the endpoint list that it started with. Once the service moves and
+/// the old address is shut down, the router would receive no further changes.
 #[test]
-fn the_node_list_moves_and_what_is_held_counts_until_the_new_place_answers() {
+fn the_former_list_address_counts_until_the_new_address_answers() {
     run(async {
         let (a, b) = (Node::new(Chat).await, Node::new(Chat).await);
         let (old, new) = (
@@ -632,7 +657,7 @@
         until(|| router.components.replicas.ready_count() == 1).await;
         moved.node_list = new.local_addr().unwrap();
         reload::apply(&router.components.endpoint_list.state, &running, &moved);
-        // Its versions are its own: the whole list is asked for, and again when that fails.
+        // The new address has its own versions, so the complete list is requested, and again after a failure.
         for _ in 0..2 {
             let (mut call, head) = next_call(&new).await;
             assert!(!head.contains("since"), "{head}");
@@ -642,10 +667,10 @@
         first.send(&page(42, false, "s-2", &b, "active")).await;
         until(|| router.components.replicas.ready_count() == 2).await;
         second.send(&(WATCH.to_string() + &page(3, true, "s-2", &b, "active"))).await;
-        assert!(first.message().await.is_none(), "the old watch is closed");
+        assert!(first.message().await.is_none(), "the watch of the old address is closed");
         until(|| router.components.replicas.ready_count() == 1).await;
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
-        // Lost, it is asked for where it is now, from what that place has told.
+        // After a loss the new address is called again, from the last version that it sent.
         drop(second);
         let (_, head) = next_call(&new).await;
         assert!(head.contains("since=3"), "{head}");
@@ -653,30 +678,33 @@
 }
 
 #[test]
-fn datagrams_go_between_routers_and_only_so_long_and_only_from_peers() {
+fn only_peers_exchange_datagrams_and_only_up_to_the_size_limit() {
     run(async {
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let stranger = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let mine = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let each = vec![mine, other.local_addr().unwrap()];
-        let peers =
-            Peers::new(PeerAddresses { listen: mine, each, all: None }, PeerId(0), TenantsDigest::default())
-                .await
-                .unwrap();
+        let non_peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
+        let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let each = vec![own_addr, other.local_addr().unwrap()];
+        let peers = Peers::new(
+            PeerAddresses { listen: own_addr, each, all: None },
+            PeerId(0),
+            TenantsDigest::default(),
+        )
+        .await
+        .unwrap();
         peers.gossip(&[7; 257]);
         peers.gossip(&[7; 256]);
         let mut buf = [0; 512];
-        assert_eq!(other.recv_from(&mut buf).await.unwrap(), (256, mine));
-        stranger.send_to(b"lies", mine).await.unwrap();
-        other.send_to(&[1; 300], mine).await.unwrap();
-        other.send_to(b"news", mine).await.unwrap();
+        assert_eq!(other.recv_from(&mut buf).await.unwrap(), (256, own_addr));
+        non_peer.send_to(b"lies", own_addr).await.unwrap();
+        other.send_to(&[1; 300], own_addr).await.unwrap();
+        other.send_to(b"news", own_addr).await.unwrap();
         assert_eq!(peers.receive().await, (PeerId(1), b"news".to_vec()));
         assert_eq!(peers.dropped(), DroppedMessages { unknown_senders: 2, incompatible: 1, malformed: 0 });
-        let torn =
+        let malformed =
             [&served_report::encode(TenantsDigest::default(), 1000, &[served(1, 0)]).remove(0)[..], &[0xff]]
                 .concat();
-        other.send_to(&torn, mine).await.unwrap();
-        assert_eq!(peers.receive().await, (PeerId(1), torn));
+        other.send_to(&malformed, own_addr).await.unwrap();
+        assert_eq!(peers.receive().await, (PeerId(1), malformed));
         assert_eq!(peers.dropped(), DroppedMessages { unknown_senders: 2, incompatible: 1, malformed: 1 });
     });
 }
