--- a/router/tests/core.rs
+++ b/router/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core without a socket: each request gets one final answer, whatever comes.
+//! Tests of the request core without sockets: each request receives exactly one final answer.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,54 +11,54 @@
 const MS: Nanos = 1_000_000;
 const START: Nanos = 1_700_000_000 * SECOND;
 
-/// A core by the tests' settings, before so many nodes of one zone.
-fn core(nodes: u32) -> Core {
-    core_by(common::config().deployment.decisions, nodes)
+/// Returns a core with the settings of the tests and `replicas` ready replicas of one zone.
+fn core(replicas: u32) -> Core {
+    core_with_settings(common::config().deployment.decisions, replicas)
 }
 
-/// The same with one effect for all classes.
-fn core_of(effect: Effect, nodes: u32) -> Core {
+/// Returns a core in which all classes have the same effect.
+fn core_with_effect(effect: Effect, replicas: u32) -> Core {
     let mut settings = common::config().deployment.decisions;
     settings.classes.iter_mut().for_each(|c| c.effect = effect);
-    core_by(settings, nodes)
+    core_with_settings(settings, replicas)
 }
 
-fn core_by(settings: Settings, nodes: u32) -> Core {
+fn core_with_settings(settings: Settings, replicas: u32) -> Core {
     let mut core = Core::new(settings, 7, 10 * MS).unwrap();
-    let row = |n: u32| EndpointEntry {
+    let entry = |n: u32| EndpointEntry {
         replica: name_hash::replica_id(&format!("s-{n}")),
         state: EndpointState::Ready,
         ..EndpointEntry::default()
     };
-    core.endpoints_changed(START, ListUpdate::Full, (0..nodes).map(row).collect());
+    core.endpoints_changed(START, ListUpdate::Full, (0..replicas).map(entry).collect());
     core.take_instructions();
     core
 }
 
-fn ask(left: Nanos) -> NewRequest {
-    NewRequest { time_left: left, prompt_tokens: 100, ..NewRequest::default() }
+fn request(time_left: Nanos) -> NewRequest {
+    NewRequest { time_left, prompt_tokens: 100, ..NewRequest::default() }
 }
 
-fn answers(orders: &[Instruction]) -> Vec<FinalAnswer> {
+fn final_answers(instructions: &[Instruction]) -> Vec<FinalAnswer> {
     let answer =
         |o: &Instruction| if let Instruction::Finish { answer: a, .. } = o { Some(*a) } else { None };
-    orders.iter().filter_map(answer).collect()
+    instructions.iter().filter_map(answer).collect()
 }
 
 #[test]
-fn a_late_first_event_is_dropped_and_the_answer_stands() {
+fn ignores_a_first_event_after_the_final_answer() {
     let mut core = core(1);
-    let id = core.accept(START, ask(100 * MS));
+    let id = core.accept(START, request(100 * MS));
     assert!(matches!(core.take_instructions()[..], [Instruction::StartAttempt { attempt: 0, .. }]));
     core.run_timers(START + 100 * MS);
-    let orders = core.take_instructions();
-    assert!(matches!(orders[0], Instruction::AbortAttempt { attempt: 0, .. }), "{orders:?}");
+    let instructions = core.take_instructions();
+    assert!(matches!(instructions[0], Instruction::AbortAttempt { attempt: 0, .. }), "{instructions:?}");
     assert!(
         matches!(
-            answers(&orders)[..],
+            final_answers(&instructions)[..],
             [FinalAnswer::Rejected { retry_after: 1.., reason: RejectReason::NoCapacity }]
         ),
-        "{orders:?}"
+        "{instructions:?}"
     );
     assert!(!core.first_event(START + 101 * MS, id, 0));
     core.attempt_ended(START + 102 * MS, id, 0, Outcome::Completed.into());
@@ -70,174 +70,177 @@
 }
 
 #[test]
-fn a_begun_stream_has_no_deadline_and_one_end() {
-    for (outcome, wanted) in
+fn a_stream_that_has_begun_has_no_deadline_and_ends_once() {
+    for (outcome, expected) in
         [(Outcome::Completed, FinalAnswer::Completed), (Outcome::ConnectionReset, FinalAnswer::Interrupted)]
     {
         let mut core = core(2);
-        let id = core.accept(START, ask(100 * MS));
+        let id = core.accept(START, request(100 * MS));
         assert!(core.first_event(START + 50 * MS, id, 0));
-        assert!(!core.first_event(START + 51 * MS, id, 0), "once only");
+        assert!(!core.first_event(START + 51 * MS, id, 0), "a stream starts only once");
         core.run_timers(START + 10 * SECOND);
         core.take_instructions();
         let end = AttemptResult { outcome, cached_tokens: Some(3), load_report: Vec::new() };
         core.attempt_ended(START + 11 * SECOND, id, 0, end.clone());
         core.attempt_ended(START + 11 * SECOND, id, 0, end);
-        assert_eq!(answers(&core.take_instructions()), [wanted]);
+        assert_eq!(final_answers(&core.take_instructions()), [expected]);
         assert_eq!((core.open_requests(), core.counts().completed + core.counts().interrupted), (0, 1));
     }
 }
 
 #[test]
-fn a_client_that_has_left_is_owed_nothing() {
+fn a_disconnected_client_receives_no_answer() {
     let mut core = core(2);
-    let id = core.accept(START, ask(SECOND));
+    let id = core.accept(START, request(SECOND));
     core.take_instructions();
     core.client_disconnected(START + MS, id);
     core.client_disconnected(START + MS, id);
     core.attempt_ended(START + 2 * MS, id, 0, Outcome::ReplicaError.into());
-    let orders = core.take_instructions();
-    assert!(matches!(orders[..], [Instruction::AbortAttempt { attempt: 0, .. }]), "{orders:?}");
+    let instructions = core.take_instructions();
+    assert!(matches!(instructions[..], [Instruction::AbortAttempt { attempt: 0, .. }]), "{instructions:?}");
     assert_eq!((core.open_requests(), core.counts().client_disconnects), (0, 1));
 }
 
 #[test]
-fn what_never_ran_is_tried_elsewhere_up_to_the_limit() {
+fn retries_rejected_attempts_up_to_the_attempt_limit() {
     let mut core = core(9);
-    let id = core.accept(START, ask(SECOND));
+    let id = core.accept(START, request(SECOND));
     for attempt in 0..4 {
-        let orders = core.take_instructions();
+        let instructions = core.take_instructions();
         assert!(
-            matches!(orders[..], [Instruction::StartAttempt { attempt: n, .. }] if n == attempt),
-            "{attempt}: {orders:?}"
+            matches!(instructions[..], [Instruction::StartAttempt { attempt: n, .. }] if n == attempt),
+            "{attempt}: {instructions:?}"
         );
         core.attempt_ended(START + MS, id, attempt, Outcome::Rejected.into());
     }
     assert!(matches!(
-        answers(&core.take_instructions())[..],
+        final_answers(&core.take_instructions())[..],
         [FinalAnswer::Rejected { retry_after: 1.., reason: RejectReason::NoCapacity }]
     ));
     assert_eq!(core.counts().outcomes, [0, 0, 4, 0, 0, 0, 0, 0]);
 }
 
-const WINDOW: Nanos = SECOND;
+const DEDUPLICATION_WINDOW: Nanos = SECOND;
 
-fn token(group: DeduplicationScope) -> Effect {
-    Effect::IdempotentByKey { scope: group, window: WINDOW }
+fn by_key(scope: DeduplicationScope) -> Effect {
+    Effect::IdempotentByKey { scope, window: DEDUPLICATION_WINDOW }
 }
 
-/// Guards against the promise that a further try does no harm, given at the router's end for what may have run.
+/// Guards against a rejection at shutdown of a request that may have run: a rejection tells the client that a retry is safe.
 #[test]
-fn at_the_end_of_the_router_nothing_that_may_have_run_is_refused_where_that_harms() {
+fn at_shutdown_a_request_that_may_have_run_is_rejected_only_if_a_retry_is_safe() {
     let effects = [
         Effect::Idempotent,
-        token(DeduplicationScope::AllReplicas),
-        token(DeduplicationScope::Zone),
-        token(DeduplicationScope::Cell),
+        by_key(DeduplicationScope::AllReplicas),
+        by_key(DeduplicationScope::Zone),
+        by_key(DeduplicationScope::Cell),
         Effect::NotIdempotent,
     ];
-    for (effect, harmless) in effects.into_iter().zip([true, true, false, false, false]) {
+    for (effect, retry_is_safe) in effects.into_iter().zip([true, true, false, false, false]) {
         for written in [false, true] {
-            let mut core = core_of(effect, 2);
-            let id = core.accept(START, ask(SECOND));
+            let mut core = core_with_effect(effect, 2);
+            let id = core.accept(START, request(SECOND));
             assert!(!written || core.may_write(START, id, 0));
             core.take_instructions();
             core.answer_for_shutdown(START + MS, None);
-            let orders = core.take_instructions();
-            let [answer] = answers(&orders)[..] else { panic!("{orders:?}") };
-            let refused = matches!(answer, FinalAnswer::Rejected { .. });
-            assert_eq!(refused, harmless || !written, "{effect:?}, written: {written}: {answer:?}");
+            let instructions = core.take_instructions();
+            let [answer] = final_answers(&instructions)[..] else { panic!("{instructions:?}") };
+            let rejected = matches!(answer, FinalAnswer::Rejected { .. });
+            assert_eq!(rejected, retry_is_safe || !written, "{effect:?}, written: {written}: {answer:?}");
             assert!(
-                orders.contains(&Instruction::AbortAttempt {
+                instructions.contains(&Instruction::AbortAttempt {
                     request: id,
                     attempt: 0,
                     reason: AbortReason::Shutdown
                 }),
-                "{orders:?}"
+                "{instructions:?}"
             );
-            assert!(!core.may_write(START + MS, id, 0), "what is answered is not written any more");
-            assert_eq!(core.counts().failed_instead_of_rejected, u64::from(!refused));
+            assert!(!core.may_write(START + MS, id, 0), "a finished request is not written");
+            assert_eq!(core.counts().failed_instead_of_rejected, u64::from(!rejected));
             assert_eq!(core.open_requests(), 0);
         }
     }
 }
 
-/// Guards against streams that are cut where nobody asks for the rest, and against ones cut that came early enough.
+/// Guards against an interruption of streams that clients do not resume, and of streams accepted early enough to finish.
 #[test]
-fn at_the_end_of_the_router_late_streams_break_off_where_clients_ask_for_the_rest() {
-    for (owed_after, wanted) in [(None, 0), (Some(START + 5 * MS), 1), (Some(START), 2)] {
+fn at_shutdown_late_streams_are_interrupted_only_if_clients_resume_streams() {
+    for (interrupt_after, expected) in [(None, 0), (Some(START + 5 * MS), 1), (Some(START), 2)] {
         let mut core = core(2);
         for n in 0..2 {
-            let id = core.accept(START + 10 * n * MS + 1, ask(SECOND));
+            let id = core.accept(START + 10 * n * MS + 1, request(SECOND));
             assert!(
                 core.may_write(START + 10 * n * MS + 1, id, 0) && core.first_event(START + 20 * MS, id, 0)
             );
         }
         core.take_instructions();
-        core.answer_for_shutdown(START + 30 * MS, owed_after);
+        core.answer_for_shutdown(START + 30 * MS, interrupt_after);
         assert_eq!(
-            answers(&core.take_instructions()),
-            vec![FinalAnswer::Interrupted; wanted],
-            "{owed_after:?}"
+            final_answers(&core.take_instructions()),
+            vec![FinalAnswer::Interrupted; expected],
+            "{interrupt_after:?}"
         );
     }
 }
 
-/// Guards against a repeat that is decided on within the window and written after it, as its connection came up late or the
-/// router was held up.
+/// Guards against a retry that is started within the deduplication window and written after it, because its connection was
+/// established late or the router was delayed.
 #[test]
-fn a_repeat_is_written_within_the_window_or_not_at_all() {
-    let later = WINDOW - 200 * MS;
-    for (written_at, may) in [(START + later + 40 * MS, true), (START + later + 51 * MS, false)] {
-        let mut core = core_of(token(DeduplicationScope::AllReplicas), 2);
-        let id = core.accept(START, ask(4 * SECOND));
+fn a_retry_is_written_only_within_the_deduplication_window() {
+    let later = DEDUPLICATION_WINDOW - 200 * MS;
+    for (written_at, allowed) in [(START + later + 40 * MS, true), (START + later + 51 * MS, false)] {
+        let mut core = core_with_effect(by_key(DeduplicationScope::AllReplicas), 2);
+        let id = core.accept(START, request(4 * SECOND));
         assert!(core.may_write(START, id, 0));
         core.take_instructions();
         core.attempt_ended(START + later, id, 0, Outcome::ConnectionReset.into());
-        let orders = core.take_instructions();
-        assert!(matches!(orders[..], [Instruction::StartAttempt { attempt: 1, .. }]), "{orders:?}");
-        assert_eq!(core.may_write(written_at, id, 1), may, "{} ms", (written_at - START) / MS);
+        let instructions = core.take_instructions();
+        assert!(
+            matches!(instructions[..], [Instruction::StartAttempt { attempt: 1, .. }]),
+            "{instructions:?}"
+        );
+        assert_eq!(core.may_write(written_at, id, 1), allowed, "{} ms", (written_at - START) / MS);
     }
-    // Without an attempt that may have run there is no window.
-    let mut core = core_of(token(DeduplicationScope::AllReplicas), 2);
-    let id = core.accept(START, ask(4 * SECOND));
-    core.attempt_ended(START + WINDOW, id, 0, Outcome::ConnectionRefused.into());
-    assert!(core.may_write(START + 2 * WINDOW, id, 1));
-    // And nobody is written for whose time is up.
+    // The window applies only after an attempt that may have run.
+    let mut core = core_with_effect(by_key(DeduplicationScope::AllReplicas), 2);
+    let id = core.accept(START, request(4 * SECOND));
+    core.attempt_ended(START + DEDUPLICATION_WINDOW, id, 0, Outcome::ConnectionRefused.into());
+    assert!(core.may_write(START + 2 * DEDUPLICATION_WINDOW, id, 1));
+    // A request is not written after its deadline.
     assert!(!core.may_write(START + 4 * SECOND, id, 1));
 }
 
-/// Guards against times noted for requests long over: with a wait of a day, each would stay for a day.
+/// Guards against timers that outlive their requests: with a deadline of a day, each would stay for a day.
 #[test]
-fn the_times_noted_go_with_their_requests() {
+fn timers_are_removed_with_their_requests() {
     let mut core = core(2);
     for n in 0..3000 {
         let now = START + n * MS;
-        let id = core.accept(now, ask(86_400 * SECOND));
+        let id = core.accept(now, request(86_400 * SECOND));
         assert!(core.first_event(now, id, 0));
         core.attempt_ended(now, id, 0, Outcome::Completed.into());
         core.take_instructions();
         core.run_timers(now);
     }
     assert_eq!(core.open_requests(), 0);
-    // What the module asked for itself is short, and stays.
+    // The short timers that the decision module set for itself remain.
     core.run_timers(START + 60 * SECOND);
     assert!(core.scheduled_timers() < 2000, "{} of 6000", core.scheduled_timers());
 }
 
-/// Settings of a deployment, drawn over the ranges that deployments have: names, counts, limits, how lists come, what is
-/// told and allowed. `name` makes up each name.
-fn drawn(rng: &mut fastrand::Rng, name: impl Fn(&str, usize) -> String) -> String {
-    let names = |what: &str, n: usize| (0..n).map(|i| name(what, i)).collect::<Vec<_>>();
-    let gateways = rng.u32(1..300);
+/// Returns random deployment settings within the ranges of real deployments: counts, limits, the mode of the endpoint list,
+/// reports and permissions. `name` generates each name.
+fn random_settings(rng: &mut fastrand::Rng, name: impl Fn(&str, usize) -> String) -> String {
+    let names = |kind: &str, n: usize| (0..n).map(|i| name(kind, i)).collect::<Vec<_>>();
+    let routers = rng.u32(1..300);
     let (zones, kinds) = (rng.usize(0..4), rng.usize(0..4));
     let effects = ["pure", "token", "side_effect", "pure", "pure"];
-    let groups = ["all", "zone", "cell"];
-    let how = ["on_request", "pushed"][rng.usize(..2)];
+    let scopes = ["all", "zone", "cell"];
+    let list_mode = ["on_request", "pushed"][rng.usize(..2)];
     let class = |(i, name): (usize, String), rng: &mut fastrand::Rng| {
-        let aim = rng.u64(200..3_000);
-        serde_json::json!({"Name": name, "GoalTimeNs": aim * MS, "DeadlineNs": aim * rng.u64(1..6) * MS,
-            "Effect": effects[(i + rng.usize(..5)) % 5], "Group": groups[rng.usize(..3)],
+        let objective_ms = rng.u64(200..3_000);
+        serde_json::json!({"Name": name, "GoalTimeNs": objective_ms * MS, "DeadlineNs": objective_ms * rng.u64(1..6) * MS,
+            "Effect": effects[(i + rng.usize(..5)) % 5], "Group": scopes[rng.usize(..3)],
             "WindowNs": rng.u64(1..5) * SECOND, "Worth": rng.f64() * 5.0, "LateShare": rng.u32(0..3) as f64 / 2.0})
     };
     let classes = names("class", rng.usize(1..6)).into_iter().enumerate();
@@ -245,8 +248,8 @@
     let tenants = names("tenant", rng.usize(0..5)).into_iter();
     let tenants: Vec<_> =
         tenants.map(|t| serde_json::json!({"Name": t, "QuotaPerS": 0.1 + rng.f64() * 50.0})).collect();
-    serde_json::json!({"Discovery": how, "Kinds": names("kind", kinds),
-        "Zones": names("zone", zones), "Me": rng.u32(..gateways), "ReplicasOfMe": gateways,
+    serde_json::json!({"Discovery": list_mode, "Kinds": names("kind", kinds),
+        "Zones": names("zone", zones), "Me": rng.u32(..routers), "ReplicasOfMe": routers,
         "MyZone": if zones == 0 { 0 } else { rng.usize(..zones) }, "Profiles": classes, "Tenants": tenants,
         "FamilyInfo": {"Resume": rng.bool(), "AimUsPer1000PromptTokens": [rng.f64() * 60_000.0]},
         "Limits": {"Cancel": rng.bool(), "ParallelTries": rng.bool(), "Peers": rng.bool(), "Probes": rng.bool(),
@@ -258,37 +261,39 @@
     .to_string()
 }
 
-/// What becomes of each request, and what the core orders, over a course drawn by a seed.
-fn course(settings: &str, seed: u64) -> Vec<Instruction> {
+/// Runs the core on events that `seed` selects and returns its instructions. Panics if a rule is violated.
+fn randomized_run(settings_text: &str, seed: u64) -> Vec<Instruction> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let of = tallypin::deployment::parse(settings).unwrap_or_else(|e| panic!("{e}: {settings}"));
-    assert_eq!(of.validate(), Ok(()), "{settings}");
-    let (set, resumed) = (of.decisions.clone(), of.resumes_streams);
-    let mut core = Core::new(set.clone(), seed, 10 * MS).expect("usable");
-    let row = |n: u32, state, started| EndpointEntry {
+    let deployment =
+        tallypin::deployment::parse(settings_text).unwrap_or_else(|e| panic!("{e}: {settings_text}"));
+    assert_eq!(deployment.validate(), Ok(()), "{settings_text}");
+    let (settings, resumes_streams) = (deployment.decisions.clone(), deployment.resumes_streams);
+    let mut core = Core::new(settings.clone(), seed, 10 * MS).expect("the settings are valid");
+    let entry = |n: u32, state, started_at| EndpointEntry {
         replica: name_hash::replica_id(&format!("s-{n}")),
         state,
-        started_at: started,
+        started_at,
         zone: ZoneId(n % 3),
         cell: n / 2,
         kind: n % 4,
     };
-    let (mut now, mut all, mut out, mut drained) = (START, Vec::new(), Vec::new(), Vec::new());
+    let (mut now, mut issued, mut in_flight, mut drained) = (START, Vec::new(), Vec::new(), Vec::new());
     core.endpoints_changed(
         now,
         ListUpdate::Cached,
-        (0..8).map(|n| row(n, EndpointState::Ready, 0)).collect(),
+        (0..8).map(|n| entry(n, EndpointState::Ready, 0)).collect(),
     );
-    let (mut taken, mut answered) = (0u64, std::collections::BTreeMap::new());
-    // The effect of each request, and of its attempts those that may have run.
-    let (mut effects, mut ran) = (std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
+    let (mut accepted, mut answered) = (0u64, std::collections::BTreeMap::new());
+    // The effect of each request, and the attempts that may have run.
+    let (mut effects, mut may_have_run) =
+        (std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
     for step in 0..600 {
-        // At the end nothing more is asked, for longer than any client waits.
+        // The last 100 steps send no requests and last longer than any client waits.
         now += if step < 500 { rng.u64(1..60) } else { 60 } * MS;
         match rng.u8(..12) {
             _ if step >= 500 => {}
             0..=5 => {
-                taken += 1;
+                accepted += 1;
                 let class = ClassId(rng.u32(..7));
                 let id = core.accept(
                     now,
@@ -300,14 +305,15 @@
                         prefix_tokens: rng.u32(..60_000),
                         session: rng.bool().then(|| SessionKey(rng.u64(..9))),
                         prefix: rng.bool().then(|| PrefixKey(rng.u64(..5))),
-                        resumes_stream: resumed && rng.u8(..9) == 0,
+                        resumes_stream: resumes_streams && rng.u8(..9) == 0,
                         is_client_retry: rng.bool(),
                     },
                 );
-                let effect = set.classes.get(class.0 as usize).map_or(Effect::NotIdempotent, |c| c.effect);
+                let effect =
+                    settings.classes.get(class.0 as usize).map_or(Effect::NotIdempotent, |c| c.effect);
                 effects.insert(id, effect);
             }
-            // Now and then the router is taken for one that ends.
+            // Occasionally answers open requests as a router does that shuts down.
             9 if rng.u8(..20) == 0 => core.answer_for_shutdown(now, rng.bool().then_some(now - SECOND)),
             6 => {
                 let (n, state) =
@@ -318,30 +324,31 @@
                 core.endpoints_changed(
                     now,
                     ListUpdate::Delta,
-                    vec![row(n, state, now - rng.u64(..9) * SECOND)],
+                    vec![entry(n, state, now - rng.u64(..9) * SECOND)],
                 );
             }
             7 => core.endpoints_changed(now, ListUpdate::Failed, Vec::new()),
             8 => {
-                let noise: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
-                let hits: Vec<_> = (0..rng.u32(..4))
+                let random_bytes: Vec<u8> = (0..rng.usize(..300)).map(|_| rng.u8(..)).collect();
+                let counts: Vec<_> = (0..rng.u32(..4))
                     .map(|tenant| ServedCount { tenant: TenantId(tenant), requests: rng.u32(..2_000_000) })
                     .collect();
-                let reports = served_report::encode(set.digest, rng.u64(..20_000), &hits);
-                for bytes in reports.into_iter().chain([noise]) {
+                let reports = served_report::encode(settings.digest, rng.u64(..20_000), &counts);
+                for bytes in reports.into_iter().chain([random_bytes]) {
                     core.peer_message_received(now, PeerId(rng.u32(..400)), bytes);
                 }
             }
             _ => {}
         }
-        // Some of what is out begins, ends, breaks or is never heard of again.
-        for _ in 0..rng.usize(..4).min(out.len()) {
-            let (id, attempt, begun): (RequestId, u32, bool) = out.swap_remove(rng.usize(..out.len()));
+        // Some attempts in flight start their stream, end, fail or report nothing further.
+        for _ in 0..rng.usize(..4).min(in_flight.len()) {
+            let (id, attempt, stream_started): (RequestId, u32, bool) =
+                in_flight.swap_remove(rng.usize(..in_flight.len()));
             match rng.u8(..5) {
-                0 if !begun => {}
-                1 | 2 if !begun => {
+                0 if !stream_started => {}
+                1 | 2 if !stream_started => {
                     if core.first_event(now, id, attempt) {
-                        out.push((id, attempt, true));
+                        in_flight.push((id, attempt, true));
                     }
                 }
                 _ => {
@@ -352,75 +359,89 @@
                         Outcome::ConnectionRefused,
                         Outcome::ConnectionReset,
                     ];
-                    let outcome = if begun { Outcome::Completed } else { outcomes[rng.usize(1..5)] };
+                    let outcome = if stream_started { Outcome::Completed } else { outcomes[rng.usize(1..5)] };
                     if outcome.never_ran() {
-                        ran.remove(&(id, attempt));
+                        may_have_run.remove(&(id, attempt));
                     }
                     core.attempt_ended(now, id, attempt, outcome.into());
                 }
             }
         }
         core.run_timers(now);
-        for order in core.take_instructions() {
-            match &order {
-                Instruction::StartAttempt { request: id, attempt, replica: node, .. } => {
-                    assert!(!drained.contains(node), "rule 3: {order:?}");
-                    assert!(*attempt < set.max_attempts && !answered.contains_key(id), "rule 1: {order:?}");
-                    out.push((*id, *attempt, false));
+        for instruction in core.take_instructions() {
+            match &instruction {
+                Instruction::StartAttempt { request: id, attempt, replica, .. } => {
+                    assert!(!drained.contains(replica), "no attempt at a draining replica: {instruction:?}");
+                    assert!(
+                        *attempt < settings.max_attempts && !answered.contains_key(id),
+                        "no attempt beyond the limit or after the answer: {instruction:?}"
+                    );
+                    in_flight.push((*id, *attempt, false));
                     if rng.u8(..5) > 0 && core.may_write(now, *id, *attempt) {
-                        let repeat = ran.iter().any(|(of, _)| of == id);
-                        assert!(!repeat || effects[id] != Effect::NotIdempotent, "rule 2: {order:?}");
-                        ran.insert((*id, *attempt));
+                        let is_retry = may_have_run.iter().any(|(request, _)| request == id);
+                        assert!(
+                            !is_retry || effects[id] != Effect::NotIdempotent,
+                            "no retry of a request that is not idempotent: {instruction:?}"
+                        );
+                        may_have_run.insert((*id, *attempt));
                     }
                 }
                 Instruction::AbortAttempt { request: id, attempt, .. } => {
-                    out.retain(|(i, a, _)| (i, a) != (id, attempt))
+                    in_flight.retain(|(i, a, _)| (i, a) != (id, attempt))
+                }
+                Instruction::Finish { request: id, answer: final_answer, .. } => {
+                    assert_eq!(
+                        answered.insert(*id, *final_answer),
+                        None,
+                        "a request receives one final answer"
+                    )
                 }
-                Instruction::Finish { request: id, answer: with, .. } => {
-                    assert_eq!(answered.insert(*id, *with), None, "one final answer")
+                Instruction::Probe(_) => {
+                    assert!(settings.can_probe, "no probe unless the settings allow probes")
                 }
-                Instruction::Probe(_) => assert!(set.can_probe, "no probe where none is allowed"),
-                Instruction::SendReport(bytes) => assert!(set.has_peers && bytes.len() <= 256),
+                Instruction::SendReport(bytes) => assert!(settings.has_peers && bytes.len() <= 256),
                 Instruction::SendToPeer { peer, bytes } => {
-                    assert!(set.has_peers && bytes.len() <= 256);
-                    assert!(*peer != set.own_index && peer.0 < set.router_count);
+                    assert!(settings.has_peers && bytes.len() <= 256);
+                    assert!(*peer != settings.own_index && peer.0 < settings.router_count);
                 }
-                Instruction::WatchEndpoints => assert!(set.list_mode != EndpointListMode::Pushed),
+                Instruction::WatchEndpoints => assert!(settings.list_mode != EndpointListMode::Pushed),
             }
-            all.push(match order {
-                // Its digest is that of the tenants' names, which is all that names may decide.
+            issued.push(match instruction {
+                // Replaces the digest of the tenants' names, the only part of an instruction that may depend on names.
                 Instruction::SendReport(bytes) => {
-                    let told = served_report::decode(set.digest, &bytes).expect("the own digest");
-                    let [nameless] =
-                        &served_report::encode(TenantsDigest::default(), told.span_ms, &told.served)[..]
+                    let report = served_report::decode(settings.digest, &bytes)
+                        .expect("the report has the router's own digest");
+                    let [without_names] =
+                        &served_report::encode(TenantsDigest::default(), report.span_ms, &report.served)[..]
                     else {
-                        panic!("one message of what came in one: {told:?}")
+                        panic!("a report received in one message fits into one: {report:?}")
                     };
-                    Instruction::SendReport(nameless.clone())
+                    Instruction::SendReport(without_names.clone())
                 }
-                order => order,
+                instruction => instruction,
             });
         }
     }
-    // Streams that have begun have no deadline; all else has been answered by now.
-    for (id, attempt, _) in out {
+    // Streams that have begun have no deadline; all other requests have been answered.
+    for (id, attempt, _) in in_flight {
         core.attempt_ended(now, id, attempt, Outcome::ConnectionReset.into());
     }
-    let late =
+    let answered_last =
         core.take_instructions().into_iter().filter(|o| matches!(o, Instruction::Finish { .. })).count()
             as u64;
-    assert_eq!(answered.len() as u64 + late, taken, "each request has its answer");
-    assert_eq!(core.open_requests(), 0, "and nothing is kept of it");
-    all
+    assert_eq!(answered.len() as u64 + answered_last, accepted, "each request received its answer");
+    assert_eq!(core.open_requests(), 0, "no request stays open");
+    issued
 }
 
-/// Whatever a deployment's settings are, within what its pages allow: the rules hold, and names decide nothing.
+/// With any valid settings the rules hold, and names do not influence decisions.
 #[test]
-fn any_settings_keep_the_rules_and_names_decide_nothing() {
+fn the_rules_hold_with_any_settings_and_names_decide_nothing() {
     for seed in 0..300 {
-        let draw = |name: fn(&str, usize) -> String| drawn(&mut fastrand::Rng::with_seed(seed), name);
-        let plain = course(&draw(|what, i| format!("{what}-{i}")), seed);
-        let other = course(&draw(|what, i| format!("Größe {} von {what}", 97 - i)), seed);
-        assert_eq!(plain, other, "seed {seed}: other names, other decisions");
+        let settings =
+            |name: fn(&str, usize) -> String| random_settings(&mut fastrand::Rng::with_seed(seed), name);
+        let plain = randomized_run(&settings(|kind, i| format!("{kind}-{i}")), seed);
+        let other = randomized_run(&settings(|kind, i| format!("Größe {} von {kind}", 97 - i)), seed);
+        assert_eq!(plain, other, "seed {seed}: the decisions do not depend on names");
     }
 }
