--- a/router/tests/layers.rs
+++ b/router/tests/layers.rs
@@ -1,13 +1,13 @@
-//! The modules of the router form layers, and imports run one way: a module may use those that stand before it in the table,
-//! never one that stands after it. So no two modules use each other, and each can be read knowing only what is above it
-//! in the table. A directory is one module; its files may use each other.
+//! Checks the layers of the router's modules: a module may import only modules that precede it in the table. So no two modules
+//! depend on each other, and each can be understood from the preceding ones alone. A directory is one module; its files may
+//! import each other.
 #![allow(missing_docs)]
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// A layer: its name, what it is for, and its modules in their order.
+/// A layer: its name, its purpose, and its modules in order.
 struct Layer {
     name: &'static str,
     purpose: &'static str,
@@ -17,7 +17,7 @@
 const LAYERS: [Layer; 6] = [
     Layer {
         name: "basics",
-        purpose: "values and tools that know of no request: sizes and times, the clock, HTTP, the dialects, files of settings",
+        purpose: "values and utilities independent of requests: sizes, times, the clock, HTTP, the dialects, configuration files",
         modules: &[
             "shortage", "clock", "lifecycle", "limits", "log", "bind", "http", "body_budget", "request_ids", "clients",
             "keep_alive", "outward", "probe", "endpoint_list::message", "config", "dialect",
@@ -25,89 +25,90 @@
     },
     Layer {
         name: "decisions",
-        purpose: "decisions beside those of the crate `tallypin`, without input or output",
+        purpose: "decisions other than those of the crate `tallypin`, without input or output",
         modules: &["operator_override"],
     },
     Layer {
         name: "core",
-        purpose: "the open requests and their one final answer each; the dispatcher runs it on the real clock",
+        purpose: "the open requests, each of which receives one final answer; the dispatcher runs the core on the real clock",
         modules: &["core", "dispatcher"],
     },
     Layer {
         name: "connections and discovery",
-        purpose: "connections to replicas, to other routers and to the endpoint list; they carry out what the core wants",
+        purpose: "connections to replicas, other routers and the discovery service; they execute the instructions of the core",
         modules: &["peers", "endpoint_list_state", "replica", "endpoint_list", "connections"],
     },
     Layer {
         name: "fronts and checks",
-        purpose: "what clients, balancers, operators and the fleet speak to, and the settings file that says so",
+        purpose: "interfaces for clients, load balancers, operators and the fleet, and the settings file that configures them",
         modules: &["fleet", "front", "installation", "checks"],
     },
     Layer {
         name: "program",
-        purpose: "puts the parts together, and starts, watches, reloads and ends them",
+        purpose: "assembles, starts, monitors, reloads and stops the components",
         modules: &["components", "status", "router_control", "reload", "shutdown", "cli", "main"],
     },
 ];
 
-/// The modules of all layers in their order.
+/// Returns the modules of all layers in order.
 fn modules() -> Vec<&'static str> {
     LAYERS.iter().flat_map(|layer| layer.modules).copied().collect()
 }
 
+/// Returns the name of the layer that contains the module at a position.
 fn layer_of(position: usize) -> &'static str {
-    let mut left = position;
+    let mut remaining = position;
     for layer in &LAYERS {
-        if left < layer.modules.len() {
+        if remaining < layer.modules.len() {
             return layer.name;
         }
-        left -= layer.modules.len();
+        remaining -= layer.modules.len();
     }
-    panic!("no module stands at {position}")
+    panic!("the table has no module at position {position}")
 }
 
-/// The position of the module that a path such as `front::messages` belongs to: the longest entry that it begins with.
+/// Returns the position of the module that contains a path such as `front::messages`: the longest entry that is a prefix of it.
 fn position(path: &str) -> Option<usize> {
-    let belongs = |module: &str| path == module || path.starts_with(&format!("{module}::"));
-    let entries = modules().into_iter().enumerate().filter(|(_, module)| belongs(module));
+    let contains_path = |module: &str| path == module || path.starts_with(&format!("{module}::"));
+    let entries = modules().into_iter().enumerate().filter(|(_, module)| contains_path(module));
     entries.max_by_key(|(_, module)| module.len()).map(|(position, _)| position)
 }
 
-fn source() -> PathBuf {
+fn source_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-/// All files under a directory.
-fn files(directory: &Path) -> Vec<PathBuf> {
+/// Returns all files under a directory, sorted.
+fn files_under(directory: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(directory).unwrap().map(|entry| entry.unwrap().path());
     let mut all: Vec<PathBuf> =
-        entries.flat_map(|path| if path.is_dir() { files(&path) } else { vec![path] }).collect();
+        entries.flat_map(|path| if path.is_dir() { files_under(&path) } else { vec![path] }).collect();
     all.sort();
     all
 }
 
-/// The module that a file holds, as a path: `front/mod.rs` is `front`, `front/messages.rs` is `front::messages`.
+/// Returns the module path of a file: `front/mod.rs` is `front`, `front/messages.rs` is `front::messages`.
 fn module_of(file: &Path) -> String {
-    let path = file.strip_prefix(source()).unwrap().with_extension("");
+    let path = file.strip_prefix(source_dir()).unwrap().with_extension("");
     let parts: Vec<&str> = path.iter().map(|part| part.to_str().unwrap()).collect();
     parts.join("::").trim_end_matches("::mod").to_string()
 }
 
-/// The text without comments, in which documentation may name any module.
-fn code(text: &str) -> String {
+/// Returns the text without comments, since documentation may name any module.
+fn without_comments(text: &str) -> String {
     let lines = text.lines().map(|line| line.split("//").next().unwrap_or_default());
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// What a file uses of the crate: paths from the crate's root.
-fn uses(module: &str, text: &str) -> BTreeSet<String> {
-    let text = code(text);
+/// Returns the paths of the crate that a file imports, relative to the crate root.
+fn imported_paths(module: &str, text: &str) -> BTreeSet<String> {
+    let text = without_comments(text);
     let mut found = BTreeSet::new();
     for root in ["crate::", "tallypin_router::"] {
         for (at, _) in text.match_indices(root) {
-            let named = text[..at].ends_with(|c: char| c.is_alphanumeric() || c == '_');
-            if !named {
-                found.extend(expanded("", &text[at + root.len()..]));
+            let continues_name = text[..at].ends_with(|c: char| c.is_alphanumeric() || c == '_');
+            if !continues_name {
+                found.extend(expand_paths("", &text[at + root.len()..]));
             }
         }
     }
@@ -116,18 +117,18 @@
         {
             continue;
         }
-        let ups = text[at..].split("::").take_while(|part| *part == "super").count();
+        let super_count = text[at..].split("::").take_while(|part| *part == "super").count();
         let mut parent: Vec<&str> = module.split("::").collect();
-        // A `mod.rs` holds its directory's module; a file's own name is dropped with the first `super`.
-        parent.truncate(parent.len().saturating_sub(ups));
+        // The first `super` removes the file's own name. A `mod.rs` contains the module of its directory.
+        parent.truncate(parent.len().saturating_sub(super_count));
         let prefix = parent.iter().map(|part| format!("{part}::")).collect::<String>();
-        found.extend(expanded(&prefix, &text[at + ups * "super::".len()..]));
+        found.extend(expand_paths(&prefix, &text[at + super_count * "super::".len()..]));
     }
     found
 }
 
-/// The paths that begin at the front of a text: one, or those of a braced list such as `{bind, front::{self, Front}}`.
-fn expanded(prefix: &str, text: &str) -> Vec<String> {
+/// Returns the paths at the start of a text: a single one, or those of a braced list such as `{bind, front::{self, Front}}`.
+fn expand_paths(prefix: &str, text: &str) -> Vec<String> {
     let text = text.trim_start();
     if let Some(list) = text.strip_prefix('{') {
         let mut paths = Vec::new();
@@ -139,7 +140,7 @@
                 ',' | '}' if depth == 0 => {
                     let item = list[start..at].trim();
                     if !item.is_empty() {
-                        paths.extend(expanded(prefix, item));
+                        paths.extend(expand_paths(prefix, item));
                     }
                     start = at + 1;
                     if c == '}' {
@@ -154,70 +155,75 @@
     let length = text.find(|c: char| !(c.is_alphanumeric() || c == '_')).unwrap_or(text.len());
     let path = format!("{prefix}{}", &text[..length]);
     match text[length..].strip_prefix("::") {
-        Some(rest) if !rest.trim_start().starts_with('<') => expanded(&format!("{path}::"), rest),
+        Some(rest) if !rest.trim_start().starts_with('<') => expand_paths(&format!("{path}::"), rest),
         _ => vec![path],
     }
 }
 
-/// What is wrong with the imports of a file.
+/// Returns the imports of a file that violate the order of the modules.
 fn violations(module: &str, text: &str) -> Vec<String> {
-    let Some(own) = position(module) else { return vec![format!("{module} stands in no layer")] };
-    let mut wrong = Vec::new();
-    for used in uses(module, text) {
-        match position(&used) {
-            Some(other) if other > own => wrong.push(format!(
-                "{module} ({}) uses {used} ({}), which stands after it",
-                layer_of(own),
-                layer_of(other)
+    let Some(own_position) = position(module) else { return vec![format!("module {module} is in no layer")] };
+    let mut violations_found = Vec::new();
+    for imported in imported_paths(module, text) {
+        match position(&imported) {
+            Some(imported_position) if imported_position > own_position => violations_found.push(format!(
+                "{module} ({}) imports {imported} ({}), which comes after it",
+                layer_of(own_position),
+                layer_of(imported_position)
             )),
             _ => {}
         }
     }
-    wrong
+    violations_found
 }
 
 #[test]
-fn imports_run_one_way() {
-    let mut wrong = Vec::new();
-    for file in files(&source()) {
+fn modules_import_only_preceding_modules() {
+    let mut violations_found = Vec::new();
+    for file in files_under(&source_dir()) {
         let module = module_of(&file);
         if module != "lib" {
-            wrong.extend(violations(&module, &fs::read_to_string(&file).unwrap()));
+            violations_found.extend(violations(&module, &fs::read_to_string(&file).unwrap()));
         }
     }
-    assert_eq!(wrong, Vec::<String>::new());
+    assert_eq!(violations_found, Vec::<String>::new());
 }
 
 #[test]
-fn every_module_stands_once_in_the_table_and_every_entry_is_a_module() {
+fn each_table_entry_is_unique_and_names_a_module() {
     let entries = modules();
     let unique: BTreeSet<&str> = entries.iter().copied().collect();
-    assert_eq!(unique.len(), entries.len(), "a module stands twice");
+    assert_eq!(unique.len(), entries.len(), "each module appears once in the table");
     assert!(LAYERS.iter().all(|layer| !layer.purpose.is_empty()));
-    let there: BTreeSet<String> = files(&source()).iter().map(|file| module_of(file)).collect();
+    let existing_modules: BTreeSet<String> =
+        files_under(&source_dir()).iter().map(|file| module_of(file)).collect();
     for entry in entries {
-        assert!(there.contains(entry), "{entry} is no module");
+        assert!(existing_modules.contains(entry), "{entry} in the table is a module");
     }
 }
 
 #[test]
-fn an_import_that_is_turned_round_is_found() {
-    let named = |module: &str, text: &str| violations(module, text).len();
-    assert_eq!(named("http", "use crate::limits::Limits;"), 0);
-    assert_eq!(named("limits", "use crate::http::Wire;"), 1);
-    assert_eq!(named("limits", "fn wire() -> crate::http::Wire;"), 1);
-    assert_eq!(named("core::answer", "use crate::{clock::Clock, front::{self, Front}};"), 2);
-    assert_eq!(named("core", "use crate::dispatcher::Dispatcher;"), 1, "within a layer as well");
+fn imports_of_later_modules_are_reported() {
+    let violation_count = |module: &str, text: &str| violations(module, text).len();
+    assert_eq!(violation_count("http", "use crate::limits::Limits;"), 0);
+    assert_eq!(violation_count("limits", "use crate::http::Wire;"), 1);
+    assert_eq!(violation_count("limits", "fn wire() -> crate::http::Wire;"), 1);
+    assert_eq!(violation_count("core::answer", "use crate::{clock::Clock, front::{self, Front}};"), 2);
     assert_eq!(
-        named("front::messages", "use super::{next, Incoming};\nuse super::context::FrontContext;"),
+        violation_count("core", "use crate::dispatcher::Dispatcher;"),
+        1,
+        "the order applies within a layer as well"
+    );
+    assert_eq!(
+        violation_count("front::messages", "use super::{next, Incoming};\nuse super::context::FrontContext;"),
         0
     );
-    assert_eq!(named("core::answer", "use super::super::shutdown::drain;"), 1);
+    assert_eq!(violation_count("core::answer", "use super::super::shutdown::drain;"), 1);
     assert_eq!(
-        named("core", "/// See [`crate::front`].\n// crate::front"),
+        violation_count("core", "/// See [`crate::front`].\n// crate::front"),
         0,
         "documentation may name any module"
     );
-    assert_eq!(named("novelty", ""), 1, "a new module has to be given its place");
-    assert_eq!(uses("main", "use tallypin_router::{bind, front::{self, Front}};").len(), 3);
+    assert_eq!(violation_count("novelty", ""), 1, "a new module must be added to the table");
+    assert_eq!(imported_paths("main", "use tallypin_router::{bind, front::{self, Front}};").len(), 3);
 }
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -1,5 +1,5 @@
-//! The bytes on the wire, compared with recordings under `recorded/wire`: answers of both fronts, requests to model nodes and
-//! to the node list, datagrams between routers. `RECORD=1 cargo test --test recorded_wire` writes the recordings anew.
+//! Compares the bytes on the wire with the recordings under `recorded/wire`: answers of both fronts, requests to replicas and to
+//! the discovery service, datagrams between routers. `RECORD=1 cargo test --test recorded_wire` rewrites the recordings.
 #![allow(missing_docs)]
 
 mod common;
@@ -22,7 +22,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Every recording; one that is missing fails the test that compares it, one too many the last test.
+/// Names of all recordings. A missing file fails the test that compares it; a file without a name here fails the last test.
 const RECORDINGS: [&str; 11] = [
     "datagrams",
     "health",
@@ -37,7 +37,7 @@
     "shutdown",
 ];
 
-/// Sends a request, gives its answer, and says whether the connection takes another request.
+/// Sends a request and returns its raw answer, with a mark that says whether the connection accepts another request.
 async fn exchange(addr: std::net::SocketAddr, request: &str) -> Vec<u8> {
     let mut client = Client::to(addr).await;
     client.send(request).await;
@@ -53,6 +53,7 @@
     raw
 }
 
+/// Starts a router with one replica that meets these faults.
 async fn router(dialect: Dialect, faults: &[Fault], change: impl FnOnce(&mut Limits)) -> (Router, Node) {
     let node = Node::new(dialect).await;
     node.plan(faults);
@@ -60,8 +61,8 @@
     (router, node)
 }
 
-/// A router whose settings say that a request must not be repeated once it may have run.
-async fn with_side_effects(node: &Node) -> Router {
+/// Starts a router whose settings forbid a retry of a request that may have run.
+async fn router_with_side_effects(node: &Node) -> Router {
     let mut config = config();
     config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
     Router::by(config, Chat, &[node], None).await
@@ -70,8 +71,8 @@
 const CHAT_BODY: &str = r#"{"model":"m","stream":true,"temperature":0.5,"stop":["x"],"messages":[
 {"role":"system","content":"Be kind."},{"role":"user","content":"Grüß Gott"}]}"#;
 
-/// A platform request with nothing that varies.
-fn plain(id: &str, fields: &str, body: &str) -> String {
+/// Returns a request to the platform front whose id does not change between runs.
+fn platform_with_id(id: &str, fields: &str, body: &str) -> String {
     format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nReq-Id: {id}\r\nReq-Kind: chat\r\n\
          Req-Owner: haendlerbund\r\n{fields}Content-Length: {}\r\n\r\n{body}",
@@ -79,12 +80,13 @@
     )
 }
 
-fn whole_message() -> String {
+/// Returns the body of a request without streaming.
+fn message_without_streaming() -> String {
     MESSAGE.replace("\"stream\":true,", "")
 }
 
 #[test]
-fn streams_of_the_platform_stay_byte_for_byte() {
+fn streams_of_the_platform_match_the_recording() {
     run(async {
         let mut recording = Recording::new("platform-streams");
         for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
@@ -96,11 +98,11 @@
                 let (router, _node) = router(dialect, &[fault], |_| {}).await;
                 recording.case(
                     &format!("{nodes}, {title}"),
-                    exchange(router.addr, &plain("a", "", CHAT_BODY)).await,
+                    exchange(router.addr, &platform_with_id("a", "", CHAT_BODY)).await,
                 );
             }
             let (router, _node) = router(dialect, &[], |_| {}).await;
-            let last = plain("a", "Connection: close\r\n", CHAT_BODY);
+            let last = platform_with_id("a", "Connection: close\r\n", CHAT_BODY);
             recording.case(&format!("{nodes}, asked to close"), exchange(router.addr, &last).await);
         }
         recording.check();
@@ -108,7 +110,7 @@
 }
 
 #[test]
-fn streams_and_whole_answers_of_the_messages_api_stay_byte_for_byte() {
+fn streams_and_complete_answers_of_the_messages_api_match_the_recording() {
     run(async {
         let mut recording = Recording::new("messages-streams");
         for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
@@ -117,7 +119,8 @@
                 ("with an unknown event", Fault::UnknownEvent),
                 ("broken", Fault::Break),
             ] {
-                for (form, body) in [("stream", MESSAGE.to_string()), ("whole", whole_message())] {
+                for (form, body) in [("stream", MESSAGE.to_string()), ("whole", message_without_streaming())]
+                {
                     let (router, _node) = router(dialect, &[fault], |_| {}).await;
                     let raw = exchange(router.messages, &messages("", &body)).await;
                     recording.case(&format!("{nodes}, {form}, {title}"), raw);
@@ -128,86 +131,88 @@
             recording.case(&format!("{nodes}, asked to close"), exchange(router.messages, &last).await);
             let mut client = Client::to(router.messages).await;
             for title in ["second", "third"] {
-                client.send(&messages("", &whole_message())).await;
+                client.send(&messages("", &message_without_streaming())).await;
                 recording.case(&format!("{nodes}, {title} answer"), raw_answer(&mut client).await);
             }
         }
         let (router, _node) = router(Chat, &[], |l| l.max_collected_answer_size = 4).await;
-        let raw = exchange(router.messages, &messages("", &whole_message())).await;
+        let raw = exchange(router.messages, &messages("", &message_without_streaming())).await;
         recording.case("too long to be given whole", raw);
         recording.check();
     });
 }
 
-/// Answers that are the same at both fronts but for their form.
-async fn answers(recording: &mut Recording, front: usize) {
-    let at = |router: &Router| if front == 0 { router.addr } else { router.messages };
-    let ask = |fields: &str| match front {
-        0 => plain("a", fields, "{}"),
+/// Records the answers that both fronts give, each in its own form.
+async fn record_common_answers(recording: &mut Recording, front: usize) {
+    let addr_of = |router: &Router| if front == 0 { router.addr } else { router.messages };
+    let request = |fields: &str| match front {
+        0 => platform_with_id("a", fields, "{}"),
         _ => messages(fields, MESSAGE),
     };
-    let wait = ["Req-Deadline-Ms: 40\r\n", "x-deadline-ms: 40\r\n"][front];
-    let (none, _node) = (Router::new(Chat, &[], |_| {}).await, ());
-    recording.case("no capacity", exchange(at(&none), &ask("")).await);
+    let deadline = ["Req-Deadline-Ms: 40\r\n", "x-deadline-ms: 40\r\n"][front];
+    let (no_replicas, _node) = (Router::new(Chat, &[], |_| {}).await, ());
+    recording.case("no capacity", exchange(addr_of(&no_replicas), &request("")).await);
     let faults = [("error", Fault::Error), ("reset", Fault::Reset), ("declined", Fault::Decline)];
     for (title, fault) in faults {
         let (router, _node) = router(Chat, &[fault; 8], |_| {}).await;
-        recording.masked(title, Mask::RetryAfterDigits, exchange(at(&router), &ask(wait)).await);
+        recording.masked(title, Mask::RetryAfterDigits, exchange(addr_of(&router), &request(deadline)).await);
     }
-    let (pure, _node) = router(Chat, &[Fault::Mute; 8], |_| {}).await;
-    let raw = exchange(at(&pure), &ask(wait)).await;
+    let (idempotent, _node) = router(Chat, &[Fault::Mute; 8], |_| {}).await;
+    let raw = exchange(addr_of(&idempotent), &request(deadline)).await;
     recording.masked("late, may be repeated", Mask::RetryAfterDigits, raw);
     let node = Node::new(Chat).await;
     node.plan(&[Fault::Mute; 8]);
-    let effects = with_side_effects(&node).await;
-    recording.case("late, must not be repeated", exchange(at(&effects), &ask(wait)).await);
+    let not_idempotent = router_with_side_effects(&node).await;
+    recording
+        .case("late, must not be repeated", exchange(addr_of(&not_idempotent), &request(deadline)).await);
     let node = Node::new(Chat).await;
     node.plan(&[Fault::Reset; 8]);
-    let effects = with_side_effects(&node).await;
-    recording.case("failed, must not be repeated", exchange(at(&effects), &ask("")).await);
+    let not_idempotent = router_with_side_effects(&node).await;
+    recording.case("failed, must not be repeated", exchange(addr_of(&not_idempotent), &request("")).await);
     let (shared, _node) = router(Chat, &[], |_| {}).await;
-    let other = ask("").replace("haendlerbund", "grenzstellen");
+    let over_quota = request("").replace("haendlerbund", "grenzstellen");
     let used_up = loop {
-        let raw = exchange(at(&shared), &other).await;
+        let raw = exchange(addr_of(&shared), &over_quota).await;
         if !raw.starts_with(b"HTTP/1.1 200") {
             break raw;
         }
     };
     recording.masked("share used up", Mask::RetryAfterDigits, used_up);
     let (full, _node) = router(Chat, &[], |l| l.max_open_requests = 0).await;
-    recording.case("too many open requests", exchange(at(&full), &ask("")).await);
+    recording.case("too many open requests", exchange(addr_of(&full), &request("")).await);
     let (small, _node) = router(Chat, &[], |l| l.body_budget = 1).await;
-    recording.case("no room for the body", exchange(at(&small), &ask("")).await);
-    let (crowd, _node) = router(Chat, &[Fault::Mute; 2], |l| l.max_clients = 1).await;
-    let mut first = Client::to(at(&crowd)).await;
+    recording.case("no room for the body", exchange(addr_of(&small), &request("")).await);
+    let (crowded, _node) = router(Chat, &[Fault::Mute; 2], |l| l.max_clients = 1).await;
+    let mut first = Client::to(addr_of(&crowded)).await;
     first
         .send(&match front {
-            0 => plain("first", "", "{}"),
+            0 => platform_with_id("first", "", "{}"),
             _ => messages("", MESSAGE),
         })
         .await;
-    until(|| crowd.open() == 1).await;
+    until(|| crowded.open() == 1).await;
     let up = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n";
-    recording.case("too many connections", exchange(at(&crowd), &ask("")).await);
-    recording.case("too many connections, asks for the state", exchange(at(&crowd), up).await);
+    recording.case("too many connections", exchange(addr_of(&crowded), &request("")).await);
+    recording.case("too many connections, asks for the state", exchange(addr_of(&crowded), up).await);
 }
 
 #[test]
-fn answers_of_the_platform_other_than_streams_stay_byte_for_byte() {
+fn answers_of_the_platform_other_than_streams_match_the_recording() {
     run(async {
         let mut recording = Recording::new("platform-answers");
-        answers(&mut recording, 0).await;
+        record_common_answers(&mut recording, 0).await;
         let (router, node) = router(Chat, &[Fault::Mute], |_| {}).await;
         let mut first = Client::to(router.addr).await;
-        first.send(&plain("twice", "", "{}")).await;
+        first.send(&platform_with_id("twice", "", "{}")).await;
         node.next_request().await;
-        recording.case("the name of another", exchange(router.addr, &plain("twice", "", "{}")).await);
+        recording
+            .case("the name of another", exchange(router.addr, &platform_with_id("twice", "", "{}")).await);
         drop(first);
-        // The node's answer to the platform's front breaks before anything of it was passed on.
+        // The stream to the platform front is interrupted before its first byte was relayed.
         until(|| router.open() == 0).await;
         let (cut, node) = self::router(Chat, &[Fault::Mute], |_| {}).await;
         let mut client = Client::to(cut.addr).await;
-        client.send(&plain("cut", "", "{}")).await;
+        client.send(&platform_with_id("cut", "", "{}")).await;
         node.next_request().await;
         cut.components.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
         cut.components.with(|core, now| core.answer_for_shutdown(now, Some(0)));
@@ -217,19 +222,19 @@
 }
 
 #[test]
-fn answers_of_the_messages_api_other_than_streams_stay_byte_for_byte() {
+fn answers_of_the_messages_api_other_than_streams_match_the_recording() {
     run(async {
         let mut recording = Recording::new("messages-answers");
-        answers(&mut recording, 1).await;
+        record_common_answers(&mut recording, 1).await;
         recording.check();
     });
 }
 
-/// What no front takes, whatever it is.
-async fn bad_input(recording: &mut Recording, front: usize, good: &str) {
+/// Records the answers of a front to input that both fronts reject, and to the ways of sending a body.
+async fn record_bad_input(recording: &mut Recording, front: usize, good: &str) {
     let (router, _node) =
         router(Chat, &[], |l| (l.max_body_size, l.max_head_size, l.max_fields) = (1024, 2048, 16)).await;
-    let at = if front == 0 { router.addr } else { router.messages };
+    let addr = if front == 0 { router.addr } else { router.messages };
     let (head, _) = good.split_once("\r\n\r\n").unwrap();
     let unframed = head[..head.rfind("\r\n").unwrap()].to_string();
     let (first_line, rest) = good.split_once("\r\n").unwrap();
@@ -258,30 +263,30 @@
         ("livez", "GET /livez HTTP/1.1\r\nHost: b\r\n\r\n".to_string()),
         ("readyz", "GET /readyz HTTP/1.1\r\nHost: b\r\n\r\n".to_string()),
     ] {
-        recording.case(title, exchange(at, &text).await);
+        recording.case(title, exchange(addr, &text).await);
     }
     let (slow, _node) = self::router(Chat, &[], |l| l.request_read_timeout = 30 * MS).await;
-    let at = if front == 0 { slow.addr } else { slow.messages };
-    recording.case("half a request", exchange(at, &good[..good.len() - 1]).await);
+    let addr = if front == 0 { slow.addr } else { slow.messages };
+    recording.case("half a request", exchange(addr, &good[..good.len() - 1]).await);
     let (body, length) = (good.split_once("\r\n\r\n").unwrap().1, good.len() - head.len() - 4);
     let (router, _node) = self::router(Chat, &[], |_| {}).await;
-    let at = if front == 0 { router.addr } else { router.messages };
-    let mut client = Client::to(at).await;
+    let addr = if front == 0 { router.addr } else { router.messages };
+    let mut client = Client::to(addr).await;
     client.send(&format!("{head}\r\nExpect: 100-continue\r\n\r\n")).await;
     let mut raw = raw_answer(&mut client).await;
     client.send(body).await;
     raw.append(&mut raw_answer(&mut client).await);
     recording.case("waits for a word before the body", raw);
     let chunks = format!("{unframed}\r\nTransfer-Encoding: chunked\r\n\r\n{length:x}\r\n{body}\r\n0\r\n\r\n");
-    recording.case("a body in chunks", exchange(at, &chunks.replace(": a\r\n", ": b\r\n")).await);
+    recording.case("a body in chunks", exchange(addr, &chunks.replace(": a\r\n", ": b\r\n")).await);
 }
 
 #[test]
-fn bad_input_gets_the_same_answer_of_the_platform_byte_for_byte() {
+fn answers_of_the_platform_to_bad_input_match_the_recording() {
     run(async {
         let mut recording = Recording::new("platform-bad-input");
-        let good = plain("a", "", "{}");
-        bad_input(&mut recording, 0, &good).await;
+        let good = platform_with_id("a", "", "{}");
+        record_bad_input(&mut recording, 0, &good).await;
         let (router, _node) = router(Chat, &[], |_| {}).await;
         for (title, from, to) in [
             ("no name", "Req-Id: a\r\n", ""),
@@ -309,10 +314,10 @@
 }
 
 #[test]
-fn bad_input_gets_the_same_answer_of_the_messages_api_byte_for_byte() {
+fn answers_of_the_messages_api_to_bad_input_match_the_recording() {
     run(async {
         let mut recording = Recording::new("messages-bad-input");
-        bad_input(&mut recording, 1, &messages("", MESSAGE)).await;
+        record_bad_input(&mut recording, 1, &messages("", MESSAGE)).await;
         let (router, _node) = router(Chat, &[], |_| {}).await;
         let picture = MESSAGE.replace("\"type\":\"text\"", "\"type\":\"image\"");
         for (title, text) in [
@@ -338,21 +343,21 @@
 }
 
 #[test]
-fn answers_for_the_state_stay_byte_for_byte() {
+fn health_check_answers_match_the_recording() {
     run(async {
         let mut recording = Recording::new("health");
         for (stage, nodes) in [(Stage::Serving, 1), (Stage::Serving, 0), (Stage::Grace, 1)] {
             let node = Node::new(Chat).await;
             let router = Router::new(Chat, &[&node][..nodes], |_| {}).await;
             router.components.lifecycle.enter(stage);
-            for (front, at) in [("platform", router.addr), ("messages", router.messages)] {
+            for (front, addr) in [("platform", router.addr), ("messages", router.messages)] {
                 for path in ["/up", "/healthz", "/up?query"] {
                     for method in ["GET", "HEAD", "POST"] {
                         let title = format!(
                             "{front}, drain {}, {nodes} nodes, {method} {path}",
                             stage != Stage::Serving
                         );
-                        let mut client = Client::to(at).await;
+                        let mut client = Client::to(addr).await;
                         client
                             .send(&format!(
                                 "{method} {path} HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n"
@@ -372,7 +377,7 @@
 }
 
 #[test]
-fn answers_while_the_router_ends_stay_byte_for_byte() {
+fn answers_during_shutdown_match_the_recording() {
     run(async {
         let mut recording = Recording::new("shutdown");
         for (title, stage) in
@@ -380,11 +385,11 @@
         {
             for front in [0, 1] {
                 let (router, _node) = router(Chat, &[], |l| l.final_read_time = 300 * MS).await;
-                let (at, request) = match front {
-                    0 => (router.addr, plain("a", "", "{}")),
+                let (addr, request) = match front {
+                    0 => (router.addr, platform_with_id("a", "", "{}")),
                     _ => (router.messages, messages("", MESSAGE)),
                 };
-                let mut client = Client::to(at).await;
+                let mut client = Client::to(addr).await;
                 let (first, rest) = request.split_at(20);
                 client.send(first).await;
                 until(|| router.components.clients.open() == 1).await;
@@ -397,7 +402,7 @@
                 recording.case(&format!("{title}, front {front}"), raw);
                 drop(client);
                 let bad = request.replacen("POST", "PUT", 1);
-                let mut client = Client::to(at).await;
+                let mut client = Client::to(addr).await;
                 client.send(&bad).await;
                 recording.case(&format!("{title}, front {front}, bad input"), raw_answer(&mut client).await);
             }
@@ -407,28 +412,32 @@
 }
 
 #[test]
-fn requests_to_model_nodes_stay_byte_for_byte() {
+fn requests_to_replicas_match_the_recording() {
     run(async {
         let mut recording = Recording::new("node-requests");
         for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
             let (router, node) = router(dialect, &[], |_| {}).await;
             let resumed = MESSAGE.replace("}]}]}", "}]},{\"role\":\"assistant\",\"content\":\"Your\"}]}");
-            for (title, at, request) in [
-                ("platform", router.addr, plain("a", "", CHAT_BODY)),
+            for (title, addr, request) in [
+                ("platform", router.addr, platform_with_id("a", "", CHAT_BODY)),
                 (
                     "platform, with query",
                     router.addr,
-                    plain("b", "", CHAT_BODY).replacen("completions", "completions?x=1", 1),
+                    platform_with_id("b", "", CHAT_BODY).replacen("completions", "completions?x=1", 1),
+                ),
+                ("platform, resumed", router.addr, platform_with_id("c", "Req-Retry: again\r\n", CHAT_BODY)),
+                ("platform, repeated", router.addr, platform_with_id("d", "Req-Retry: 1\r\n", CHAT_BODY)),
+                (
+                    "platform, with a key",
+                    router.addr,
+                    platform_with_id("e", "Idempotency-Key: k-1\r\n", CHAT_BODY),
                 ),
-                ("platform, resumed", router.addr, plain("c", "Req-Retry: again\r\n", CHAT_BODY)),
-                ("platform, repeated", router.addr, plain("d", "Req-Retry: 1\r\n", CHAT_BODY)),
-                ("platform, with a key", router.addr, plain("e", "Idempotency-Key: k-1\r\n", CHAT_BODY)),
                 ("messages", router.messages, messages("", MESSAGE)),
-                ("messages, whole", router.messages, messages("", &whole_message())),
+                ("messages, whole", router.messages, messages("", &message_without_streaming())),
                 ("messages, resumed", router.messages, messages("x-resume-of: msg_1\r\n", &resumed)),
                 ("messages, with a key", router.messages, messages("Idempotency-Key: k-1\r\n", MESSAGE)),
             ] {
-                let raw = exchange(at, &request).await;
+                let raw = exchange(addr, &request).await;
                 assert!(raw.starts_with(b"HTTP/1.1 200"), "{title}: {}", String::from_utf8_lossy(&raw));
                 let (head, body) = node.next_request().await;
                 let sent = [head.as_bytes(), &body].concat();
@@ -454,7 +463,7 @@
 }
 
 #[test]
-fn calls_of_the_node_list_stay_byte_for_byte() {
+fn endpoint_list_calls_match_the_recording() {
     run(async {
         let mut recording = Recording::new("node-list-calls");
         for (title, mode) in
@@ -489,16 +498,16 @@
 }
 
 #[test]
-fn datagrams_to_other_routers_stay_byte_for_byte() {
+fn datagrams_to_other_routers_match_the_recording() {
     run(async {
         let mut recording = Recording::new("datagrams");
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        let mine = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let mut config = config();
         config.deployment.decisions.router_count = 2;
         let digest = config.deployment.decisions.digest;
-        let each = vec![mine, other.local_addr().unwrap()];
-        let addresses = PeerAddresses { listen: mine, each, all: None };
+        let each = vec![own_addr, other.local_addr().unwrap()];
+        let addresses = PeerAddresses { listen: own_addr, each, all: None };
         let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
         let mut buf = [0; 512];
         for counts in [&[(3, 0), (200, 1), (70_000, 130)][..], &[(1, 0)], &[]] {
@@ -506,11 +515,11 @@
             for message in tallypin::served_report::encode(digest, 500, &typed) {
                 peers.gossip(&message);
                 let (length, from) = other.recv_from(&mut buf).await.unwrap();
-                assert_eq!(from, mine);
+                assert_eq!(from, own_addr);
                 recording.case(&format!("{counts:?}"), hex(&buf[..length]));
             }
         }
-        // From a running router: the span that the report covers depends on the clock.
+        // A report of a running router: the time span that it covers depends on the clock.
         let node = Node::new(Chat).await;
         let router = Router::by(config, Chat, &[&node], Some(peers)).await;
         let mut client = Client::to(router.addr).await;
@@ -518,7 +527,7 @@
         let (length, _) = other.recv_from(&mut buf).await.unwrap();
         let message = &buf[..length];
         let span = message[3..].iter().position(|b| *b < 0x80).unwrap() + 1;
-        assert!(span <= 2, "at most 16 s: {}", hex(message));
+        assert!(span <= 2, "the span is at most 16 s: {}", hex(message));
         let text = format!("{} <span> {}", hex(&message[..3]), hex(&message[3 + span..]));
         recording.case("of a router", text);
         recording.check();
@@ -526,7 +535,7 @@
 }
 
 #[test]
-fn no_recording_lacks_its_case_and_no_case_its_recording() {
+fn every_recording_file_is_listed_and_every_listed_recording_exists() {
     let entries = std::fs::read_dir(path("")).unwrap();
     let mut names: Vec<String> =
         entries.map(|entry| entry.unwrap().file_name().into_string().unwrap()).collect();
--- a/router/tests/recording/mod.rs
+++ b/router/tests/recording/mod.rs
@@ -1,4 +1,4 @@
-//! Recordings: bytes as they came, by case, compared with a file byte for byte; and what of them varies from run to run.
+//! Recordings of raw bytes, case by case, which are compared with a file byte for byte. Parts that vary between runs are masked.
 
 use std::path::PathBuf;
 
@@ -6,21 +6,22 @@
 
 use crate::common::{field, Client};
 
+/// Path of a recording.
 pub fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/recorded/wire").join(name)
 }
 
-/// Parts of a text that vary from run to run.
+/// Parts of a text that vary between runs.
 #[derive(Clone, Copy)]
 pub enum Mask {
-    /// The number of milliseconds that are left of a wait of four digits.
+    /// The time left until the deadline, a four-digit number of milliseconds.
     DeadlineOfFourDigits,
-    /// The least significant part of a Retry-After, which depends on the clock: the number of its digits stays.
+    /// The digits of a Retry-After value, which depends on the clock. Their number is kept.
     RetryAfterDigits,
 }
 
 impl Mask {
-    /// The field whose value is masked, and the value that stands for it, if it has the form.
+    /// Returns the text with each digit of the masked fields replaced by `#`.
     fn apply(self, text: &str) -> String {
         let fields: &[&str] = match self {
             Mask::DeadlineOfFourDigits => &["Req-Deadline-Ms: "],
@@ -28,13 +29,13 @@
         };
         let line = |line: &str| match fields.iter().find_map(|f| Some((f, line.strip_prefix(f)?))) {
             Some((field, value)) => {
-                let form = |c: char| if c.is_ascii_digit() { '#' } else { c };
-                let form: String = value.chars().map(form).collect();
+                let mask_digit = |c: char| if c.is_ascii_digit() { '#' } else { c };
+                let masked: String = value.chars().map(mask_digit).collect();
                 if let Mask::DeadlineOfFourDigits = self {
-                    assert_eq!(form.trim_end(), "####", "{line}");
+                    assert_eq!(masked.trim_end(), "####", "{line}");
                     assert!(value.trim_end().parse::<u32>().unwrap() <= 4000, "{line}");
                 }
-                format!("{field}{form}")
+                format!("{field}{masked}")
             }
             None => line.to_string(),
         };
@@ -42,7 +43,7 @@
     }
 }
 
-/// One recording: cases with a title each, and their bytes as they came.
+/// One recording: a list of titled cases and their raw bytes.
 pub struct Recording {
     name: &'static str,
     cases: Vec<u8>,
@@ -54,18 +55,20 @@
         Recording { name, cases: Vec::new() }
     }
 
+    /// Adds a case.
     pub fn case(&mut self, title: &str, bytes: impl AsRef<[u8]>) {
         for part in [b"=== ", title.as_bytes(), b"\n", bytes.as_ref(), b"\n"] {
             self.cases.extend_from_slice(part);
         }
     }
 
+    /// Adds a case with varying parts masked.
     pub fn masked(&mut self, title: &str, mask: Mask, bytes: impl AsRef<[u8]>) {
         let text = std::str::from_utf8(bytes.as_ref()).unwrap();
         self.case(title, mask.apply(text));
     }
 
-    /// Compares it with the recording byte for byte.
+    /// Compares the cases with the recorded file byte for byte, or writes the file if `RECORD` is set.
     pub fn check(self) {
         let path = path(self.name);
         if std::env::var_os("RECORD").is_some() {
@@ -78,19 +81,19 @@
         let split = |bytes: &[u8]| -> Vec<String> {
             String::from_utf8_lossy(bytes).split("=== ").map(|case| case.escape_debug().to_string()).collect()
         };
-        let (before, now) = (split(&recorded), split(&self.cases));
-        for (before, now) in before.iter().zip(&now) {
-            assert_eq!(before, now, "{}", self.name);
+        let (expected, actual) = (split(&recorded), split(&self.cases));
+        for (expected, actual) in expected.iter().zip(&actual) {
+            assert_eq!(expected, actual, "{}", self.name);
         }
-        panic!("{}: {} cases were recorded, {} came", self.name, before.len(), now.len());
+        panic!("{}: {} cases are recorded, the test produced {}", self.name, expected.len(), actual.len());
     }
 }
 
-/// Reads one answer as it stands on the wire; what is missing at the end of the connection is named.
+/// Reads the raw bytes of one answer. Appends `<closed>` if the connection ends before the answer is complete.
 pub async fn raw_answer(client: &mut Client) -> Vec<u8> {
     let mut raw = Vec::new();
     loop {
-        if let Some(length) = whole_answer(&client.buf) {
+        if let Some(length) = answer_length(&client.buf) {
             let rest = client.buf.split_off(length);
             raw.append(&mut std::mem::replace(&mut client.buf, rest));
             return raw;
@@ -103,8 +106,8 @@
     }
 }
 
-/// The length of the answer at the front, once it is whole.
-fn whole_answer(buf: &[u8]) -> Option<usize> {
+/// Returns the length of the first answer in the buffer, or `None` if it is incomplete.
+fn answer_length(buf: &[u8]) -> Option<usize> {
     let head_length = buf.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = std::str::from_utf8(&buf[..head_length]).unwrap();
     if head.starts_with("HTTP/1.1 100") {
