--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for all that reads bytes from outside.
+//! Table-driven tests of the parsers of external input: HTTP, event streams, the endpoint list and the configuration.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,11 +13,11 @@
 use tallypin_router::limits::Limits;
 
 #[test]
-fn heads() {
+fn parses_message_heads() {
     let mut limits = common::config().limits;
     (limits.max_head_size, limits.max_fields) = (200, 4);
-    let long = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(200));
-    for (text, wanted) in [
+    let long_head = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(200));
+    for (text, expected) in [
         ("POST /a?b=c HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "Length(3) keeps"),
         ("GET / HTTP/1.0\r\n\r\n", "Undeclared"),
         ("GET / HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n", "Undeclared keeps"),
@@ -37,90 +37,103 @@
         ("GET / HTTP/1.1\r\nA: 1\r\nA: 2\r\nA: 3\r\nA: 4\r\nA: 5\r\n\r\n", "HeadTooLarge"),
         ("GET / HTTP/1.1\r\nHost: h\r\n", "more"),
         ("", "more"),
-        (&long, "HeadTooLarge"),
-        (&format!("{long}\r\n\r\n"), "HeadTooLarge"),
+        (&long_head, "HeadTooLarge"),
+        (&format!("{long_head}\r\n\r\n"), "HeadTooLarge"),
     ] {
         let mut buf = BytesMut::from(text);
-        let got = match MessageHead::parse_request(&mut buf, &limits) {
+        let actual = match MessageHead::parse_request(&mut buf, &limits) {
             Ok(None) => "more".to_string(),
             Ok(Some(head)) => match head.framing() {
                 Ok(framing) => format!("{framing:?}{}", if head.keeps_alive() { " keeps" } else { "" }),
-                Err(bad) => format!("{bad:?}"),
+                Err(error) => format!("{error:?}"),
             },
-            Err(bad) => format!("{bad:?}"),
+            Err(error) => format!("{error:?}"),
         };
-        assert_eq!(got, wanted, "{text:?}");
+        assert_eq!(actual, expected, "{text:?}");
     }
-    // The body stays where it is, and no byte of any cut makes trouble.
-    let whole = b"HTTP/1.1 200 OK\r\nA: b\r\n\r\nrest";
-    for cut in 0..whole.len() {
-        let mut buf = BytesMut::from(&whole[..cut]);
+    // A response cut at any byte is no error, and body bytes stay in the buffer.
+    let response = b"HTTP/1.1 200 OK\r\nA: b\r\n\r\nrest";
+    for cut in 0..response.len() {
+        let mut buf = BytesMut::from(&response[..cut]);
         let head = MessageHead::parse_response(&mut buf, &limits).unwrap();
         assert_eq!((head.is_some(), buf.len()), (cut >= 25, if cut >= 25 { cut - 25 } else { cut }));
     }
 }
 
 #[test]
-fn bodies() {
-    let whole = "4\r\nabcd\r\nA ; ext=1\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\nnext";
-    for step in 1..whole.len() {
-        let (mut body, mut buf, mut got, mut over) =
+fn reads_chunked_bodies_in_pieces_of_any_size() {
+    let encoded = "4\r\nabcd\r\nA ; ext=1\r\n0123456789\r\n0\r\nTrailer: x\r\n\r\nnext";
+    for piece_size in 1..encoded.len() {
+        let (mut body, mut buf, mut data, mut ended) =
             (BodyReader::new(BodyFraming::Chunked, 10), BytesMut::new(), Vec::new(), false);
-        for piece in whole.as_bytes().chunks(step) {
+        for piece in encoded.as_bytes().chunks(piece_size) {
             buf.extend_from_slice(piece);
-            while let (false, Some(part)) = (over, body.next_part(&mut buf).unwrap()) {
+            while let (false, Some(part)) = (ended, body.next_part(&mut buf).unwrap()) {
                 match part {
-                    BodyPart::Data(b) => got.extend_from_slice(&b),
-                    BodyPart::End => over = true,
+                    BodyPart::Data(bytes) => data.extend_from_slice(&bytes),
+                    BodyPart::End => ended = true,
                 }
             }
         }
-        assert_eq!((&got[..], over, &buf[..]), (&b"abcd0123456789"[..], true, &b"next"[..]), "{step}");
+        assert_eq!(
+            (&data[..], ended, &buf[..]),
+            (&b"abcd0123456789"[..], true, &b"next"[..]),
+            "pieces of {piece_size} bytes"
+        );
     }
-    let long = "1".repeat(1100);
-    for bad in ["\r\n", "x\r\n", "-1\r\n", "+1\r\n", "1\nab", "fffffffffffffffff\r\n", "1\r\nab", &long] {
-        let (mut body, mut buf) = (BodyReader::new(BodyFraming::Chunked, 1 << 20), BytesMut::from(bad));
-        let end = loop {
+    let long_size_line = "1".repeat(1100);
+    for malformed in
+        ["\r\n", "x\r\n", "-1\r\n", "+1\r\n", "1\nab", "fffffffffffffffff\r\n", "1\r\nab", &long_size_line]
+    {
+        let (mut body, mut buf) = (BodyReader::new(BodyFraming::Chunked, 1 << 20), BytesMut::from(malformed));
+        let result = loop {
             match body.next_part(&mut buf) {
                 Ok(Some(BodyPart::Data(_))) => {}
                 other => break other,
             }
         };
-        assert_eq!(end, Err(HttpError::Malformed), "{bad:?}");
+        assert_eq!(result, Err(HttpError::Malformed), "{malformed:?}");
     }
 }
 
 #[test]
-fn events_are_cut_where_they_end() {
+fn splits_streams_at_event_boundaries() {
     let text = "data: a\n\n: c\r\n\r\nevent: x\ndata: b\n\nda";
-    for step in 1..text.len() {
-        let (mut events, mut got) = (EventSplitter::default(), String::new());
-        for piece in text.as_bytes().chunks(step) {
-            if let Some(whole) = events.push(piece) {
-                assert!(whole.ends_with(b"\n\n") || whole.ends_with(b"\r\n\r\n"), "{step}: {whole:?}");
-                got.push_str(std::str::from_utf8(&whole).unwrap());
+    for piece_size in 1..text.len() {
+        let (mut events, mut complete_events) = (EventSplitter::default(), String::new());
+        for piece in text.as_bytes().chunks(piece_size) {
+            if let Some(complete) = events.push(piece) {
+                assert!(
+                    complete.ends_with(b"\n\n") || complete.ends_with(b"\r\n\r\n"),
+                    "pieces of {piece_size} bytes: {complete:?}"
+                );
+                complete_events.push_str(std::str::from_utf8(&complete).unwrap());
             }
         }
-        assert_eq!((&got[..], &events.take_rest()[..]), (&text[..text.len() - 2], &b"da"[..]), "{step}");
+        assert_eq!(
+            (&complete_events[..], &events.take_rest()[..]),
+            (&text[..text.len() - 2], &b"da"[..]),
+            "pieces of {piece_size} bytes"
+        );
     }
 }
 
-fn read(dialect: Dialect, text: &str) -> Vec<StreamEvent> {
-    let mut told = Vec::new();
-    dialect.read_events(text.as_bytes(), true, &mut told);
-    told
+fn read_events(dialect: Dialect, text: &str) -> Vec<StreamEvent> {
+    let mut events = Vec::new();
+    dialect.read_events(text.as_bytes(), true, &mut events);
+    events
 }
 
 #[test]
-fn both_vocabularies_say_the_same() {
-    insta::assert_debug_snapshot!(read(Dialect::Chat, &common::CHAT.concat()));
-    insta::assert_debug_snapshot!(read(Dialect::Messages, &common::MESSAGES.concat()));
+fn reads_the_events_of_both_dialects() {
+    insta::assert_debug_snapshot!(read_events(Dialect::Chat, &common::CHAT.concat()));
+    insta::assert_debug_snapshot!(read_events(Dialect::Messages, &common::MESSAGES.concat()));
 }
 
 #[test]
-fn odd_events_are_unknown_and_no_more() {
+fn unusual_events_are_classified_without_an_error() {
     use Dialect::{Chat, Messages};
-    for (dialect, text, wanted) in [
+    for (dialect, text, expected) in [
         (Chat, "data: {\"choices\":[]}\n\n", StreamEvent::KeepAlive),
         (Chat, "data: {oops\n\n", StreamEvent::Unknown),
         (Chat, "data: 7\n\n", StreamEvent::Unknown),
@@ -140,31 +153,31 @@
             StreamEvent::Unknown,
         ),
     ] {
-        assert_eq!(read(dialect, text), [wanted], "{text}");
+        assert_eq!(read_events(dialect, text), [expected], "{text}");
     }
 }
 
 #[test]
-fn load_reports() {
+fn parses_load_reports_and_drops_invalid_values() {
     let names: Vec<String> = ["fail_rate", "lat_ms", "q"].map(Into::into).into();
-    let show = |text| format!("{:?}", parse_load_report(text, &names));
-    assert_eq!(show("TEXT eps=0.5, latency_ms=14.5,queue=3, novel=1"), "[0.5, 14.5, 3.0]");
-    assert_eq!(show("TEXT q=2"), "[NaN, NaN, 2.0]");
-    assert_eq!(show("JSON {}"), "[]");
-    // None of these is a load, and none may reach the decisions.
-    assert_eq!(show("TEXT eps=nan, latency_ms=inf, q=-1"), "[NaN, NaN, NaN]");
-    assert_eq!(show("TEXT eps=1e300, latency_ms=, q=\u{fffd}"), "[NaN, NaN, NaN]");
+    let parsed_values = |text| format!("{:?}", parse_load_report(text, &names));
+    assert_eq!(parsed_values("TEXT eps=0.5, latency_ms=14.5,queue=3, novel=1"), "[0.5, 14.5, 3.0]");
+    assert_eq!(parsed_values("TEXT q=2"), "[NaN, NaN, 2.0]");
+    assert_eq!(parsed_values("JSON {}"), "[]");
+    // Invalid values become NaN, so that none of them reaches the decisions.
+    assert_eq!(parsed_values("TEXT eps=nan, latency_ms=inf, q=-1"), "[NaN, NaN, NaN]");
+    assert_eq!(parsed_values("TEXT eps=1e300, latency_ms=, q=\u{fffd}"), "[NaN, NaN, NaN]");
 }
 
 #[test]
-fn request_bodies() {
-    let good = r#"{"model":"m","max_tokens":9,"system":[{"type":"text","text":"Be kind."}],"stop_sequences":["X"],
+fn converts_request_bodies_between_dialects() {
+    let valid_body = r#"{"model":"m","max_tokens":9,"system":[{"type":"text","text":"Be kind."}],"stop_sequences":["X"],
         "temperature":0.5,"messages":[{"role":"user","content":"Hi"},{"role":"assistant","content":"Well"}]}"#;
-    let asked = ConversationRequest::parse_messages(good.as_bytes()).unwrap();
-    assert!(asked.continues_answer() && !asked.stream);
-    insta::assert_snapshot!(String::from_utf8(asked.chat_body()).unwrap());
-    let chat = ConversationRequest::parse_chat(&asked.chat_body()).unwrap();
-    insta::assert_snapshot!(String::from_utf8(chat.messages_body(5)).unwrap());
+    let messages_request = ConversationRequest::parse_messages(valid_body.as_bytes()).unwrap();
+    assert!(messages_request.continues_answer() && !messages_request.stream);
+    insta::assert_snapshot!(String::from_utf8(messages_request.chat_body()).unwrap());
+    let chat_request = ConversationRequest::parse_chat(&messages_request.chat_body()).unwrap();
+    insta::assert_snapshot!(String::from_utf8(chat_request.messages_body(5)).unwrap());
     let errors: Vec<String> = [
         "",
         "{}",
@@ -180,43 +193,44 @@
 }
 
 #[test]
-fn nothing_on_the_wire_can_panic() {
+fn mutated_input_never_panics() {
     let limits = common::config().limits;
-    let list = r#"{"version":1,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"active"}]}"#;
-    let good: Vec<Vec<u8>> = [
+    let endpoint_list =
+        r#"{"version":1,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"active"}]}"#;
+    let valid_inputs: Vec<Vec<u8>> = [
         common::platform("Req-Extra: prefix=a,prompt_len=5\r\n", "{}"),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n".into(),
         "5\r\nabcde\r\n0\r\n\r\n".into(),
         common::CHAT.concat(),
         common::MESSAGES.concat(),
         r#"{"model":"m","max_tokens":9,"messages":[{"role":"user","content":"Hi"}]}"#.into(),
-        list.into(),
+        endpoint_list.into(),
         "TEXT eps=0.5, q=1".into(),
     ]
     .map(String::into_bytes)
     .into();
     let mut rng = fastrand::Rng::with_seed(5);
-    let (mut taken, mut turned) = (0, 0);
+    let (mut parsed, mut rejected) = (0, 0);
     for round in 0..20_000 {
-        let mut bytes = good[round % good.len()].clone();
+        let mut bytes = valid_inputs[round % valid_inputs.len()].clone();
         for _ in 0..rng.usize(0..4) {
-            let at = rng.usize(0..bytes.len());
+            let index = rng.usize(0..bytes.len());
             match rng.u8(0..4) {
-                0 => bytes[at] = rng.u8(..),
-                1 => bytes.insert(at, rng.u8(..)),
-                2 => bytes.truncate(at.max(1)),
-                _ => bytes.extend_from_within(at..),
+                0 => bytes[index] = rng.u8(..),
+                1 => bytes.insert(index, rng.u8(..)),
+                2 => bytes.truncate(index.max(1)),
+                _ => bytes.extend_from_within(index..),
             }
         }
-        for read in [MessageHead::parse_request, MessageHead::parse_response] {
+        for parse in [MessageHead::parse_request, MessageHead::parse_response] {
             let mut buf = BytesMut::from(&bytes[..]);
-            match read(&mut buf, &limits).map(|head| head.map(|h| (h.framing(), h.keeps_alive()))) {
+            match parse(&mut buf, &limits).map(|head| head.map(|head| (head.framing(), head.keeps_alive()))) {
                 Ok(Some((Ok(framing), _))) => {
-                    taken += 1;
+                    parsed += 1;
                     let mut body = BodyReader::new(framing, 1 << 20);
                     while let Ok(Some(BodyPart::Data(_))) = body.next_part(&mut buf) {}
                 }
-                _ => turned += 1,
+                _ => rejected += 1,
             }
         }
         let (mut body, mut buf) =
@@ -225,37 +239,45 @@
         for dialect in [Dialect::Chat, Dialect::Messages] {
             dialect.read_events(&bytes, rng.bool(), &mut Vec::new());
         }
-        let asked = [ConversationRequest::parse_chat(&bytes), ConversationRequest::parse_messages(&bytes)];
-        asked.iter().flatten().for_each(|a| drop((a.chat_body(), a.messages_body(1), a.streaming_body())));
-        if let Ok(page) = serde_json::from_slice::<EndpointListMessage>(&bytes) {
-            let of = common::config().deployment;
-            for row in &page.endpoints {
-                assert_eq!(row.to_entry(&of).replica, tallypin::name_hash::replica_id(&row.id));
+        let requests = [ConversationRequest::parse_chat(&bytes), ConversationRequest::parse_messages(&bytes)];
+        requests.iter().flatten().for_each(|request| {
+            drop((request.chat_body(), request.messages_body(1), request.streaming_body()))
+        });
+        if let Ok(message) = serde_json::from_slice::<EndpointListMessage>(&bytes) {
+            let deployment = common::config().deployment;
+            for endpoint in &message.endpoints {
+                assert_eq!(
+                    endpoint.to_entry(&deployment).replica,
+                    tallypin::name_hash::replica_id(&endpoint.id)
+                );
             }
         }
         parse_load_report(&String::from_utf8_lossy(&bytes), &["q".into()]);
         let _ = tallypin::served_report::decode(tallypin::served_report::TenantsDigest::default(), &bytes);
     }
-    assert!(taken > 1000 && turned > 1000, "{taken} {turned}");
+    assert!(parsed > 1000 && rejected > 1000, "{parsed} parsed, {rejected} rejected");
 }
 
 #[test]
-fn limits_keep_to_the_machine_they_were_made_for() {
-    let of = common::config().deployment;
-    for (memory, sockets) in [(192, 1024), (2048, 4096), (16, 64)] {
-        let l = Limits::new(memory, sockets, &of);
-        let descriptors = l.max_clients + l.max_rejected_clients + l.max_replica_connections;
-        // Standard streams, the runtime's own, listeners, the list, peers, an agent check.
-        assert!(descriptors + 16 <= sockets && l.max_clients >= 10, "{descriptors} of {sockets}");
+fn limits_stay_within_memory_and_descriptors() {
+    let deployment = common::config().deployment;
+    for (memory_mb, sockets) in [(192, 1024), (2048, 4096), (16, 64)] {
+        let limits = Limits::new(memory_mb, sockets, &deployment);
+        let descriptors = limits.max_clients + limits.max_rejected_clients + limits.max_replica_connections;
+        // 16 descriptors for standard streams, the runtime, listeners, the endpoint list, peers and an agent check.
+        assert!(
+            descriptors + 16 <= sockets && limits.max_clients >= 10,
+            "{descriptors} of {sockets} descriptors"
+        );
         assert!(
-            l.body_budget <= memory << 18
-                && l.replica_idle_timeout.as_nanos() < u128::from(of.replica_idle_timeout)
+            limits.body_budget <= memory_mb << 18
+                && limits.replica_idle_timeout.as_nanos() < u128::from(deployment.replica_idle_timeout)
         );
     }
 }
 
 #[test]
-fn configuration_that_is_malformed_is_named_by_its_field() {
+fn configuration_errors_name_the_malformed_field() {
     let cases = [
         ("\"name\"", "\"nom\""),
         ("127.0.0.1:9", "localhost"),
@@ -274,16 +296,16 @@
         ("\"ColdShare\": 0.15", "\"ColdShare\": 1.5"),
         ("\"Profiles\": [", "\"Profiles\": [], \"Unknown\": ["),
     ];
-    let said = cases.map(|(from, to)| {
+    let errors = cases.map(|(from, to)| {
         let text = common::CONFIG.replace(from, to);
         format!("{to}: {}", Config::parse(&text).expect_err(to))
     });
-    insta::assert_snapshot!(said.join("\n"));
+    insta::assert_snapshot!(errors.join("\n"));
     for example in [include_str!("../../examples/config.json"), include_str!("../../examples/two-zones.json")]
     {
-        Config::parse(example).unwrap_or_else(|e| panic!("{e}"));
+        Config::parse(example).unwrap_or_else(|error| panic!("{error}"));
     }
-    // What is not known, and none or several zones, kinds and partners, are no fault.
+    // Unknown fields are ignored, and empty or longer lists of zones, kinds and tenants are accepted.
     for (from, to) in [
         ("\"Family\": \"llm\"", "\"Novelty\": {\"x\": [1]}, \"Family\": \"llm\""),
         ("\"Zones\": [\"rz-garching\"]", "\"Zones\": []"),
@@ -293,10 +315,10 @@
     ] {
         let text = common::CONFIG.replace(from, to);
         assert_ne!(text, common::CONFIG, "{from}");
-        Config::parse(&text).unwrap_or_else(|e| panic!("{to}: {e}"));
+        Config::parse(&text).unwrap_or_else(|error| panic!("{to}: {error}"));
     }
-    let of = common::config().deployment;
-    let file = common::settings("");
+    let deployment = common::config().deployment;
+    let settings = common::settings("");
     let cases = [
         ("127.0.0.1:8700", "here"),
         ("nodes chat", "nodes klingon"),
@@ -309,71 +331,82 @@
         ("model export-forms belege", "model refund-chat belege"),
         ("drain {", "proxy-protocol {\n  messages on\n}\ndrain {"),
     ];
-    let said = cases.map(|(from, to)| {
-        let text = file.replace(from, to);
-        match Installation::read_by("t.conf".as_ref(), &of, &|_| Ok(text.clone())) {
+    let errors = cases.map(|(from, to)| {
+        let text = settings.replace(from, to);
+        match Installation::read_by("t.conf".as_ref(), &deployment, &|_| Ok(text.clone())) {
             Ok(_) => format!("{to}: taken"),
-            Err(e) => format!("{to}\n  {}", e.short().collect::<Vec<_>>().join("\n  ")),
+            Err(error) => format!("{to}\n  {}", error.short().collect::<Vec<_>>().join("\n  ")),
         }
     });
-    insta::assert_snapshot!(said.join("\n"));
-    let read = |text: &str| Installation::read_by("t.conf".as_ref(), &of, &|_| Ok(text.to_string())).unwrap();
-    let first = read(&file);
-    let again = read(&tallypin_settings_schema::print(&first.checked));
+    insta::assert_snapshot!(errors.join("\n"));
+    let read_settings = |text: &str| {
+        Installation::read_by("t.conf".as_ref(), &deployment, &|_| Ok(text.to_string())).unwrap()
+    };
+    let original = read_settings(&settings);
+    let reread = read_settings(&tallypin_settings_schema::print(&original.checked));
     assert_eq!(
-        tallypin_settings_schema::changes(&first.checked, &again.checked),
+        tallypin_settings_schema::changes(&original.checked, &reread.checked),
         [],
-        "what is printed reads back"
+        "printed settings read back unchanged"
+    );
+    let sections = |installation: &Installation| {
+        (installation.messages.clone(), installation.checks.clone(), installation.health.clone())
+    };
+    assert_eq!(sections(&original), sections(&reread));
+    // The defaults of the settings table equal those in the code.
+    let defaults = read_settings("");
+    assert_eq!(defaults.health.figures, Default::default());
+    assert_eq!((defaults.health.drain, defaults.health.askers), Default::default());
+    let mut limits = Limits::new(16, 64, &deployment);
+    assert!(
+        original.reserve(&mut limits).is_err(),
+        "64 descriptors are too few for 32 check connections beside clients"
     );
-    let all = |i: &Installation| (i.messages.clone(), i.checks.clone(), i.health.clone());
-    assert_eq!(all(&first), all(&again));
-    // The table's defaults are the decisions' own.
-    let plain = read("");
-    assert_eq!(plain.health.figures, Default::default());
-    assert_eq!((plain.health.drain, plain.health.askers), Default::default());
-    let mut limits = Limits::new(16, 64, &of);
-    assert!(first.reserve(&mut limits).is_err(), "64 descriptors hold no 32 checks beside clients");
-    let mut limits = Limits::new(192, 256, &of);
-    first.reserve(&mut limits).unwrap();
+    let mut limits = Limits::new(192, 256, &deployment);
+    original.reserve(&mut limits).unwrap();
     assert!(limits.max_clients >= 80, "{}", limits.max_clients);
 }
 
-/// All objects that come of these pieces, one after the other.
-fn pages(pieces: &[&[u8]]) -> Result<Vec<EndpointListMessage>, NotAnObject> {
-    let (mut held, mut all) = (ObjectReader::default(), Vec::new());
+/// Reads the endpoint list messages that these pieces contain, in order.
+fn read_messages(pieces: &[&[u8]]) -> Result<Vec<EndpointListMessage>, NotAnObject> {
+    let (mut reader, mut messages) = (ObjectReader::default(), Vec::new());
     for piece in pieces {
-        held.push(piece);
-        while let Some(object) = held.take()? {
-            all.push(serde_json::from_slice(&object).expect("whole"));
+        reader.push(piece);
+        while let Some(object) = reader.take()? {
+            messages.push(serde_json::from_slice(&object).expect("a complete message"));
         }
     }
-    Ok(all)
+    Ok(messages)
 }
 
-/// Guards against a watch that is given up because a piece ended within a number: what it told would count as told.
+/// Guards against closing a watch because a piece ended inside a number: the update would be lost but count as received.
 #[test]
-fn objects_of_the_list_in_pieces_of_any_size() {
+fn reads_endpoint_list_messages_from_pieces_of_any_size() {
     let text = b"\n{\"version\":43,\"full\":true,\"servers\":[{\"id\":\"a}\\\"{\\\\\",\"addr\":\"127.0.0.1:1\",\"state\":\"active\",\"weight\":1.05e-3}]}\r\n\n \
         {\n  \"version\": 44,\n  \"load\": -0.5,\n  \"servers\": [\n  ],\n  \"later\": {\"x\": []}\n}\n\n";
-    let whole = pages(&[text]).unwrap();
-    assert_eq!(whole.iter().map(|p| p.version).collect::<Vec<_>>(), [43, 44]);
-    assert_eq!(whole[0].endpoints[0].id, "a}\"{\\");
+    let complete = read_messages(&[text]).unwrap();
+    assert_eq!(complete.iter().map(|message| message.version).collect::<Vec<_>>(), [43, 44]);
+    assert_eq!(complete[0].endpoints[0].id, "a}\"{\\");
     for cut in 0..text.len() {
-        let (front, back) = text.split_at(cut);
-        assert_eq!(pages(&[front, back]).as_ref(), Ok(&whole), "cut at {cut}");
+        let (head, tail) = text.split_at(cut);
+        assert_eq!(read_messages(&[head, tail]).as_ref(), Ok(&complete), "cut at {cut}");
     }
-    let bytes: Vec<&[u8]> = text.chunks(1).collect();
-    assert_eq!(pages(&bytes), Ok(whole));
-    for (text, wanted) in [
+    let single_bytes: Vec<&[u8]> = text.chunks(1).collect();
+    assert_eq!(read_messages(&single_bytes), Ok(complete));
+    for (text, expected) in [
         ("", Ok(vec![])),
         ("\n\r\n \n", Ok(vec![])),
         ("{\"version\":", Ok(vec![])),
         ("]", Err(NotAnObject)),
         ("}", Err(NotAnObject)),
     ] {
-        assert_eq!(pages(&[text.as_bytes()]), wanted, "{text:?}");
+        assert_eq!(read_messages(&[text.as_bytes()]), expected, "{text:?}");
     }
-    let mut blank = ObjectReader::default();
-    blank.push(b"\n\n\n");
-    assert_eq!((blank.take(), blank.buffered()), (Ok(None), 0), "signs of life take no room");
+    let mut reader = ObjectReader::default();
+    reader.push(b"\n\n\n");
+    assert_eq!(
+        (reader.take(), reader.buffered()),
+        (Ok(None), 0),
+        "blank lines that keep the watch alive are not buffered"
+    );
 }
