--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -81,18 +81,17 @@
             "pieces of {piece_size} bytes"
         );
     }
-    let long_size_line = "1".repeat(1100);
-    for malformed in
-        ["\r\n", "x\r\n", "-1\r\n", "+1\r\n", "1\nab", "fffffffffffffffff\r\n", "1\r\nab", &long_size_line]
+    let long_size = "1".repeat(1100);
+    for text in ["\r\n", "x\r\n", "-1\r\n", "+1\r\n", "1\nab", "fffffffffffffffff\r\n", "1\r\nab", &long_size]
     {
-        let (mut body, mut buf) = (BodyReader::new(BodyFraming::Chunked, 1 << 20), BytesMut::from(malformed));
+        let (mut body, mut buf) = (BodyReader::new(BodyFraming::Chunked, 1 << 20), BytesMut::from(text));
         let result = loop {
             match body.next_part(&mut buf) {
                 Ok(Some(BodyPart::Data(_))) => {}
                 other => break other,
             }
         };
-        assert_eq!(result, Err(HttpError::Malformed), "{malformed:?}");
+        assert_eq!(result, Err(HttpError::Malformed), "{text:?}");
     }
 }
 
@@ -102,12 +101,9 @@
     for piece_size in 1..text.len() {
         let (mut events, mut complete_events) = (EventSplitter::default(), String::new());
         for piece in text.as_bytes().chunks(piece_size) {
-            if let Some(complete) = events.push(piece) {
-                assert!(
-                    complete.ends_with(b"\n\n") || complete.ends_with(b"\r\n\r\n"),
-                    "pieces of {piece_size} bytes: {complete:?}"
-                );
-                complete_events.push_str(std::str::from_utf8(&complete).unwrap());
+            if let Some(split) = events.push(piece) {
+                assert!(split.ends_with(b"\n\n") || split.ends_with(b"\r\n\r\n"), "{piece_size}: {split:?}");
+                complete_events.push_str(std::str::from_utf8(&split).unwrap());
             }
         }
         assert_eq!(
@@ -195,8 +191,7 @@
 #[test]
 fn mutated_input_never_panics() {
     let limits = common::config().limits;
-    let endpoint_list =
-        r#"{"version":1,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"active"}]}"#;
+    let list = r#"{"version":1,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"active"}]}"#;
     let valid_inputs: Vec<Vec<u8>> = [
         common::platform("Req-Extra: prefix=a,prompt_len=5\r\n", "{}"),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n".into(),
@@ -204,7 +199,7 @@
         common::CHAT.concat(),
         common::MESSAGES.concat(),
         r#"{"model":"m","max_tokens":9,"messages":[{"role":"user","content":"Hi"}]}"#.into(),
-        endpoint_list.into(),
+        list.into(),
         "TEXT eps=0.5, q=1".into(),
     ]
     .map(String::into_bytes)
@@ -240,9 +235,7 @@
             dialect.read_events(&bytes, rng.bool(), &mut Vec::new());
         }
         let requests = [ConversationRequest::parse_chat(&bytes), ConversationRequest::parse_messages(&bytes)];
-        requests.iter().flatten().for_each(|request| {
-            drop((request.chat_body(), request.messages_body(1), request.streaming_body()))
-        });
+        requests.iter().flatten().for_each(|r| drop((r.chat_body(), r.messages_body(1), r.streaming_body())));
         if let Ok(message) = serde_json::from_slice::<EndpointListMessage>(&bytes) {
             let deployment = common::config().deployment;
             for endpoint in &message.endpoints {
@@ -349,19 +342,14 @@
         [],
         "printed settings read back unchanged"
     );
-    let sections = |installation: &Installation| {
-        (installation.messages.clone(), installation.checks.clone(), installation.health.clone())
-    };
+    let sections = |i: &Installation| (i.messages.clone(), i.checks.clone(), i.health.clone());
     assert_eq!(sections(&original), sections(&reread));
     // The defaults of the settings table equal those in the code.
     let defaults = read_settings("");
     assert_eq!(defaults.health.figures, Default::default());
     assert_eq!((defaults.health.drain, defaults.health.askers), Default::default());
     let mut limits = Limits::new(16, 64, &deployment);
-    assert!(
-        original.reserve(&mut limits).is_err(),
-        "64 descriptors are too few for 32 check connections beside clients"
-    );
+    assert!(original.reserve(&mut limits).is_err(), "64 descriptors are too few for 32 checks and clients");
     let mut limits = Limits::new(192, 256, &deployment);
     original.reserve(&mut limits).unwrap();
     assert!(limits.max_clients >= 80, "{}", limits.max_clients);
