--- a/router/tests/recorded_operations.rs
+++ b/router/tests/recorded_operations.rs
@@ -1,5 +1,5 @@
-//! What operators and balancers get from the program, recorded byte for byte: help, checks of configurations and settings,
-//! bad input with its exit code, orders, and health answers of every protocol.
+//! Compares the program's outputs for operators and load balancers byte for byte with recorded ones: help, checks of
+//! configurations and settings, exit codes for invalid input, operator commands, and health answers of every protocol.
 #![allow(missing_docs)]
 
 #[path = "../../tests/common/recorded.rs"]
@@ -24,18 +24,18 @@
     Recording::new(env!("CARGO_MANIFEST_DIR"), "operations", name)
 }
 
-/// A folder with the configuration and settings that the program is run on, by names without a path.
-struct Bench(tempfile::TempDir);
-
-impl Bench {
-    fn new() -> Bench {
-        let bench = Bench(tempfile::tempdir().unwrap());
-        bench.write("config.json", CONFIG);
-        bench.write("two-zones.json", TWO_ZONES);
-        bench.write("tallypin.conf", TALLYPIN_CONF);
-        bench.write("fleet.conf", FLEET_CONF);
-        bench.write("logs.conf", LOGS_CONF);
-        bench
+/// A temporary working directory of the program with the shipped configurations and settings, named without a path.
+struct TestDirectory(tempfile::TempDir);
+
+impl TestDirectory {
+    fn new() -> TestDirectory {
+        let directory = TestDirectory(tempfile::tempdir().unwrap());
+        directory.write("config.json", CONFIG);
+        directory.write("two-zones.json", TWO_ZONES);
+        directory.write("tallypin.conf", TALLYPIN_CONF);
+        directory.write("fleet.conf", FLEET_CONF);
+        directory.write("logs.conf", LOGS_CONF);
+        directory
     }
 
     fn path(&self) -> &Path {
@@ -53,43 +53,44 @@
         command
     }
 
-    /// Exit code, output and error output of one run.
+    /// Exit code, output and error output of one run in this directory.
     fn run(&self, config: Option<&str>, args: &[&str]) -> String {
-        outcome(&mut self.command(config, args))
+        run_to_end(&mut self.command(config, args))
     }
 }
 
-fn outcome(command: &mut Command) -> String {
-    let out = command.output().unwrap();
-    let (stdout, stderr) = (String::from_utf8(out.stdout).unwrap(), String::from_utf8(out.stderr).unwrap());
-    format!("exit {:?}\n--- stdout\n{stdout}--- stderr\n{stderr}", out.status.code())
+fn run_to_end(command: &mut Command) -> String {
+    let output = command.output().unwrap();
+    let (stdout, stderr) =
+        (String::from_utf8(output.stdout).unwrap(), String::from_utf8(output.stderr).unwrap());
+    format!("exit {:?}\n--- stdout\n{stdout}--- stderr\n{stderr}", output.status.code())
 }
 
 #[test]
-fn help_stays_as_it_was() {
-    let (bench, mut recording) = (Bench::new(), recording("help.txt"));
+fn help_matches_the_recording() {
+    let (directory, mut recording) = (TestDirectory::new(), recording("help.txt"));
     let topics =
         ["", "serve", "check", "health", "ctl", "fleet", "settings", "version", "help", "fleat", "drain"];
     for topic in topics {
-        let args: Vec<&str> = ["help", topic].into_iter().filter(|a| !a.is_empty()).collect();
-        recording.case(&args.join(" "), &bench.run(None, &args));
+        let args: Vec<&str> = ["help", topic].into_iter().filter(|arg| !arg.is_empty()).collect();
+        recording.case(&args.join(" "), &directory.run(None, &args));
     }
     for args in [&["--help"][..], &["-h"], &["serve", "--help"], &["ctl", "-h"], &["fleet", "--help"]] {
-        recording.case(&args.join(" "), &bench.run(None, args));
+        recording.case(&args.join(" "), &directory.run(None, args));
     }
     recording.finish();
 }
 
 #[test]
-fn checks_of_the_files_that_ship_stay_as_they_were() {
-    let (bench, mut recording) = (Bench::new(), recording("check.txt"));
+fn checks_of_the_shipped_files_match_the_recording() {
+    let (directory, mut recording) = (TestDirectory::new(), recording("check.txt"));
     for config in ["config.json", "two-zones.json"] {
-        recording.case(&format!("{config}: check"), &bench.run(Some(config), &["check"]));
+        recording.case(&format!("{config}: check"), &directory.run(Some(config), &["check"]));
         for settings in ["tallypin.conf", "fleet.conf", "logs.conf"] {
             for args in
                 [&["check", "--settings", settings][..], &["check", "--settings", settings, "--print"]]
             {
-                recording.case(&format!("{config}: {}", args.join(" ")), &bench.run(Some(config), args));
+                recording.case(&format!("{config}: {}", args.join(" ")), &directory.run(Some(config), args));
             }
         }
     }
@@ -97,8 +98,8 @@
 }
 
 #[test]
-fn bad_command_lines_stay_as_they_were() {
-    let (bench, mut recording) = (Bench::new(), recording("command_lines.txt"));
+fn answers_to_command_lines_match_the_recording() {
+    let (directory, mut recording) = (TestDirectory::new(), recording("command_lines.txt"));
     let lines = "\n\
         dance\nserv\nhelp helth\n--verbose\n-x\nserve extra\nserve --print\nserve --settings\nserve --settings nowhere.conf\n\
         serve --messages m.toml\ncheck --messages m.toml\ncheck --print\ncheck --settings nowhere.conf\n\
@@ -117,22 +118,22 @@
         fleet --socket nowhere --id 7 resume now\nversion extra\nversion\n-V\n--version\n";
     for line in lines.lines() {
         let words: Vec<String> =
-            line.split(' ').filter(|w| !w.is_empty()).map(|w| w.replace("%20", " ")).collect();
+            line.split(' ').filter(|word| !word.is_empty()).map(|word| word.replace("%20", " ")).collect();
         let args: Vec<&str> = words.iter().map(String::as_str).collect();
-        recording.case(&format!("tallypin {line}"), &bench.run(Some("config.json"), &args));
+        recording.case(&format!("tallypin {line}"), &directory.run(Some("config.json"), &args));
     }
-    recording.case("check without PROXY_CONFIG", &bench.run(None, &["check"]));
-    recording.case("serve without PROXY_CONFIG", &bench.run(None, &["serve"]));
-    recording.case("check of no file", &bench.run(Some("nowhere.json"), &["check"]));
+    recording.case("check without PROXY_CONFIG", &directory.run(None, &["check"]));
+    recording.case("serve without PROXY_CONFIG", &directory.run(None, &["serve"]));
+    recording.case("check of no file", &directory.run(Some("nowhere.json"), &["check"]));
     for (name, value) in [("PROXY_LISTEN", "here"), ("PROXY_DISCOVERY", "127.0.0.1"), ("PROXY_NAME", "n7")] {
-        let mut command = bench.command(Some("config.json"), &["check"]);
-        recording.case(&format!("check with {name}={value}"), &outcome(command.env(name, value)));
+        let mut command = directory.command(Some("config.json"), &["check"]);
+        recording.case(&format!("check with {name}={value}"), &run_to_end(command.env(name, value)));
     }
     recording.finish();
 }
 
-/// Changes of a configuration that make it one that no router can go by, and some that it can.
-const CONFIGURATIONS: [(&str, &str); 67] = [
+/// Changes of the example configuration: text to replace, and its replacement. Most make the configuration invalid.
+const CONFIGURATION_CHANGES: [(&str, &str); 67] = [
     ("{", ""),
     ("  }\n}\n", "  }\n"),
     ("\"name\": \"n1\",", ""),
@@ -203,23 +204,23 @@
 ];
 
 #[test]
-fn bad_configurations_stay_as_they_were() {
-    let (bench, mut recording) = (Bench::new(), recording("configurations.txt"));
-    for (from, to) in CONFIGURATIONS {
+fn checks_of_changed_configurations_match_the_recording() {
+    let (directory, mut recording) = (TestDirectory::new(), recording("configurations.txt"));
+    for (from, to) in CONFIGURATION_CHANGES {
         assert!(CONFIG.contains(from), "{from}");
-        bench.write("bad.json", &CONFIG.replacen(from, to, 1));
-        recording.case(&format!("{from:?} -> {to:?}"), &bench.run(Some("bad.json"), &["check"]));
+        directory.write("bad.json", &CONFIG.replacen(from, to, 1));
+        recording.case(&format!("{from:?} -> {to:?}"), &directory.run(Some("bad.json"), &["check"]));
     }
-    bench.write("bad.json", &CONFIG.replacen("\"Me\": 0", "\"Me\": \"zero\"", 1));
-    recording.case("serve", &bench.run(Some("bad.json"), &["serve"]));
-    bench.write("few.json", &CONFIG.replacen("\"sockets\": 1024", "\"sockets\": 64", 1));
+    directory.write("bad.json", &CONFIG.replacen("\"Me\": 0", "\"Me\": \"zero\"", 1));
+    recording.case("serve", &directory.run(Some("bad.json"), &["serve"]));
+    directory.write("few.json", &CONFIG.replacen("\"sockets\": 1024", "\"sockets\": 64", 1));
     let args = ["check", "--settings", "tallypin.conf"];
-    recording.case("descriptors for checks leave none for clients", &bench.run(Some("few.json"), &args));
+    recording.case("descriptors for checks leave none for clients", &directory.run(Some("few.json"), &args));
     recording.finish();
 }
 
-/// Settings with faults, each section among them.
-const SETTINGS: &[(&str, &str)] = &[
+/// Titles and texts of settings, most of them invalid, for every section.
+const SETTINGS_CASES: &[(&str, &str)] = &[
     ("log level", "log {\n level loud\n}\n"),
     ("log target", "log {\n target nobody info\n}\n"),
     ("log target without a level", "log {\n target checks\n}\n"),
@@ -284,8 +285,8 @@
     ("empty file", ""),
 ];
 
-/// Changes of the fleet's settings that ship.
-const FLEETS: [(&str, &str); 24] = [
+/// Changes of the shipped fleet settings: text to replace, and its replacement.
+const FLEET_SETTINGS_CHANGES: [(&str, &str); 24] = [
     ("    name muenchen-nord\n", ""),
     ("me r1", "me r9"),
     ("    me r1\n", ""),
@@ -313,31 +314,33 @@
 ];
 
 #[test]
-fn bad_settings_stay_as_they_were() {
-    let (bench, mut recording) = (Bench::new(), recording("settings.txt"));
+fn checks_of_invalid_settings_match_the_recording() {
+    let (directory, mut recording) = (TestDirectory::new(), recording("settings.txt"));
     let check = ["check", "--settings", "bad.conf"];
-    for (title, text) in SETTINGS {
-        bench.write("bad.conf", text);
-        recording.case(title, &bench.run(Some("config.json"), &check));
+    for (title, text) in SETTINGS_CASES {
+        directory.write("bad.conf", text);
+        recording.case(title, &directory.run(Some("config.json"), &check));
     }
-    for (from, to) in FLEETS {
+    for (from, to) in FLEET_SETTINGS_CHANGES {
         assert!(FLEET_CONF.contains(from), "{from}");
-        bench.write("bad.conf", &FLEET_CONF.replacen(from, to, 1));
-        recording.case(&format!("fleet: {from:?} -> {to:?}"), &bench.run(Some("config.json"), &check));
+        directory.write("bad.conf", &FLEET_CONF.replacen(from, to, 1));
+        recording.case(&format!("fleet: {from:?} -> {to:?}"), &directory.run(Some("config.json"), &check));
     }
-    bench.write("bad.conf", "health {\n step 120%\n}\n");
-    recording.case("serve", &bench.run(Some("config.json"), &["serve", "--settings", "bad.conf"]));
-    bench.write("shop.conf", "log {\n level debug\n}\ninclude more.conf\n");
-    bench.write("more.conf", "health {\n step 120%\n}\n");
-    recording
-        .case("in an included file", &bench.run(Some("config.json"), &["check", "--settings", "shop.conf"]));
+    directory.write("bad.conf", "health {\n step 120%\n}\n");
+    recording.case("serve", &directory.run(Some("config.json"), &["serve", "--settings", "bad.conf"]));
+    directory.write("shop.conf", "log {\n level debug\n}\ninclude more.conf\n");
+    directory.write("more.conf", "health {\n step 120%\n}\n");
+    recording.case(
+        "in an included file",
+        &directory.run(Some("config.json"), &["check", "--settings", "shop.conf"]),
+    );
     recording.finish();
 }
 
-/// A running router that knows model nodes or none, with checks of every protocol and the operator's socket.
-struct Served {
+/// A running router with one known replica or none, health checks of every protocol and a control socket.
+struct RunningRouter {
     child: Child,
-    bench: Bench,
+    directory: TestDirectory,
     front: SocketAddr,
     agent: SocketAddr,
     http: SocketAddr,
@@ -345,50 +348,50 @@
     _reserved: [Reserved; 5],
 }
 
-impl Drop for Served {
+impl Drop for RunningRouter {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Served {
-    /// The router at an address of the test's own. Figures are those at which weight and state follow at once.
-    fn start(ip: &str, nodes: bool, more: &str) -> Served {
-        let bench = Bench::new();
+impl RunningRouter {
+    /// Starts a router at an address used by this test alone. Its health settings make weight and state change at once.
+    fn start(ip: &str, has_replica: bool, extra_checks: &str) -> RunningRouter {
+        let directory = TestDirectory::new();
         let reserved = [(); 5].map(|()| Reserved::on(ip).unwrap());
-        let [front, agent, http, grpc, node] = [0, 1, 2, 3, 4].map(|i: usize| reserved[i].at);
-        let row = format!(r#"{{"id": "s-0", "addr": "{node}", "state": "active"}}"#);
-        let known = format!(
+        let [front, agent, http, grpc, replica] = [0, 1, 2, 3, 4].map(|index: usize| reserved[index].at);
+        let endpoint = format!(r#"{{"id": "s-0", "addr": "{replica}", "state": "active"}}"#);
+        let known_list = format!(
             r#""known": {{"version": 1, "full": true, "servers": [{}]}},"#,
-            if nodes { &row } else { "" }
+            if has_replica { &endpoint } else { "" }
         );
-        bench.write("config.json", &CONFIG.replacen("{", &format!("{{ {known}"), 1));
+        directory.write("config.json", &CONFIG.replacen("{", &format!("{{ {known_list}"), 1));
         let settings = format!(
-            "checks {{\n budget 10s\n {more}\n agent {{\n listen {agent}\n maxconn on\n}}\n http {{\n listen {http}\n drain 404\n}}\n \
+            "checks {{\n budget 10s\n {extra_checks}\n agent {{\n listen {agent}\n maxconn on\n}}\n http {{\n listen {http}\n drain 404\n}}\n \
              grpc {{\n listen {grpc}\n}}\n}}\n\
              messages {{\n listen {ip}:0\n nodes chat\n model a chat\n partner-header x\n}}\n\
              control {{\n socket ctl\n}}\n\
              health {{\n every 2ms\n slow-start 0ms\n dwell 0ms\n smooth 1ms\n step 100%\n late 10m\n list-late 1h\n}}\n\
              drain {{\n least 1ms\n most 1h\n settle 1ms\n parting 1ms\n unknown-interval 1h\n longest-interval 1h\n}}\n",
         );
-        bench.write("t.conf", &settings);
-        let mut serve = bench.command(Some("config.json"), &["serve", "--settings", "t.conf"]);
-        serve
+        directory.write("t.conf", &settings);
+        let mut command = directory.command(Some("config.json"), &["serve", "--settings", "t.conf"]);
+        command
             .env("PROXY_LISTEN", front.to_string())
             .env("PROXY_DISCOVERY", "127.0.0.1:9")
             .stderr(Stdio::null());
-        let child = serve.spawn().unwrap();
-        let served = Served { child, bench, front, agent, http, grpc, _reserved: reserved };
-        while TcpStream::connect(served.front).is_err() {
+        let child = command.spawn().unwrap();
+        let router = RunningRouter { child, directory, front, agent, http, grpc, _reserved: reserved };
+        while TcpStream::connect(router.front).is_err() {
             std::thread::yield_now();
         }
-        served
+        router
     }
 
-    fn ctl(&self, order: &str) -> String {
-        let args: Vec<&str> = ["ctl", "--socket", "ctl"].into_iter().chain(order.split(' ')).collect();
-        let mut text = mask_measured(&self.bench.run(None, &args));
+    fn ctl(&self, command_line: &str) -> String {
+        let args: Vec<&str> = ["ctl", "--socket", "ctl"].into_iter().chain(command_line.split(' ')).collect();
+        let mut text = mask_measured(&self.directory.run(None, &args));
         for (before, name) in
             [("\"answered\":", "checks"), ("\"asked_ms_ago\":", "ago"), ("\"interval_ms\":", "interval")]
         {
@@ -397,9 +400,9 @@
         text
     }
 
-    /// An order as it is on the socket.
-    fn order(&self, line: &str) -> String {
-        let mut stream = std::os::unix::net::UnixStream::connect(self.bench.path().join("ctl")).unwrap();
+    /// Sends a line to the control socket and returns the answer.
+    fn send_control_line(&self, line: &str) -> String {
+        let mut stream = std::os::unix::net::UnixStream::connect(self.directory.path().join("ctl")).unwrap();
         stream.write_all(line.as_bytes()).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         let mut answer = String::new();
@@ -407,14 +410,16 @@
         answer
     }
 
-    fn health(&self, at: SocketAddr, more: &[&str]) -> String {
+    fn health(&self, at: SocketAddr, options: &[&str]) -> String {
         let text = at.to_string();
-        let args: Vec<&str> =
-            ["health", "--timeout", "10s", "--at", &text].into_iter().chain(more.iter().copied()).collect();
-        self.bench.run(None, &args)
+        let args: Vec<&str> = ["health", "--timeout", "10s", "--at", &text]
+            .into_iter()
+            .chain(options.iter().copied())
+            .collect();
+        self.directory.run(None, &args)
     }
 
-    /// What a balancer gets that sends these bytes and closes its side.
+    /// Sends these bytes, closes the write side, and returns the answer with measured values masked.
     fn exchange(&self, at: SocketAddr, bytes: &[u8]) -> String {
         let mut stream = TcpStream::connect(at).unwrap();
         stream.write_all(bytes).unwrap();
@@ -424,21 +429,23 @@
         mask_measured(&String::from_utf8(answer).unwrap().replace('\r', "\\r"))
     }
 
-    /// Waits until the agent check's line begins like this.
-    fn until(&self, start: &str) {
+    /// Waits until the agent check's answer begins with `start`.
+    fn wait_for_agent_answer(&self, start: &str) {
         while !self.exchange(self.agent, b"\n").starts_with(start) {
             std::thread::yield_now();
         }
     }
 }
 
-/// Masks what is measured: how late the thread runs, whether and how long the list has been silent, and, where one of them
-/// is in the answer, its length.
+/// Masks measured values: the thread's lateness, whether and how long the endpoint list has been silent, and the length of an
+/// answer that contains one of them.
 fn mask_measured(text: &str) -> String {
     let mut parts = text.split(" ms late");
     let mut masked = parts.next().unwrap_or("").to_string();
     for part in parts {
-        masked.truncate(masked.trim_end_matches(|c: char| c.is_ascii_digit() || c == '.').len());
+        masked.truncate(
+            masked.trim_end_matches(|character: char| character.is_ascii_digit() || character == '.').len(),
+        );
         masked += "<late> ms late";
         masked += part;
     }
@@ -450,8 +457,8 @@
     }
 }
 
-/// Orders one after the other, each with what `show` holds once it has had its effect.
-const ORDERS: [(&str, &str); 6] = [
+/// Control commands in the order in which they are sent, each with the text that `show` contains once it has taken effect.
+const CONTROL_COMMANDS: [(&str, &str); 6] = [
     ("ready", "\"state\":\"up\""),
     ("weight 30%", "\"weight\":30"),
     ("drain", "\"state\":\"drain\""),
@@ -461,15 +468,15 @@
 ];
 
 #[test]
-fn orders_stay_as_they_were() {
+fn answers_to_control_commands_match_the_recording() {
     let mut recording = recording("orders.txt");
-    let served = Served::start("127.2.8.1", true, "");
-    settled(&served, "\"weight\":100");
-    // One balancer, which asks once: no interval is known, and it stays known for the whole test.
-    recording.case("agent check", &served.exchange(served.agent, b"\n"));
-    for (order, effect) in ORDERS {
-        recording.case(&format!("ctl {order}"), &served.ctl(order));
-        recording.case(&format!("ctl show after {order}"), &settled(&served, effect));
+    let router = RunningRouter::start("127.2.8.1", true, "");
+    wait_for_show(&router, "\"weight\":100");
+    // One load balancer checks once: its interval is unknown, and the router remembers it for the whole test.
+    recording.case("agent check", &router.exchange(router.agent, b"\n"));
+    for (command, effect) in CONTROL_COMMANDS {
+        recording.case(&format!("ctl {command}"), &router.ctl(command));
+        recording.case(&format!("ctl show after {command}"), &wait_for_show(&router, effect));
     }
     for line in [
         "show",
@@ -482,60 +489,62 @@
         "weight 7%\n",
         "weight 100%\n",
     ] {
-        recording.case(&format!("line {line:?}"), &served.order(line));
+        recording.case(&format!("line {line:?}"), &router.send_control_line(line));
     }
-    recording.case("a line of 300 bytes", &served.order(&format!("{}\n", "x".repeat(299))));
-    recording
-        .case("a line to the fleet of 300 bytes", &served.order(&format!("fleet {}\n", "x".repeat(299))));
+    recording.case("a line of 300 bytes", &router.send_control_line(&format!("{}\n", "x".repeat(299))));
+    recording.case(
+        "a line to the fleet of 300 bytes",
+        &router.send_control_line(&format!("fleet {}\n", "x".repeat(299))),
+    );
     recording.case(
         "fleet status by the command",
-        &served.bench.run(None, &["fleet", "--socket", "ctl", "status"]),
+        &router.directory.run(None, &["fleet", "--socket", "ctl", "status"]),
     );
-    recording.case("drain end", &served.ctl("drain end"));
+    recording.case("drain end", &router.ctl("drain end"));
     recording.finish();
 }
 
-/// What `show` says once it holds this.
-fn settled(served: &Served, effect: &str) -> String {
+/// Waits until the output of `show` contains `effect` and no open clients, and returns it.
+fn wait_for_show(router: &RunningRouter, effect: &str) -> String {
     loop {
-        let shown = served.ctl("show");
-        if shown.contains(effect) && shown.contains("\"clients\":0,") {
-            return shown;
+        let output = router.ctl("show");
+        if output.contains(effect) && output.contains("\"clients\":0,") {
+            return output;
         }
     }
 }
 
 #[test]
-fn health_answers_and_exit_codes_stay_as_they_were() {
+fn health_answers_and_exit_codes_match_the_recording() {
     let mut recording = recording("health.txt");
-    for (title, ip, nodes) in [("a node", "127.2.8.2", true), ("no node", "127.2.8.3", false)] {
-        let served = Served::start(ip, nodes, "envoy on");
-        if nodes {
-            served.until("up ready 100% ");
+    for (title, ip, has_replica) in [("a node", "127.2.8.2", true), ("no node", "127.2.8.3", false)] {
+        let router = RunningRouter::start(ip, has_replica, "envoy on");
+        if has_replica {
+            router.wait_for_agent_answer("up ready 100% ");
         } else {
-            // Before the first measurement no cause is known yet: how long that lasts is the machine's affair.
-            settled(&served, "\"cause\":\"no model node takes work\"");
+            // The cause is unknown until the first measurement, after a time that depends on the machine.
+            wait_for_show(&router, "\"cause\":\"no model node takes work\"");
         }
-        record_health(&mut recording, &served, title);
-        if nodes {
-            served.ctl("weight 30%");
-            served.until("up ready 30% ");
-            record_health(&mut recording, &served, "weight 30%");
-            served.ctl("weight 100%");
-            served.ctl("drain");
-            served.until("up drain\n");
-            record_health(&mut recording, &served, "drain");
-            served.ctl("maint");
-            served.until("stopped maint #in maintenance\n");
-            record_health(&mut recording, &served, "maint");
+        record_health(&mut recording, &router, title);
+        if has_replica {
+            router.ctl("weight 30%");
+            router.wait_for_agent_answer("up ready 30% ");
+            record_health(&mut recording, &router, "weight 30%");
+            router.ctl("weight 100%");
+            router.ctl("drain");
+            router.wait_for_agent_answer("up drain\n");
+            record_health(&mut recording, &router, "drain");
+            router.ctl("maint");
+            router.wait_for_agent_answer("stopped maint #in maintenance\n");
+            record_health(&mut recording, &router, "maint");
         }
     }
     recording.finish();
 }
 
-fn record_health(recording: &mut Recording, served: &Served, state: &str) {
+fn record_health(recording: &mut Recording, router: &RunningRouter, state: &str) {
     for line in ["", "\n", "messages\n", "platform\n", "letters\n", "GET / HTTP/1.1\r\n\r\n"] {
-        recording.case(&format!("{state}: agent {line:?}"), &served.exchange(served.agent, line.as_bytes()));
+        recording.case(&format!("{state}: agent {line:?}"), &router.exchange(router.agent, line.as_bytes()));
     }
     let requests = [
         "GET /livez",
@@ -550,15 +559,15 @@
     ];
     for request in requests {
         let text = format!("{request} HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n");
-        recording.case(&format!("{state}: http {request}"), &served.exchange(served.http, text.as_bytes()));
+        recording.case(&format!("{state}: http {request}"), &router.exchange(router.http, text.as_bytes()));
     }
     let json =
         "GET /healthz HTTP/1.1\r\nHost: r\r\nAccept: application/health+json\r\nConnection: close\r\n\r\n";
-    recording.case(&format!("{state}: http health+json"), &served.exchange(served.http, json.as_bytes()));
-    recording.case(&format!("{state}: http noise"), &served.exchange(served.http, b"noise\r\n\r\n"));
+    recording.case(&format!("{state}: http health+json"), &router.exchange(router.http, json.as_bytes()));
+    recording.case(&format!("{state}: http noise"), &router.exchange(router.http, b"noise\r\n\r\n"));
     let large = b"GET /healthz HTTP/1.1\r\nHost: r\r\nContent-Length: 5000\r\n\r\n";
-    recording.case(&format!("{state}: http large body"), &served.exchange(served.http, large));
-    let (agent, http, grpc) = (served.agent, served.http, served.grpc);
+    recording.case(&format!("{state}: http large body"), &router.exchange(router.http, large));
+    let (agent, http, grpc) = (router.agent, router.http, router.grpc);
     for (at, args) in [
         (agent, &[][..]),
         (agent, &["--weight-exit"]),
@@ -570,14 +579,14 @@
         (grpc, &["--protocol", "grpc"]),
         (grpc, &["--protocol", "grpc", "--weight-exit"]),
     ] {
-        recording.case(&format!("{state}: health {}", args.join(" ")), &served.health(at, args));
+        recording.case(&format!("{state}: health {}", args.join(" ")), &router.health(at, args));
     }
-    let unknown = served.health(grpc, &["--protocol", "grpc", "--service", "letters"]);
+    let unknown = router.health(grpc, &["--protocol", "grpc", "--service", "letters"]);
     let unknown = unknown.replace(&grpc.to_string(), "<address>");
     recording.case(&format!("{state}: health --protocol grpc --service letters"), &unknown);
     recording.case(
         &format!("{state}: health of nobody"),
-        &served.bench.run(None, &["health", "--at", "127.0.0.1:9"]),
+        &router.directory.run(None, &["health", "--at", "127.0.0.1:9"]),
     );
     for (method, message) in [
         ("Check", &b"\0\0\0\0\0"[..]),
@@ -605,15 +614,16 @@
     );
 }
 
-/// The head, the first message as bytes, and the trailers of a call; of a watch, its first message alone.
-fn grpc_call(at: SocketAddr, path: &str, message: &[u8], kind: &str) -> String {
+/// Makes a gRPC call. Returns the response head, the messages as hex digits, and the trailers; of a watch, which does not
+/// end, only the head and the first message.
+fn grpc_call(at: SocketAddr, path: &str, message: &[u8], content_type: &str) -> String {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let stream = tokio::net::TcpStream::connect(at).await.unwrap();
         let (mut send, connection) = h2::client::handshake(stream).await.unwrap();
-        let driven = tokio::spawn(connection);
+        let connection_task = tokio::spawn(connection);
         let request = http::Request::post(format!("http://r{path}"))
-            .header("content-type", kind)
+            .header("content-type", content_type)
             .header("te", "trailers");
         let (response, mut body) = send.send_request(request.body(()).unwrap(), false).unwrap();
         body.send_data(Bytes::copy_from_slice(message), true).unwrap();
@@ -631,14 +641,14 @@
             let trailers = body.trailers().await.unwrap();
             text += &format!("trailers {:?}\n", trailers.as_ref().map(sorted));
         }
-        driven.abort();
+        connection_task.abort();
         text
     })
 }
 
 fn sorted(fields: &http::HeaderMap) -> Vec<(String, String)> {
-    let mut all: Vec<_> =
+    let mut sorted_fields: Vec<_> =
         fields.iter().map(|(name, value)| (name.to_string(), value.to_str().unwrap().to_string())).collect();
-    all.sort();
-    all
+    sorted_fields.sort();
+    sorted_fields
 }
