--- a/router/tests/ending.rs
+++ b/router/tests/ending.rs
@@ -1,5 +1,5 @@
-//! The last steps of the router's end: what waits is answered, what is still read is refused unsent, and nobody keeps the
-//! listener open.
+//! Tests of the last stages of a graceful shutdown: waiting requests are answered, requests read later are rejected and not
+//! forwarded, and clients cannot keep the listener open.
 #![allow(missing_docs)]
 
 mod common;
@@ -19,14 +19,14 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Guards against a request that is read whole after the last answers were given, and sent on: the kill would find it.
+/// Guards against forwarding a request that is read completely after the final answers: the process is killed soon after.
 #[test]
-fn what_is_read_after_the_last_answers_is_refused_unsent() {
+fn a_request_read_after_the_final_answers_is_rejected_and_not_forwarded() {
     run(async {
         for (front, status) in [(0, 503), (1, 529)] {
             let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node], |l| {
-                (l.shutdown_grace, l.forwarding_end_after_stop) = (5 * MS, 60 * MS)
+            let router = Router::new(Chat, &[&node], |limits| {
+                (limits.shutdown_grace, limits.forwarding_end_after_stop) = (5 * MS, 60 * MS)
             })
             .await;
             let (addr, request) = fronts(&router)[front];
@@ -35,76 +35,76 @@
             let mut client = Client::to(addr).await;
             client.send(head).await;
             let components = router.components.clone();
-            let end = spawn_local(async move { shutdown::drain(&components).await });
+            let drain_task = spawn_local(async move { shutdown::drain(&components).await });
             router.components.lifecycle.wait_for(Stage::Rejecting).await;
             client.send(rest).await;
             assert_eq!(client.answer().await.0, status, "front {front}");
-            assert_eq!(node.so_far(), (0, 0), "front {front}: nothing was sent on");
+            assert_eq!(node.so_far(), (0, 0), "front {front}: no request reaches the replica");
             drop(client);
-            end.await.unwrap();
+            drain_task.await.unwrap();
         }
     });
 }
 
-/// Guards against a listener that stays open for as long as a crowd connects: requests would be taken up to the kill.
+/// Guards against a listener that stays open while clients keep connecting: requests would be accepted until the kill.
 #[test]
-fn a_crowd_that_connects_on_and_on_does_not_keep_the_listener_open() {
+fn clients_that_keep_connecting_do_not_keep_the_listener_open() {
     run(async {
         let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| {
-            (l.max_clients, l.max_rejected_clients) = (20, 4);
-            (l.shutdown_grace, l.close_linger) = (50 * MS, 20 * MS);
+        let router = Router::new(Chat, &[&node], |limits| {
+            (limits.max_clients, limits.max_rejected_clients) = (20, 4);
+            (limits.shutdown_grace, limits.close_linger) = (50 * MS, 20 * MS);
         })
         .await;
-        let (addr, over) = (router.addr, Arc::new(AtomicBool::new(false)));
-        let (stops, connects) = (over.clone(), Arc::new(AtomicBool::new(false)));
-        let began = connects.clone();
-        let crowd = std::thread::spawn(move || {
-            let mut idle = std::collections::VecDeque::new();
-            while !stops.load(Ordering::SeqCst) {
-                idle.extend(std::net::TcpStream::connect(addr).ok());
-                if idle.len() > 60 {
-                    began.store(true, Ordering::SeqCst);
-                    idle.pop_front();
+        let (addr, stop) = (router.addr, Arc::new(AtomicBool::new(false)));
+        let (stop_clients, clients_connected) = (stop.clone(), Arc::new(AtomicBool::new(false)));
+        let set_connected = clients_connected.clone();
+        let clients = std::thread::spawn(move || {
+            let mut connections = std::collections::VecDeque::new();
+            while !stop_clients.load(Ordering::SeqCst) {
+                connections.extend(std::net::TcpStream::connect(addr).ok());
+                if connections.len() > 60 {
+                    set_connected.store(true, Ordering::SeqCst);
+                    connections.pop_front();
                 }
             }
         });
-        until(|| connects.load(Ordering::SeqCst)).await;
+        until(|| clients_connected.load(Ordering::SeqCst)).await;
         let components = router.components.clone();
-        let end = spawn_local(async move { shutdown::drain(&components).await });
+        let drain_task = spawn_local(async move { shutdown::drain(&components).await });
         router.components.lifecycle.wait_for(Stage::Closing).await;
-        let closing = Instant::now();
-        // The crowd goes on; the system refuses who connects once the listener is gone.
+        let closing_since = Instant::now();
+        // The clients keep connecting; the system refuses connections once the listener is closed.
         while TcpStream::connect(addr).await.is_ok() {
-            assert!(closing.elapsed() < 2000 * MS, "the listener is open");
+            assert!(closing_since.elapsed() < 2000 * MS, "the listener is still open after 2 s");
             tokio::time::sleep(MS).await;
         }
-        over.store(true, Ordering::SeqCst);
-        crowd.join().unwrap();
-        end.await.unwrap();
+        stop.store(true, Ordering::SeqCst);
+        clients.join().unwrap();
+        drain_task.await.unwrap();
     });
 }
 
-/// Guards against a stream that is cut where its client does not ask for the rest: the kill may come after its end.
+/// Guards against cutting a stream whose client cannot resume it: the stream may end before the process is killed.
 #[test]
-fn a_late_stream_goes_on_past_the_last_answers_where_clients_do_not_ask_for_the_rest() {
+fn a_late_stream_continues_past_the_final_answers_unless_clients_resume_streams() {
     run(async {
         for resume in [false, true] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let mut config = config();
             config.deployment.resumes_streams = resume;
-            let l = &mut config.limits;
+            let limits = &mut config.limits;
             (
-                l.shutdown_grace,
-                l.lone_router_shutdown_grace,
-                l.late_arrival_after_stop,
-                l.forwarding_end_after_stop,
+                limits.shutdown_grace,
+                limits.lone_router_shutdown_grace,
+                limits.late_arrival_after_stop,
+                limits.forwarding_end_after_stop,
             ) = (100 * MS, 100 * MS, Duration::ZERO, 150 * MS);
             let router = Router::by(config, Chat, &[], None).await;
             router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
             let mut client = Client::to(router.addr).await;
             let components = router.components.clone();
-            let end = spawn_local(async move { shutdown::drain(&components).await });
+            let drain_task = spawn_local(async move { shutdown::drain(&components).await });
             router.components.lifecycle.wait_for(Stage::Grace).await;
             tokio::time::sleep(MS).await;
             client.send(&platform("", "{}")).await;
@@ -114,27 +114,33 @@
             tokio::time::sleep(5 * MS).await;
             let rest: String = CHAT[1..].iter().map(|event| chunk(event)).collect();
             let _ = node.stream.write_all((rest + "0\r\n\r\n").as_bytes()).await;
-            let mut read = Vec::new();
-            client.stream.read_to_end(&mut read).await.unwrap();
-            assert_eq!(read.ends_with(b"0\r\n\r\n"), !resume, "asked for again: {resume}");
+            let mut received = Vec::new();
+            client.stream.read_to_end(&mut received).await.unwrap();
+            assert_eq!(received.ends_with(b"0\r\n\r\n"), !resume, "clients resume streams: {resume}");
             drop(client);
-            end.await.unwrap();
+            drain_task.await.unwrap();
         }
     });
 }
 
-/// Guards against advice on when to come back, given for what may have run.
+/// Guards against a `Retry-After` for a request that is not idempotent and may have run.
 #[test]
-fn what_may_have_run_and_is_late_fails_without_advice_to_come_back() {
+fn a_late_request_that_may_have_run_fails_without_retry_after() {
     run(async {
-        for (front, wait) in [(0, "Req-Deadline-Ms: 40\r\n"), (1, "x-deadline-ms: 40\r\n")] {
+        for (front, deadline_field) in [(0, "Req-Deadline-Ms: 40\r\n"), (1, "x-deadline-ms: 40\r\n")] {
             let node = Node::new(Chat).await;
             node.plan(&[Fault::Mute]);
             let mut config = config();
-            config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
+            config
+                .deployment
+                .decisions
+                .classes
+                .iter_mut()
+                .for_each(|class| class.effect = Effect::NotIdempotent);
             let router = Router::by(config, Chat, &[&node], None).await;
             let mut client = Client::to(fronts(&router)[front].0).await;
-            let request = if front == 0 { platform(wait, "{}") } else { messages(wait, MESSAGE) };
+            let request =
+                if front == 0 { platform(deadline_field, "{}") } else { messages(deadline_field, MESSAGE) };
             client.send(&request).await;
             let (status, head, ..) = client.answer().await;
             assert_eq!((status, field(&head, "retry-after")), (504, None), "front {front}: {head}");
@@ -142,12 +148,12 @@
     });
 }
 
-/// Guards against a connection that closes without a word under a request that has been sent on: its client would take it
-/// for unread, and send it again.
+/// Guards against closing a connection without an answer to a forwarded request: its client would take the request for unread
+/// and send it again.
 #[test]
-fn a_stream_that_is_cut_before_anything_of_it_was_passed_on_is_an_error() {
+fn a_stream_cut_before_its_first_forwarded_event_gives_an_error() {
     run(async {
-        for (front, status) in [(0, 500), (1, 200)] {
+        for (front, expected) in [(0, 500), (1, 200)] {
             let node = Node::new(Chat).await;
             node.plan(&[Fault::Mute]);
             let router = Router::new(Chat, &[&node], |_| {}).await;
@@ -155,11 +161,11 @@
             let mut client = Client::to(addr).await;
             client.send(&request()).await;
             node.next_request().await;
-            // The attempt has told the core of its first event, and not yet its client's front.
+            // The attempt has reported its first event to the core, but not yet to the client's front.
             router.components.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
             router.components.with(|core, now| core.answer_for_shutdown(now, Some(0)));
-            let (got, _, body, _) = client.answer().await;
-            assert_eq!(got, status, "front {front}");
+            let (actual, _, body, _) = client.answer().await;
+            assert_eq!(actual, expected, "front {front}");
             assert!(front == 0 || body.contains("event: error"), "front {front}: {body}");
         }
     });
--- a/router/tests/floods.rs
+++ b/router/tests/floods.rs
@@ -1,4 +1,4 @@
-//! One quiet stream beside others that take all they can get.
+//! Tests that floods on other connections do not delay a stream with little traffic.
 #![allow(missing_docs)]
 
 mod common;
@@ -12,102 +12,114 @@
 use common::*;
 use tokio::io::AsyncReadExt;
 
-/// What runs on other threads, as those who flood a router run elsewhere: it ends with the test, or by itself.
+/// Load from separate threads, in place of flooding clients and replicas on other machines. It stops when dropped, or after
+/// 15 s.
 #[derive(Clone)]
 struct Floods {
-    over: Arc<AtomicBool>,
-    until: Instant,
-    bytes: Arc<AtomicUsize>,
+    stop: Arc<AtomicBool>,
+    deadline: Instant,
+    read_bytes: Arc<AtomicUsize>,
 }
 
 impl Drop for Floods {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stop.store(true, Ordering::SeqCst);
     }
 }
 
 impl Floods {
     fn new() -> Floods {
-        let until = Instant::now() + Duration::from_secs(15);
-        Floods { over: Arc::default(), until, bytes: Arc::default() }
+        let deadline = Instant::now() + Duration::from_secs(15);
+        Floods { stop: Arc::default(), deadline, read_bytes: Arc::default() }
     }
 
-    /// Does something again and again, until it fails.
-    fn run(&self, mut once: impl FnMut(&AtomicUsize) -> std::io::Result<()> + Send + 'static) {
-        let (over, until, bytes) = (self.over.clone(), self.until, self.bytes.clone());
+    /// Repeats an operation on a new thread until it fails or the floods stop.
+    fn repeat_operation(
+        &self,
+        mut operation: impl FnMut(&AtomicUsize) -> std::io::Result<()> + Send + 'static,
+    ) {
+        let (stop, deadline, read_bytes) = (self.stop.clone(), self.deadline, self.read_bytes.clone());
         std::thread::spawn(move || {
-            while !over.load(Ordering::SeqCst) && Instant::now() < until && once(&bytes).is_ok() {}
+            while !stop.load(Ordering::SeqCst) && Instant::now() < deadline && operation(&read_bytes).is_ok()
+            {
+            }
         });
     }
 
-    /// Reads and drops what comes, and counts it.
-    fn swallow(&self, mut stream: TcpStream) {
+    /// Reads and discards input on a new thread, and counts its bytes.
+    fn discard_input(&self, mut stream: TcpStream) {
         let mut buf = vec![0; 64 << 10];
-        self.run(move |bytes| match stream.read(&mut buf)? {
+        self.repeat_operation(move |read_bytes| match stream.read(&mut buf)? {
             0 => Err(std::io::ErrorKind::UnexpectedEof.into()),
             n => {
-                bytes.fetch_add(n, Ordering::SeqCst);
+                read_bytes.fetch_add(n, Ordering::SeqCst);
                 Ok(())
             }
         });
     }
 
-    /// Writes this without end, and swallows what comes.
-    fn pour(&self, mut stream: TcpStream, text: String) {
-        self.swallow(stream.try_clone().unwrap());
-        self.run(move |_| stream.write_all(text.as_bytes()));
+    /// Writes `text` repeatedly and discards input, each on a new thread.
+    fn write_repeatedly(&self, mut stream: TcpStream, text: String) {
+        self.discard_input(stream.try_clone().unwrap());
+        self.repeat_operation(move |_| stream.write_all(text.as_bytes()));
     }
 }
 
-/// Connections that ask for nothing that could be taken, one after the other.
-fn nonsense(at: SocketAddr) -> std::io::Result<()> {
-    let mut stream = TcpStream::connect(at)?;
+/// Opens a connection, sends a malformed request and reads the answer to its end.
+fn send_malformed_request(addr: SocketAddr) -> std::io::Result<()> {
+    let mut stream = TcpStream::connect(addr)?;
     stream.write_all(b"NONSENSE\r\n\r\n")?;
     stream.read_to_end(&mut Vec::new()).map(|_| ())
 }
 
-/// Guards against turns that go to whoever has most to say: an event of a quiet stream would come late, and late is lost.
-/// What the floods got through between its writing and its arrival is the measure, as the machine may stand still.
+/// Guards against scheduling that favours the busiest connections: the events of a quiet stream would arrive too late.
+/// The delay is measured in flood bytes that pass between sending and receipt of an event, as the test machine may stall.
 #[test]
-fn an_event_passes_beside_floods_of_answers_and_of_commands() {
-    /// What a router passes on in some 20 ms of a whole processor.
-    const MOST: usize = 1 << 20;
+fn an_event_is_not_delayed_by_floods_of_answers_and_requests() {
+    /// Flood bytes that a router passes on in about 20 ms of one processor.
+    const MAX_BYTES_PER_EVENT: usize = 1 << 20;
     run(async {
         let floods = Floods::new();
         let (router, listener) = by_hand(|_| {}).await;
-        let mut quiet = Client::to(router.addr).await;
-        quiet.send(&platform("", "{}")).await;
+        let mut quiet_client = Client::to(router.addr).await;
+        quiet_client.send(&platform("", "{}")).await;
         let mut node = asked(&listener).await;
         node.stream.set_nodelay(true).unwrap();
         node.send(&(HEAD.to_string() + &chunk(CHAT[0]))).await;
         for _ in 0..4 {
             let mut client = Client::to(router.addr).await;
             client.send(&platform("", "{}")).await;
-            let mut flood = asked(&listener).await;
-            flood.send(HEAD).await;
-            floods.pour(into_blocking(flood), chunk(&CHAT[1].repeat(20)).repeat(20));
-            floods.swallow(into_blocking(client));
-            let commands = Client::to(router.addr).await;
-            floods.pour(into_blocking(commands), "GET /up HTTP/1.1\r\nHost: b\r\n\r\n".repeat(200));
-            let at = router.addr;
-            floods.run(move |_| nonsense(at));
+            let mut flooding_node = asked(&listener).await;
+            flooding_node.send(HEAD).await;
+            floods.write_repeatedly(into_blocking(flooding_node), chunk(&CHAT[1].repeat(20)).repeat(20));
+            floods.discard_input(into_blocking(client));
+            let flooding_client = Client::to(router.addr).await;
+            floods.write_repeatedly(
+                into_blocking(flooding_client),
+                "GET /up HTTP/1.1\r\nHost: b\r\n\r\n".repeat(200),
+            );
+            let addr = router.addr;
+            floods.repeat_operation(move |_| send_malformed_request(addr));
         }
-        let (mut passed, mut worst, mut longest) = (0, 0, Duration::ZERO);
+        let (mut total_bytes, mut max_bytes, mut max_delay) = (0, 0, Duration::ZERO);
         for n in 0..120 {
             let event = format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{n:04}\"}}}}]}}\n\n");
-            let (before, begun) = (floods.bytes.load(Ordering::SeqCst), Instant::now());
+            let (bytes_before, sent_at) = (floods.read_bytes.load(Ordering::SeqCst), Instant::now());
             node.send(&chunk(&event)).await;
-            while !quiet.buf.windows(event.len()).any(|w| w == event.as_bytes()) {
-                assert!(quiet.stream.read_buf(&mut quiet.buf).await.unwrap() > 0, "cut");
+            while !quiet_client.buf.windows(event.len()).any(|window| window == event.as_bytes()) {
+                assert!(
+                    quiet_client.stream.read_buf(&mut quiet_client.buf).await.unwrap() > 0,
+                    "connection closed in the stream"
+                );
             }
-            quiet.buf.clear();
-            let after = floods.bytes.load(Ordering::SeqCst);
-            worst = worst.max(after - before);
-            longest = longest.max(begun.elapsed());
-            passed = after;
+            quiet_client.buf.clear();
+            let bytes_after = floods.read_bytes.load(Ordering::SeqCst);
+            max_bytes = max_bytes.max(bytes_after - bytes_before);
+            max_delay = max_delay.max(sent_at.elapsed());
+            total_bytes = bytes_after;
         }
-        println!("{passed} bytes of floods; in one event's time {worst} at the most, {longest:?}");
-        assert!(passed > 8 * MOST, "no flood: {passed}");
-        assert!(worst < MOST, "an event waited while {worst} bytes of floods passed");
+        println!("{total_bytes} flood bytes; at most {max_bytes} and {max_delay:?} for one event");
+        assert!(total_bytes > 8 * MAX_BYTES_PER_EVENT, "only {total_bytes} flood bytes passed");
+        assert!(max_bytes < MAX_BYTES_PER_EVENT, "{max_bytes} flood bytes passed before an event arrived");
     });
 }
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -1,4 +1,4 @@
-//! Clients that leave: nothing is begun for them afterwards, whatever was under way.
+//! Tests of clients that disconnect: the router sends nothing on their behalf afterwards, in whichever state the request was.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,17 +10,17 @@
 use tallypin_router::dialect::Dialect::Chat;
 use tokio::task::spawn_local;
 
-/// A hedged request goes out 80 ms after the first attempt, 0.4 of the latency objective of 200 ms, if first tokens take
-/// less than 30 ms. One that has not gone out within this time is not going to: without the bound a play lasts until
-/// the client's deadline of 4 s, and on a busy machine a few of them use up the time that a test may take.
-const HEDGE_WAIT: Duration = Duration::from_millis(600);
+/// Longest wait for a hedged request, which is sent 80 ms after the first attempt (0.4 of the latency objective of 200 ms) if
+/// first tokens take less than 30 ms. Without the bound a run without a hedged request lasts until the client's deadline of
+/// 4 s, and on a busy machine a few such runs exceed the test's time limit.
+const MAX_HEDGE_WAIT: Duration = Duration::from_millis(600);
 
-/// Guards against an attempt that is written when its connection and its client's end are news of one moment.
+/// Guards against writing an attempt whose connection is established at the moment when its client disconnects.
 #[test]
-fn what_connects_as_its_client_leaves_is_not_sent() {
+fn an_attempt_that_connects_as_its_client_disconnects_is_not_sent() {
     run(async {
-        let (mut called_off, mut written) = (0, 0);
-        for (wait, front) in (0..40).flat_map(|wait| [(wait, 0), (wait, 1)]) {
+        let (mut cancelled, mut written) = (0, 0);
+        for (wait_turns, front) in (0..40).flat_map(|wait_turns| [(wait_turns, 0), (wait_turns, 1)]) {
             let node = Node::new(Chat).await;
             node.plan(&[Fault::Mute; 8]);
             let router = Router::new(Chat, &[&node], |_| {}).await;
@@ -31,94 +31,100 @@
                 client.send(&request()).await;
                 clients.push(client);
             }
-            // A task beside the router's has its turns between theirs.
+            // This task runs on the router's thread, in between the router's own tasks.
             let components = router.components.clone();
-            let left = spawn_local(async move {
+            let disconnect_task = spawn_local(async move {
                 while components.with(|core, _| core.open_requests()) < clients.len() {
                     turns(1).await;
                 }
-                turns(wait).await;
+                turns(wait_turns).await;
                 drop(clients);
                 components.replicas.in_flight(name_hash::replica_id("s-0"))
             });
-            let out = left.await.unwrap();
+            let in_flight = disconnect_task.await.unwrap();
             until(|| router.tallies().client_disconnects == 8).await;
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             let (_, requests) = node.so_far();
             assert_eq!(
-                requests, out as usize,
-                "front {front}, {wait} turns later: sent on after the client had left"
+                requests, in_flight as usize,
+                "front {front}, {wait_turns} turns later: forwarded after the client had disconnected"
             );
-            called_off += 8 - out;
-            written += out;
+            cancelled += 8 - in_flight;
+            written += in_flight;
         }
-        println!("{called_off} called off, {written} written before");
-        assert!(called_off > 0, "no client left early enough to tell");
+        println!("{cancelled} attempts cancelled, {written} written before");
+        assert!(cancelled > 0, "no client disconnected before its attempt was written");
     });
 }
 
-/// Guards against a second copy that is written when its connection comes up as its client leaves.
+/// Guards against writing a hedged request whose connection is established at the moment when its client disconnects.
 #[test]
-fn a_copy_that_connects_as_its_client_leaves_is_not_sent() {
+fn a_hedged_request_that_connects_as_its_client_disconnects_is_not_sent() {
     run(async {
-        let (mut called_off, mut written) = (0, 0);
-        let mut waits: Vec<usize> = (0..200).step_by(10).collect();
-        while let Some(wait) = waits.pop() {
+        let (mut cancelled, mut written) = (0, 0);
+        let mut remaining_waits: Vec<usize> = (0..200).step_by(10).collect();
+        while let Some(wait_turns) = remaining_waits.pop() {
             let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
-            let soon = CONFIG.replace("\"GoalTimeNs\": 1200000000", "\"GoalTimeNs\": 200000000");
-            let mut config = Config::parse(&soon).unwrap();
+            let short_objective = CONFIG.replace("\"GoalTimeNs\": 1200000000", "\"GoalTimeNs\": 200000000");
+            let mut config = Config::parse(&short_objective).unwrap();
             config.limits.replica_idle_timeout = Duration::from_millis(1);
             let router = Router::by(config, Chat, &[&first, &second], None).await;
-            // Copies are sent where first tokens are known to come at once.
+            // The router sends hedged requests only where it has measured fast first tokens.
             assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
             until(|| router.components.replicas.connection_counts().0 == 0).await;
             first.plan(&[Fault::Mute]);
             second.plan(&[Fault::Mute]);
             assert_eq!(first.so_far().1 + second.so_far().1, 1);
-            let (addr, request) = fronts(&router)[wait / 10 % 2];
+            let (addr, request) = fronts(&router)[wait_turns / 10 % 2];
             let mut client = Client::to(addr).await;
             client.send(&request()).await;
             let components = router.components.clone();
-            let left = spawn_local(async move {
-                let open = || components.with(|core, _| core.open_requests());
-                while open() == 0 {
+            let disconnect_task = spawn_local(async move {
+                let open_requests = || components.with(|core, _| core.open_requests());
+                while open_requests() == 0 {
                     turns(1).await;
                 }
-                // One that is counted is up or on its way.
-                let begun = Instant::now();
+                // A counted connection is established or being established.
+                let start = Instant::now();
                 while components.replicas.connection_counts().0 < 2
-                    && open() > 0
-                    && begun.elapsed() < HEDGE_WAIT
+                    && open_requests() > 0
+                    && start.elapsed() < MAX_HEDGE_WAIT
                 {
                     turns(1).await;
                 }
-                let copied = components.replicas.connection_counts().0 == 2;
-                turns(wait).await;
+                let hedged = components.replicas.connection_counts().0 == 2;
+                turns(wait_turns).await;
                 leave([client]);
-                let out = components.replicas.in_flight(name_hash::replica_id("s-0"))
+                let in_flight = components.replicas.in_flight(name_hash::replica_id("s-0"))
                     + components.replicas.in_flight(name_hash::replica_id("s-1"));
-                copied.then_some(out)
+                hedged.then_some(in_flight)
             });
-            // Where the machine stood still first tokens look late, and no copy is sent: played again.
-            let Some(out) = left.await.unwrap() else {
-                waits.push(wait);
+            // If the machine stalls, first tokens look slow and no hedged request is sent: this delay is run again.
+            let Some(in_flight) = disconnect_task.await.unwrap() else {
+                remaining_waits.push(wait_turns);
                 continue;
             };
             until(|| router.tallies().client_disconnects == 1 && router.open() == 0).await;
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
             let requests = first.so_far().1 + second.so_far().1;
-            assert_eq!(requests, out as usize, "{wait} turns later: sent on after the client had left");
-            called_off += 2 - out;
-            written += out - 1;
+            assert_eq!(
+                requests, in_flight as usize,
+                "{wait_turns} turns later: forwarded after the client had disconnected"
+            );
+            cancelled += 2 - in_flight;
+            written += in_flight - 1;
         }
-        println!("{called_off} copies called off, {written} written before");
-        assert!(called_off > 0 && written > 0, "one of the two was never seen: {called_off}, {written}");
+        println!("{cancelled} hedged requests cancelled, {written} written before");
+        assert!(
+            cancelled > 0 && written > 0,
+            "both outcomes are expected: {cancelled} cancelled, {written} written"
+        );
     });
 }
 
-/// Guards against an end that is not seen because what stands before it is not read.
+/// Guards against missing a disconnect because the input in front of it is not read.
 #[test]
-fn an_end_behind_much_that_was_sent_ahead_is_seen() {
+fn a_disconnect_behind_much_unread_input_is_noticed() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute]);
@@ -133,9 +139,10 @@
     });
 }
 
-/// Fifty that wait for a node that answers nothing leave together, just before each would be tried again.
+/// Guards against retrying requests whose clients have left: 50 clients of two silent replicas disconnect together, just before
+/// each request would be retried.
 #[test]
-fn of_many_that_leave_at_once_none_is_tried_again() {
+fn requests_of_clients_that_disconnect_together_are_not_retried() {
     run(async {
         let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
         first.plan(&[Fault::Mute; 100]);
@@ -147,16 +154,20 @@
             client.send(&platform("", "{}")).await;
             clients.push(client);
         }
-        let sent = || first.so_far().1 + second.so_far().1;
-        let mut seen = 0;
-        while seen < 50 {
+        let new_requests = || first.so_far().1 + second.so_far().1;
+        let mut forwarded = 0;
+        while forwarded < 50 {
             tokio::task::yield_now().await;
-            seen += sent();
+            forwarded += new_requests();
         }
         clients.clear();
         until(|| router.tallies().client_disconnects == 50 && router.open() == 0).await;
-        let before = sent();
+        let before_wait = new_requests();
         tokio::time::sleep(router.components.limits.connect_timeout * 4).await;
-        assert_eq!((before, sent()), (0, 0), "tried again for a client that has left");
+        assert_eq!(
+            (before_wait, new_requests()),
+            (0, 0),
+            "no request is retried after its client disconnected"
+        );
     });
 }
