--- a/settings-schema/tests/cases.rs
+++ b/settings-schema/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Files that are right and files that are wrong, and what is said of them.
+//! Tests of reading, checking, comparing and printing settings files, with valid and invalid ones.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -51,14 +51,17 @@
     }
 }
 
-fn wrong(text: &str) -> Vec<String> {
+fn problems_of(text: &str) -> Vec<String> {
     read(&[("a.conf", text)]).expect_err(text).short().collect()
 }
 
 #[test]
-fn words_have_their_places() {
-    let texts = |line: &str| tokenize(line).map(|w| w.into_iter().map(|w| w.text).collect::<Vec<_>>());
-    for (line, want) in [
+fn splits_lines_into_arguments() {
+    let argument_texts = |line: &str| {
+        tokenize(line)
+            .map(|arguments| arguments.into_iter().map(|argument| argument.text).collect::<Vec<_>>())
+    };
+    for (line, expected) in [
         ("", vec![]),
         ("  # all comment", vec![]),
         ("a b\t c", vec!["a", "b", "c"]),
@@ -68,33 +71,33 @@
         ("grüß \"Gott\"\r", vec!["grüß", "Gott"]),
         ("'#' x", vec!["#", "x"]),
     ] {
-        assert_eq!(texts(line), Ok(want.into_iter().map(String::from).collect()), "{line}");
+        assert_eq!(argument_texts(line), Ok(expected.into_iter().map(String::from).collect()), "{line}");
     }
-    for (line, want) in [
+    for (line, expected) in [
         ("a 'b", LineError::UnclosedQuote(2)),
         ("a \"b\\\"", LineError::UnclosedQuote(2)),
         ("a \\", LineError::TrailingBackslash(2)),
         ("a \u{0}", LineError::ControlCharacter(2)),
     ] {
-        assert_eq!(tokenize(line), Err(want), "{line}");
+        assert_eq!(tokenize(line), Err(expected), "{line}");
     }
 }
 
 #[test]
-fn values_have_units_and_bounds() {
-    let time = Kind::Duration(1, 3_600_000);
-    for (kind, word, want) in [
-        (time, "250ms", Some("250ms")),
-        (time, "1500ms", Some("1500ms")),
-        (time, "2000ms", Some("2s")),
-        (time, "60s", Some("1m")),
-        (time, "0ms", None),
-        (time, "2h", None),
-        (time, "250", None),
-        (time, "1.5s", None),
-        (time, "-1s", None),
-        (time, "99999999999999999999s", None),
-        (time, "9999999999999h", None),
+fn reads_values_with_units_and_bounds() {
+    let duration = Kind::Duration(1, 3_600_000);
+    for (kind, text, expected) in [
+        (duration, "250ms", Some("250ms")),
+        (duration, "1500ms", Some("1500ms")),
+        (duration, "2000ms", Some("2s")),
+        (duration, "60s", Some("1m")),
+        (duration, "0ms", None),
+        (duration, "2h", None),
+        (duration, "250", None),
+        (duration, "1.5s", None),
+        (duration, "-1s", None),
+        (duration, "99999999999999999999s", None),
+        (duration, "9999999999999h", None),
         (Kind::Size(1, 1 << 40), "64MiB", Some("64MiB")),
         (Kind::Size(1, 1 << 40), "1024", Some("1KiB")),
         (Kind::Size(1, 1 << 40), "64MB", None),
@@ -114,13 +117,13 @@
         (Kind::Field, "x-partner", Some("x-partner")),
         (Kind::Field, "x: y", None),
     ] {
-        assert_eq!(kind.read(word).map(|v| v.to_string()).as_deref(), want, "{word}");
+        assert_eq!(kind.read(text).map(|value| value.to_string()).as_deref(), expected, "{text}");
     }
 }
 
 #[test]
-fn what_is_wrong_is_told_with_its_place_and_the_nearest_word() {
-    for (text, want) in [
+fn problems_name_their_position_and_the_nearest_word() {
+    for (text, expected) in [
         ("shaer 5%", "a.conf:1:1: unknown directive or section `shaer` (did you mean `share`?)"),
         (
             "\n  form jsno",
@@ -146,36 +149,37 @@
         ("include", "a.conf:1:1: `include` takes exactly one path"),
         ("partner 'grüß' b c", "a.conf:1:18: `partner` takes 2 arguments"),
     ] {
-        assert_eq!(wrong(text).first().map(String::as_str), Some(want), "{text}");
+        assert_eq!(problems_of(text).first().map(String::as_str), Some(expected), "{text}");
     }
 }
 
 #[test]
-fn all_problems_are_told_in_one_run_and_shown_with_their_lines() {
+fn all_problems_are_reported_at_once_with_their_lines() {
     let text = "memory 5\nfrom 127.0.0.0/8 here\n  quiet of\nagent {\n    bugdet 1s\n}\n";
     let problems = read(&[("a.conf", text)]).unwrap_err();
     assert_eq!(problems.problems.len(), 5, "{problems}");
-    let shown = problems.to_string();
+    let output = problems.to_string();
     for part in
         ["a.conf:3:9", "3 |   quiet of", "did you mean `off`?", "5 |     bugdet 1s", "did you mean `budget`?"]
     {
-        assert!(shown.contains(part), "{part}: {shown}");
+        assert!(output.contains(part), "{part}: {output}");
     }
 }
 
 #[test]
-fn includes_stand_where_they_are_named_and_name_their_own_lines() {
+fn includes_are_read_in_place_and_problems_name_the_included_file() {
     let main = "include sub/b.conf\nagent {\n  include sub/c.conf\n}";
-    let good = [("a.conf", main), ("sub/b.conf", "include d.conf"), ("sub/c.conf", "listen 127.0.0.1:1")];
-    let files = [&good[..], &[("sub/d.conf", "quiet on")]].concat();
+    let valid_files =
+        [("a.conf", main), ("sub/b.conf", "include d.conf"), ("sub/c.conf", "listen 127.0.0.1:1")];
+    let files = [&valid_files[..], &[("sub/d.conf", "quiet on")]].concat();
     let checked = read(&files).unwrap();
     assert!(checked.is_on("quiet"));
     let agent = checked.within("agent").unwrap();
     assert_eq!(agent.address("listen"), "127.0.0.1:1".parse().ok());
-    let files = [&good[..], &[("sub/d.conf", "\n quiet perhaps }")]].concat();
+    let files = [&valid_files[..], &[("sub/d.conf", "\n quiet perhaps }")]].concat();
     let problems = read(&files).unwrap_err();
     assert!(problems.short().next().unwrap().starts_with("sub/d.conf:2:8"), "{problems}");
-    // A brace closes only what its own file has opened.
+    // A closing brace closes only a section that its own file has opened.
     let files = [("a.conf", "agent {\ninclude b.conf\n}"), ("b.conf", "listen 127.0.0.1:1\n}")];
     assert!(read(&files)
         .unwrap_err()
@@ -186,28 +190,35 @@
 }
 
 #[test]
-fn bounds_hold() {
-    let deep = "agent {\n".repeat(20) + &"}\n".repeat(20);
-    assert!(wrong(&deep).iter().any(|p| p.contains("sections are nested more than 8 deep")));
-    let many = "nonsense\n".repeat(5000) + "quiet 'on\n";
+fn nesting_and_file_size_are_bounded() {
+    let nested = "agent {\n".repeat(20) + &"}\n".repeat(20);
+    assert!(problems_of(&nested)
+        .iter()
+        .any(|problem| problem.contains("sections are nested more than 8 deep")));
+    let long_text = "nonsense\n".repeat(5000) + "quiet 'on\n";
     let bounds = Bounds { max_bytes: 1000, ..Bounds::default() };
-    let (_, _, problems) = load(Path::new("a.conf"), bounds, &|_| Ok(many.clone()));
+    let (_, _, problems) = load(Path::new("a.conf"), bounds, &|_| Ok(long_text.clone()));
     assert!(problems[0].message.contains("more than 1000 bytes"), "{problems:?}");
 }
 
 #[test]
-fn changes_are_named_and_whether_they_take_a_restart() {
-    let of = |text: &str| read(&[("a.conf", text)]).unwrap();
-    let old = of("partner a b\nagent {\nlisten 127.0.0.1:1\n}");
-    let new = of("partner a c\nquiet on\nagent {\nlisten 127.0.0.1:1\nbudget 1s\n}");
-    let said: Vec<_> = changes(&old, &new).into_iter().map(|c| (c.path, c.takes)).collect();
-    let want = [("quiet", Takes::Now), ("partner", Takes::Restart), ("agent.budget", Takes::Now)];
-    assert_eq!(said, want.map(|(p, t)| (p.to_string(), t)));
-    assert_eq!(changes(&old, &of("partner a b")).first().map(|c| c.takes), Some(Takes::Restart));
-    assert!(changes(&old, &of("quiet off # said\npartner a b\nagent {\nlisten 127.0.0.1:1\n}")).is_empty());
+fn changes_tell_whether_they_require_a_restart() {
+    let settings = |text: &str| read(&[("a.conf", text)]).unwrap();
+    let old = settings("partner a b\nagent {\nlisten 127.0.0.1:1\n}");
+    let new = settings("partner a c\nquiet on\nagent {\nlisten 127.0.0.1:1\nbudget 1s\n}");
+    let found: Vec<_> = changes(&old, &new).into_iter().map(|change| (change.path, change.takes)).collect();
+    let expected = [("quiet", Takes::Now), ("partner", Takes::Restart), ("agent.budget", Takes::Now)];
+    assert_eq!(found, expected.map(|(path, effect)| (path.to_string(), effect)));
+    assert_eq!(
+        changes(&old, &settings("partner a b")).first().map(|change| change.takes),
+        Some(Takes::Restart)
+    );
+    assert!(
+        changes(&old, &settings("quiet off # said\npartner a b\nagent {\nlisten 127.0.0.1:1\n}")).is_empty()
+    );
 }
 
-/// The defaults of a table are words of their kinds, or a program would go by nothing.
+/// Guards against defaults that their own kind cannot read: the program would have no value for the directive.
 #[test]
 fn defaults_are_filled_in_and_printed() {
     let text = print(&read(&[("a.conf", "quiet on")]).unwrap());
@@ -216,7 +227,7 @@
 
 proptest! {
     #[test]
-    fn what_is_printed_reads_back_to_the_same(
+    fn printed_settings_read_back_unchanged(
         share in 0u8..=100,
         ms in 1u64..60_000,
         names in proptest::collection::btree_map("[^\\x00-\\x1f\\x7f-\\u{9f}]{1,12}", "[^\\x00-\\x1f\\x7f-\\u{9f}]{1,12}", 0..4),
@@ -233,7 +244,7 @@
     }
 
     #[test]
-    fn no_text_makes_it_panic(text in "(\\PC|\n|[{}#'\"\\\\ ]|quiet|agent|include){0,60}") {
+    fn arbitrary_text_never_panics(text in "(\\PC|\n|[{}#'\"\\\\ ]|quiet|agent|include){0,60}") {
         let _ = read(&[("a.conf", &text)]).map_err(|p| p.to_string());
     }
 }
