--- a/consensus/tests/fleet/main.rs
+++ b/consensus/tests/fleet/main.rs
@@ -1,6 +1,6 @@
-//! Complete fleets in virtual time: every router, the council among them, on a network that loses and delays, with routers
-//! that crash, stop and continue, and links that are cut. What must never happen is checked from outside: who is out of
-//! service, and whether any drain began after a halt was answered. A seed that fails fails again.
+//! Simulation of whole fleets in virtual time: all routers, council members among them, on a network that loses and delays
+//! messages, with routers that crash or pause and links that are cut. The invariants are checked from outside: which routers
+//! are out of service, and that no drain begins after an acknowledged halt. A seed that fails always fails.
 #![allow(missing_docs)]
 
 mod checks;
@@ -14,63 +14,70 @@
 use tallypin_consensus::register::Acceptor;
 use world::{World, COUNCIL, S};
 
-/// What seeds came to.
+/// Counts over all seeds of a test.
 #[derive(Default)]
 struct Outcome {
     /// Drains that began.
-    drained: usize,
-    /// Seeds in which all routers knew the same state in the end.
-    settled: usize,
-    /// Routers that restarted with a released file.
-    restarted: usize,
-    /// Seeds in which a release was done in the end.
-    released: usize,
+    drains: usize,
+    /// Seeds after which all routers knew the same state.
+    converged: usize,
+    /// Restarts of routers with a released file.
+    restarts: usize,
+    /// Seeds after which a release was done.
+    releases_done: usize,
 }
 
-/// Runs seeds of a fleet of so many routers.
-fn play(seeds: std::ops::Range<u64>, routers: usize) -> Outcome {
+/// Runs the seeds with a fleet of `routers` routers.
+fn run_seeds(seeds: std::ops::Range<u64>, routers: usize) -> Outcome {
     let mut outcome = Outcome::default();
     for seed in seeds {
         let mut world = World::new(seed, routers);
-        world.play(60 * S);
-        let same = world.settle();
-        if !same {
+        world.run_until(60 * S);
+        let converged = world.recover();
+        if !converged {
             let joined = |router: &&router::Router| router.acceptor.as_ref().is_some_and(Acceptor::joined);
-            let remember = world.routers.iter().filter(joined).count();
-            println!("seed {seed}: not one document; {remember} of {COUNCIL} members take part");
+            let joined_members = world.routers.iter().filter(joined).count();
+            println!("seed {seed}: routers know different states; {joined_members} of {COUNCIL} members have joined");
         }
-        outcome.settled += usize::from(same);
-        outcome.drained += world.tally.drained;
-        outcome.restarted += world.tally.restarted;
-        outcome.released += world.tally.released;
+        outcome.converged += usize::from(converged);
+        outcome.drains += world.counts.drains;
+        outcome.restarts += world.counts.restarts;
+        outcome.releases_done += world.counts.releases_done;
     }
     outcome
 }
 
 #[test]
-fn limits_and_halts_hold_under_faults_and_all_routers_agree_once_they_are_mended() {
+fn limits_and_halts_hold_under_faults_and_all_routers_agree_after_recovery() {
     for (routers, seeds) in [(5, 60), (50, 2)] {
-        let Outcome { drained, settled, restarted, released } = play(0..seeds, routers);
-        println!("{routers} routers, {seeds} seeds: {drained} went out, {restarted} for a release; {settled} came to one document, {released} with a release done");
+        let Outcome { drains, converged, restarts, releases_done } = run_seeds(0..seeds, routers);
+        println!(
+            "{routers} routers, {seeds} seeds: {drains} drains began, {restarts} for a release; \
+             {converged} seeds converged, {releases_done} with a release done"
+        );
+        assert!(
+            restarts > 0 && releases_done > 0,
+            "{restarts} restarts for a release, {releases_done} releases done: the test covers too little"
+        );
         assert!(
-            restarted > 0 && released > 0,
-            "{restarted} went for a release, {released} were done: nothing was shown"
+            drains as u64 > seeds,
+            "{drains} drains in {seeds} seeds of {routers} routers: the test covers too little"
         );
-        assert!(drained as u64 > seeds, "{drained} of {seeds} seeds of {routers}: nothing was shown");
-        assert_eq!(settled as u64, seeds, "{routers} routers: all say the same in the end");
+        assert_eq!(converged as u64, seeds, "{routers} routers: all must know the same state after recovery");
     }
 }
 
-/// `SEEDS` of fleets of `FLEET`, by hand.
+/// Runs `SEEDS` seeds with fleets of `FLEET` routers, both taken from the environment. Run by hand.
 #[test]
-#[ignore = "minutes"]
-fn the_same_at_any_size() {
+#[ignore = "takes minutes"]
+fn routers_of_a_fleet_of_any_size_agree_after_recovery() {
     let number =
-        |name: &str, otherwise| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(otherwise);
+        |name: &str, default| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default);
     let (routers, seeds) = (number("FLEET", 300) as usize, number("SEEDS", 4));
-    let Outcome { drained, settled, restarted, released } = play(0..seeds, routers);
+    let Outcome { drains, converged, restarts, releases_done } = run_seeds(0..seeds, routers);
     println!(
-        "{routers} routers, {seeds} seeds: {drained} went out, {restarted} for a release; {settled} came to one document, {released} with a release done"
+        "{routers} routers, {seeds} seeds: {drains} drains began, {restarts} for a release; \
+             {converged} seeds converged, {releases_done} with a release done"
     );
-    assert_eq!(settled as u64, seeds);
+    assert_eq!(converged as u64, seeds);
 }
--- a/consensus/tests/fleet/rounds.rs
+++ b/consensus/tests/fleet/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds that routers propose.
+//! Register rounds that routers propose.
 
 use tallypin_consensus::drain_lease::SubmitOutcome;
 use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState};
@@ -11,7 +11,7 @@
 use crate::router::Round;
 use crate::world::{World, COUNCIL, S};
 
-/// A round that has not ended within this is given up.
+/// Time limit of a round.
 const ROUND_TIMEOUT: Nanos = 2 * S;
 
 impl World {
@@ -19,15 +19,15 @@
         let now = self.now;
         let router = &mut self.routers[r];
         let incarnation = router.incarnation;
-        let ballot = Ballot { number: 0, proposer: r as u16, incarnation }.above(router.seen);
-        router.seen = ballot;
-        let joins = router.acceptor.as_ref().is_some_and(|acceptor| !acceptor.joined());
-        let joining = joins.then_some(CouncilMember { member: r as u8, incarnation });
+        let ballot = Ballot { number: 0, proposer: r as u16, incarnation }.above(router.highest_ballot);
+        router.highest_ballot = ballot;
+        let needs_to_join = router.acceptor.as_ref().is_some_and(|acceptor| !acceptor.joined());
+        let joining = needs_to_join.then_some(CouncilMember { member: r as u8, incarnation });
         let proposer = Proposer::joining(ballot, COUNCIL, joining.into_iter().collect());
         let view = CouncilView { majority: COUNCIL / 2 + 1, ..CouncilView::default() };
         router.round = Some(Round { proposer, command, began_at: now, view });
         self.send_round(r);
-        self.schedule(now + ROUND_TIMEOUT, Event::Timeout { router: r, incarnation, ballot });
+        self.schedule(now + ROUND_TIMEOUT, Event::RoundTimeout { router: r, incarnation, ballot });
     }
 
     pub fn handle_reply(
@@ -40,7 +40,7 @@
     ) {
         let router = &mut self.routers[r];
         if let AcceptorReply::Superseded(seen) = &reply {
-            router.seen = router.seen.max(*seen);
+            router.highest_ballot = router.highest_ballot.max(*seen);
         }
         let Some(round) = &mut router.round else { return };
         if let (AcceptorReply::Promised { .. }, Some(out), AcceptorRequest::Prepare(ballot)) =
@@ -61,12 +61,12 @@
                 }
                 Err(_) => self.end_round(r, false),
             },
-            RoundStep::Chosen(value) => self.learn(r, value),
+            RoundStep::Chosen(value) => self.learn_chosen(r, value),
         }
     }
 
-    fn learn(&mut self, r: usize, value: RegisterValue<FleetState>) {
-        self.note_resume(&value.state);
+    fn learn_chosen(&mut self, r: usize, value: RegisterValue<FleetState>) {
+        self.record_resume(&value.state);
         let router = &mut self.routers[r];
         if router.known.as_ref().is_none_or(|known| known.version < value.state.version) {
             router.known = Some(value.state.clone());
@@ -88,15 +88,16 @@
             if applied {
                 router.orders.remove(0);
                 if matches!(command, Command::Halt { .. }) {
-                    self.note_halt(r, began_at);
+                    self.record_halt(r, began_at);
                 }
             } else if self.rng.bool() {
                 self.routers[r].orders.remove(0);
             }
         }
-        // What was not chosen is tried again at the next heartbeat: rounds begun at once would overtake each other for ever.
+        // A command that was not chosen is proposed again at the next heartbeat: rounds begun at once would overtake each other
+        // for ever.
         if applied {
-            self.follow(r);
+            self.act(r);
         }
     }
 }
--- a/consensus/tests/fleet/router.rs
+++ b/consensus/tests/fleet/router.rs
@@ -1,4 +1,4 @@
-//! One router, and what it does by the fleet state that it knows.
+//! One router, and its actions according to the fleet state that it knows.
 
 use tallypin_consensus::drain_lease::{LeaseHolder, LocalPhase, NextStep};
 use tallypin_consensus::fleet_state::{Command, CouncilView, FleetState};
@@ -15,25 +15,25 @@
     pub proposer: Proposer<FleetState>,
     pub command: Command,
     pub began_at: Nanos,
-    /// Who is out of service, by the promises.
+    /// Routers that are out of service according to the promises received.
     pub view: CouncilView,
 }
 
 pub struct Router {
     pub alive: bool,
-    /// Stopped until then: what is due comes after it.
-    pub stopped_until: Nanos,
+    /// The process is paused until this time; its events are handled after it.
+    pub paused_until: Nanos,
     pub incarnation: u64,
     pub lease: LeaseHolder,
     pub phase: LocalPhase,
     pub acceptor: Option<Acceptor<FleetState>>,
     pub detector: FailureDetector,
     pub known: Option<FleetState>,
-    pub seen: Ballot,
+    pub highest_ballot: Ballot,
     pub round: Option<Round>,
-    /// Orders of operators that it is to have agreed on.
+    /// Operators' orders that the router still has to propose, oldest first.
     pub orders: Vec<Command>,
-    /// The file that it runs: outlasts its incarnations.
+    /// Digest of the file that the router runs; a restart keeps it.
     pub running_digest: String,
     pub monitor: ReleaseMonitor,
 }
@@ -53,8 +53,8 @@
 }
 
 impl World {
-    /// What a router does when it has no round of its own.
-    pub fn follow(&mut self, r: usize) {
+    /// Takes the router's next step, if it has no round in progress.
+    pub fn act(&mut self, r: usize) {
         if self.routers[r].round.is_some() {
             return;
         }
@@ -65,37 +65,37 @@
             return self.begin_round(r, order);
         }
         if self.routers[r].known.is_none() {
-            self.read(r);
+            self.read_register(r);
         }
         let Some(known) = self.routers[r].known_version() else { return };
-        // A newer version comes with its heartbeats, at times: then it reads before it does anything by an older state.
-        if self.any_accepted_above(known) && self.rng.bool() {
-            self.read(r);
+        // At random, the router learns of a newer version and reads it before it acts on an older state.
+        if self.has_accepted_above(known) && self.rng.bool() {
+            self.read_register(r);
             let known = self.routers[r].known_version().unwrap_or(0);
-            // Members that have not all accepted the same report nothing alike until a round ends it.
-            if self.any_accepted_above(known) && self.rng.u32(..8) == 0 {
+            // Members that have accepted different proposals report no chosen value until a further round.
+            if self.has_accepted_above(known) && self.rng.u32(..8) == 0 {
                 return self.begin_round(r, Command::Read);
             }
         }
-        self.step(r);
+        self.follow_lease(r);
     }
 
-    fn any_accepted_above(&self, version: u64) -> bool {
+    fn has_accepted_above(&self, version: u64) -> bool {
         let members = self.routers.iter().take(COUNCIL);
         let mut accepted = members.filter_map(|member| member.acceptor.as_ref()?.accepted());
         accepted.any(|value| value.state.version > version)
     }
 
-    /// The next step by the known state.
-    fn step(&mut self, r: usize) {
+    /// Takes the next step of the drain lease or of the release monitor.
+    fn follow_lease(&mut self, r: usize) {
         let router = &self.routers[r];
         let Some(known) = router.known.clone() else { return };
         match router.lease.next_step(self.now, &known, router.phase, Some(&router.running_digest)) {
             NextStep::Wait => self.monitor_release(r, &known),
-            // Drained, it ends, and is started with the file that it has installed.
+            // A drained router exits and is started again with the installed file.
             NextStep::InstallAndRestart(digest) => {
                 self.routers[r].running_digest = digest;
-                self.tally.restarted += 1;
+                self.counts.restarts += 1;
                 self.restart(r);
             }
             NextStep::BeginDrain => self.begin_drain(r, &known),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// What a member asks for on behalf of all.
+    /// Lets a council member propose the next command of the release monitor.
     fn monitor_release(&mut self, r: usize, known: &FleetState) {
         let (now, n) = (self.now, self.routers.len() as RouterIndex);
         let router = &mut self.routers[r];
@@ -122,13 +122,13 @@
         }
     }
 
-    /// What a majority of the council reports alike, in one moment.
-    fn read(&mut self, r: usize) {
+    /// Reads the register at one point in time: the state that a majority of the council has accepted.
+    fn read_register(&mut self, r: usize) {
         let cut_off = self.cut_off.contains(&r);
         let report = |member: usize| {
             let reached = self.routers[member].alive
                 && self.cut_off.contains(&member) == cut_off
-                && self.rng.u32(..100) >= self.lost_percent;
+                && self.rng.u32(..100) >= self.loss_percent;
             let acceptor = self.routers[member].acceptor.as_mut().filter(|_| reached)?;
             match acceptor.handle(AcceptorRequest::Read) {
                 AcceptorReply::Current { incarnation, accepted } => {
@@ -143,26 +143,26 @@
         }
     }
 
-    /// Starts anew, in a later incarnation and with no memory.
+    /// Restarts the router in a later incarnation, without its state.
     pub fn restart(&mut self, r: usize) {
         let (now, n) = (self.now, self.routers.len());
         let router = &mut self.routers[r];
         let incarnation = router.incarnation + 1;
         *router = Router {
             alive: true,
-            stopped_until: 0,
+            paused_until: 0,
             incarnation,
             lease: LeaseHolder::new(LEASE, r as RouterIndex, incarnation),
             phase: LocalPhase::Serving,
             acceptor: (r < COUNCIL).then(|| Acceptor::new(incarnation)),
             detector: FailureDetector::new(DETECTOR, n, now),
             known: None,
-            seen: Ballot::default(),
+            highest_ballot: Ballot::default(),
             round: None,
             orders: Vec::new(),
             running_digest: std::mem::take(&mut router.running_digest),
             monitor: ReleaseMonitor::default(),
         };
-        self.schedule(now, crate::events::Event::Beat { router: r, incarnation });
+        self.schedule(now, crate::events::Event::HeartbeatDue { router: r, incarnation });
     }
 }
--- a/consensus/tests/fleet/world.rs
+++ b/consensus/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The routers, the network between them and the clock.
+//! State of the simulation: the routers, the network between them and the clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
@@ -29,12 +29,12 @@
     HeartbeatTiming { interval: Duration::from_nanos(HEARTBEAT), silence_limit: Duration::from_secs(3) };
 pub const COUNCIL: usize = 5;
 
-/// What has happened.
+/// Counts of one run.
 #[derive(Default)]
-pub struct Tally {
-    pub drained: usize,
-    pub restarted: usize,
-    pub released: usize,
+pub struct Counts {
+    pub drains: usize,
+    pub restarts: usize,
+    pub releases_done: usize,
 }
 
 pub struct World {
@@ -45,22 +45,22 @@
     last_event: u64,
     pub routers: Vec<Router>,
     pub limits: DrainLimits,
-    /// Whoever is in here is cut off from the rest.
+    /// Routers that are cut off from the others; they still reach each other.
     pub cut_off: BTreeSet<usize>,
-    pub lost_percent: u32,
-    /// Nothing goes wrong and nobody orders anything any more.
-    pub calm: bool,
+    pub loss_percent: u32,
+    /// The fleet recovers: no more faults and orders.
+    pub recovering: bool,
     pub halt: Option<Halt>,
-    /// The ids of resumes that were ordered.
-    pub resumes: BTreeSet<String>,
-    /// The orders that were known when the halt was agreed on.
+    /// Ids of the resumes that operators have ordered.
+    pub ordered_resumes: BTreeSet<String>,
+    /// Ids of the orders that the state contained when the halt was chosen.
     pub orders_before_halt: Vec<String>,
-    /// When a resume was last on its way.
+    /// Last time at which a router still had to propose a resume.
     pub resume_pending_at: Nanos,
-    pub orders: u64,
-    /// Whether operators order releases, or drains.
-    pub releases: bool,
-    pub tally: Tally,
+    pub order_count: u64,
+    /// Operators order releases if true, and drains if false.
+    pub orders_releases: bool,
+    pub counts: Counts,
 }
 
 impl World {
@@ -79,22 +79,22 @@
             due: BinaryHeap::new(),
             events: HashMap::new(),
             last_event: 0,
-            routers: first_routers(n),
+            routers: serving_routers(n),
             limits,
             cut_off: BTreeSet::new(),
-            lost_percent: 5,
-            calm: false,
+            loss_percent: 5,
+            recovering: false,
             halt: None,
-            resumes: BTreeSet::new(),
+            ordered_resumes: BTreeSet::new(),
             orders_before_halt: Vec::new(),
             resume_pending_at: 0,
-            orders: 0,
-            releases: seed % 2 == 1,
-            tally: Tally::default(),
+            order_count: 0,
+            orders_releases: seed % 2 == 1,
+            counts: Counts::default(),
         };
         for router in 0..n {
             let at = world.rng.u64(..HEARTBEAT);
-            world.schedule(at, Event::Beat { router, incarnation: 0 });
+            world.schedule(at, Event::HeartbeatDue { router, incarnation: 0 });
         }
         world.schedule(4 * S, Event::Fault);
         world.schedule(4 * S, Event::Order);
@@ -107,7 +107,7 @@
         self.due.push(Reverse((at, self.last_event)));
     }
 
-    /// The next event that is due by then; the clock is set to its time.
+    /// Removes the next event up to `until` and sets the clock to its time.
     pub fn next_event(&mut self, until: Nanos) -> Option<(Nanos, Event)> {
         let &Reverse((at, key)) = self.due.peek().filter(|due| due.0 .0 <= until)?;
         self.due.pop();
@@ -117,11 +117,12 @@
     }
 }
 
-/// Routers that all serve, and a council that has begun.
-fn first_routers(n: usize) -> Vec<Router> {
+/// Returns routers that all serve, with an initialized council.
+fn serving_routers(n: usize) -> Vec<Router> {
     let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
     let uninitialized = vec![Some(MemberReport { incarnation: 0, accepted: None }); COUNCIL];
-    let value = bootstrap_value(&uninitialized, |_| FleetState::default()).expect("all uninitialized");
+    let value =
+        bootstrap_value(&uninitialized, |_| FleetState::default()).expect("all members are uninitialized");
     let acceptor = || {
         let mut acceptor = Acceptor::new(0);
         acceptor.handle(AcceptorRequest::Prepare(ballot));
@@ -130,14 +131,14 @@
     };
     let router = |r| Router {
         alive: true,
-        stopped_until: 0,
+        paused_until: 0,
         incarnation: 0,
         lease: LeaseHolder::new(LEASE, r as RouterIndex, 0),
         phase: LocalPhase::Serving,
         acceptor: (r < COUNCIL).then(acceptor),
         detector: FailureDetector::new(DETECTOR, n, 0),
         known: Some(FleetState::default()),
-        seen: ballot,
+        highest_ballot: ballot,
         round: None,
         orders: Vec::new(),
         running_digest: "first".into(),
--- a/consensus/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -1,5 +1,5 @@
-//! Every course that three members and their proposers can take, to a stated depth: each message may come late, twice, in
-//! any order or never, and a member may restart and remember nothing.
+//! Model check of the register with three members and their proposers, to a bounded depth. Each message may be delayed,
+//! duplicated, reordered or lost, and a member may restart without its state.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -11,9 +11,9 @@
 };
 
 const MEMBERS: usize = 3;
-const SAFETY: &str = "all that is agreed on follows on what was";
+const SAFETY: &str = "each chosen value extends the values chosen before";
 
-/// The state of the register: the marks of all changes, in their order.
+/// State of the register: the marks of all changes, oldest first.
 type History = Vec<u8>;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -23,14 +23,14 @@
     rounds: u8,
 }
 
-/// A request that was sent. It may arrive at any time, as often as it likes.
+/// A request that was sent. It may arrive at any time and any number of times.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SentRequest {
     from: usize,
     request: AcceptorRequest<History>,
 }
 
-/// A reply that was sent, which may arrive likewise.
+/// A reply that was sent. It may arrive at any time and any number of times.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct SentReply {
     member: usize,
@@ -48,13 +48,13 @@
     replies: Vec<SentReply>,
     chosen: Vec<History>,
     restarts: u8,
-    /// Two different values were chosen, neither of which was built on the other.
+    /// Whether two values were chosen of which neither extends the other.
     diverged: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
-    Begin(usize),
+    BeginRound(usize),
     DeliverRequest { request: usize, member: usize },
     DeliverReply(usize),
     Restart(usize),
@@ -77,14 +77,14 @@
         }
     }
 
-    fn step(&mut self, proposer: usize, step: RoundStep<History>) {
+    fn apply_step(&mut self, proposer: usize, step: RoundStep<History>) {
         match step {
             RoundStep::Wait => {}
             RoundStep::Superseded(_) => self.proposers[proposer].round = None,
             RoundStep::Propose(mut history) => {
-                // A mark of its own for each round.
+                // Each round adds a mark that no other round adds.
                 history.push(proposer as u8 * 10 + self.proposers[proposer].rounds);
-                self.proposers[proposer].round.as_mut().expect("it has one").propose(history);
+                self.proposers[proposer].round.as_mut().expect("the proposer has a round").propose(history);
                 self.send(proposer);
             }
             RoundStep::Chosen(value) => self.choose(proposer, value),
@@ -92,26 +92,25 @@
     }
 
     fn choose(&mut self, proposer: usize, value: RegisterValue<History>) {
-        let round = self.proposers[proposer].round.take().expect("it has one");
-        // The member that proposes takes part again, if this is still its incarnation.
+        let round = self.proposers[proposer].round.take().expect("the proposer has a round");
+        // A member that proposed in its current incarnation joins the council again.
         if proposer < MEMBERS && self.incarnations[proposer] == self.proposers[proposer].incarnation {
             self.members[proposer].join(Proposal { ballot: round.ballot(), value: value.clone() });
         }
         let new = value.state;
-        let follows = |old: &History| old.starts_with(&new) || new.starts_with(old);
-        self.diverged |= !self.chosen.iter().all(follows);
+        let compatible = |old: &History| old.starts_with(&new) || new.starts_with(old);
+        self.diverged |= !self.chosen.iter().all(compatible);
         if !self.chosen.contains(&new) {
             self.chosen.push(new);
             self.chosen.sort();
         }
     }
 
-    /// The last reply of a member to a request, if any.
-    fn last_reply(&self, member: usize, to: &SentRequest) -> Option<&AcceptorReply<History>> {
-        let mut replies = self
-            .replies
-            .iter()
-            .filter(|sent| sent.member == member && sent.to == to.from && sent.request == to.request);
+    /// Returns the member's last reply to a request.
+    fn last_reply(&self, member: usize, sent_request: &SentRequest) -> Option<&AcceptorReply<History>> {
+        let mut replies = self.replies.iter().filter(|sent| {
+            sent.member == member && sent.to == sent_request.from && sent.request == sent_request.request
+        });
         replies.next_back().map(|sent| &sent.reply)
     }
 }
@@ -125,7 +124,7 @@
         let uninitialized = |&incarnation: &u64| Some(MemberReport { incarnation, accepted: None });
         let uninitialized: Vec<_> = incarnations.iter().map(uninitialized).collect();
         let value: RegisterValue<History> =
-            bootstrap_value(&uninitialized, |_| vec![]).expect("all are uninitialized");
+            bootstrap_value(&uninitialized, |_| vec![]).expect("all members are uninitialized");
         let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         let members = incarnations.iter().map(|&incarnation| {
             let mut member = Acceptor::new(incarnation);
@@ -134,7 +133,7 @@
             member.with_defect(self.defect)
         });
         let members = members.collect();
-        // Members come first: they propose to take part again.
+        // The first proposers are the members, which propose only to join again.
         let proposers = (0..MEMBERS + self.proposers).map(|p| {
             let incarnation = incarnations.get(p).copied().unwrap_or(100 + p as u64);
             ProposerProcess { incarnation, round: None, rounds: 0 }
@@ -155,15 +154,15 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for (p, proposer) in state.proposers.iter().enumerate() {
-            // A member proposes only to take part again.
-            let may = p >= MEMBERS || !state.members[p].joined();
-            if proposer.round.is_none() && proposer.rounds < self.rounds && may {
-                actions.push(Action::Begin(p));
+            // A member proposes only to join the council again.
+            let may_propose = p >= MEMBERS || !state.members[p].joined();
+            if proposer.round.is_none() && proposer.rounds < self.rounds && may_propose {
+                actions.push(Action::BeginRound(p));
             }
         }
         for (request, sent) in state.requests.iter().enumerate() {
             for member in 0..MEMBERS {
-                // Once is enough where nothing has changed since; a second time may be answered otherwise.
+                // A request is delivered again only if the member would now reply differently; this bounds the search.
                 let reply = || state.members[member].clone().handle(sent.request.clone());
                 let last = state.last_reply(member, sent);
                 if last.is_none_or(|last| reply() != *last) {
@@ -180,7 +179,7 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut state = state.clone();
         match action {
-            Action::Begin(p) => self.begin(&mut state, p),
+            Action::BeginRound(p) => self.begin_round(&mut state, p),
             Action::DeliverRequest { request, member } => {
                 let SentRequest { from, request } = state.requests[request].clone();
                 let reply = state.members[member].handle(request.clone());
@@ -194,7 +193,7 @@
                 let SentReply { member, to, request, reply } = state.replies[reply].clone();
                 let round = state.proposers[to].round.as_mut()?;
                 let step = round.handle_reply(member as u8, &request, reply);
-                state.step(to, step);
+                state.apply_step(to, step);
             }
             Action::Restart(member) => {
                 state.restarts += 1;
@@ -211,8 +210,8 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(SAFETY, |_, state: &State| !state.diverged),
-            // Guards against a model in which nothing happens.
-            Property::sometimes("two changes are agreed on", |_, state: &State| {
+            // Guards against a model that chooses nothing.
+            Property::sometimes("a value with two changes is chosen", |_, state: &State| {
                 state.chosen.iter().any(|history| history.len() > 1)
             }),
         ]
@@ -220,11 +219,11 @@
 }
 
 impl RegisterModel {
-    fn begin(&self, state: &mut State, p: usize) {
+    fn begin_round(&self, state: &mut State, p: usize) {
         let proposer = &mut state.proposers[p];
         proposer.rounds += 1;
         let incarnation = proposer.incarnation;
-        // Numbers that overtake each other by turns.
+        // The ballots of different proposers overtake each other in turn.
         let number = 1 + u64::from(proposer.rounds);
         let ballot = Ballot { number, proposer: p as u16, incarnation };
         let joining = (p < MEMBERS).then_some(CouncilMember { member: p as u8, incarnation });
@@ -234,42 +233,43 @@
     }
 }
 
-fn check(model: RegisterModel, depth: usize) -> (usize, BTreeMap<&'static str, usize>) {
+fn explore(model: RegisterModel, depth: usize) -> (usize, BTreeMap<&'static str, usize>) {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
     let checked = model.checker().threads(threads).target_max_depth(depth).spawn_bfs().join();
     let found = checked.discoveries().into_iter().map(|(name, path)| (name, path.into_actions().len()));
     (checked.unique_state_count(), found.collect())
 }
 
-fn holds(plays: &[(u8, usize)]) {
-    for &(restarts, depth) in plays {
-        let (states, found) = check(RegisterModel { proposers: 2, rounds: 1, restarts, defect: None }, depth);
+fn check_safety(limits: &[(u8, usize)]) {
+    for &(restarts, depth) in limits {
+        let (states, found) =
+            explore(RegisterModel { proposers: 2, rounds: 1, restarts, defect: None }, depth);
         println!("{restarts} restarts, to depth {depth}: {states} states, {found:?}");
         assert!(!found.contains_key(SAFETY), "{found:?}");
     }
 }
 
-fn finds(plays: &[(Defect, u8, usize)]) {
-    for &(defect, restarts, depth) in plays {
+fn check_defects_are_detected(cases: &[(Defect, u8, usize)]) {
+    for &(defect, restarts, depth) in cases {
         let (states, found) =
-            check(RegisterModel { proposers: 2, rounds: 1, restarts, defect: Some(defect) }, depth);
+            explore(RegisterModel { proposers: 2, rounds: 1, restarts, defect: Some(defect) }, depth);
         println!("{defect:?}: {states} states, {found:?}");
-        assert!(found.contains_key(SAFETY), "{defect:?} is not found");
+        assert!(found.contains_key(SAFETY), "{defect:?} is not detected");
     }
 }
 
-/// As deep as seconds allow; the deep check below is run by hand, with `--release -- --ignored`.
+/// A shallow search that takes seconds. The deep search below is run by hand with `--release -- --ignored`.
 #[test]
-fn two_proposers_and_a_member_that_forgets_never_choose_diverging_values() {
-    holds(&[(0, 12), (1, 8)]);
-    finds(&[(Defect::OneShortOfMajority, 0, 12)]);
+fn two_proposers_and_a_member_that_loses_its_state_never_choose_diverging_values() {
+    check_safety(&[(0, 12), (1, 8)]);
+    check_defects_are_detected(&[(Defect::OneShortOfMajority, 0, 12)]);
 }
 
 #[test]
-#[ignore = "minutes"]
-fn the_same_deep_enough_for_two_changes_and_for_each_deliberate_defect() {
-    holds(&[(0, 20), (1, 14)]);
-    finds(&[
+#[ignore = "takes minutes"]
+fn deep_search_is_safe_and_detects_each_deliberate_defect() {
+    check_safety(&[(0, 20), (1, 14)]);
+    check_defects_are_detected(&[
         (Defect::CountsDuplicates, 0, 16),
         (Defect::ForgetsPromise, 0, 20),
         (Defect::AcceptsOlder, 0, 20),
--- a/consensus/tests/net/main.rs
+++ b/consensus/tests/net/main.rs
@@ -1,5 +1,5 @@
-//! The register on a simulated network: messages are lost, doubled, reordered and very late, members restart and remember
-//! nothing, proposers begin one round over the other. A seed that fails fails again.
+//! The register on a simulated network: messages are lost, duplicated, reordered and delayed, members restart without their
+//! state, and proposers begin concurrent rounds. A seed that fails always fails.
 #![allow(missing_docs)]
 
 mod earlier_promise;
@@ -8,16 +8,16 @@
 use network::{History, Network};
 use tallypin_consensus::register::Defect;
 
-/// Steps of a seed's run.
+/// Number of steps for each seed.
 const STEPS: usize = 700;
 
-/// Runs seeds; the agreements in all, or the first seed that fails and why.
-fn play(seeds: std::ops::Range<u64>, defect: Option<Defect>) -> Result<usize, (u64, String)> {
+/// Runs the seeds. Returns the total number of agreements, or the first seed that fails and the reason.
+fn run_seeds(seeds: std::ops::Range<u64>, defect: Option<Defect>) -> Result<usize, (u64, String)> {
     let mut agreements = 0;
     for seed in seeds {
         let mut network = Network::new(seed, if seed % 3 == 0 { 5 } else { 3 }, defect);
         for _ in 0..STEPS {
-            network.step().map_err(|why| (seed, why))?;
+            network.step().map_err(|reason| (seed, reason))?;
         }
         agreements += network.agreements;
     }
@@ -25,13 +25,17 @@
 }
 
 #[test]
-fn nothing_that_was_agreed_on_is_ever_lost_or_replaced() {
-    let agreements = play(0..10_000, None).unwrap_or_else(|(seed, why)| panic!("seed {seed}: {why}"));
+fn a_chosen_value_is_never_lost_or_replaced() {
+    let agreements =
+        run_seeds(0..10_000, None).unwrap_or_else(|(seed, reason)| panic!("seed {seed}: {reason}"));
     println!("{agreements} agreements in 10,000 seeds");
-    assert!(agreements > 10_000, "only {agreements}: the net is too bad to show anything");
+    assert!(
+        agreements > 10_000,
+        "only {agreements} agreements: the network is too lossy for the test to show anything"
+    );
 }
 
-/// Each guard of a promise is needed: without any one of them the same seeds find two processes that learn diverging values.
+/// Each guard of the protocol is needed: without any one of them, some seed leads two processes to learn diverging values.
 #[test]
 fn each_deliberate_defect_is_detected() {
     for defect in [
@@ -42,8 +46,8 @@
         Defect::AcceptsOlder,
         Defect::CountsDuplicates,
     ] {
-        let found = play(0..20_000, Some(defect));
-        let Err((seed, _)) = found else { panic!("{defect:?} is not found") };
-        println!("{defect:?}: found at seed {seed}");
+        let result = run_seeds(0..20_000, Some(defect));
+        let Err((seed, _)) = result else { panic!("{defect:?} is not detected") };
+        println!("{defect:?}: detected at seed {seed}");
     }
 }
--- a/consensus/tests/net/network.rs
+++ b/consensus/tests/net/network.rs
@@ -1,4 +1,4 @@
-//! Members, proposers and the messages between them.
+//! Council members, proposers and the messages between them.
 
 use fastrand::Rng;
 use tallypin_consensus::register::{
@@ -6,10 +6,10 @@
     MemberReport, Proposal, Proposer, RegisterValue, RoundStep,
 };
 
-/// All changes that were ever made, oldest first: each adds its own mark.
+/// State of the register: the marks of all changes, oldest first.
 pub type History = Vec<u32>;
 
-/// A message on its way. `read` is the number of the read that it belongs to; 0: it belongs to a round.
+/// A message in flight. `read` is the number of the read that the message belongs to, or 0 if it belongs to a round.
 #[derive(Clone)]
 enum Message {
     Request {
@@ -27,25 +27,25 @@
     },
 }
 
-/// One read without a round: its number, what members have reported, and how much was chosen when it began.
+/// A read without a round: its number, the members' reports, and the length of the chosen history when the read began.
 struct Read {
     number: u32,
     reports: Vec<Option<MemberReport<History>>>,
-    least: usize,
+    min_length: usize,
 }
 
 struct ProposerProcess {
     incarnation: u64,
-    seen: Ballot,
+    highest_ballot: Ballot,
     round: Option<Proposer<History>>,
     read: Option<Read>,
-    /// The member that it joins as.
-    joins: Option<usize>,
+    /// The member that joins the council with this round.
+    joining_member: Option<usize>,
 }
 
 impl ProposerProcess {
-    fn new(incarnation: u64, seen: Ballot) -> ProposerProcess {
-        ProposerProcess { incarnation, seen, round: None, read: None, joins: None }
+    fn new(incarnation: u64, highest_ballot: Ballot) -> ProposerProcess {
+        ProposerProcess { incarnation, highest_ballot, round: None, read: None, joining_member: None }
     }
 }
 
@@ -56,11 +56,11 @@
     incarnations: Vec<u64>,
     proposers: Vec<ProposerProcess>,
     in_flight: Vec<Message>,
-    /// The longest history that anyone has learnt is chosen.
+    /// Longest history that any process has learnt as chosen.
     chosen: History,
     pub agreements: usize,
-    marks: u32,
-    reads: u32,
+    mark_count: u32,
+    read_count: u32,
 }
 
 impl Network {
@@ -68,7 +68,8 @@
         let incarnations: Vec<u64> = (0..members as u64).collect();
         let uninitialized = |&incarnation: &u64| Some(MemberReport { incarnation, accepted: None });
         let uninitialized: Vec<_> = incarnations.iter().map(uninitialized).collect();
-        let value = bootstrap_value(&uninitialized, |_| History::new()).expect("all uninitialized");
+        let value =
+            bootstrap_value(&uninitialized, |_| History::new()).expect("all members are uninitialized");
         let mut all: Vec<Acceptor<History>> = incarnations.iter().map(|&of| Acceptor::new(of)).collect();
         let ballot = Ballot { number: 1, proposer: 0, incarnation: 0 };
         for member in &mut all {
@@ -76,7 +77,7 @@
             member.handle(AcceptorRequest::Bootstrap(Proposal { ballot, value: value.clone() }));
             *member = member.clone().with_defect(defect);
         }
-        // The first of them are the members themselves, which propose as well and join again.
+        // The first proposers are the members, which propose as well and join again after a restart.
         let proposer = |p: usize| ProposerProcess::new(p as u64, ballot);
         Network {
             rng: Rng::with_seed(seed),
@@ -87,12 +88,12 @@
             in_flight: Vec::new(),
             chosen: History::new(),
             agreements: 0,
-            marks: 0,
-            reads: 0,
+            mark_count: 0,
+            read_count: 0,
         }
     }
 
-    /// One random event. `Err`: two processes learnt different things.
+    /// Handles one random event. Fails if two processes learn diverging values or a read returns an outdated one.
     pub fn step(&mut self) -> Result<(), String> {
         match self.rng.u32(..100) {
             0..=3 => {
@@ -107,12 +108,12 @@
                 let proposer = self.rng.usize(..self.proposers.len());
                 self.begin_read(proposer);
             }
-            // Lost.
+            // A message is lost.
             5..=9 if !self.in_flight.is_empty() => {
                 let message = self.rng.usize(..self.in_flight.len());
                 self.in_flight.swap_remove(message);
             }
-            // Delivered, and still in flight.
+            // A message is delivered and stays in flight as a duplicate.
             10..=14 if !self.in_flight.is_empty() => {
                 let message = self.rng.usize(..self.in_flight.len());
                 let message = self.in_flight[message].clone();
@@ -144,27 +145,29 @@
         let members = self.members.len();
         let proposer = &mut self.proposers[p];
         let incarnation = proposer.incarnation;
-        let ballot = Ballot { number: 0, proposer: p as u16, incarnation }.above(proposer.seen);
-        proposer.seen = ballot;
-        proposer.joins = (p < members && !self.members[p].joined()).then_some(p);
-        let joining = proposer.joins.map(|m| CouncilMember { member: m as u8, incarnation });
+        let ballot = Ballot { number: 0, proposer: p as u16, incarnation }.above(proposer.highest_ballot);
+        proposer.highest_ballot = ballot;
+        proposer.joining_member = (p < members && !self.members[p].joined()).then_some(p);
+        let joining = proposer.joining_member.map(|m| CouncilMember { member: m as u8, incarnation });
         let round = Proposer::joining(ballot, members, joining.into_iter().collect());
         proposer.round = Some(round.with_defect(self.defect));
         self.send_round(p);
     }
 
     fn begin_read(&mut self, p: usize) {
-        self.reads += 1;
+        self.read_count += 1;
         let reports = vec![None; self.members.len()];
-        self.proposers[p].read = Some(Read { number: self.reads, reports, least: self.chosen.len() });
-        self.send_all(p, &AcceptorRequest::Read, self.reads);
+        self.proposers[p].read =
+            Some(Read { number: self.read_count, reports, min_length: self.chosen.len() });
+        self.send_all(p, &AcceptorRequest::Read, self.read_count);
     }
 
-    /// A member restarts, and with it what it was proposing.
+    /// Restarts a member without its state and drops its round.
     fn restart(&mut self, member: usize) {
-        let others = (0..self.members.len()).filter(|&o| o != member && self.members[o].joined()).count();
-        if others == 0 {
-            return; // Nobody would remember anything: a council that begins anew, which is another matter.
+        let others_joined =
+            (0..self.members.len()).filter(|&o| o != member && self.members[o].joined()).count();
+        if others_joined == 0 {
+            return; // Without any member that keeps its state, the council would have to be initialized again.
         }
         let incarnation = self.incarnations.iter().max().expect("there are members") + 100;
         self.incarnations[member] = incarnation;
@@ -182,19 +185,19 @@
             Message::Reply { from, to, request, reply, read } => {
                 let proposer = &mut self.proposers[to];
                 if let AcceptorReply::Superseded(seen) = &reply {
-                    proposer.seen = proposer.seen.max(*seen);
+                    proposer.highest_ballot = proposer.highest_ballot.max(*seen);
                 }
                 match reply {
                     AcceptorReply::Current { incarnation, accepted } => {
-                        self.reply_to_read(from, to, read, MemberReport { incarnation, accepted })
+                        self.handle_read_reply(from, to, read, MemberReport { incarnation, accepted })
                     }
-                    reply => self.reply_to_round(from, to, &request, reply),
+                    reply => self.handle_round_reply(from, to, &request, reply),
                 }
             }
         }
     }
 
-    fn reply_to_read(
+    fn handle_read_reply(
         &mut self,
         from: usize,
         to: usize,
@@ -202,21 +205,23 @@
         report: MemberReport<History>,
     ) -> Result<(), String> {
         let proposer = &mut self.proposers[to];
-        // A reply to an earlier read says nothing of now.
+        // A reply to an earlier read may be outdated.
         let Some(read) = proposer.read.as_mut().filter(|read| read.number == number) else {
             return Ok(());
         };
         read.reports[from] = Some(report);
         let Some(chosen) = chosen_value(&read.reports) else { return Ok(()) };
-        let (history, least) = (chosen.value.state, read.least);
+        let (history, min_length) = (chosen.value.state, read.min_length);
         proposer.read = None;
-        match history.len() < least {
-            true => Err(format!("{history:?} is old news, {least} were agreed on")),
-            false => self.learn(history),
+        match history.len() < min_length {
+            true => Err(format!(
+                "read returned {history:?}, but {min_length} changes were chosen before it began"
+            )),
+            false => self.record_chosen(history),
         }
     }
 
-    fn reply_to_round(
+    fn handle_round_reply(
         &mut self,
         from: usize,
         to: usize,
@@ -231,8 +236,8 @@
                 Ok(())
             }
             RoundStep::Propose(mut history) => {
-                self.marks += 1;
-                history.push(self.marks);
+                self.mark_count += 1;
+                history.push(self.mark_count);
                 round.propose(history);
                 self.send_round(to);
                 Ok(())
@@ -248,21 +253,21 @@
         let proposer = &mut self.proposers[p];
         proposer.round = None;
         let incarnation = proposer.incarnation;
-        if let Some(member) = proposer.joins.filter(|&m| self.incarnations[m] == incarnation) {
+        if let Some(member) = proposer.joining_member.filter(|&m| self.incarnations[m] == incarnation) {
             self.members[member].join(chosen.clone());
         }
         let RegisterValue { state, .. } = chosen.value;
-        self.learn(state)
+        self.record_chosen(state)
     }
 
-    /// Someone has learnt that this is chosen.
-    fn learn(&mut self, history: History) -> Result<(), String> {
+    /// Records that a process has learnt this history as chosen.
+    fn record_chosen(&mut self, history: History) -> Result<(), String> {
         let (short, long) = match history.len() < self.chosen.len() {
             true => (&history, &self.chosen),
             false => (&self.chosen, &history),
         };
         if !long.starts_with(short) {
-            return Err(format!("{:?} and {history:?} were both agreed on", self.chosen));
+            return Err(format!("diverging histories {:?} and {history:?} were both chosen", self.chosen));
         }
         self.agreements += 1;
         self.chosen = long.clone();
