--- a/consensus/tests/recorded/drain_lease.rs
+++ b/consensus/tests/recorded/drain_lease.rs
@@ -1,4 +1,4 @@
-//! What a router does about its drain, and which routers keep a replica from being clear.
+//! Steps of a router under its drain lease, and the routers that still use a drained replica.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -29,9 +29,9 @@
     }
 }
 
-/// Holders that are looked at after 10 s: one that has not asked; leases that were granted in time, just within it and at
-/// its very end; requests that were rejected recently and long ago; and an outcome that is not of a lease.
-fn holders() -> Vec<LeaseHolder> {
+/// Lease holders for a step at 10 s: one without a request; leases granted well before their expiry, just before it and
+/// at it; requests that were rejected recently and long ago; and the outcome of a command that requests no lease.
+fn lease_holders() -> Vec<LeaseHolder> {
     let me = RouterIncarnation { router: ROUTER, incarnation: INCARNATION };
     let lease = || Command::AcquireLease(me);
     let release_lease = || {
@@ -70,7 +70,7 @@
     r#"{"back":8}"#,
 ];
 
-fn state(stage: Option<DrainStage>, target: Option<&str>, halted: bool) -> FleetState {
+fn fleet_state(stage: Option<DrainStage>, target: Option<&str>, halted: bool) -> FleetState {
     let entry = |stage| {
         let target_digest = target.map(str::to_string);
         (ROUTER, DrainEntry { stage, order: "d".into(), target_digest, attempts: 0 })
@@ -79,10 +79,10 @@
     FleetState { halted, drains: stage.map(entry).into_iter().collect(), ..FleetState::default() }
 }
 
-/// Each stage of a drain, by what the router does and runs and what became of its lease.
+/// Combines each stage of a drain with the router's phase, its running file and the outcome of its lease request.
 #[test]
 fn a_router_follows_its_drain_lease_as_recorded() {
-    let holders = holders();
+    let holders = lease_holders();
     let mut transcript = String::new();
     let digests = [
         (None, None),
@@ -100,29 +100,30 @@
     for stage in STAGES.map(parse::<Option<DrainStage>>) {
         for (target, running) in digests {
             for (phase, halted) in phases {
-                let state = state(stage, target, halted);
+                let state = fleet_state(stage, target, halted);
                 let stage = json(&stage);
                 let serving = if phase == LocalPhase::Serving { "serving" } else { "out" };
                 writeln!(transcript, "{stage} to {target:?} runs {running:?} {serving} halted {halted}")
-                    .expect("text");
+                    .expect("writes to a string");
                 let steps =
                     holders.iter().map(|holder| describe(holder.next_step(10 * S, &state, phase, running)));
-                writeln!(transcript, "  {}", steps.collect::<Vec<_>>().join(" | ")).expect("text");
-                let since =
+                writeln!(transcript, "  {}", steps.collect::<Vec<_>>().join(" | "))
+                    .expect("writes to a string");
+                let elapsed =
                     [Duration::ZERO, TIMING.safe_expiry(), TIMING.safe_expiry() + Duration::from_nanos(1)];
-                let effective = since.map(|since| halt_is_effective(&TIMING, since, &state));
-                writeln!(transcript, "  {effective:?}").expect("text");
+                let effective = elapsed.map(|elapsed| halt_is_effective(&TIMING, elapsed, &state));
+                writeln!(transcript, "  {effective:?}").expect("writes to a string");
             }
         }
     }
     let expiry = [TIMING, LeaseTiming { drift_divisor: 0, ..TIMING }];
     let expiry = expiry.map(|timing| timing.safe_expiry().as_nanos());
-    writeln!(transcript, "a leave is over after {expiry:?}").expect("text");
+    writeln!(transcript, "a leave is over after {expiry:?}").expect("writes to a string");
     compare("leave.txt", &transcript);
 }
 
 #[test]
-fn routers_that_keep_a_replica_from_being_clear_are_as_recorded() {
+fn routers_that_still_use_a_drained_replica_are_as_recorded() {
     let applied: [AppliedState; 3] = [
         parse(r#"{"version":4,"open":[]}"#),
         parse(r#"{"version":5,"open":["n1"]}"#),
@@ -132,9 +133,9 @@
     let reports = applied.iter().map(Some).chain([None]);
     let uses: Vec<ReplicaUse> =
         reports.flat_map(|applied| [false, true].map(|has_left| ReplicaUse { applied, has_left })).collect();
-    for (replica, since) in [("n1", 5), ("n2", 5), ("n4", 5), ("n4", 7), ("n1", 0)] {
-        let routers = routers_not_clear(replica, since, &uses);
-        writeln!(transcript, "{replica} out since {since}: {routers:?}").expect("text");
+    for (replica, order_version) in [("n1", 5), ("n2", 5), ("n4", 5), ("n4", 7), ("n1", 0)] {
+        let routers = routers_not_clear(replica, order_version, &uses);
+        writeln!(transcript, "{replica} out since {order_version}: {routers:?}").expect("writes to a string");
     }
     compare("unclear.txt", &transcript);
 }
--- a/consensus/tests/recorded/forms.rs
+++ b/consensus/tests/recorded/forms.rs
@@ -1,4 +1,4 @@
-//! The JSON of commands, rejections and messages, and what is read of earlier forms.
+//! The JSON forms of commands, rejections and messages, including the forms of earlier versions.
 
 use std::collections::BTreeSet;
 use std::fmt::{Debug, Write};
@@ -73,8 +73,8 @@
 }
 
 fn commands() -> Vec<Command> {
-    let joins = Command::JoinCouncil(CouncilMember { member: 6, incarnation: u64::MAX });
-    [vec![Command::Read, joins], operator_orders(), router_commands()].concat()
+    let join = Command::JoinCouncil(CouncilMember { member: 6, incarnation: u64::MAX });
+    [vec![Command::Read, join], operator_orders(), router_commands()].concat()
 }
 
 fn rejections() -> Vec<Rejection> {
@@ -113,7 +113,7 @@
 #[test]
 fn commands_have_their_recorded_form() {
     let kinds = variants(&commands());
-    assert_eq!(kinds.len(), 21, "each variant is here: {kinds:?}");
+    assert_eq!(kinds.len(), 21, "the list must contain each variant: {kinds:?}");
     let orders: Vec<Command> = commands().into_iter().filter(Command::is_operator_order).collect();
     compare("commands.txt", &format!("{}orders {:?}\n", lines(&commands()), variants(&orders)));
 }
@@ -121,7 +121,7 @@
 #[test]
 fn rejections_have_their_recorded_form_and_text() {
     let kinds = variants(&rejections());
-    assert_eq!(kinds.len(), 17, "each variant is here: {kinds:?}");
+    assert_eq!(kinds.len(), 17, "the list must contain each variant: {kinds:?}");
     let form_and_text = |rejection: &Rejection| format!("{}\n  {rejection}\n", round_trip(rejection));
     let each: String = rejections().iter().map(form_and_text).collect();
     compare("rejections.txt", &each);
@@ -152,30 +152,30 @@
     compare("register-messages.txt", &(lines(&requests) + &lines(&replies) + &lines(&[with_state])));
 }
 
-/// What is read, in forms of earlier versions too, and how it is written then.
+/// Reads each form, also those of earlier versions, and writes the value again.
 #[test]
 fn forms_with_absent_fields_are_read_as_recorded() {
-    fn as_read<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> String {
+    fn read_and_write<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> String {
         from_str::<T>(text).map_or_else(|_| "not read".into(), |value| round_trip(&value))
     }
     let mut transcript = String::new();
     for line in read("forms.txt").lines() {
         let (kind, text) = line.split_once(' ').expect("a kind and JSON");
         let form = match kind {
-            "document" => as_read::<FleetState>(text),
-            "entry" => as_read::<DrainEntry>(text),
-            "command" => as_read::<Command>(text),
-            "rejection" => as_read::<Rejection>(text),
-            "answer" => as_read::<AcceptorReply<u64>>(text),
-            "ask" => as_read::<AcceptorRequest<u64>>(text),
-            "plan" => as_read::<ReleasePlan>(text),
-            "counts" => as_read::<AnswerCounts>(text),
-            "follows" => as_read::<AppliedState>(text),
-            "says" => as_read::<AdvertisedStatus>(text),
-            "standing" => as_read::<PeerStatus>(text),
-            other => panic!("no such kind: {other}"),
+            "document" => read_and_write::<FleetState>(text),
+            "entry" => read_and_write::<DrainEntry>(text),
+            "command" => read_and_write::<Command>(text),
+            "rejection" => read_and_write::<Rejection>(text),
+            "answer" => read_and_write::<AcceptorReply<u64>>(text),
+            "ask" => read_and_write::<AcceptorRequest<u64>>(text),
+            "plan" => read_and_write::<ReleasePlan>(text),
+            "counts" => read_and_write::<AnswerCounts>(text),
+            "follows" => read_and_write::<AppliedState>(text),
+            "says" => read_and_write::<AdvertisedStatus>(text),
+            "standing" => read_and_write::<PeerStatus>(text),
+            other => panic!("unknown kind: {other}"),
         };
-        writeln!(transcript, "{kind} {text}\n= {form}").expect("text");
+        writeln!(transcript, "{kind} {text}\n= {form}").expect("writes to a string");
     }
     compare("forms-read.txt", &transcript);
 }
--- a/consensus/tests/recorded/main.rs
+++ b/consensus/tests/recorded/main.rs
@@ -1,9 +1,8 @@
-//! The serialized forms and the decisions of the fleet state, the register, the drain lease and the release monitor, as
-//! recorded from the program in use. What routers of two versions send each other, store and decide stays byte for byte.
+//! Compares the serialized forms and the decisions of the fleet state, the register, the drain lease and the release monitor
+//! with recorded files. Routers of different versions exchange, store and decide the same, byte for byte.
 //!
-//! `script.txt`, `forms.txt`, `asks.txt` and `rounds.txt` are input, in the wire's JSON; the other files hold what came of
-//! it. `RECORD=1 cargo test` writes these anew, which is right only for a change that is meant to alter what the program
-//! does.
+//! `script.txt`, `forms.txt`, `asks.txt` and `rounds.txt` are input, in the JSON of the wire; the other files are expected
+//! output. `RECORD=1 cargo test` writes the output files again; do this only for an intended change of behaviour.
 #![allow(missing_docs)]
 
 mod commands;
--- a/consensus/tests/recorded/register.rs
+++ b/consensus/tests/recorded/register.rs
@@ -1,4 +1,4 @@
-//! The acceptor, the proposer and the look-ups of the register, over a state that is a number.
+//! The acceptor, the proposer and the read functions of the register, with a number as state.
 
 use std::fmt::Write;
 
@@ -13,24 +13,25 @@
     Ballot { number, proposer, incarnation }
 }
 
-/// One member that starts uninitialized, is asked this, and replies that.
+/// An acceptor that starts uninitialized handles the recorded requests.
 #[test]
 fn an_acceptor_replies_as_recorded() {
     let mut transcript = String::new();
     for stored in [None, Some(5)] {
         let mut acceptor: Acceptor<u64> = Acceptor::new(7).with_stored(stored);
-        writeln!(transcript, "blank, stored {}", json(&stored)).expect("text");
+        writeln!(transcript, "blank, stored {}", json(&stored)).expect("writes to a string");
         for line in read("asks.txt").lines() {
             if let Some(chosen) = line.strip_prefix("join ") {
                 acceptor.join(parse::<Proposal<u64>>(chosen));
-                writeln!(transcript, "{line}").expect("text");
+                writeln!(transcript, "{line}").expect("writes to a string");
             } else {
                 let request: AcceptorRequest<u64> = parse(line);
-                let asked = round_trip(&request);
-                writeln!(transcript, "{asked}\n= {}", round_trip(&acceptor.handle(request))).expect("text");
+                let request_json = round_trip(&request);
+                writeln!(transcript, "{request_json}\n= {}", round_trip(&acceptor.handle(request)))
+                    .expect("writes to a string");
             }
             let (joined, accepted) = (acceptor.joined(), json(&acceptor.accepted()));
-            writeln!(transcript, "  joined {joined}, taken {accepted}").expect("text");
+            writeln!(transcript, "  joined {joined}, taken {accepted}").expect("writes to a string");
         }
     }
     compare("member-answers.txt", &transcript);
@@ -45,7 +46,7 @@
     }
 }
 
-/// Rounds that receive these replies; each adds one to the state that it reads.
+/// Rounds that receive the recorded replies; each round increments the state that it reads.
 #[test]
 fn rounds_proceed_as_recorded() {
     let mut transcript = String::new();
@@ -59,47 +60,49 @@
                 false => Proposer::joining(ballot(5, 9, 1), 3, joining),
             };
             prepare = round.request();
-            writeln!(transcript, "{line}\n  asks {}", round_trip(&round.request())).expect("text");
+            writeln!(transcript, "{line}\n  asks {}", round_trip(&round.request()))
+                .expect("writes to a string");
             continue;
         }
-        let (late, line) = line.strip_prefix("late ").map_or((false, line), |line| (true, line));
+        let (delayed, line) = line.strip_prefix("late ").map_or((false, line), |line| (true, line));
         let (from, reply): (u8, AcceptorReply<u64>) = parse(line);
-        let request = if late { prepare.clone() } else { round.request() };
+        let request = if delayed { prepare.clone() } else { round.request() };
         let step = round.handle_reply(from, &request, reply);
         if let RoundStep::Propose(state) = &step {
             prepare = round.request();
             round.propose(state + 1);
         }
         let (step, request) = (describe(step), round_trip(&round.request()));
-        writeln!(transcript, "{line}\n= {step}\n  asks {request}").expect("text");
+        writeln!(transcript, "{line}\n= {step}\n  asks {request}").expect("writes to a string");
     }
     compare("rounds-played.txt", &transcript);
 }
 
-/// All that three members can report, of two values and two incarnations each.
+/// All combinations of reports of three members, with two values and two incarnations each.
 #[test]
-fn the_chosen_value_and_the_first_value_are_as_recorded() {
+fn chosen_and_bootstrap_values_are_as_recorded() {
     let proposal = |ballot, incarnations: &[u64], state: u64| {
         Some(Proposal { ballot, value: RegisterValue { incarnations: incarnations.to_vec(), state } })
     };
     let proposals =
         [None, proposal(ballot(2, 0, 0), &[1, 2, 3], 10), proposal(ballot(4, 1, 0), &[11, 2, 3], 20)];
-    let report = |member: u64, k: usize| match k {
+    let report = |member: u64, case: usize| match case {
         0 => None,
-        k => Some(MemberReport {
-            incarnation: if k < 4 { member + 1 } else { member + 11 },
-            accepted: proposals[(k - 1) % 3].clone(),
+        case => Some(MemberReport {
+            incarnation: if case < 4 { member + 1 } else { member + 11 },
+            accepted: proposals[(case - 1) % 3].clone(),
         }),
     };
     let mut transcript = String::new();
     for k in 0..7 * 7 * 7 {
         let reports: Vec<_> = (0..).zip([k / 49, k / 7 % 7, k % 7]).map(|(m, k)| report(m, k)).collect();
         let chosen = chosen_value(&reports).map(|chosen| (chosen.ballot.number, chosen.value.state));
-        let first = bootstrap_value(&reports, |known| known.map_or(0, |state| state + 1));
-        writeln!(transcript, "{} {} {}", reports.len(), json(&chosen), json(&first)).expect("text");
+        let bootstrap = bootstrap_value(&reports, |known| known.map_or(0, |state| state + 1));
+        writeln!(transcript, "{} {} {}", reports.len(), json(&chosen), json(&bootstrap))
+            .expect("writes to a string");
     }
     let above = ballot(0, 3, 9).above(ballot(7, 8, 1));
     let last = ballot(u64::MAX, 3, 9).above(ballot(7, 8, 1));
-    writeln!(transcript, "{} {}", json(&above), json(&last)).expect("text");
+    writeln!(transcript, "{} {}", json(&above), json(&last)).expect("writes to a string");
     compare("register-look-ups.txt", &transcript);
 }
