--- a/simulator/src/compare.rs
+++ b/simulator/src/compare.rs
@@ -1,5 +1,5 @@
-//! Policies side by side over many seeds: means with confidence intervals, and paired differences, as all meet the same
-//! days.
+//! Comparison of policies over many seeds: means with confidence intervals, and differences paired by seed, since each seed
+//! gives all policies the same arrivals.
 
 use crate::policy;
 use crate::world::{Figures, Plan, World};
@@ -11,29 +11,29 @@
 pub struct Mean {
     /// The mean.
     pub mean: f64,
-    /// Half of the interval; infinite for a single value.
-    pub half: f64,
+    /// Half-width of the interval; infinite for fewer than two values.
+    pub half_width: f64,
 }
 
 impl Mean {
-    /// Of some values; of none it is 0, and infinitely unsure.
+    /// Returns the mean of the values and its interval; the mean of no values is 0.
     pub fn of(values: &[f64]) -> Mean {
         let n = values.len() as f64;
         let mean = if values.is_empty() { 0.0 } else { values.iter().sum::<f64>() / n };
         if values.len() < 2 {
-            return Mean { mean, half: f64::INFINITY };
+            return Mean { mean, half_width: f64::INFINITY };
         }
         let var = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (n - 1.0);
-        Mean { mean, half: student(values.len() - 1) * (var / n).sqrt() }
+        Mean { mean, half_width: student_t_quantile(values.len() - 1) * (var / n).sqrt() }
     }
 }
 
-/// The 0.975 quantile of Student's t for so many degrees: the expansion about the normal quantile of Abramowitz and
-/// Stegun, 26.7.5, good to 0.01 from 4 degrees on, and the values themselves below.
-pub fn student(degrees: usize) -> f64 {
-    const FEW: [f64; 3] = [12.706, 4.303, 3.182];
-    if let Some(few) = degrees.checked_sub(1).and_then(|i| FEW.get(i)) {
-        return *few;
+/// Returns the 0.975 quantile of Student's t distribution. From 4 degrees of freedom it uses the expansion of Abramowitz and
+/// Stegun, 26.7.5, with an error below 0.01; for fewer degrees it uses tabulated values.
+pub fn student_t_quantile(degrees: usize) -> f64 {
+    const TABLE: [f64; 3] = [12.706, 4.303, 3.182];
+    if let Some(quantile) = degrees.checked_sub(1).and_then(|i| TABLE.get(i)) {
+        return *quantile;
     }
     let (z, v) = (1.959_964, degrees.max(1) as f64);
     let g1 = (z * z * z + z) / 4.0;
@@ -42,62 +42,62 @@
     z + g1 / v + g2 / v.powi(2) + g3 / v.powi(3)
 }
 
-/// One day of one policy.
+/// The result of one policy with one seed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Day {
-    /// Which policy, by its place in what was asked for.
+pub struct SeedResult {
+    /// Index of the policy in the list of compared policies.
     pub policy: usize,
     /// The seed.
     pub seed: u64,
-    /// What became of it.
+    /// Figures of the run.
     pub figures: Figures,
 }
 
-impl Day {
-    /// The share of requests served in time.
-    pub fn in_time(&self) -> f64 {
-        self.figures.in_time as f64 / self.figures.came.max(1) as f64
+impl SeedResult {
+    /// Returns the share of requests served within the latency objective.
+    pub fn in_time_share(&self) -> f64 {
+        self.figures.in_time as f64 / self.figures.requests.max(1) as f64
     }
 }
 
-/// Plays each policy on each seed, on so many threads; days in the order of seeds, then policies, whatever the threads.
-/// `done` is told of each that is finished.
-pub fn play(
+/// Runs each policy with each seed on several threads. Results are in the order of seeds, then policies, for any number of
+/// threads. `on_result` is called with each result.
+pub fn run_all(
     plan: &Plan,
     policies: &[&str],
     seeds: &[u64],
     threads: usize,
-    done: impl Fn(&Day) + Sync,
-) -> Vec<Day> {
-    let todo: Vec<(u64, usize)> =
+    on_result: impl Fn(&SeedResult) + Sync,
+) -> Vec<SeedResult> {
+    let tasks: Vec<(u64, usize)> =
         seeds.iter().flat_map(|&s| (0..policies.len()).map(move |p| (s, p))).collect();
-    let (next, days) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    let (next_task, results) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..threads.clamp(1, todo.len().max(1)) {
+        for _ in 0..threads.clamp(1, tasks.len().max(1)) {
             scope.spawn(|| {
-                while let Some(&(seed, policy)) = todo.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let Some(make) = policy::by_name(policies[policy]) else { continue };
+                while let Some(&(seed, policy)) = tasks.get(next_task.fetch_add(1, Ordering::Relaxed)) {
+                    let Some(factory) = policy::by_name(policies[policy]) else { continue };
                     let plan = Plan { seed, ..plan.clone() };
-                    let day = Day { policy, seed, figures: World::new(&plan, make).play() };
-                    done(&day);
-                    days.lock().unwrap_or_else(|e| e.into_inner()).push(day);
+                    let result = SeedResult { policy, seed, figures: World::new(&plan, factory).run() };
+                    on_result(&result);
+                    results.lock().unwrap_or_else(|e| e.into_inner()).push(result);
                 }
             });
         }
     });
-    let mut days = days.into_inner().unwrap_or_else(|e| e.into_inner());
-    days.sort_by_key(|d| (d.seed, d.policy));
-    days
+    let mut results = results.into_inner().unwrap_or_else(|e| e.into_inner());
+    results.sort_by_key(|r| (r.seed, r.policy));
+    results
 }
 
-/// A policy's line: its share in time, and the paired difference to the first policy.
-pub fn table(days: &[Day], policies: usize) -> Vec<(Mean, Mean)> {
-    let of = |p: usize| days.iter().filter(move |d| d.policy == p).map(Day::in_time);
+/// Returns for each policy its mean in-time share and the paired difference to the first policy.
+pub fn summarize(results: &[SeedResult], policies: usize) -> Vec<(Mean, Mean)> {
+    let shares = |p: usize| results.iter().filter(move |r| r.policy == p).map(SeedResult::in_time_share);
     (0..policies)
         .map(|p| {
-            let own: Vec<f64> = of(p).collect();
-            let apart: Vec<f64> = of(p).zip(of(0)).map(|(a, b)| a - b).collect();
-            (Mean::of(&own), Mean::of(&apart))
+            let own: Vec<f64> = shares(p).collect();
+            let differences: Vec<f64> = shares(p).zip(shares(0)).map(|(a, b)| a - b).collect();
+            (Mean::of(&own), Mean::of(&differences))
         })
         .collect()
 }
--- a/simulator/src/draw.rs
+++ b/simulator/src/draw.rs
@@ -1,11 +1,11 @@
-//! Random draws from named streams of one seed: what one part of the world draws moves nothing in another, so two
-//! policies meet the same arrivals, prompts and troubles however differently they decide.
+//! Independent random streams of one seed, chosen by name. Random numbers that one part of the simulation uses do not change
+//! those of another, so that all policies see the same arrivals, prompts and faults.
 
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::hash::Hasher;
 
-/// A stream of the seed. ChaCha has 2^64 of them for each key (Bernstein, 2008); the name picks one.
+/// Returns the seed's random stream of this name. ChaCha has 2^64 streams for each key (Bernstein, 2008).
 pub fn stream(seed: u64, name: &str) -> ChaCha8Rng {
     let mut hash = fnv::FnvHasher::default();
     hash.write(name.as_bytes());
--- a/simulator/src/engine.rs
+++ b/simulator/src/engine.rs
@@ -1,351 +1,373 @@
-//! A model node that works in steps: continuous batching with prompts read in chunks (Orca: Yu et al., 2022;
-//! Sarathi-Serve: Agrawal et al., 2024), one memory for running requests and kept beginnings (vLLM: Kwon et al., 2023).
+//! Model of an inference node that works in steps: continuous batching with chunked prefill (Orca: Yu et al., 2022;
+//! Sarathi-Serve: Agrawal et al., 2024), and one memory for running requests and the prefix cache (vLLM: Kwon et al., 2023).
 //!
-//! A step reads up to a set number of prompt tokens, first come first, and makes one token for every request whose
-//! prompt is read. It takes longer the more requests run, the longer their contexts are and the more it reads. A
-//! request that comes waits for the step's end. No time passes in here by itself: who drives the node asks when its step
-//! ends and calls [`Engine::step`] then.
+//! A step prefills up to a fixed number of prompt tokens, in the order of the batch, and generates one token for each request
+//! whose prompt is prefilled. Its duration grows with the number of running requests, with their context lengths and with the
+//! prefilled tokens. A new request waits for the end of the current step. The engine has no clock: its caller reads when the
+//! step ends and then calls [`Engine::finish_step`].
 //!
-//! Left out: what a transfer of kept prompts between nodes would do, several devices in one node, speculative decoding.
+//! Not modelled: transfer of cached prompts between nodes, several devices in one node, speculative decoding.
 
-use crate::kept::Kept;
+use crate::kept::PrefixCache;
 use crate::queue::Time;
 use std::collections::VecDeque;
 
-/// What a kind of node can do.
+/// Capabilities of a kind of node. Durations are in ns.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kind {
-    /// Requests in a batch.
-    pub slots: u32,
-    /// Requests that may wait; beyond it the answer is 'full'.
-    pub queue: u32,
-    /// Memory, tokens.
-    pub memory: u64,
-    /// Tokens in a block of kept beginnings.
-    pub block: u32,
-    /// Prompt tokens read in a step at the most.
-    pub chunk: u32,
-    /// A step by itself, ns.
-    pub step: f64,
-    /// Each running request adds, ns.
-    pub per_request: f64,
-    /// Each token of the contexts adds, ns.
-    pub per_context: f64,
-    /// Each prompt token read adds, ns.
-    pub per_read: f64,
-    /// Complete answers are kept, too.
-    pub keeps_made: bool,
-    /// Held requests (running and waiting) beyond this share of slots and queue slow every step, in proportion, up to
-    /// twice; 1: never.
-    pub crowded: f64,
+pub struct NodeKind {
+    /// Maximum number of requests in the batch.
+    pub max_batch_size: u32,
+    /// Maximum number of waiting requests; the node rejects further ones.
+    pub max_waiting: u32,
+    /// Memory for running requests and the prefix cache, in tokens.
+    pub memory_tokens: u64,
+    /// Tokens in a block of the prefix cache.
+    pub block_tokens: u32,
+    /// Maximum number of prompt tokens prefilled in a step.
+    pub prefill_chunk_tokens: u32,
+    /// Base duration of a step, ns.
+    pub step_base_ns: f64,
+    /// Duration that each running request adds to a step, ns.
+    pub per_request_ns: f64,
+    /// Duration that each context token adds to a step, ns.
+    pub per_context_token_ns: f64,
+    /// Duration that each prefilled token adds to a step, ns.
+    pub per_prefill_token_ns: f64,
+    /// Whether the prefix cache also stores complete answers.
+    pub caches_answers: bool,
+    /// Share of all places (`max_batch_size` plus `max_waiting`) in use above which steps slow down in proportion, to half speed
+    /// when all places are in use. 1 disables the slowdown.
+    pub crowding_threshold: f64,
 }
 
-/// A request as the node gets it, and the true length of its answer.
+/// A request as the node receives it, with the true length of its answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Job {
-    /// Its name, told with all that becomes of it.
+    /// Id that is reported with the request's progress.
     pub id: u64,
-    /// The session, which keeps what it has beyond the shared beginning.
+    /// Key of the session, under which the prompt after the shared prefix is cached.
     pub session: u64,
-    /// The shared beginning; 0: none.
+    /// Key of the shared prefix; 0 if there is none.
     pub prefix: u64,
-    /// Its tokens; within the prompt.
+    /// Tokens of the shared prefix; they are part of the prompt.
     pub prefix_tokens: u32,
     /// Tokens in the prompt.
-    pub prompt: u32,
-    /// Tokens in the answer, 1 at the least.
-    pub answer: u32,
+    pub prompt_tokens: u32,
+    /// Tokens in the answer, at least 1.
+    pub answer_tokens: u32,
 }
 
-/// What became of a request.
+/// Progress of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
-    /// The first token.
-    First {
-        /// Which.
+pub enum Progress {
+    /// The first token was generated.
+    FirstToken {
+        /// Id of the request.
         id: u64,
-        /// Prompt tokens found kept.
-        kept: u32,
+        /// Prompt tokens found in the prefix cache.
+        cached_tokens: u32,
     },
-    /// The last one.
-    Done {
-        /// Which.
+    /// The last token was generated.
+    Completed {
+        /// Id of the request.
         id: u64,
-        /// Prompt tokens found kept.
-        kept: u32,
+        /// Prompt tokens found in the prefix cache.
+        cached_tokens: u32,
     },
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Request {
     job: Job,
-    /// Prompt tokens found kept when it was first taken into the batch.
-    found: Option<u32>,
-    /// Prompt and made tokens to be read before it goes on, tokens made so far.
-    unread: u32,
-    made: u32,
-    /// Memory of its own, tokens: what it does not share with kept runs.
-    own: u64,
+    /// Prompt tokens found in the prefix cache when the request first entered the batch.
+    cached_tokens: Option<u32>,
+    /// Tokens of the prompt, and after a preemption of the answer, that remain to be prefilled.
+    prefill_left: u32,
+    generated: u32,
+    /// Memory that the request does not share with the prefix cache, in tokens.
+    own_memory: u64,
     cancelled: bool,
 }
 
-/// One node.
+/// The engine of one node.
 pub struct Engine {
-    kind: Kind,
-    kept: Kept,
+    kind: NodeKind,
+    prefix_cache: PrefixCache,
     running: Vec<Request>,
     waiting: VecDeque<Request>,
-    /// Memory of running requests, tokens.
-    held: u64,
-    step_ends: Option<Time>,
-    /// What this step reads of each running request, in order.
-    reads: Vec<u32>,
-    /// Cold from, until, and the share of its speed at first.
-    cold: Option<(Time, Time, f64)>,
-    /// Times as slow as usual, by a trouble.
-    pub slow: f64,
+    /// Memory of the running requests, in tokens.
+    request_memory: u64,
+    step_end: Option<Time>,
+    /// Tokens that the current step prefills for each running request, in the order of the batch.
+    step_prefill: Vec<u32>,
+    /// Begin and end of the warm-up, and the share of full speed at its begin.
+    warm_up: Option<(Time, Time, f64)>,
+    /// Factor on the duration of each step; above 1 while the node is slow.
+    pub slowdown: f64,
 }
 
 impl Engine {
-    /// Empty and warm.
-    pub fn new(kind: Kind) -> Self {
-        let kept = Kept::new(kind.block);
+    /// Creates an idle, warm engine with an empty prefix cache.
+    pub fn new(kind: NodeKind) -> Self {
+        let prefix_cache = PrefixCache::new(kind.block_tokens);
         Engine {
             kind,
-            kept,
+            prefix_cache,
             running: vec![],
             waiting: VecDeque::new(),
-            held: 0,
-            step_ends: None,
-            reads: vec![],
-            cold: None,
-            slow: 1.0,
+            request_memory: 0,
+            step_end: None,
+            step_prefill: vec![],
+            warm_up: None,
+            slowdown: 1.0,
         }
     }
 
-    /// It starts at `now`, empty, at a share of its speed that grows evenly to all within `warm_in` ns.
-    pub fn start_cold(&mut self, now: Time, share: f64, warm_in: Time) {
+    /// Restarts the engine at `now` with an empty cache. Its speed grows linearly from `share` of full speed to full speed
+    /// within `warm_up` ns.
+    pub fn start_cold(&mut self, now: Time, share: f64, warm_up: Time) {
         *self = Engine::new(self.kind.clone());
-        self.cold = Some((now, now.saturating_add(warm_in), share.clamp(0.01, 1.0)));
+        self.warm_up = Some((now, now.saturating_add(warm_up), share.clamp(0.01, 1.0)));
     }
 
-    /// The share of its full speed that it has, 0 to 1.
-    pub fn warmth(&self, now: Time) -> f64 {
-        match self.cold {
+    /// Returns the current speed as a share of full speed, 0 to 1.
+    pub fn speed_share(&self, now: Time) -> f64 {
+        match self.warm_up {
             Some((from, until, share)) if now < until => {
-                let gone = now.saturating_sub(from) as f64 / (until - from) as f64;
-                share + (1.0 - share) * gone
+                let elapsed = now.saturating_sub(from) as f64 / (until - from) as f64;
+                share + (1.0 - share) * elapsed
             }
             _ => 1.0,
         }
     }
 
-    /// The names of all requests that it holds.
-    pub fn jobs(&self) -> impl Iterator<Item = u64> + '_ {
+    /// Returns the ids of all running and waiting requests.
+    pub fn job_ids(&self) -> impl Iterator<Item = u64> + '_ {
         self.running.iter().chain(&self.waiting).map(|r| r.job.id)
     }
 
-    /// Requests in the batch.
-    pub fn running(&self) -> usize {
+    /// Returns the number of requests in the batch.
+    pub fn running_count(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that wait for a place in it.
-    pub fn waiting(&self) -> usize {
+    /// Returns the number of requests that wait for a place in the batch.
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Memory of running requests as a share of all.
-    pub fn memory_held(&self) -> f64 {
-        self.held as f64 / self.kind.memory as f64
+    /// Returns the memory of the running requests as a share of all memory.
+    pub fn request_memory_share(&self) -> f64 {
+        self.request_memory as f64 / self.kind.memory_tokens as f64
     }
 
-    /// When the present step ends; `None`: idle.
-    pub fn step_ends(&self) -> Option<Time> {
-        self.step_ends
+    /// Returns the end of the current step, or `None` if the engine is idle.
+    pub fn step_end(&self) -> Option<Time> {
+        self.step_end
     }
 
-    /// Takes a request; false if slots and queue are full, or it could never fit the memory.
-    pub fn offer(&mut self, now: Time, job: Job) -> bool {
-        let fits = u64::from(job.prompt) + u64::from(job.answer) <= self.kind.memory;
-        let full = self.running.len() + self.waiting.len() >= (self.kind.slots + self.kind.queue) as usize;
+    /// Accepts a request. Returns false if slots and queue are full or the request would not fit into the memory.
+    pub fn try_enqueue(&mut self, now: Time, job: Job) -> bool {
+        let fits = u64::from(job.prompt_tokens) + u64::from(job.answer_tokens) <= self.kind.memory_tokens;
+        let full = self.running.len() + self.waiting.len()
+            >= (self.kind.max_batch_size + self.kind.max_waiting) as usize;
         if !fits || full {
             return false;
         }
-        let job = Job { answer: job.answer.max(1), prefix_tokens: job.prefix_tokens.min(job.prompt), ..job };
-        let request = Request { job, found: None, unread: 0, made: 0, own: 0, cancelled: false };
+        let job = Job {
+            answer_tokens: job.answer_tokens.max(1),
+            prefix_tokens: job.prefix_tokens.min(job.prompt_tokens),
+            ..job
+        };
+        let request = Request {
+            job,
+            cached_tokens: None,
+            prefill_left: 0,
+            generated: 0,
+            own_memory: 0,
+            cancelled: false,
+        };
         self.waiting.push_back(request);
-        if self.step_ends.is_none() {
+        if self.step_end.is_none() {
             self.begin_step(now);
         }
         true
     }
 
-    /// Calls a request off: dropped if it waits; if it runs it is gone at the step's end.
+    /// Cancels a request: a waiting one is dropped at once, a running one at the end of the step.
     pub fn cancel(&mut self, id: u64) {
         self.waiting.retain(|r| r.job.id != id);
         self.running.iter_mut().filter(|r| r.job.id == id).for_each(|r| r.cancelled = true);
     }
 
-    /// Ends the present step, at its time, and begins the next one. What became of requests is appended.
-    pub fn step(&mut self, now: Time, told: &mut Vec<Told>) {
-        self.step_ends = None;
+    /// Ends the current step at its time and begins the next one. Appends the progress of requests.
+    pub fn finish_step(&mut self, now: Time, progress: &mut Vec<Progress>) {
+        self.step_end = None;
         for i in 0..self.running.len() {
-            let read = self.reads[i];
+            let prefilled = self.step_prefill[i];
             let r = &mut self.running[i];
-            r.unread -= read;
-            if r.unread == 0 && !r.cancelled {
-                r.made += 1;
-                let kept = r.found.unwrap_or(0);
-                if r.made == 1 {
-                    told.push(Told::First { id: r.job.id, kept });
+            r.prefill_left -= prefilled;
+            if r.prefill_left == 0 && !r.cancelled {
+                r.generated += 1;
+                let cached_tokens = r.cached_tokens.unwrap_or(0);
+                if r.generated == 1 {
+                    progress.push(Progress::FirstToken { id: r.job.id, cached_tokens });
                 }
-                if r.made == r.job.answer {
-                    told.push(Told::Done { id: r.job.id, kept });
+                if r.generated == r.job.answer_tokens {
+                    progress.push(Progress::Completed { id: r.job.id, cached_tokens });
                 }
             }
         }
         let mut i = 0;
         while i < self.running.len() {
-            match self.running[i].cancelled || self.running[i].made == self.running[i].job.answer {
-                true => self.leave(i),
+            match self.running[i].cancelled || self.running[i].generated == self.running[i].job.answer_tokens
+            {
+                true => self.remove_from_batch(i),
                 false => i += 1,
             }
         }
         self.begin_step(now);
     }
 
-    /// What a request costs it by itself, ns of its full speed: the reading of what is not kept, and its part of the
-    /// steps of a full batch.
-    pub fn work(&self, job: &Job) -> f64 {
-        let unread = job.prompt.saturating_sub(self.find(job));
-        let token = self.kind.step / f64::from(self.kind.slots) + self.kind.per_request;
-        f64::from(unread) * self.kind.per_read + f64::from(job.answer) * token
+    /// Returns the cost of a request in ns at full speed: the prefill of uncached tokens and the request's part of the steps of
+    /// a full batch.
+    pub fn cost_ns(&self, job: &Job) -> f64 {
+        let uncached = job.prompt_tokens.saturating_sub(self.cached_tokens(job));
+        let token = self.kind.step_base_ns / f64::from(self.kind.max_batch_size) + self.kind.per_request_ns;
+        f64::from(uncached) * self.kind.per_prefill_token_ns + f64::from(job.answer_tokens) * token
     }
 
-    fn shared(&self, job: &Job) -> u32 {
+    /// Tokens of the shared prefix in whole blocks.
+    fn shared_tokens(&self, job: &Job) -> u32 {
         if job.prefix == 0 {
             return 0;
         }
-        job.prefix_tokens / self.kind.block * self.kind.block
+        job.prefix_tokens / self.kind.block_tokens * self.kind.block_tokens
     }
 
-    /// Tokens of a prompt that are kept: the session's own only as far as all of the shared beginning is there.
-    fn find(&self, job: &Job) -> u32 {
-        let shared = self.shared(job);
-        let of_prefix = self.kept.tokens(job.prefix).min(shared);
-        let own =
-            if of_prefix == shared { self.kept.tokens(job.session).min(job.prompt - shared) } else { 0 };
-        // One token is always read: the first new one comes of it.
-        (of_prefix + own).min(job.prompt.saturating_sub(1))
+    /// Returns the cached tokens of a prompt. The session's entry counts only if the shared prefix is cached completely.
+    fn cached_tokens(&self, job: &Job) -> u32 {
+        let shared = self.shared_tokens(job);
+        let of_prefix = self.prefix_cache.tokens(job.prefix).min(shared);
+        let of_session = if of_prefix == shared {
+            self.prefix_cache.tokens(job.session).min(job.prompt_tokens - shared)
+        } else {
+            0
+        };
+        // At least one token is prefilled: the first new token follows from it.
+        (of_prefix + of_session).min(job.prompt_tokens.saturating_sub(1))
     }
 
-    /// Makes room for so many tokens more than are held; false if not even all that is kept would do.
+    /// Evicts cached tokens until `tokens` more fit into the memory. Returns false if the cache does not hold enough.
     fn make_room(&mut self, tokens: u64) -> bool {
-        let used = self.held + self.kept.total();
-        let over = (used + tokens).saturating_sub(self.kind.memory);
-        over == 0 || self.kept.give_up(over) >= over
+        let used = self.request_memory + self.prefix_cache.total_tokens();
+        let over = (used + tokens).saturating_sub(self.kind.memory_tokens);
+        over == 0 || self.prefix_cache.evict(over) >= over
     }
 
-    fn pin(&mut self, job: &Job, pin: bool) {
-        // The shared part last: it is to be given up after what lies beyond it.
+    fn set_pinned(&mut self, job: &Job, pinned: bool) {
+        // The shared prefix is touched last, so that it is evicted after the session's entry.
         for key in [job.session, job.prefix] {
-            match pin {
-                true => self.kept.pin(key),
-                false => self.kept.unpin(key),
+            match pinned {
+                true => self.prefix_cache.pin(key),
+                false => self.prefix_cache.unpin(key),
             }
         }
     }
 
-    /// A request leaves the batch, and what it has read is kept if it was not called off in the middle.
-    fn leave(&mut self, i: usize) {
+    /// Removes a request from the batch. Its tokens are cached unless it was cancelled during prefill.
+    fn remove_from_batch(&mut self, i: usize) {
         let r = self.running.remove(i);
-        self.held -= r.own;
-        self.pin(&r.job, false);
-        if r.unread > 0 {
+        self.request_memory -= r.own_memory;
+        self.set_pinned(&r.job, false);
+        if r.prefill_left > 0 {
             return;
         }
-        let shared = self.shared(&r.job);
-        let made = if self.kind.keeps_made { r.made } else { 0 };
-        // Its memory becomes that of the runs; what they had of it already is free.
-        self.kept.keep(r.job.session, r.job.prompt - shared + made);
+        let shared = self.shared_tokens(&r.job);
+        let generated = if self.kind.caches_answers { r.generated } else { 0 };
+        // The request's memory goes to the cache entries; the part that they already held becomes free.
+        self.prefix_cache.insert(r.job.session, r.job.prompt_tokens - shared + generated);
         if shared > 0 {
-            self.kept.keep(r.job.prefix, shared);
+            self.prefix_cache.insert(r.job.prefix, shared);
         }
-        let over = (self.held + self.kept.total()).saturating_sub(self.kind.memory);
-        self.kept.give_up(over);
+        let over =
+            (self.request_memory + self.prefix_cache.total_tokens()).saturating_sub(self.kind.memory_tokens);
+        self.prefix_cache.evict(over);
     }
 
-    /// The newest request goes back into the queue, to be read again with what it has made.
-    fn put_back(&mut self) {
+    /// Preempts the newest request: it returns to the queue and is prefilled again, with the tokens it has generated.
+    fn preempt_newest(&mut self) {
         let Some(mut r) = self.running.pop() else { return };
-        self.held -= r.own;
-        self.pin(&r.job, false);
-        (r.own, r.unread) = (0, 0);
+        self.request_memory -= r.own_memory;
+        self.set_pinned(&r.job, false);
+        (r.own_memory, r.prefill_left) = (0, 0);
         self.waiting.push_front(r);
     }
 
+    /// Fills the batch from the queue and computes the duration of the next step.
     fn begin_step(&mut self, now: Time) {
-        // Each that is read makes a token: room for it, or the newest gives way.
+        // Each running request may generate a token. Without memory for them, the newest request is preempted.
         loop {
-            let growing = self.running.len() as u64;
-            if self.running.len() <= 1 || self.make_room(growing) {
+            let new_tokens = self.running.len() as u64;
+            if self.running.len() <= 1 || self.make_room(new_tokens) {
                 break;
             }
-            self.put_back();
+            self.preempt_newest();
         }
-        while self.running.len() < self.kind.slots as usize {
+        while self.running.len() < self.kind.max_batch_size as usize {
             let Some(&next) = self.waiting.front() else { break };
-            let kept = self.find(&next.job);
-            // What it shares is held by the runs; pinned first, so that making room does not take it.
-            self.pin(&next.job, true);
-            let own = u64::from(next.job.prompt - kept) + u64::from(next.made);
-            if !self.make_room(own + self.running.len() as u64 + 1) && !self.running.is_empty() {
-                self.pin(&next.job, false);
+            let cached_tokens = self.cached_tokens(&next.job);
+            // The request's cache entries are pinned first, so that making room does not evict them.
+            self.set_pinned(&next.job, true);
+            let own_memory = u64::from(next.job.prompt_tokens - cached_tokens) + u64::from(next.generated);
+            if !self.make_room(own_memory + self.running.len() as u64 + 1) && !self.running.is_empty() {
+                self.set_pinned(&next.job, false);
                 break;
             }
             self.waiting.pop_front();
-            self.held += own;
-            let found = next.found.or(Some(kept));
-            self.running.push(Request { found, unread: own as u32, own, ..next });
+            self.request_memory += own_memory;
+            let cached_tokens = next.cached_tokens.or(Some(cached_tokens));
+            self.running.push(Request { cached_tokens, prefill_left: own_memory as u32, own_memory, ..next });
         }
         if self.running.is_empty() {
             return;
         }
-        self.reads.clear();
-        let (mut budget, mut read, mut context) = (self.kind.chunk, 0u64, 0u64);
+        self.step_prefill.clear();
+        let (mut budget, mut prefill, mut context) = (self.kind.prefill_chunk_tokens, 0u64, 0u64);
         for r in &mut self.running {
-            let some = r.unread.min(budget);
-            budget -= some;
-            read += u64::from(some);
-            self.reads.push(some);
-            context += u64::from(r.job.prompt - r.unread.min(r.job.prompt)) + u64::from(r.made);
-            if r.unread == some {
-                // The token that this step makes.
-                r.own += 1;
-                self.held += 1;
+            let prefilled = r.prefill_left.min(budget);
+            budget -= prefilled;
+            prefill += u64::from(prefilled);
+            self.step_prefill.push(prefilled);
+            context += u64::from(r.job.prompt_tokens - r.prefill_left.min(r.job.prompt_tokens))
+                + u64::from(r.generated);
+            if r.prefill_left == prefilled {
+                // Memory for the token that this step generates.
+                r.own_memory += 1;
+                self.request_memory += 1;
             }
         }
         let kind = &self.kind;
-        let time = kind.step
-            + kind.per_request * self.running.len() as f64
-            + kind.per_context * context as f64
-            + kind.per_read * read as f64;
-        let held = (self.running.len() + self.waiting.len()) as f64 / f64::from(kind.slots + kind.queue);
-        let crowd = if kind.crowded < 1.0 {
-            1.0 + ((held - kind.crowded) / (1.0 - kind.crowded)).max(0.0)
+        let step_ns = kind.step_base_ns
+            + kind.per_request_ns * self.running.len() as f64
+            + kind.per_context_token_ns * context as f64
+            + kind.per_prefill_token_ns * prefill as f64;
+        let occupancy = (self.running.len() + self.waiting.len()) as f64
+            / f64::from(kind.max_batch_size + kind.max_waiting);
+        let crowding_factor = if kind.crowding_threshold < 1.0 {
+            1.0 + ((occupancy - kind.crowding_threshold) / (1.0 - kind.crowding_threshold)).max(0.0)
         } else {
             1.0
         };
-        let time = time * crowd * self.slow.max(0.01) / self.warmth(now);
-        self.step_ends = Some(now + (time as Time).max(1));
+        let step_ns = step_ns * crowding_factor * self.slowdown.max(0.01) / self.speed_share(now);
+        self.step_end = Some(now + (step_ns as Time).max(1));
     }
 
-    /// Whether the memory adds up: what requests and runs hold is what is counted, and never more than there is, but
-    /// for a single request that may outgrow it by its last tokens.
-    pub fn adds_up(&self) -> bool {
-        let own: u64 = self.running.iter().map(|r| r.own).sum();
-        let used = self.held + self.kept.total();
-        own == self.held && (used <= self.kind.memory || self.running.len() <= 1)
+    /// Whether the memory accounting is consistent: the requests' memory sums up to the counted total, and requests and cache
+    /// fit into the memory. A single running request may exceed the memory by its last tokens.
+    pub fn memory_is_consistent(&self) -> bool {
+        let request_memory: u64 = self.running.iter().map(|r| r.own_memory).sum();
+        let used = self.request_memory + self.prefix_cache.total_tokens();
+        request_memory == self.request_memory && (used <= self.kind.memory_tokens || self.running.len() <= 1)
     }
 }
--- a/simulator/src/file.rs
+++ b/simulator/src/file.rs
@@ -1,7 +1,7 @@
-//! Fleet files: a plan in the form of the settings file. Everything that is wrong is told in one run, with file, line
-//! and word.
+//! Fleet files: plans in the syntax of the settings file. All problems of a file are reported at once, each with file, line and
+//! column.
 
-use crate::engine::Kind as NodeKind;
+use crate::engine::NodeKind;
 use crate::world::Plan;
 use std::io;
 use std::path::Path;
@@ -38,7 +38,7 @@
     sections: &[],
 };
 
-/// The figures of a kind, each a line with the kind's name first.
+/// Values of the node kinds. Each directive has the kind's name as its first value.
 const KINDS: Section = Section {
     name: "kinds",
     always: true,
@@ -168,16 +168,20 @@
     sections: &[FLEET, KINDS, LOAD, PARTNERS, CLASSES, TROUBLES],
 };
 
-/// Reads a fleet file, and what it includes.
+/// Reads a fleet file and the files that it includes.
 pub fn read(path: &Path, seed: u64) -> Result<Plan, Problems> {
-    read_by(path, seed, &|path| std::fs::read_to_string(path))
+    read_with(path, seed, &|path| std::fs::read_to_string(path))
 }
 
-/// The same, the files read by this.
-pub fn read_by(path: &Path, seed: u64, read: &dyn Fn(&Path) -> io::Result<String>) -> Result<Plan, Problems> {
-    let (tree, sources, mut problems) = load(path, Bounds::default(), read);
+/// Reads a fleet file and its includes with the function `read_file`.
+pub fn read_with(
+    path: &Path,
+    seed: u64,
+    read_file: &dyn Fn(&Path) -> io::Result<String>,
+) -> Result<Plan, Problems> {
+    let (tree, sources, mut problems) = load(path, Bounds::default(), read_file);
     let checked = check(&tree, &FILE, &mut problems);
-    let plan = plan(&checked, seed, &mut problems);
+    let plan = build_plan(&checked, seed, &mut problems);
     match plan.filter(|_| problems.is_empty()) {
         Some(plan) => Ok(plan),
         None => Err(Problems::new(sources, problems)),
@@ -205,36 +209,36 @@
     }
 }
 
-/// `None` only if a section is missing, which has been told.
-fn plan(file: &Checked, seed: u64, problems: &mut Vec<Problem>) -> Option<Plan> {
+/// Builds the plan. Returns `None` only if a section is missing, which the check has reported.
+fn build_plan(file: &Checked, seed: u64, problems: &mut Vec<Problem>) -> Option<Plan> {
     let (fleet, load) = (file.within("fleet")?, file.within("load")?);
     let (partners, classes) = (file.within("partners")?, file.within("classes")?);
-    let troubles = file.within("troubles")?;
+    let faults = file.within("troubles")?;
     let time = |s: &Checked, name: &str| s.duration(name).as_nanos() as u64;
-    let length = time(load, "length");
-    let mut spell = |name: &str| {
-        let entry = troubles.entry(name)?;
+    let duration = time(load, "length");
+    let mut period = |name: &str| {
+        let entry = faults.entry(name)?;
         let (from, to) = (ns(entry.values.first()), ns(entry.values.get(1)));
-        if from >= to || to > length {
+        if from >= to || to > duration {
             let what = format!("`{name}` must end after it begins and within the length of the load");
             problems.push(Problem::new(entry.place(2), what));
         }
         Some((from, to, share(entry.values.get(2)), number(entry.values.get(3)) as f64))
     };
-    let (deploy, slow) = (spell("deploy"), spell("slow"));
-    let kinds = kinds(file.within("kinds")?, problems);
+    let (deploy, slow_period) = (period("deploy"), period("slow"));
+    let kinds = read_kinds(file.within("kinds")?, problems);
     let mut class = |e: &tallypin_settings_schema::Entry| {
-        let (aim, deadline) = (ns(e.values.get(1)), ns(e.values.get(2)));
-        if deadline < aim {
+        let (objective, deadline) = (ns(e.values.get(1)), ns(e.values.get(2)));
+        if deadline < objective {
             problems.push(Problem::new(e.place(3), "a client gives up before the aim"));
         }
         let per_1000 = time(classes, "per-1000-tokens");
-        let token_aim = time(classes, "token-aim");
+        let token_interval = time(classes, "token-aim");
         (
             Class {
-                latency_objective: aim,
+                latency_objective: objective,
                 latency_objective_per_1000_tokens: per_1000,
-                token_interval_objective: token_aim,
+                token_interval_objective: token_interval,
                 effect: Effect::Idempotent,
                 priority_weight: 1.0,
                 late_value_share: 0.0,
@@ -242,8 +246,8 @@
             deadline,
         )
     };
-    let (classes_of, deadlines): (Vec<Class>, Vec<u64>) = classes.all("class").map(&mut class).unzip();
-    if classes_of.is_empty() {
+    let (request_classes, deadlines): (Vec<Class>, Vec<u64>) = classes.all("class").map(&mut class).unzip();
+    if request_classes.is_empty() {
         problems.push(Problem::new(classes.place, "section `classes` lacks `class`"));
     }
     let quota = |e: &tallypin_settings_schema::Entry| Tenant { quota_per_s: number(e.values.get(1)) as f64 };
@@ -253,30 +257,30 @@
         nodes: fleet.number("nodes") as u32,
         kinds,
         tenants: partners.all("partner").map(quota).collect(),
-        classes: classes_of,
+        classes: request_classes,
         deadlines,
-        rate: load.number("rate") as f64,
-        length,
+        rate_per_s: load.number("rate") as f64,
+        duration,
         sessions: load.number("sessions") as u32,
         prefixes: load.number("prefixes") as u32,
         prefix_tokens: load.number("prefix-tokens") as u32,
-        turn_tokens: load.number("turn-tokens") as f64,
-        answer_tokens: load.number("answer-tokens") as f64,
-        most_prompt: load.number("most-prompt") as u32,
+        median_turn_tokens: load.number("turn-tokens") as f64,
+        median_answer_tokens: load.number("answer-tokens") as f64,
+        max_prompt_tokens: load.number("most-prompt") as u32,
         latency: time(fleet, "latency"),
-        list_late: time(fleet, "list-late"),
+        list_delay: time(fleet, "list-late"),
         peer_latency: time(fleet, "peer-latency"),
         peer_loss: fleet.share("peer-loss"),
-        cold_share: fleet.share("cold-share"),
-        cold: time(fleet, "cold"),
+        initial_speed_share: fleet.share("cold-share"),
+        warm_up_time: time(fleet, "cold"),
         deploy: deploy.map(|(from, to, share, _)| (from, to, share)),
-        drain: time(troubles, "drain"),
-        slow,
+        drain_time: time(faults, "drain"),
+        slow_period,
     })
 }
 
-/// The kinds, each as often as its part of the fleet says, mixed evenly.
-fn kinds(section: &Checked, problems: &mut Vec<Problem>) -> Vec<NodeKind> {
+/// Reads the node kinds and repeats each according to its part of the fleet, evenly interleaved.
+fn read_kinds(section: &Checked, problems: &mut Vec<Problem>) -> Vec<NodeKind> {
     let names: Vec<&str> = section.all("kind").map(|e| e.text(0)).collect();
     if names.is_empty() {
         problems.push(Problem::new(section.place, "section `kinds` lacks `kind`"));
@@ -288,43 +292,45 @@
             nearest(entry.text(0), names.iter().copied()).map(|near| format!("did you mean `{near}`?"));
         problems.push(problem);
     }
-    let usual = crate::plans::usual_kind();
+    let defaults = crate::plans::default_kind();
     let mut parts: Vec<(u64, NodeKind)> = Vec::new();
     for kind in section.all("kind") {
-        let of =
+        let value =
             |name: &str| section.all(name).find(|e| e.text(0) == kind.text(0)).and_then(|e| e.values.get(1));
-        let count = |name: &str, usual: u64| of(name).map_or(usual, |v| number(Some(v)));
-        let time = |name: &str, usual: f64| of(name).map_or(usual, |v| ns(Some(v)) as f64);
+        let count = |name: &str, default: u64| value(name).map_or(default, |v| number(Some(v)));
+        let time = |name: &str, default: f64| value(name).map_or(default, |v| ns(Some(v)) as f64);
         let node = NodeKind {
-            slots: count("slots", u64::from(usual.slots)) as u32,
-            queue: count("queue", u64::from(usual.queue)) as u32,
-            memory: count("memory", usual.memory),
-            block: count("block", u64::from(usual.block)) as u32,
-            chunk: count("chunk", u64::from(usual.chunk)) as u32,
-            step: time("step", usual.step),
-            per_request: time("per-request", usual.per_request),
-            per_context: time("per-1000-context", usual.per_context * 1e3) / 1e3,
-            per_read: of("read").map_or(usual.per_read, |v| 1e9 / number(Some(v)).max(1) as f64),
-            keeps_made: of("keeps-answers").map_or(usual.keeps_made, |v| *v == Value::Switch(true)),
-            crowded: of("crowded").map_or(usual.crowded, |v| share(Some(v))),
+            max_batch_size: count("slots", u64::from(defaults.max_batch_size)) as u32,
+            max_waiting: count("queue", u64::from(defaults.max_waiting)) as u32,
+            memory_tokens: count("memory", defaults.memory_tokens),
+            block_tokens: count("block", u64::from(defaults.block_tokens)) as u32,
+            prefill_chunk_tokens: count("chunk", u64::from(defaults.prefill_chunk_tokens)) as u32,
+            step_base_ns: time("step", defaults.step_base_ns),
+            per_request_ns: time("per-request", defaults.per_request_ns),
+            per_context_token_ns: time("per-1000-context", defaults.per_context_token_ns * 1e3) / 1e3,
+            per_prefill_token_ns: value("read")
+                .map_or(defaults.per_prefill_token_ns, |v| 1e9 / number(Some(v)).max(1) as f64),
+            caches_answers: value("keeps-answers")
+                .map_or(defaults.caches_answers, |v| *v == Value::Switch(true)),
+            crowding_threshold: value("crowded").map_or(defaults.crowding_threshold, |v| share(Some(v))),
         };
-        if node.step + node.per_request + node.per_read < 1_000.0 {
+        if node.step_base_ns + node.per_request_ns + node.per_prefill_token_ns < 1_000.0 {
             problems.push(Problem::new(kind.place(1), "its steps take no time: nodes would answer at once"));
         }
         parts.push((number(kind.values.get(1)), node));
     }
-    mixed(&parts)
+    interleave(&parts)
 }
 
-/// Each as often as its part, spread evenly: whoever is furthest behind its part is next.
-fn mixed(parts: &[(u64, NodeKind)]) -> Vec<NodeKind> {
-    let all: u64 = parts.iter().map(|p| p.0).sum();
-    let mut given = vec![0u64; parts.len()];
+/// Repeats each kind according to its part, evenly interleaved: the next kind is the one furthest behind its part.
+fn interleave(parts: &[(u64, NodeKind)]) -> Vec<NodeKind> {
+    let total: u64 = parts.iter().map(|p| p.0).sum();
+    let mut placed = vec![0u64; parts.len()];
     let mut kinds = Vec::new();
-    for n in 1..=all {
-        let behind = |i: &usize| (parts[*i].0 * n) as i64 - (given[*i] * all) as i64;
+    for n in 1..=total {
+        let behind = |i: &usize| (parts[*i].0 * n) as i64 - (placed[*i] * total) as i64;
         let Some(next) = (0..parts.len()).max_by_key(behind) else { break };
-        given[next] += 1;
+        placed[next] += 1;
         kinds.push(parts[next].1.clone());
     }
     kinds
--- a/simulator/src/file/tests.rs
+++ b/simulator/src/file/tests.rs
@@ -21,23 +21,23 @@
     ";
 
 fn parse(text: &str) -> Result<Plan, String> {
-    let read = |_: &Path| Ok(text.to_string());
-    read_by(Path::new("fleet.conf"), 1, &read).map_err(|p| p.short().collect::<Vec<_>>().join("\n"))
+    let read_file = |_: &Path| Ok(text.to_string());
+    read_with(Path::new("fleet.conf"), 1, &read_file).map_err(|p| p.short().collect::<Vec<_>>().join("\n"))
 }
 
 #[test]
-fn a_plan_is_read_with_its_defaults() {
-    let plan = parse(SMALL).expect("a good file");
-    assert_eq!((plan.nodes, plan.routers, plan.rate, plan.kinds.len()), (10, 2, 40.0, 10));
-    assert_eq!(plan.kinds.iter().filter(|k| k.slots == 24 && k.step == 11e6).count(), 3);
-    assert!(plan.kinds.iter().any(|k| (k.per_read - 1e9 / 15e3).abs() < 1.0));
-    assert_eq!((plan.cold_share, plan.deadlines[0], plan.deploy), (0.15, 4_000_000_000, None));
-    // Evenly mixed: no three of the rarer kind in a row.
-    assert!(plan.kinds.windows(2).all(|w| w[0].slots != 24 || w[1].slots != 24));
+fn reads_a_plan_and_fills_in_defaults() {
+    let plan = parse(SMALL).expect("the file is valid");
+    assert_eq!((plan.nodes, plan.routers, plan.rate_per_s, plan.kinds.len()), (10, 2, 40.0, 10));
+    assert_eq!(plan.kinds.iter().filter(|k| k.max_batch_size == 24 && k.step_base_ns == 11e6).count(), 3);
+    assert!(plan.kinds.iter().any(|k| (k.per_prefill_token_ns - 1e9 / 15e3).abs() < 1.0));
+    assert_eq!((plan.initial_speed_share, plan.deadlines[0], plan.deploy), (0.15, 4_000_000_000, None));
+    // Kinds are interleaved: two nodes of the rarer kind are never neighbours.
+    assert!(plan.kinds.windows(2).all(|w| w[0].max_batch_size != 24 || w[1].max_batch_size != 24));
 }
 
 #[test]
-fn what_is_wrong_is_told_with_line_and_word() {
+fn problems_are_reported_with_their_position_and_a_suggestion() {
     let cases = [
         (
             "nodes 10",
@@ -51,17 +51,19 @@
         ("class chat 1200ms 4s", "", "section `classes` lacks `class`"),
         ("step new 11ms", "step new 0us\nper-request new 0us\nread new 10000000", "its steps take no time"),
     ];
-    for (good, bad, told) in cases {
-        let text = SMALL.replace(good, bad);
-        let wrong = parse(&text).expect_err(bad);
-        assert!(wrong.contains(told), "{bad}: {wrong}");
+    for (valid, invalid, message) in cases {
+        let text = SMALL.replace(valid, invalid);
+        let problems = parse(&text).expect_err(invalid);
+        assert!(problems.contains(message), "{invalid}: {problems}");
     }
-    let late = format!("{SMALL}\ntroubles {{\n deploy 10s 90s 50%\n}}\n");
-    assert!(parse(&late).expect_err("too late").contains("within the length of the load"));
+    let late_deploy = format!("{SMALL}\ntroubles {{\n deploy 10s 90s 50%\n}}\n");
+    assert!(parse(&late_deploy)
+        .expect_err("the deploy ends after the load")
+        .contains("within the length of the load"));
 }
 
 #[test]
-fn the_examples_are_good() {
+fn example_files_are_valid() {
     for name in ["muenchen-nord-like.conf", "large.conf"] {
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("fleets").join(name);
         let plan = read(&path, 1).unwrap_or_else(|p| panic!("{p}"));
--- a/simulator/src/kept.rs
+++ b/simulator/src/kept.rs
@@ -1,65 +1,66 @@
-//! Beginnings of prompts that a node has kept, in blocks, the least recently used given up first.
+//! Prefix cache of a node: prompt prefixes in blocks, with eviction of the least recently used entry first.
 //!
-//! A run is what is kept under one key: the shared part of a beginning, or what a session has beyond it. Runs give up
-//! blocks from their end, as a tree of prefixes does from its leaves (RadixAttention: Zheng et al., 2024), so what is
-//! left of a run is still a beginning. A session's run is of use only as far as its shared part is kept whole; that
-//! one is touched last and so goes last.
+//! An entry holds the tokens of one key: a shared prefix, or the part of a session's prompt that follows its shared prefix.
+//! Eviction removes blocks from an entry's end, as a prefix tree evicts its leaves (RadixAttention: Zheng et al., 2024), so
+//! the rest of the entry is still a prefix. A session's entry can be used only while its shared prefix is cached completely;
+//! the shared prefix is therefore touched last and evicted last.
 
 use rustc_hash::FxHashMap;
 
-const NONE: u32 = u32::MAX;
+const NO_ENTRY: u32 = u32::MAX;
 
 #[derive(Clone, Copy)]
-struct Run {
+struct CacheEntry {
     key: u64,
-    /// Tokens kept, whole blocks.
+    /// Cached tokens, in whole blocks.
     tokens: u32,
-    /// Requests that run on it: it is not given up meanwhile.
+    /// Running requests that use the entry. A pinned entry is not evicted.
     pins: u32,
-    /// Neighbours by use.
+    /// Neighbours in the list ordered by last use.
     older: u32,
     newer: u32,
 }
 
-/// The runs of one node. All sizes are tokens.
-pub struct Kept {
-    block: u32,
-    runs: Vec<Run>,
-    free: Vec<u32>,
+/// The cached entries of one node. All sizes are in tokens.
+pub struct PrefixCache {
+    block_tokens: u32,
+    entries: Vec<CacheEntry>,
+    free_indices: Vec<u32>,
     index: FxHashMap<u64, u32>,
     oldest: u32,
     newest: u32,
-    total: u64,
+    total_tokens: u64,
 }
 
-impl Kept {
-    /// Nothing yet, in blocks of so many tokens.
-    pub fn new(block: u32) -> Self {
-        let block = block.max(1);
-        Kept {
-            block,
-            runs: vec![],
-            free: vec![],
+impl PrefixCache {
+    /// Creates an empty cache with blocks of `block_tokens` tokens.
+    pub fn new(block_tokens: u32) -> Self {
+        let block_tokens = block_tokens.max(1);
+        PrefixCache {
+            block_tokens,
+            entries: vec![],
+            free_indices: vec![],
             index: FxHashMap::default(),
-            oldest: NONE,
-            newest: NONE,
-            total: 0,
+            oldest: NO_ENTRY,
+            newest: NO_ENTRY,
+            total_tokens: 0,
         }
     }
 
-    /// Tokens in all runs.
-    pub fn total(&self) -> u64 {
-        self.total
+    /// Returns the tokens of all entries.
+    pub fn total_tokens(&self) -> u64 {
+        self.total_tokens
     }
 
-    /// Tokens kept under a key.
+    /// Returns the tokens cached under a key.
     pub fn tokens(&self, key: u64) -> u32 {
-        self.index.get(&key).map_or(0, |&i| self.runs[i as usize].tokens)
+        self.index.get(&key).map_or(0, |&i| self.entries[i as usize].tokens)
     }
 
-    /// Makes a run at least so long, in whole blocks, and the latest used; how many tokens that added.
-    pub fn keep(&mut self, key: u64, tokens: u32) -> u32 {
-        let tokens = tokens / self.block * self.block;
+    /// Extends the key's entry to at least `tokens`, rounded down to whole blocks, and marks it as most recently used. Returns
+    /// the number of tokens added.
+    pub fn insert(&mut self, key: u64, tokens: u32) -> u32 {
+        let tokens = tokens / self.block_tokens * self.block_tokens;
         if tokens == 0 {
             return 0;
         }
@@ -69,84 +70,85 @@
                 i
             }
             None => {
-                let run = Run { key, tokens: 0, pins: 0, older: NONE, newer: NONE };
-                let i = self.free.pop().unwrap_or(self.runs.len() as u32);
-                match self.runs.get_mut(i as usize) {
-                    Some(old) => *old = run,
-                    None => self.runs.push(run),
+                let entry = CacheEntry { key, tokens: 0, pins: 0, older: NO_ENTRY, newer: NO_ENTRY };
+                let i = self.free_indices.pop().unwrap_or(self.entries.len() as u32);
+                match self.entries.get_mut(i as usize) {
+                    Some(old) => *old = entry,
+                    None => self.entries.push(entry),
                 }
                 self.index.insert(key, i);
                 i
             }
         };
         self.link(i);
-        let run = &mut self.runs[i as usize];
-        let added = tokens.saturating_sub(run.tokens);
-        run.tokens += added;
-        self.total += u64::from(added);
+        let entry = &mut self.entries[i as usize];
+        let added = tokens.saturating_sub(entry.tokens);
+        entry.tokens += added;
+        self.total_tokens += u64::from(added);
         added
     }
 
-    /// Marks a run as the latest used, and as run on (or no longer).
+    /// Marks an entry as most recently used and protects it from eviction.
     pub fn pin(&mut self, key: u64) {
         if let Some(&i) = self.index.get(&key) {
             self.unlink(i);
             self.link(i);
-            self.runs[i as usize].pins += 1;
+            self.entries[i as usize].pins += 1;
         }
     }
 
-    /// One request less runs on it.
+    /// Removes one protection from eviction.
     pub fn unpin(&mut self, key: u64) {
         if let Some(&i) = self.index.get(&key) {
-            let run = &mut self.runs[i as usize];
-            run.pins = run.pins.saturating_sub(1);
+            let entry = &mut self.entries[i as usize];
+            entry.pins = entry.pins.saturating_sub(1);
         }
     }
 
-    /// Gives up at least so many tokens of what nobody runs on, the least recently used first; how many it was.
-    pub fn give_up(&mut self, tokens: u64) -> u64 {
-        let (mut given, mut i) = (0, self.oldest);
-        while given < tokens && i != NONE {
-            let run = self.runs[i as usize];
-            let next = run.newer;
-            if run.pins == 0 {
-                let blocks = (tokens - given).div_ceil(u64::from(self.block));
-                let some = (blocks * u64::from(self.block)).min(u64::from(run.tokens));
-                given += some;
-                self.total -= some;
-                self.runs[i as usize].tokens -= some as u32;
-                if self.runs[i as usize].tokens == 0 {
+    /// Evicts at least `tokens` from entries that are not pinned, least recently used first. Returns the number of tokens
+    /// evicted, which is less if the entries do not hold as many.
+    pub fn evict(&mut self, tokens: u64) -> u64 {
+        let (mut evicted, mut i) = (0, self.oldest);
+        while evicted < tokens && i != NO_ENTRY {
+            let entry = self.entries[i as usize];
+            let next = entry.newer;
+            if entry.pins == 0 {
+                let blocks = (tokens - evicted).div_ceil(u64::from(self.block_tokens));
+                let removed = (blocks * u64::from(self.block_tokens)).min(u64::from(entry.tokens));
+                evicted += removed;
+                self.total_tokens -= removed;
+                self.entries[i as usize].tokens -= removed as u32;
+                if self.entries[i as usize].tokens == 0 {
                     self.unlink(i);
-                    self.index.remove(&run.key);
-                    self.free.push(i);
+                    self.index.remove(&entry.key);
+                    self.free_indices.push(i);
                 }
             }
             i = next;
         }
-        given
+        evicted
     }
 
     fn link(&mut self, i: u32) {
         let newest = self.newest;
-        let run = &mut self.runs[i as usize];
-        (run.older, run.newer) = (newest, NONE);
+        let entry = &mut self.entries[i as usize];
+        (entry.older, entry.newer) = (newest, NO_ENTRY);
         match newest {
-            NONE => self.oldest = i,
-            n => self.runs[n as usize].newer = i,
+            NO_ENTRY => self.oldest = i,
+            n => self.entries[n as usize].newer = i,
         }
         self.newest = i;
     }
 
     fn unlink(&mut self, i: u32) {
-        let Run { older, newer, .. } = self.runs[i as usize];
+        let CacheEntry { older, newer, .. } = self.entries[i as usize];
         match older {
-            NONE => self.oldest = newer,
-            o => self.runs[o as usize].newer = newer,
+            NO_ENTRY => self.oldest = newer,
+            o => self.entries[o as usize].newer = newer,
         }
         match newer {
-            NONE => self.newest = older,
-            n => self.runs[n as usize].older = older,
+            NO_ENTRY => self.newest = older,
+            n => self.entries[n as usize].older = older,
         }
     }
 }
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -1,8 +1,9 @@
-//! An emulator of a fleet of model nodes and of the routers in front of it, in virtual time: for designs at sizes that
-//! sockets don't reach. `docs/SIMULATOR-DESIGN.md` has the options weighed and what the model leaves out.
+//! Discrete-event simulator of routers and their fleet of inference nodes, for fleets that are too large to run with sockets.
+//! `docs/SIMULATOR-DESIGN.md` describes the design options and the limits of the model.
 //!
-//! Layers: [`draw`] and [`queue`] are chance and time, [`kept`] and [`engine`] the model node, [`policy`] who decides,
-//! [`world`] the rest, [`mod@file`] and [`plans`] what is played, [`compare`] many days at once.
+//! Modules: [`draw`] has the random streams, [`queue`] the event queue, [`kept`] the prefix cache, [`engine`] the node,
+//! [`policy`] the routing policies, [`world`] the simulation, [`mod@file`] and [`plans`] its parameters, [`compare`] the
+//! comparison of policies over many runs.
 
 pub mod compare;
 pub mod draw;
--- a/simulator/src/queue.rs
+++ b/simulator/src/queue.rs
@@ -1,8 +1,8 @@
-//! Events in the order of their times, those of one time in the order that they were put in.
+//! Event queue in the order of time. Events of the same time keep the order of their insertion.
 //!
-//! A heap of four children a place in one flat array: half as deep as a binary one, and the four lie in one or two cache
-//! lines. Weighed: the standard library's binary heap (deeper, and the order of equal times needs the same number
-//! beside), a calendar queue (faster where times are even; a drain or a surge makes its days uneven).
+//! The queue is a 4-ary heap in one array: it is half as deep as a binary heap, and the four children lie in one or two cache
+//! lines. The standard library's binary heap is deeper and needs the same sequence number for events of equal time. A
+//! calendar queue is faster for evenly spread times, which drains and load peaks do not have.
 
 /// Virtual time, ns.
 pub type Time = u64;
@@ -10,33 +10,33 @@
 #[derive(Clone, Copy)]
 struct Entry<T> {
     at: Time,
-    number: u64,
+    sequence: u64,
     event: T,
 }
 
 impl<T> Entry<T> {
     fn key(&self) -> (Time, u64) {
-        (self.at, self.number)
+        (self.at, self.sequence)
     }
 }
 
-/// Events to come.
+/// Scheduled events.
 pub struct Queue<T> {
     heap: Vec<Entry<T>>,
-    number: u64,
+    last_sequence: u64,
 }
 
 impl<T: Copy> Default for Queue<T> {
     fn default() -> Self {
-        Queue { heap: Vec::new(), number: 0 }
+        Queue { heap: Vec::new(), last_sequence: 0 }
     }
 }
 
 impl<T: Copy> Queue<T> {
-    /// Puts an event in.
-    pub fn put(&mut self, at: Time, event: T) {
-        self.number += 1;
-        self.heap.push(Entry { at, number: self.number, event });
+    /// Adds an event.
+    pub fn push(&mut self, at: Time, event: T) {
+        self.last_sequence += 1;
+        self.heap.push(Entry { at, sequence: self.last_sequence, event });
         let mut i = self.heap.len() - 1;
         while i > 0 {
             let parent = (i - 1) / 4;
@@ -48,13 +48,13 @@
         }
     }
 
-    /// The time of the next event.
-    pub fn next_at(&self) -> Option<Time> {
+    /// Returns the time of the next event.
+    pub fn next_time(&self) -> Option<Time> {
         self.heap.first().map(|e| e.at)
     }
 
-    /// Takes the next event out.
-    pub fn take(&mut self) -> Option<(Time, T)> {
+    /// Removes and returns the next event.
+    pub fn pop(&mut self) -> Option<(Time, T)> {
         let last = self.heap.pop()?;
         let Some(root) = self.heap.first_mut() else { return Some((last.at, last.event)) };
         let first = std::mem::replace(root, last);
@@ -71,7 +71,7 @@
         Some((first.at, first.event))
     }
 
-    /// Whether there are none.
+    /// Whether the queue has no events.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
--- a/simulator/src/world.rs
+++ b/simulator/src/world.rs
@@ -1,8 +1,8 @@
-//! A tier of routers in front of a fleet of model nodes, in virtual time: arrivals, attempts, the node list, messages
-//! between routers, rolling deploys and slow spells. One thread, one seed, the same bytes each time.
+//! Simulation of routers in front of a fleet of inference nodes, in virtual time: arrivals, attempts, the endpoint list, peer
+//! messages, rolling deploys and slow periods. A run uses one thread; the same seed gives the same result.
 
 use crate::draw;
-use crate::engine::{Engine, Job, Kind, Told};
+use crate::engine::{Engine, Job, NodeKind, Progress};
 use crate::policy::Policy;
 use crate::queue::{Queue, Time};
 use rand::Rng;
@@ -11,232 +11,199 @@
 use std::collections::VecDeque;
 use tallypin::api::*;
 
-/// A world to be played. Times are ns, shares 0 to 1.
+/// Parameters of a simulated run. Times are in ns, shares are 0 to 1.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Names all draws.
+    /// Seed of all random streams.
     pub seed: u64,
-    /// Routers.
+    /// Number of routers.
     pub routers: u32,
-    /// Model nodes at the start.
+    /// Number of nodes at the start.
     pub nodes: u32,
-    /// Their kinds, in turn.
-    pub kinds: Vec<Kind>,
-    /// The partners' quotas and the classes, as routers are told them.
+    /// Kinds of nodes, assigned in turn.
+    pub kinds: Vec<NodeKind>,
+    /// Quotas of the tenants, as in the routers' settings.
     pub tenants: Vec<Tenant>,
-    /// The classes.
+    /// Request classes, as in the routers' settings.
     pub classes: Vec<Class>,
-    /// Each class: until when its client waits for a first token.
+    /// For each class, how long a client waits for the first token.
     pub deadlines: Vec<Time>,
-    /// Arrivals a second, over all.
-    pub rate: f64,
-    /// For so long requests come; what is open then is played to its end.
-    pub length: Time,
-    /// Sessions at once, shared beginnings and the tokens of one.
+    /// Arrivals per second at all routers.
+    pub rate_per_s: f64,
+    /// How long requests arrive; requests in flight after that are simulated to their end.
+    pub duration: Time,
+    /// Number of concurrent sessions.
     pub sessions: u32,
-    /// Shared beginnings; their popularity is Zipf's, exponent 1.
+    /// Number of shared prefixes; their popularity has a Zipf distribution with exponent 1.
     pub prefixes: u32,
-    /// Tokens of a shared beginning.
+    /// Tokens of a shared prefix.
     pub prefix_tokens: u32,
-    /// Median of the tokens that a turn adds to its session's prompt, and of an answer's.
-    pub turn_tokens: f64,
-    /// Median of an answer's tokens.
-    pub answer_tokens: f64,
-    /// The most tokens of a prompt; a longer session begins anew.
-    pub most_prompt: u32,
-    /// From a router to a node and back, each way.
+    /// Median number of tokens that a turn adds to its session's prompt.
+    pub median_turn_tokens: f64,
+    /// Median number of tokens of an answer.
+    pub median_answer_tokens: f64,
+    /// Maximum number of prompt tokens; a session that exceeds it is replaced by a new one.
+    pub max_prompt_tokens: u32,
+    /// Network latency between a router and a node, each way.
     pub latency: Time,
-    /// The node list is so late.
-    pub list_late: Time,
-    /// Messages between routers take so long, and so many are lost.
+    /// Delay of changes of the endpoint list.
+    pub list_delay: Time,
+    /// Latency of messages between routers.
     pub peer_latency: Time,
-    /// Share of them lost.
+    /// Share of messages between routers that are lost.
     pub peer_loss: f64,
-    /// Share of its speed that a node starts with, and when it is warm.
-    pub cold_share: f64,
-    /// Cold for so long.
-    pub cold: Time,
-    /// A rolling deploy: from when on, to when, and what share of the nodes it replaces.
+    /// Share of full speed with which a new node starts.
+    pub initial_speed_share: f64,
+    /// Time until a new node has full speed.
+    pub warm_up_time: Time,
+    /// Rolling deploy: begin, end, and the share of nodes that it replaces.
     pub deploy: Option<(Time, Time, f64)>,
-    /// A node that is replaced drains for so long before it is gone.
-    pub drain: Time,
-    /// A slow spell: from, to, the share of the nodes, times as slow.
-    pub slow: Option<(Time, Time, f64, f64)>,
+    /// Drain time of a node before it is removed.
+    pub drain_time: Time,
+    /// Slow period: begin, end, share of nodes, and the factor on their step durations.
+    pub slow_period: Option<(Time, Time, f64, f64)>,
 }
 
-/// What became of a day's requests.
+/// Results of a simulated run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Figures {
-    /// Requests that came.
-    pub came: u64,
-    /// Of these: first token within the aim, and whole; after the aim; refused; failed.
+    /// Requests of clients; retries are not counted.
+    pub requests: u64,
+    /// Complete answers with the first token within the latency objective.
     pub in_time: u64,
-    /// Served, with the first token after the aim.
+    /// Complete answers with the first token after the latency objective.
     pub late: u64,
-    /// Refused.
-    pub refused: u64,
-    /// Failed, or the client's time was up.
+    /// Requests that were rejected and not retried.
+    pub rejected: u64,
+    /// Requests that failed or whose deadline passed.
     pub failed: u64,
-    /// Attempts, and those that timed out.
+    /// Attempts at nodes.
     pub attempts: u64,
-    /// Attempts without a first token by their limit.
+    /// Attempts that timed out before their first token.
     pub timed_out: u64,
-    /// First-token times of those served, ns, ascending.
-    pub first: Vec<Time>,
-    /// Events played.
+    /// Times to the first token of complete answers in ns, ascending.
+    pub first_token_times: Vec<Time>,
+    /// Simulated events.
     pub events: u64,
-    /// Prompt tokens of those served, and of these found kept.
-    pub prompt: u64,
-    /// Prompt tokens found kept.
-    pub kept: u64,
-    /// Tries of clients that had been refused before.
-    pub again: u64,
-    /// Nodes that were pushed over while cold.
-    pub pushed_over: u64,
-    /// Breaches of the rules, as told.
-    pub breaches: Vec<String>,
+    /// Prompt tokens of requests with complete answers.
+    pub prompt_tokens: u64,
+    /// Prompt tokens of them that were found in a prefix cache.
+    pub cached_tokens: u64,
+    /// Retries of clients after a rejection.
+    pub client_retries: u64,
+    /// Nodes that failed from overload during their warm-up.
+    pub overloaded_nodes: u64,
+    /// Descriptions of rule violations.
+    pub violations: Vec<String>,
 }
 
 impl Figures {
-    /// The share of first tokens within a share of all, ns: 0.5 is the median.
-    pub fn first_at(&self, part: f64) -> Time {
-        let at = (part.clamp(0.0, 1.0) * self.first.len() as f64) as usize;
-        self.first.get(at).or(self.first.last()).copied().unwrap_or(0)
+    /// Returns a quantile of the times to the first token in ns; 0.5 is the median.
+    pub fn first_token_quantile(&self, quantile: f64) -> Time {
+        let at = (quantile.clamp(0.0, 1.0) * self.first_token_times.len() as f64) as usize;
+        self.first_token_times.get(at).or(self.first_token_times.last()).copied().unwrap_or(0)
     }
 }
 
 #[derive(Clone, Copy)]
-enum What {
+enum SimEvent {
     Arrival,
-    Timer {
-        router: u32,
-        token: u64,
-    },
-    /// An attempt reaches its node.
-    Reach {
-        request: u32,
-        attempt: u32,
-    },
-    Step {
-        node: u32,
-        life: u32,
-    },
-    First {
-        request: u32,
-        attempt: u32,
-    },
-    Done {
-        request: u32,
-        attempt: u32,
-        outcome: Outcome,
-    },
-    Limit {
-        request: u32,
-        attempt: u32,
-    },
-    Deadline {
-        request: u32,
-    },
-    /// A client that was refused comes again.
-    Again {
-        request: u32,
-    },
-    List {
-        change: u32,
-    },
-    Peer {
-        message: u32,
-    },
-    Deploy {
-        step: u32,
-    },
-    Gone {
-        node: u32,
-    },
-    Slow {
-        begins: bool,
-    },
+    Timer { router: u32, token: u64 },
+    AttemptArrival { request: u32, attempt: u32 },
+    StepEnd { node: u32, step_number: u32 },
+    FirstToken { request: u32, attempt: u32 },
+    AttemptEnd { request: u32, attempt: u32, outcome: Outcome },
+    AttemptTimeout { request: u32, attempt: u32 },
+    Deadline { request: u32 },
+    ClientRetry { request: u32 },
+    ListChange { change: u32 },
+    PeerMessage { message: u32 },
+    DeployStep { step: u32 },
+    NodeRemoval { node: u32 },
+    SlowPeriod { begins: bool },
 }
 
 struct Node {
     engine: Engine,
-    /// How often it was told to step under another plan; a step that was planned before is no longer due.
-    life: u32,
-    planned: Option<Time>,
-    /// When every router has known for 500 ms that it takes nothing new.
-    closed: Option<Time>,
-    /// Work that reached it while cold, within the window of the rule.
-    pushed: VecDeque<(Time, f64)>,
-    /// Pushed over: nothing more comes of it.
-    down: bool,
-    row: EndpointEntry,
+    /// Number of the scheduled step; the event of an earlier step is ignored.
+    step_number: u32,
+    scheduled_step: Option<Time>,
+    /// Time after which routers must not send new requests to the node.
+    no_requests_after: Option<Time>,
+    /// Arrival time and cost in ns of the work that arrived during warm-up, within the overload window.
+    warm_up_work: VecDeque<(Time, f64)>,
+    /// The node failed from overload and refuses connections.
+    failed: bool,
+    entry: EndpointEntry,
 }
 
-struct Try {
+struct Attempt {
     node: u32,
     sent: Time,
-    first: Option<Time>,
-    kept: u32,
+    first_token: Option<Time>,
+    cached: u32,
     ended: bool,
 }
 
-struct Open {
+struct Submission {
     router: u32,
     class: u32,
     tenant: u32,
-    /// When its client first came, until when it waits, and how often it has come.
+    /// Arrival of the client's first submission.
     arrived: Time,
     deadline: Time,
-    comes: u32,
+    /// Number of this submission, above 1 for a retry.
+    number: u32,
     job: Job,
-    tries: Vec<Try>,
+    attempts: Vec<Attempt>,
     answers: u32,
-    over: bool,
+    ended: bool,
 }
 
 struct Session {
     id: u64,
     prefix: u64,
-    tokens: u32,
+    prompt_tokens: u32,
 }
 
-/// The world in play.
+/// State of a simulated run.
 pub struct World<'a> {
     plan: &'a Plan,
-    queue: Queue<What>,
+    queue: Queue<SimEvent>,
     now: Time,
     routers: Vec<Box<dyn Policy>>,
     nodes: Vec<Node>,
-    requests: Vec<Open>,
-    open: u64,
+    requests: Vec<Submission>,
+    open_requests: u64,
     sessions: Vec<Session>,
     next_session: u64,
-    changes: Vec<EndpointEntry>,
-    messages: Vec<(u32, PeerId, Vec<u8>)>,
-    arrivals: ChaCha8Rng,
-    prompts: ChaCha8Rng,
-    front: ChaCha8Rng,
-    net: ChaCha8Rng,
-    troubles: ChaCha8Rng,
-    slowed: Vec<u32>,
-    out: Vec<Action>,
-    told: Vec<Told>,
-    result: Figures,
+    list_changes: Vec<EndpointEntry>,
+    peer_messages: Vec<(u32, PeerId, Vec<u8>)>,
+    arrival_rng: ChaCha8Rng,
+    prompt_rng: ChaCha8Rng,
+    front_rng: ChaCha8Rng,
+    network_rng: ChaCha8Rng,
+    fault_rng: ChaCha8Rng,
+    slow_nodes: Vec<u32>,
+    actions: Vec<Action>,
+    progress: Vec<Progress>,
+    figures: Figures,
 }
 
-/// Longest attempt number that fits beside a request's in a job's name.
-const TRIES: u64 = 16;
-/// Clients come so often at the most, and so long after a refusal without advice, ns.
-const COMES: u32 = 4;
-const COMES_AFTER: Time = SECOND / 20;
-/// A cold node sent more than so many times what it can do, for so long, by all together, falls over: as the operators
-/// state of theirs.
-const PUSH: (f64, Time) = (2.5, 2 * SECOND);
-/// After the list has told a router of a drain, nothing new may go there later than this, ns.
-const DRAIN_KEPT: Time = SECOND / 2;
+/// Job ids for each request: a job id is the index of the request times this, plus the index of the attempt.
+const JOB_IDS: u64 = 16;
+/// Maximum number of submissions of a client's request.
+const MAX_SUBMISSIONS: u32 = 4;
+/// Minimum delay of a client's retry, ns.
+const MIN_RETRY_DELAY: Time = SECOND / 20;
+/// Overload limit of a warming node, as the operators state it for their nodes: more work than this multiple of its capacity,
+/// sent by all routers together within this window in ns, makes the node fail.
+const WARM_UP_OVERLOAD: (f64, Time) = (2.5, 2 * SECOND);
+/// Time that routers have to stop sending to a node after the list reports its drain, ns.
+const DRAIN_REACTION_TIME: Time = SECOND / 2;
 
 impl<'a> World<'a> {
-    /// A world in which each router decides by what `policy` makes of its settings and a seed.
+    /// Creates a world. `policy` makes each router's policy from its settings and a seed.
     pub fn new(plan: &'a Plan, policy: impl Fn(Settings, u64) -> Box<dyn Policy>) -> Self {
         let mut seeds = draw::stream(plan.seed, "routers");
         let settings = |me| Settings {
@@ -254,10 +221,10 @@
             max_retry_after: 2 * SECOND,
             list_mode: EndpointListMode::Pushed,
             report_fields: vec![],
-            initial_capacity_share: plan.cold_share,
-            warm_up_time: plan.cold,
-            overload_window: PUSH.1,
-            overload_multiple: PUSH.0,
+            initial_capacity_share: plan.initial_speed_share,
+            warm_up_time: plan.warm_up_time,
+            overload_window: WARM_UP_OVERLOAD.1,
+            overload_multiple: WARM_UP_OVERLOAD.0,
             cross_zone_cost: 0.0,
             idle_timeout: 5 * SECOND,
         };
@@ -270,36 +237,36 @@
             routers,
             nodes: vec![],
             requests: vec![],
-            open: 0,
+            open_requests: 0,
             sessions: vec![],
             next_session: 1,
-            changes: vec![],
-            messages: vec![],
-            arrivals: stream("arrivals"),
-            prompts: stream("prompts"),
-            front: stream("front"),
-            net: stream("net"),
-            troubles: stream("troubles"),
-            slowed: vec![],
-            out: vec![],
-            told: vec![],
-            result: Figures::default(),
+            list_changes: vec![],
+            peer_messages: vec![],
+            arrival_rng: stream("arrivals"),
+            prompt_rng: stream("prompts"),
+            front_rng: stream("front"),
+            network_rng: stream("net"),
+            fault_rng: stream("troubles"),
+            slow_nodes: vec![],
+            actions: vec![],
+            progress: vec![],
+            figures: Figures::default(),
         };
         for _ in 0..plan.nodes {
             world.add_node(0);
         }
-        let rows: Vec<EndpointEntry> = world.nodes.iter().map(|n| n.row.clone()).collect();
+        let rows: Vec<EndpointEntry> = world.nodes.iter().map(|n| n.entry.clone()).collect();
         for router in 0..plan.routers {
-            world.tell(router, Event::EndpointList { kind: ListUpdate::Full, rows: rows.clone() });
+            world.notify(router, Event::EndpointList { kind: ListUpdate::Full, rows: rows.clone() });
         }
         let start = world.now;
-        world.queue.put(start, What::Arrival);
+        world.queue.push(start, SimEvent::Arrival);
         if let Some((from, ..)) = plan.deploy {
-            world.queue.put(start + from, What::Deploy { step: 0 });
+            world.queue.push(start + from, SimEvent::DeployStep { step: 0 });
         }
-        if let Some((from, to, ..)) = plan.slow {
-            world.queue.put(start + from, What::Slow { begins: true });
-            world.queue.put(start + to, What::Slow { begins: false });
+        if let Some((from, to, ..)) = plan.slow_period {
+            world.queue.push(start + from, SimEvent::SlowPeriod { begins: true });
+            world.queue.push(start + to, SimEvent::SlowPeriod { begins: false });
         }
         world
     }
@@ -307,7 +274,7 @@
     fn add_node(&mut self, started: Time) -> u32 {
         let number = self.nodes.len() as u32;
         let kind = &self.plan.kinds[number as usize % self.plan.kinds.len()];
-        let row = EndpointEntry {
+        let entry = EndpointEntry {
             replica: ReplicaId(u64::from(number) + 1),
             state: EndpointState::Ready,
             started_at: started,
@@ -317,120 +284,121 @@
         };
         let mut engine = Engine::new(kind.clone());
         if started > 0 {
-            engine.start_cold(started, self.plan.cold_share, self.plan.cold);
+            engine.start_cold(started, self.plan.initial_speed_share, self.plan.warm_up_time);
         }
         self.nodes.push(Node {
             engine,
-            life: 0,
-            planned: None,
-            closed: None,
-            pushed: VecDeque::new(),
-            down: false,
-            row,
+            step_number: 0,
+            scheduled_step: None,
+            no_requests_after: None,
+            warm_up_work: VecDeque::new(),
+            failed: false,
+            entry,
         });
         number
     }
 
-    /// Plays it to the end: no more requests come, and none is open.
-    pub fn play(mut self) -> Figures {
-        let ends = self.now + self.plan.length;
-        let longest = self.plan.deadlines.iter().max().copied().unwrap_or(0);
-        while let Some((at, what)) = self.queue.take() {
-            // Routers' timers go on for ever.
-            if at > ends + longest + 120 * SECOND || (at > ends && self.open == 0) {
+    /// Runs the simulation until the arrivals have ended and no request is open.
+    pub fn run(mut self) -> Figures {
+        let end = self.now + self.plan.duration;
+        let longest_deadline = self.plan.deadlines.iter().max().copied().unwrap_or(0);
+        while let Some((at, event)) = self.queue.pop() {
+            // The routers' timers never end.
+            if at > end + longest_deadline + 120 * SECOND || (at > end && self.open_requests == 0) {
                 break;
             }
             self.now = at;
-            self.result.events += 1;
-            self.event(what, ends);
+            self.figures.events += 1;
+            self.handle(event, end);
         }
         for (i, r) in self.requests.iter().enumerate().filter(|(_, r)| r.answers != 1) {
-            let breach = format!("seed {}: request {i} has {} answers", self.plan.seed, r.answers);
-            self.result.breaches.push(breach);
+            let violation = format!("seed {}: request {i} has {} answers", self.plan.seed, r.answers);
+            self.figures.violations.push(violation);
         }
-        self.result.first.sort_unstable();
-        self.result
+        self.figures.first_token_times.sort_unstable();
+        self.figures
     }
 
-    fn event(&mut self, what: What, ends: Time) {
-        match what {
-            What::Arrival => {
-                self.arrive();
-                let gap = Exp::new(self.plan.rate).expect("a rate above zero").sample(&mut self.arrivals);
+    fn handle(&mut self, event: SimEvent, end: Time) {
+        match event {
+            SimEvent::Arrival => {
+                self.submit_next_turn();
+                let gap =
+                    Exp::new(self.plan.rate_per_s).expect("positive rate").sample(&mut self.arrival_rng);
                 let at = self.now + (gap * SECOND as f64) as Time;
-                if at < ends {
-                    self.queue.put(at, What::Arrival);
+                if at < end {
+                    self.queue.push(at, SimEvent::Arrival);
                 }
             }
-            What::Timer { router, token } => self.tell(router, Event::Timer(token)),
-            What::Reach { request, attempt } => self.reach(request, attempt),
-            What::Step { node, life } => self.step(node, life),
-            What::First { request, attempt } => self.first(request, attempt),
-            What::Done { request, attempt, outcome } => self.end(request, attempt, outcome),
-            What::Limit { request, attempt } => {
+            SimEvent::Timer { router, token } => self.notify(router, Event::Timer(token)),
+            SimEvent::AttemptArrival { request, attempt } => self.arrive_at_node(request, attempt),
+            SimEvent::StepEnd { node, step_number } => self.finish_step(node, step_number),
+            SimEvent::FirstToken { request, attempt } => self.first_token(request, attempt),
+            SimEvent::AttemptEnd { request, attempt, outcome } => self.end_attempt(request, attempt, outcome),
+            SimEvent::AttemptTimeout { request, attempt } => {
                 let r = &self.requests[request as usize];
-                if r.tries[attempt as usize].first.is_none() && !r.tries[attempt as usize].ended {
-                    self.result.timed_out += 1;
-                    self.call_off(request, attempt);
-                    self.end(request, attempt, Outcome::TimedOut);
+                if r.attempts[attempt as usize].first_token.is_none() && !r.attempts[attempt as usize].ended {
+                    self.figures.timed_out += 1;
+                    self.cancel_at_node(request, attempt);
+                    self.end_attempt(request, attempt, Outcome::TimedOut);
                 }
             }
-            What::Deadline { request } => {
+            SimEvent::Deadline { request } => {
                 let r = &self.requests[request as usize];
-                if !r.over && !r.tries.iter().any(|t| t.first.is_some()) {
-                    self.answer(request, |result| &mut result.failed);
+                if !r.ended && !r.attempts.iter().any(|t| t.first_token.is_some()) {
+                    self.count(request, |f| &mut f.failed);
                     let router = self.requests[request as usize].router;
-                    self.tell(router, Event::ClientLeft(RequestId(u64::from(request))));
+                    self.notify(router, Event::ClientLeft(RequestId(u64::from(request))));
                 }
             }
-            What::Again { request } => self.again(request),
-            What::List { change } => {
-                let row = self.changes[change as usize].clone();
-                if row.state != EndpointState::Ready {
-                    let node = &mut self.nodes[row.replica.0 as usize - 1];
-                    node.closed = node.closed.or(Some(self.now + DRAIN_KEPT));
+            SimEvent::ClientRetry { request } => self.retry(request),
+            SimEvent::ListChange { change } => {
+                let entry = self.list_changes[change as usize].clone();
+                if entry.state != EndpointState::Ready {
+                    let node = &mut self.nodes[entry.replica.0 as usize - 1];
+                    node.no_requests_after = node.no_requests_after.or(Some(self.now + DRAIN_REACTION_TIME));
                 }
                 for router in 0..self.routers.len() as u32 {
-                    self.tell(
+                    self.notify(
                         router,
-                        Event::EndpointList { kind: ListUpdate::Delta, rows: vec![row.clone()] },
+                        Event::EndpointList { kind: ListUpdate::Delta, rows: vec![entry.clone()] },
                     );
                 }
             }
-            What::Peer { message } => {
-                let (to, from, bytes) = std::mem::take(&mut self.messages[message as usize]);
-                self.tell(to, Event::PeerMessage { from, bytes });
+            SimEvent::PeerMessage { message } => {
+                let (to, from, bytes) = std::mem::take(&mut self.peer_messages[message as usize]);
+                self.notify(to, Event::PeerMessage { from, bytes });
             }
-            What::Deploy { step } => self.deploy(step),
-            What::Gone { node } => self.gone(node),
-            What::Slow { begins } => self.slow(begins),
+            SimEvent::DeployStep { step } => self.deploy(step),
+            SimEvent::NodeRemoval { node } => self.remove_node(node),
+            SimEvent::SlowPeriod { begins } => self.set_slow_period(begins),
         }
     }
 
-    fn arrive(&mut self) {
+    fn submit_next_turn(&mut self) {
         let plan = self.plan;
-        let p = &mut self.prompts;
-        let whole = |x: f64, most: u32| (x as u32).clamp(1, most.max(1));
-        let turn = LogNormal::new(plan.turn_tokens.ln(), 0.8).expect("a median above zero");
-        let answer = LogNormal::new(plan.answer_tokens.ln(), 0.7).expect("a median above zero");
+        let p = &mut self.prompt_rng;
+        let whole_tokens = |x: f64, max: u32| (x as u32).clamp(1, max.max(1));
+        let turn = LogNormal::new(plan.median_turn_tokens.ln(), 0.8).expect("the median is above zero");
+        let answer = LogNormal::new(plan.median_answer_tokens.ln(), 0.7).expect("the median is above zero");
         let slot = p.random_range(0..plan.sessions.max(1)) as usize;
-        let fresh = |next: &mut u64, p: &mut ChaCha8Rng| {
+        let new_session = |next: &mut u64, p: &mut ChaCha8Rng| {
             *next += 1;
-            let rank: f64 = Zipf::new(f64::from(plan.prefixes.max(1)), 1.0).expect("one at least").sample(p);
-            // Sessions and beginnings share the nodes' index: odd and even keys.
-            Session { id: *next * 2, prefix: rank as u64 * 2 + 1, tokens: plan.prefix_tokens }
+            let rank: f64 = Zipf::new(f64::from(plan.prefixes.max(1)), 1.0).expect("n is positive").sample(p);
+            // Sessions and shared prefixes share a node's cache index: sessions have even keys, prefixes odd ones.
+            Session { id: *next * 2, prefix: rank as u64 * 2 + 1, prompt_tokens: plan.prefix_tokens }
         };
         while self.sessions.len() <= slot {
-            self.sessions.push(fresh(&mut self.next_session, p));
+            self.sessions.push(new_session(&mut self.next_session, p));
         }
-        let added = whole(turn.sample(p), 8_000);
-        let made = whole(answer.sample(p), 800);
-        if self.sessions[slot].tokens + added > plan.most_prompt {
-            self.sessions[slot] = fresh(&mut self.next_session, p);
+        let added_tokens = whole_tokens(turn.sample(p), 8_000);
+        let answer_tokens = whole_tokens(answer.sample(p), 800);
+        if self.sessions[slot].prompt_tokens + added_tokens > plan.max_prompt_tokens {
+            self.sessions[slot] = new_session(&mut self.next_session, p);
         }
         let s = &mut self.sessions[slot];
-        let prompt = s.tokens + added;
-        s.tokens = prompt + made;
+        let prompt_tokens = s.prompt_tokens + added_tokens;
+        s.prompt_tokens = prompt_tokens + answer_tokens;
         let id = self.requests.len() as u64;
         let class = p.random_range(0..plan.classes.len()) as u32;
         let tenant = match plan.tenants.len() {
@@ -438,319 +406,338 @@
             n => p.random_range(0..n) as u32,
         };
         let job = Job {
-            id: id * TRIES,
+            id: id * JOB_IDS,
             session: s.id,
             prefix: s.prefix,
             prefix_tokens: plan.prefix_tokens,
-            prompt,
-            answer: made,
+            prompt_tokens,
+            answer_tokens,
         };
-        self.result.came += 1;
+        self.figures.requests += 1;
         let (arrived, deadline) = (self.now, self.now + plan.deadlines[class as usize]);
-        self.come(Open {
+        self.submit(Submission {
             router: 0,
             class,
             tenant,
             arrived,
             deadline,
-            comes: 1,
+            number: 1,
             job,
-            tries: vec![],
+            attempts: vec![],
             answers: 0,
-            over: false,
+            ended: false,
         });
     }
 
-    /// A client comes to some router.
-    fn come(&mut self, mut open: Open) {
-        let (id, job) = (self.requests.len() as u32, open.job);
-        open.router = self.front.random_range(0..self.plan.routers);
-        let (router, deadline) = (open.router, open.deadline);
+    /// Sends a client's request to a random router.
+    fn submit(&mut self, mut client: Submission) {
+        let (id, job) = (self.requests.len() as u32, client.job);
+        client.router = self.front_rng.random_range(0..self.plan.routers);
+        let (router, deadline) = (client.router, client.deadline);
         let request = Request {
             id: RequestId(u64::from(id)),
-            class: ClassId(open.class),
-            tenant: TenantId(open.tenant),
+            class: ClassId(client.class),
+            tenant: TenantId(client.tenant),
             time_left: deadline - self.now,
-            prompt_tokens: job.prompt,
+            prompt_tokens: job.prompt_tokens,
             prefix_tokens: job.prefix_tokens,
             session: Some(SessionKey(job.session)),
             prefix: Some(PrefixKey(job.prefix)),
             resumes_stream: false,
             is_client_retry: false,
         };
-        self.requests.push(open);
-        self.open += 1;
-        self.queue.put(deadline, What::Deadline { request: id });
-        self.tell(router, Event::Request(request));
+        self.requests.push(client);
+        self.open_requests += 1;
+        self.queue.push(deadline, SimEvent::Deadline { request: id });
+        self.notify(router, Event::Request(request));
     }
 
-    /// The same request again, under a new name.
-    fn again(&mut self, request: u32) {
+    /// Submits a rejected request again, under a new id.
+    fn retry(&mut self, request: u32) {
         let r = &self.requests[request as usize];
-        let job = Job { id: self.requests.len() as u64 * TRIES, ..r.job };
+        let job = Job { id: self.requests.len() as u64 * JOB_IDS, ..r.job };
         let (class, tenant, arrived, deadline) = (r.class, r.tenant, r.arrived, r.deadline);
-        let comes = r.comes + 1;
-        self.result.again += 1;
-        let (tries, answers, over, router) = (vec![], 0, false, 0);
-        self.come(Open { router, class, tenant, arrived, deadline, comes, job, tries, answers, over });
+        let number = r.number + 1;
+        self.figures.client_retries += 1;
+        let (attempts, answers, ended, router) = (vec![], 0, false, 0);
+        self.submit(Submission {
+            router,
+            class,
+            tenant,
+            arrived,
+            deadline,
+            number,
+            job,
+            attempts,
+            answers,
+            ended,
+        });
     }
 
-    fn tell(&mut self, router: u32, event: Event) {
-        let mut out = std::mem::take(&mut self.out);
-        out.clear();
-        self.routers[router as usize].handle(self.now, event, &mut out);
-        for action in out.drain(..) {
-            self.act(router, action);
+    fn notify(&mut self, router: u32, event: Event) {
+        let mut actions = std::mem::take(&mut self.actions);
+        actions.clear();
+        self.routers[router as usize].handle(self.now, event, &mut actions);
+        for action in actions.drain(..) {
+            self.perform(router, action);
         }
-        self.out = out;
+        self.actions = actions;
     }
 
-    fn act(&mut self, router: u32, action: Action) {
+    fn perform(&mut self, router: u32, action: Action) {
         match action {
-            Action::Send { request, replica, timeout: limit } => {
+            Action::Send { request, replica, timeout } => {
                 let (request, node) = (request.0 as u32, replica.0 as u32 - 1);
                 let r = &mut self.requests[request as usize];
-                let attempt = r.tries.len() as u32;
-                r.tries.push(Try { node, sent: self.now, first: None, kept: 0, ended: false });
-                self.result.attempts += 1;
-                if r.over {
-                    self.breach(request, "sent after its answer");
+                let attempt = r.attempts.len() as u32;
+                r.attempts.push(Attempt { node, sent: self.now, first_token: None, cached: 0, ended: false });
+                self.figures.attempts += 1;
+                if r.ended {
+                    self.record_violation(request, "sent after its answer");
                 } else if u64::from(attempt) >= 4 {
-                    self.breach(request, "more attempts than allowed");
+                    self.record_violation(request, "more attempts than allowed");
                 }
-                if self.nodes[node as usize].closed.is_some_and(|at| self.now > at) {
-                    self.breach(request, "sent to a node that was known to drain");
+                if self.nodes[node as usize].no_requests_after.is_some_and(|at| self.now > at) {
+                    self.record_violation(request, "sent to a node that was known to drain");
                 }
-                self.queue.put(self.now + self.plan.latency, What::Reach { request, attempt });
-                self.queue.put(self.now + limit, What::Limit { request, attempt });
+                self.queue.push(self.now + self.plan.latency, SimEvent::AttemptArrival { request, attempt });
+                self.queue.push(self.now + timeout, SimEvent::AttemptTimeout { request, attempt });
             }
-            Action::Reject { request, retry_after, .. } => self.refuse(request.0 as u32, retry_after),
-            Action::Fail(request) => self.answer(request.0 as u32, |result| &mut result.failed),
+            Action::Reject { request, retry_after, .. } => self.reject(request.0 as u32, retry_after),
+            Action::Fail(request) => self.count(request.0 as u32, |f| &mut f.failed),
             Action::Cancel { request, attempt } => {
                 let request = request.0 as u32;
-                let open =
-                    self.requests[request as usize].tries.get(attempt as usize).is_some_and(|t| !t.ended);
-                if open {
-                    self.call_off(request, attempt);
-                    self.queue.put(self.now, What::Done { request, attempt, outcome: Outcome::Cancelled });
+                let is_open =
+                    self.requests[request as usize].attempts.get(attempt as usize).is_some_and(|t| !t.ended);
+                if is_open {
+                    self.cancel_at_node(request, attempt);
+                    self.queue.push(
+                        self.now,
+                        SimEvent::AttemptEnd { request, attempt, outcome: Outcome::Cancelled },
+                    );
                 }
             }
             Action::Gossip(bytes) => {
                 for to in (0..self.plan.routers).filter(|&to| to != router) {
-                    if !self.net.random_bool(self.plan.peer_loss) {
-                        self.messages.push((to, PeerId(router), bytes.clone()));
-                        let message = self.messages.len() as u32 - 1;
-                        self.queue.put(self.now + self.plan.peer_latency, What::Peer { message });
+                    if !self.network_rng.random_bool(self.plan.peer_loss) {
+                        self.peer_messages.push((to, PeerId(router), bytes.clone()));
+                        let message = self.peer_messages.len() as u32 - 1;
+                        self.queue.push(self.now + self.plan.peer_latency, SimEvent::PeerMessage { message });
                     }
                 }
             }
-            Action::WakeAt { at, token } => self.queue.put(at.max(self.now), What::Timer { router, token }),
-            // The list is pushed, so nobody is asked for it or about it, and probes are not allowed here.
+            Action::WakeAt { at, token } => {
+                self.queue.push(at.max(self.now), SimEvent::Timer { router, token })
+            }
+            // Not needed here: the endpoint list is pushed, and the settings disable probes.
             Action::WatchEndpoints | Action::SendToPeer { .. } | Action::Probe(_) => {}
         }
     }
 
-    /// A client that is refused comes again while it has time, at the advised moment.
-    fn refuse(&mut self, request: u32, advice: Time) {
+    /// Rejects a submission. The client retries after `retry_after` if its deadline allows it.
+    fn reject(&mut self, request: u32, retry_after: Time) {
         let r = &self.requests[request as usize];
-        let at = self.now + advice.max(COMES_AFTER);
-        if r.comes >= COMES || at >= r.deadline {
-            return self.answer(request, |result| &mut result.refused);
+        let at = self.now + retry_after.max(MIN_RETRY_DELAY);
+        if r.number >= MAX_SUBMISSIONS || at >= r.deadline {
+            return self.count(request, |f| &mut f.rejected);
         }
-        // Not counted yet: one outcome for each that came.
-        self.settle(request);
-        self.queue.put(at, What::Again { request });
+        // The rejection is not counted: each client request has one outcome.
+        self.end_request(request);
+        self.queue.push(at, SimEvent::ClientRetry { request });
     }
 
-    fn breach(&mut self, request: u32, what: &str) {
-        let text = format!("seed {} at {} ns: request {request} {what}", self.plan.seed, self.now);
-        self.result.breaches.push(text);
+    fn record_violation(&mut self, request: u32, violation: &str) {
+        let text = format!("seed {} at {} ns: request {request} {violation}", self.plan.seed, self.now);
+        self.figures.violations.push(text);
     }
 
-    /// The request has its final answer; false if it had one before.
-    fn settle(&mut self, request: u32) -> bool {
+    /// Ends a request with its final answer. Returns false if it had one before.
+    fn end_request(&mut self, request: u32) -> bool {
         let r = &mut self.requests[request as usize];
         r.answers += 1;
-        r.over = true;
+        r.ended = true;
         if r.answers > 1 {
-            self.breach(request, "answered twice");
+            self.record_violation(request, "answered twice");
             return false;
         }
-        self.open -= 1;
+        self.open_requests -= 1;
         true
     }
 
-    /// The same, and what became of it is counted.
-    fn answer(&mut self, request: u32, count: impl Fn(&mut Figures) -> &mut u64) {
-        if self.settle(request) {
-            *count(&mut self.result) += 1;
+    /// Ends a request and increments the counter of its outcome.
+    fn count(&mut self, request: u32, counter: impl Fn(&mut Figures) -> &mut u64) {
+        if self.end_request(request) {
+            *counter(&mut self.figures) += 1;
         }
     }
 
-    fn reach(&mut self, request: u32, attempt: u32) {
+    fn arrive_at_node(&mut self, request: u32, attempt: u32) {
         let r = &self.requests[request as usize];
-        let t = &r.tries[attempt as usize];
+        let t = &r.attempts[attempt as usize];
         let (node, job) = (t.node, Job { id: r.job.id + u64::from(attempt), ..r.job });
         if t.ended {
             return;
         }
-        self.push(node, &job);
+        self.add_warm_up_work(node, &job);
         let n = &mut self.nodes[node as usize];
-        let outcome = match n.row.state {
-            _ if n.down => Outcome::ConnectionRefused,
+        let outcome = match n.entry.state {
+            _ if n.failed => Outcome::ConnectionRefused,
             EndpointState::Gone => Outcome::ConnectionRefused,
-            _ if n.engine.offer(self.now, job) => return self.plan_step(node),
+            _ if n.engine.try_enqueue(self.now, job) => return self.schedule_step(node),
             _ => Outcome::Rejected,
         };
-        self.queue.put(self.now + self.plan.latency, What::Done { request, attempt, outcome });
+        self.queue.push(self.now + self.plan.latency, SimEvent::AttemptEnd { request, attempt, outcome });
     }
 
-    /// What reaches a cold node adds pressure, whatever it answers; too much, and it falls over.
-    fn push(&mut self, node: u32, job: &Job) {
-        let (times, window) = PUSH;
+    /// Counts the work that arrives at a warming node, even if the node rejects it. The node fails from too much of it.
+    fn add_warm_up_work(&mut self, node: u32, job: &Job) {
+        let (multiple, window) = WARM_UP_OVERLOAD;
         let n = &mut self.nodes[node as usize];
-        let warmth = n.engine.warmth(self.now);
-        if warmth >= 1.0 || n.down {
-            return n.pushed.clear();
+        let speed_share = n.engine.speed_share(self.now);
+        if speed_share >= 1.0 || n.failed {
+            return n.warm_up_work.clear();
         }
-        n.pushed.push_back((self.now, n.engine.work(job)));
-        while n.pushed.front().is_some_and(|(at, _)| at + window < self.now) {
-            n.pushed.pop_front();
+        n.warm_up_work.push_back((self.now, n.engine.cost_ns(job)));
+        while n.warm_up_work.front().is_some_and(|(at, _)| at + window < self.now) {
+            n.warm_up_work.pop_front();
         }
-        let work: f64 = n.pushed.iter().map(|p| p.1).sum();
-        // Capacity within the window, as it was in its middle, and two requests of slack for chance.
-        let able = times
+        let work: f64 = n.warm_up_work.iter().map(|p| p.1).sum();
+        // Capacity within the window, by the speed in its middle. Two requests of average cost are tolerated in addition.
+        let capacity_ns = multiple
             * window as f64
-            * n.engine.warmth(self.now.saturating_sub(window / 2).max(n.row.started_at));
-        if work > able + 2.0 * work / n.pushed.len() as f64 {
-            n.down = true;
-            self.result.pushed_over += 1;
+            * n.engine.speed_share(self.now.saturating_sub(window / 2).max(n.entry.started_at));
+        if work > capacity_ns + 2.0 * work / n.warm_up_work.len() as f64 {
+            n.failed = true;
+            self.figures.overloaded_nodes += 1;
             let text =
                 format!("seed {} at {} ns: node {node} pushed over while cold", self.plan.seed, self.now);
-            self.result.breaches.push(text);
-            self.empty(node);
+            self.figures.violations.push(text);
+            self.reset_jobs(node);
         }
     }
 
-    /// All that a node holds breaks.
-    fn empty(&mut self, node: u32) {
+    /// Ends all attempts at a node with a connection reset.
+    fn reset_jobs(&mut self, node: u32) {
         let n = &mut self.nodes[node as usize];
-        let broken: Vec<u64> = n.engine.jobs().collect();
+        let job_ids: Vec<u64> = n.engine.job_ids().collect();
         n.engine = Engine::new(self.plan.kinds[node as usize % self.plan.kinds.len()].clone());
-        (n.planned, n.life) = (None, n.life + 1);
-        for id in broken {
-            self.end((id / TRIES) as u32, (id % TRIES) as u32, Outcome::ConnectionReset);
+        (n.scheduled_step, n.step_number) = (None, n.step_number + 1);
+        for id in job_ids {
+            self.end_attempt((id / JOB_IDS) as u32, (id % JOB_IDS) as u32, Outcome::ConnectionReset);
         }
     }
 
-    fn plan_step(&mut self, node: u32) {
+    fn schedule_step(&mut self, node: u32) {
         let n = &mut self.nodes[node as usize];
-        if n.engine.step_ends() != n.planned {
-            n.planned = n.engine.step_ends();
-            n.life += 1;
-            if let Some(at) = n.planned {
-                self.queue.put(at, What::Step { node, life: n.life });
+        if n.engine.step_end() != n.scheduled_step {
+            n.scheduled_step = n.engine.step_end();
+            n.step_number += 1;
+            if let Some(at) = n.scheduled_step {
+                self.queue.push(at, SimEvent::StepEnd { node, step_number: n.step_number });
             }
         }
     }
 
-    fn step(&mut self, node: u32, life: u32) {
-        if self.nodes[node as usize].life != life {
+    fn finish_step(&mut self, node: u32, step_number: u32) {
+        if self.nodes[node as usize].step_number != step_number {
             return;
         }
-        let mut told = std::mem::take(&mut self.told);
-        told.clear();
-        self.nodes[node as usize].engine.step(self.now, &mut told);
-        debug_assert!(self.nodes[node as usize].engine.adds_up());
+        let mut progress = std::mem::take(&mut self.progress);
+        progress.clear();
+        self.nodes[node as usize].engine.finish_step(self.now, &mut progress);
+        debug_assert!(self.nodes[node as usize].engine.memory_is_consistent());
         let at = self.now + self.plan.latency;
-        for t in told.drain(..) {
-            let (Told::First { id, kept } | Told::Done { id, kept }) = t;
-            let (request, attempt) = ((id / TRIES) as u32, (id % TRIES) as u32);
-            self.requests[request as usize].tries[attempt as usize].kept = kept;
-            match t {
-                Told::First { .. } => self.queue.put(at, What::First { request, attempt }),
-                Told::Done { .. } => {
-                    self.queue.put(at, What::Done { request, attempt, outcome: Outcome::Completed })
-                }
+        for event in progress.drain(..) {
+            let (Progress::FirstToken { id, cached_tokens } | Progress::Completed { id, cached_tokens }) =
+                event;
+            let (request, attempt) = ((id / JOB_IDS) as u32, (id % JOB_IDS) as u32);
+            self.requests[request as usize].attempts[attempt as usize].cached = cached_tokens;
+            match event {
+                Progress::FirstToken { .. } => self.queue.push(at, SimEvent::FirstToken { request, attempt }),
+                Progress::Completed { .. } => self
+                    .queue
+                    .push(at, SimEvent::AttemptEnd { request, attempt, outcome: Outcome::Completed }),
             }
         }
-        self.told = told;
-        self.plan_step(node);
+        self.progress = progress;
+        self.schedule_step(node);
     }
 
-    fn first(&mut self, request: u32, attempt: u32) {
+    fn first_token(&mut self, request: u32, attempt: u32) {
         let r = &mut self.requests[request as usize];
-        let begun = r.tries.iter().any(|t| t.first.is_some());
-        let t = &mut r.tries[attempt as usize];
-        if t.ended || begun || r.over {
+        let has_first_token = r.attempts.iter().any(|t| t.first_token.is_some());
+        let t = &mut r.attempts[attempt as usize];
+        if t.ended || has_first_token || r.ended {
             return;
         }
-        t.first = Some(self.now);
-        let (router, after) = (r.router, self.now - t.sent);
-        let event = Event::FirstToken { request: RequestId(u64::from(request)), attempt, elapsed: after };
-        // The others have lost: as the router's core does, they are called off.
+        t.first_token = Some(self.now);
+        let (router, elapsed) = (r.router, self.now - t.sent);
+        let event = Event::FirstToken { request: RequestId(u64::from(request)), attempt, elapsed };
+        // The other attempts are cancelled, as the router's core does.
         let others: Vec<u32> =
-            (0..r.tries.len() as u32).filter(|&a| a != attempt && !r.tries[a as usize].ended).collect();
-        self.tell(router, event);
+            (0..r.attempts.len() as u32).filter(|&a| a != attempt && !r.attempts[a as usize].ended).collect();
+        self.notify(router, event);
         for a in others {
-            self.call_off(request, a);
-            self.end(request, a, Outcome::Cancelled);
+            self.cancel_at_node(request, a);
+            self.end_attempt(request, a, Outcome::Cancelled);
         }
     }
 
-    fn call_off(&mut self, request: u32, attempt: u32) {
+    fn cancel_at_node(&mut self, request: u32, attempt: u32) {
         let r = &self.requests[request as usize];
-        let t = &r.tries[attempt as usize];
+        let t = &r.attempts[attempt as usize];
         self.nodes[t.node as usize].engine.cancel(r.job.id + u64::from(attempt));
     }
 
-    fn end(&mut self, request: u32, attempt: u32, outcome: Outcome) {
-        let aim = {
+    fn end_attempt(&mut self, request: u32, attempt: u32, outcome: Outcome) {
+        let objective_ns = {
             let r = &self.requests[request as usize];
-            self.plan.classes[r.class as usize].latency_objective_for(r.job.prompt)
+            self.plan.classes[r.class as usize].latency_objective_for(r.job.prompt_tokens)
         };
         let r = &mut self.requests[request as usize];
-        let t = &mut r.tries[attempt as usize];
+        let t = &mut r.attempts[attempt as usize];
         if t.ended {
             return;
         }
         t.ended = true;
-        let (router, after, kept, first) = (r.router, self.now - t.sent, t.kept, t.first);
-        let bound = first.is_some() && !r.over;
-        if bound {
-            // It had begun: its end is the request's, whatever it is.
-            let (took, prompt) = (first.map_or(0, |at| at - r.arrived), r.job.prompt);
+        let (router, elapsed, cached_tokens, first_token) =
+            (r.router, self.now - t.sent, t.cached, t.first_token);
+        let ends_request = first_token.is_some() && !r.ended;
+        if ends_request {
+            // The answer had begun, so the end of the attempt ends the request.
+            let (took, prompt_tokens) = (first_token.map_or(0, |at| at - r.arrived), r.job.prompt_tokens);
             if outcome == Outcome::Completed {
-                self.result.first.push(took);
-                self.result.prompt += u64::from(prompt);
-                self.result.kept += u64::from(kept);
-                let late = took as f64 > aim;
-                self.answer(request, |result| if late { &mut result.late } else { &mut result.in_time });
+                self.figures.first_token_times.push(took);
+                self.figures.prompt_tokens += u64::from(prompt_tokens);
+                self.figures.cached_tokens += u64::from(cached_tokens);
+                let late = took as f64 > objective_ns;
+                self.count(request, |f| if late { &mut f.late } else { &mut f.in_time });
             } else {
-                self.answer(request, |result| &mut result.failed);
+                self.count(request, |f| &mut f.failed);
             }
         }
         let ended = AttemptEnded {
             request: RequestId(u64::from(request)),
             attempt,
             outcome,
-            elapsed: after,
-            request_over: self.requests[request as usize].over,
-            cached_tokens: (outcome == Outcome::Completed).then_some(kept),
+            elapsed,
+            request_over: self.requests[request as usize].ended,
+            cached_tokens: (outcome == Outcome::Completed).then_some(cached_tokens),
             load: vec![],
         };
-        self.tell(router, Event::AttemptEnded(ended));
+        self.notify(router, Event::AttemptEnded(ended));
     }
 
-    fn list(&mut self, node: u32, state: EndpointState) {
+    /// Changes a node's state in the endpoint list; routers receive the change after the list's delay.
+    fn change_state(&mut self, node: u32, state: EndpointState) {
         let n = &mut self.nodes[node as usize];
-        n.row.state = state;
-        self.changes.push(n.row.clone());
-        let change = self.changes.len() as u32 - 1;
-        self.queue.put(self.now + self.plan.list_late, What::List { change });
+        n.entry.state = state;
+        self.list_changes.push(n.entry.clone());
+        let change = self.list_changes.len() as u32 - 1;
+        self.queue.push(self.now + self.plan.list_delay, SimEvent::ListChange { change });
     }
 
-    /// One more node of the deploy: its successor starts, and it drains.
+    /// Replaces one more node of the deploy: starts its successor and drains it.
     fn deploy(&mut self, step: u32) {
         let Some((from, to, share)) = self.plan.deploy else { return };
         let count = (f64::from(self.plan.nodes) * share) as u32;
@@ -758,29 +745,29 @@
             return;
         }
         self.add_node(self.now);
-        self.list(self.nodes.len() as u32 - 1, EndpointState::Ready);
-        self.list(step, EndpointState::Draining);
-        self.queue.put(self.now + self.plan.drain, What::Gone { node: step });
+        self.change_state(self.nodes.len() as u32 - 1, EndpointState::Ready);
+        self.change_state(step, EndpointState::Draining);
+        self.queue.push(self.now + self.plan.drain_time, SimEvent::NodeRemoval { node: step });
         let gap = (to - from) / Time::from(count.max(1));
-        self.queue.put(self.now + gap, What::Deploy { step: step + 1 });
+        self.queue.push(self.now + gap, SimEvent::DeployStep { step: step + 1 });
     }
 
-    fn gone(&mut self, node: u32) {
-        self.list(node, EndpointState::Gone);
-        self.empty(node);
+    fn remove_node(&mut self, node: u32) {
+        self.change_state(node, EndpointState::Gone);
+        self.reset_jobs(node);
     }
 
-    fn slow(&mut self, begins: bool) {
-        let Some((_, _, share, times)) = self.plan.slow else { return };
+    fn set_slow_period(&mut self, begins: bool) {
+        let Some((_, _, share, factor)) = self.plan.slow_period else { return };
         if begins {
             let ready: Vec<u32> = (self.nodes.iter().zip(0..))
-                .filter(|(n, _)| n.row.state == EndpointState::Ready)
+                .filter(|(n, _)| n.entry.state == EndpointState::Ready)
                 .map(|(_, i)| i)
                 .collect();
-            self.slowed = ready.into_iter().filter(|_| self.troubles.random_bool(share)).collect();
+            self.slow_nodes = ready.into_iter().filter(|_| self.fault_rng.random_bool(share)).collect();
         }
-        for &i in &self.slowed {
-            self.nodes[i as usize].engine.slow = if begins { times } else { 1.0 };
+        for &i in &self.slow_nodes {
+            self.nodes[i as usize].engine.slowdown = if begins { factor } else { 1.0 };
         }
     }
 }
--- a/simulator/tests/theory.rs
+++ b/simulator/tests/theory.rs
@@ -1,51 +1,51 @@
-//! The engine where queueing theory has an answer, and what must hold at each step.
+//! Compares the engine with results of queueing theory, and checks invariants of the engine after each step.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
 use rand_distr::{Distribution, Exp};
 use tallypin_simulator::draw;
-use tallypin_simulator::engine::{Engine, Job, Kind, Told};
+use tallypin_simulator::engine::{Engine, Job, NodeKind, Progress};
 
 const MS: f64 = 1e6;
 
-/// Serves a token a step of 1 ms, whatever else: a server with so many places, and no more.
-fn plain(slots: u32) -> Kind {
-    Kind {
-        slots,
-        queue: 1_000_000,
-        memory: u64::MAX / 4,
-        block: 16,
-        chunk: u32::MAX,
-        step: MS,
-        per_request: 0.0,
-        per_context: 0.0,
-        per_read: 0.0,
-        keeps_made: false,
-        crowded: 1.0,
+/// A node whose steps always take 1 ms, with one token for each request: a server with `slots` places.
+fn constant_step_kind(slots: u32) -> NodeKind {
+    NodeKind {
+        max_batch_size: slots,
+        max_waiting: 1_000_000,
+        memory_tokens: u64::MAX / 4,
+        block_tokens: 16,
+        prefill_chunk_tokens: u32::MAX,
+        step_base_ns: MS,
+        per_request_ns: 0.0,
+        per_context_token_ns: 0.0,
+        per_prefill_token_ns: 0.0,
+        caches_answers: false,
+        crowding_threshold: 1.0,
     }
 }
 
-/// Mean wait for a place, ns, with the half-width of its 95% confidence interval by batch means (Law, Simulation
-/// Modeling and Analysis, 2015, 9.5): 20 batches, Student's t for 19 degrees.
+/// Returns the mean wait for a place in ns and the half-width of its 95% confidence interval, by batch means (Law, Simulation
+/// Modeling and Analysis, 2015, 9.5): 20 batches, Student's t with 19 degrees of freedom.
 fn mean_wait(
     slots: u32,
     load: f64,
     tokens: impl Fn(&mut rand_chacha::ChaCha8Rng) -> u32,
     mean_tokens: f64,
 ) -> (f64, f64) {
-    const EACH: usize = 24_000;
+    const BATCH: usize = 24_000;
     let mut rng = draw::stream(7, "theory");
-    let gaps = Exp::new(load * f64::from(slots) / (mean_tokens * MS)).expect("a load above zero");
-    let mut engine = Engine::new(plain(slots));
+    let gaps = Exp::new(load * f64::from(slots) / (mean_tokens * MS)).expect("the load is above zero");
+    let mut engine = Engine::new(constant_step_kind(slots));
     let (mut arrived, mut waits) = (Vec::new(), Vec::new());
-    let (mut next, mut told) = (gaps.sample(&mut rng) as u64, Vec::new());
-    // The first batch warms up.
-    while waits.len() < 21 * EACH {
-        match engine.step_ends() {
+    let (mut next, mut progress) = (gaps.sample(&mut rng) as u64, Vec::new());
+    // The first batch is the warm-up and is discarded.
+    while waits.len() < 21 * BATCH {
+        match engine.step_end() {
             Some(at) if at <= next => {
-                engine.step(at, &mut told);
-                for t in told.drain(..) {
-                    if let Told::First { id, .. } = t {
+                engine.finish_step(at, &mut progress);
+                for event in progress.drain(..) {
+                    if let Progress::FirstToken { id, .. } = event {
                         waits.push(at as f64 - MS - arrived[id as usize]);
                     }
                 }
@@ -53,154 +53,173 @@
             _ => {
                 let id = arrived.len() as u64;
                 arrived.push(next as f64);
-                let job =
-                    Job { id, session: id, prefix: 0, prefix_tokens: 0, prompt: 1, answer: tokens(&mut rng) };
-                assert!(engine.offer(next, job));
+                let job = Job {
+                    id,
+                    session: id,
+                    prefix: 0,
+                    prefix_tokens: 0,
+                    prompt_tokens: 1,
+                    answer_tokens: tokens(&mut rng),
+                };
+                assert!(engine.try_enqueue(next, job));
                 next += gaps.sample(&mut rng) as u64;
             }
         }
     }
     let means: Vec<f64> =
-        waits[EACH..].chunks(EACH).take(20).map(|b| b.iter().sum::<f64>() / b.len() as f64).collect();
+        waits[BATCH..].chunks(BATCH).take(20).map(|b| b.iter().sum::<f64>() / b.len() as f64).collect();
     let mean = means.iter().sum::<f64>() / 20.0;
     let var = means.iter().map(|m| (m - mean).powi(2)).sum::<f64>() / 19.0;
     (mean, 2.093 * (var / 20.0).sqrt())
 }
 
 fn exponential(mean: f64) -> impl Fn(&mut rand_chacha::ChaCha8Rng) -> u32 {
-    let law = Exp::new(1.0 / mean).expect("a mean above zero");
-    // Whole tokens, rounded up: half a token more on the average, taken off the mean.
-    move |rng| (law.sample(rng) + 0.5).ceil().max(1.0) as u32
+    let distribution = Exp::new(1.0 / mean).expect("the mean is above zero");
+    // Adding one half and rounding up to whole tokens raises the mean by about one token.
+    move |rng| (distribution.sample(rng) + 0.5).ceil().max(1.0) as u32
 }
 
-/// Half a step: a request that comes in the middle of one waits for its end, if it found a place free.
-fn near(found: (f64, f64), theory: f64) {
-    let (mean, half) = found;
-    let slack = half + 1.0 * MS;
-    assert!((mean - theory).abs() < slack, "{mean} ± {half} ns, where theory says {theory}");
+/// Checks a mean against theory. The tolerance includes a step: a request that arrives during a step waits for its end even if
+/// a place is free.
+fn check_close(measured: (f64, f64), theory: f64) {
+    let (mean, half_width) = measured;
+    let tolerance = half_width + 1.0 * MS;
+    assert!((mean - theory).abs() < tolerance, "measured {mean} ± {half_width} ns, theory gives {theory} ns");
 }
 
 #[test]
-fn one_place_and_exponential_answers_wait_as_m_m_1() {
+fn one_slot_with_exponential_answer_lengths_waits_as_m_m_1() {
     let (load, mean) = (0.7, 101.0);
-    // Whole tokens vary a little less than an exponential time: Pollaczek and Khinchine's formula with their variance,
-    // 1% below M/M/1.
-    let square = mean * mean + 100.0 * 100.0;
-    near(mean_wait(1, load, exponential(100.0), mean), load / (1.0 - load) * square / (2.0 * mean) * MS);
+    // Whole tokens vary slightly less than an exponential time. The Pollaczek-Khinchine formula with their variance gives 1% less
+    // than M/M/1.
+    let second_moment = mean * mean + 100.0 * 100.0;
+    check_close(
+        mean_wait(1, load, exponential(100.0), mean),
+        load / (1.0 - load) * second_moment / (2.0 * mean) * MS,
+    );
 }
 
 #[test]
-fn one_place_and_equal_answers_wait_as_m_d_1() {
+fn one_slot_with_constant_answer_lengths_waits_as_m_d_1() {
     let (load, mean) = (0.8, 100.0);
-    near(mean_wait(1, load, |_| 100, mean), load / (2.0 * (1.0 - load)) * mean * MS);
+    check_close(mean_wait(1, load, |_| 100, mean), load / (2.0 * (1.0 - load)) * mean * MS);
 }
 
 #[test]
-fn several_places_and_exponential_answers_wait_as_m_m_c() {
-    let (c, load, mean) = (5u32, 0.8, 101.0);
-    // Erlang's formula for the share that waits.
-    let a = load * f64::from(c);
-    let term = |k: u32| (1..=k).fold(1.0, |t, j| t * a / f64::from(j));
-    let waits = term(c) / (1.0 - load) / ((0..c).map(term).sum::<f64>() + term(c) / (1.0 - load));
-    near(mean_wait(c, load, exponential(100.0), mean), waits / (f64::from(c) * (1.0 - load)) * mean * MS);
+fn several_slots_with_exponential_answer_lengths_wait_as_m_m_c() {
+    let (servers, load, mean) = (5u32, 0.8, 101.0);
+    // Erlang C formula: the share of requests that wait.
+    let offered_load = load * f64::from(servers);
+    let term = |k: u32| (1..=k).fold(1.0, |t, j| t * offered_load / f64::from(j));
+    let waiting_share =
+        term(servers) / (1.0 - load) / ((0..servers).map(term).sum::<f64>() + term(servers) / (1.0 - load));
+    check_close(
+        mean_wait(servers, load, exponential(100.0), mean),
+        waiting_share / (f64::from(servers) * (1.0 - load)) * mean * MS,
+    );
 }
 
-fn small() -> Kind {
-    Kind {
-        slots: 4,
-        queue: 3,
-        memory: 2_000,
-        chunk: 100,
-        per_read: 1e4,
-        per_request: 1e5,
-        keeps_made: true,
-        ..plain(4)
+fn small_kind() -> NodeKind {
+    NodeKind {
+        max_batch_size: 4,
+        max_waiting: 3,
+        memory_tokens: 2_000,
+        prefill_chunk_tokens: 100,
+        per_prefill_token_ns: 1e4,
+        per_request_ns: 1e5,
+        caches_answers: true,
+        ..constant_step_kind(4)
     }
 }
 
 proptest! {
-    /// Whatever comes, in whatever order: memory adds up at each step, and whoever was taken is told of once, unless
-    /// called off.
+    /// For any jobs in any order, the memory accounting is consistent after each step, and each accepted job is reported as
+    /// completed exactly once unless it was cancelled.
     #[test]
-    fn nothing_is_lost_and_memory_adds_up(
+    fn jobs_complete_once_and_memory_accounting_is_consistent(
         jobs in proptest::collection::vec((0u64..5, 0u64..3, 0u32..400, 1u32..900, 1u32..300, any::<bool>(), 0u8..6), 1..60),
     ) {
-        let mut engine = Engine::new(small());
-        let (mut now, mut told, mut taken, mut off) = (0, Vec::new(), Vec::new(), Vec::new());
-        let mut ends: Vec<u64> = Vec::new();
-        let mut firsts: Vec<u64> = Vec::new();
-        let mut note = |told: &mut Vec<Told>| for t in told.drain(..) {
-            match t {
-                Told::First { id, .. } => firsts.push(id),
-                Told::Done { id, .. } => ends.push(id),
+        let mut engine = Engine::new(small_kind());
+        let (mut now, mut progress, mut accepted, mut cancelled) = (0, Vec::new(), Vec::new(), Vec::new());
+        let mut completed: Vec<u64> = Vec::new();
+        let mut started: Vec<u64> = Vec::new();
+        let mut record = |progress: &mut Vec<Progress>| for event in progress.drain(..) {
+            match event {
+                Progress::FirstToken { id, .. } => started.push(id),
+                Progress::Completed { id, .. } => completed.push(id),
             }
         };
-        for (id, (session, prefix, prefix_tokens, prompt, answer, cancel, steps)) in jobs.into_iter().enumerate() {
+        for (id, (session, prefix, prefix_tokens, prompt_tokens, answer_tokens, cancel, steps)) in jobs.into_iter().enumerate() {
             let id = id as u64;
-            let job = Job { id, session: session * 2 + 2, prefix: prefix * 2 + 1, prefix_tokens, prompt, answer };
-            let room = engine.running() + engine.waiting() < 7;
-            prop_assert_eq!(engine.offer(now, job), room, "taken while there is room");
-            if room {
-                taken.push(id);
+            let job = Job { id, session: session * 2 + 2, prefix: prefix * 2 + 1, prefix_tokens, prompt_tokens, answer_tokens };
+            let has_room = engine.running_count() + engine.waiting_count() < 7;
+            prop_assert_eq!(engine.try_enqueue(now, job), has_room, "a job is accepted while there is room");
+            if has_room {
+                accepted.push(id);
             }
             if cancel {
                 engine.cancel(id / 2);
-                off.push(id / 2);
+                cancelled.push(id / 2);
             }
             for _ in 0..steps {
-                let Some(at) = engine.step_ends() else { break };
+                let Some(at) = engine.step_end() else { break };
                 prop_assert!(at > now);
                 now = at;
-                engine.step(now, &mut told);
-                prop_assert!(engine.adds_up());
+                engine.finish_step(now, &mut progress);
+                prop_assert!(engine.memory_is_consistent());
             }
-            note(&mut told);
+            record(&mut progress);
         }
         let mut steps = 0;
-        while let Some(at) = engine.step_ends() {
-            engine.step(at, &mut told);
-            prop_assert!(engine.adds_up());
+        while let Some(at) = engine.step_end() {
+            engine.finish_step(at, &mut progress);
+            prop_assert!(engine.memory_is_consistent());
             steps += 1;
-            prop_assert!(steps < 200_000, "it comes to an end");
+            prop_assert!(steps < 200_000, "the engine must become idle");
         }
-        note(&mut told);
-        prop_assert_eq!((engine.running(), engine.waiting(), engine.memory_held()), (0, 0, 0.0));
-        let once = |told: &[u64]| {
-            let mut sorted = told.to_vec();
+        record(&mut progress);
+        prop_assert_eq!((engine.running_count(), engine.waiting_count(), engine.request_memory_share()), (0, 0, 0.0));
+        let are_unique = |ids: &[u64]| {
+            let mut sorted = ids.to_vec();
             sorted.sort_unstable();
             sorted.windows(2).all(|w| w[0] != w[1])
         };
-        prop_assert!(once(&firsts) && once(&ends), "told once");
-        for id in taken {
-            prop_assert!(ends.contains(&id) || off.contains(&id), "{id} came to nothing");
-            prop_assert!(!ends.contains(&id) || firsts.contains(&id));
+        prop_assert!(are_unique(&started) && are_unique(&completed), "each job is reported once");
+        for id in accepted {
+            prop_assert!(completed.contains(&id) || cancelled.contains(&id), "job {id} neither completed nor was cancelled");
+            prop_assert!(!completed.contains(&id) || started.contains(&id));
         }
     }
 }
 
 #[test]
-fn a_session_s_next_turn_reads_only_what_is_new() {
-    let mut engine = Engine::new(Kind { memory: 100_000, keeps_made: true, ..plain(4) });
+fn the_next_turn_of_a_session_prefills_only_new_tokens() {
+    let mut engine =
+        Engine::new(NodeKind { memory_tokens: 100_000, caches_answers: true, ..constant_step_kind(4) });
     let mut run = |job: Job, at: u64| {
-        let (mut now, mut kept, mut told) = (at, None, Vec::new());
-        assert!(engine.offer(now, job));
-        while let Some(end) = engine.step_ends() {
+        let (mut now, mut cached, mut progress) = (at, None, Vec::new());
+        assert!(engine.try_enqueue(now, job));
+        while let Some(end) = engine.step_end() {
             now = end;
-            engine.step(now, &mut told);
+            engine.finish_step(now, &mut progress);
         }
-        for t in told {
-            if let Told::Done { kept: k, .. } = t {
-                kept = Some(k);
+        for event in progress {
+            if let Progress::Completed { cached_tokens, .. } = event {
+                cached = Some(cached_tokens);
             }
         }
-        kept.expect("done")
+        cached.expect("the job completes")
     };
-    let job = Job { id: 1, session: 2, prefix: 1, prefix_tokens: 160, prompt: 480, answer: 32 };
+    let job = Job { id: 1, session: 2, prefix: 1, prefix_tokens: 160, prompt_tokens: 480, answer_tokens: 32 };
     assert_eq!(run(job, 0), 0);
-    assert_eq!(run(Job { id: 2, prompt: 1_000, ..job }, 1_000_000_000), 512, "the prompt and the answer");
-    let other = Job { id: 3, session: 4, prompt: 480, ..job };
-    assert_eq!(run(other, 2_000_000_000), 160, "the shared beginning");
+    assert_eq!(
+        run(Job { id: 2, prompt_tokens: 1_000, ..job }, 1_000_000_000),
+        512,
+        "the previous prompt and answer are cached"
+    );
+    let other = Job { id: 3, session: 4, prompt_tokens: 480, ..job };
+    assert_eq!(run(other, 2_000_000_000), 160, "only the shared prefix is cached");
     engine.start_cold(3_000_000_000, 0.15, 1_000_000_000);
-    assert!((engine.warmth(3_500_000_000) - 0.575).abs() < 1e-9);
-    assert!(engine.step_ends().is_none());
+    assert!((engine.speed_share(3_500_000_000) - 0.575).abs() < 1e-9);
+    assert!(engine.step_end().is_none());
 }
