--- a/health/tests/recorded.rs
+++ b/health/tests/recorded.rs
@@ -1,4 +1,4 @@
-//! What a router says of its health in each protocol, for every state, weight and cause, recorded byte for byte.
+//! Compares the health messages of each protocol with recorded files, for all states, weights and causes, byte for byte.
 #![allow(missing_docs)]
 
 #[path = "../../tests/common/recorded.rs"]
@@ -48,7 +48,7 @@
     Recording::new(env!("CARGO_MANIFEST_DIR"), "", name)
 }
 
-/// Every state with every weight and the first cause, and with every cause at one weight.
+/// Returns every state with every weight and the first cause, and every state with every cause at one weight.
 fn assessments() -> Vec<Assessment> {
     let weights = STATES
         .iter()
@@ -57,18 +57,18 @@
     weights.chain(causes).collect()
 }
 
-/// The assessment in the program's own words, which are part of what is recorded.
-fn title(of: &Assessment) -> String {
-    format!("{} {}% {}", of.state, of.weight, of.cause.description())
+/// Returns the title of an assessment's case. The descriptions of states and causes are part of the recorded text.
+fn title(assessment: &Assessment) -> String {
+    format!("{} {}% {}", assessment.state, assessment.weight, assessment.cause.description())
 }
 
 #[test]
-fn agent_lines_stay_as_they_were() {
+fn agent_check_lines_are_as_recorded() {
     let mut recording = recording("agent.txt");
-    for now in assessments() {
-        let lines =
-            [None, Some(40)].map(|maxconn| format!("{}\n", AgentReply::from_assessment(&now, maxconn)));
-        recording.case(&title(&now), &lines.concat());
+    for assessment in assessments() {
+        let lines = [None, Some(40)]
+            .map(|maxconn| format!("{}\n", AgentReply::from_assessment(&assessment, maxconn)));
+        recording.case(&title(&assessment), &lines.concat());
     }
     for service in ["letters", "", "a b", "x\nup ready 100%\u{e9}", &"long".repeat(40)] {
         recording
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn http_answers_stay_as_they_were() {
+fn http_answers_are_as_recorded() {
     let mut recording = recording("http.txt");
-    let parts = [
+    let components = [
         Component { name: "nodes", healthy: false, note: "0 of 3 warm".into() },
         Component { name: "list", healthy: true, note: String::new() },
         Component { name: "thread", healthy: true, note: "\"0\" ms \\ late".into() },
@@ -92,7 +92,7 @@
         ("changed", HttpCheckPolicy { statuses, paths, envoy: true, ..HttpCheckPolicy::default() }),
     ];
     let json = Some("application/health+json");
-    let asked = [
+    let requests = [
         ("GET", "/healthz", None),
         ("GET", "/healthz", json),
         ("HEAD", "/healthz", None),
@@ -108,9 +108,9 @@
     ];
     for (policy_name, policy) in &policies {
         for state in STATES {
-            let now = Assessment { state, weight: 87, cause: HealthCause::AtCapacity };
-            for (method, target, accept) in asked {
-                let answer = policy.answer(CheckRequest { method, target, accept }, &now, &parts);
+            let assessment = Assessment { state, weight: 87, cause: HealthCause::AtCapacity };
+            for (method, target, accept) in requests {
+                let answer = policy.answer(CheckRequest { method, target, accept }, &assessment, &components);
                 let text = answer.map_or("none\n".into(), |a| {
                     format!("{}\n{}\\r\\n\n{}", a.status, a.fields.replace("\r\n", "\\r\\n\n"), a.body)
                 });
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn grpc_messages_stay_as_they_were() {
+fn grpc_messages_are_as_recorded() {
     let mut recording = recording("grpc.txt");
     for status in [
         ServingStatus::Unknown,
@@ -153,9 +153,9 @@
 }
 
 #[test]
-fn load_reports_stay_as_they_were() {
+fn load_reports_are_as_recorded() {
     let mut recording = recording("orca.txt");
-    let whole = OrcaLoadReport {
+    let complete = OrcaLoadReport {
         cpu_utilization: 0.25,
         mem_utilization: 0.125,
         application_utilization: 1.5,
@@ -168,13 +168,13 @@
             ("usable".into(), 1.0),
         ]),
     };
-    let odd = OrcaLoadReport {
+    let non_finite = OrcaLoadReport {
         cpu_utilization: f64::NAN,
         eps: f64::INFINITY,
         rps_fractional: 1e300,
-        ..whole.clone()
+        ..complete.clone()
     };
-    for (name, report) in [("empty", OrcaLoadReport::default()), ("whole", whole), ("odd", odd)] {
+    for (name, report) in [("empty", OrcaLoadReport::default()), ("whole", complete), ("odd", non_finite)] {
         for (form_name, form) in
             [("text", ReportFormat::Text), ("json", ReportFormat::Json), ("binary", ReportFormat::Binary)]
         {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn exit_codes_stay_as_they_were() {
+fn exit_codes_are_as_recorded() {
     let mut recording = recording("exit.txt");
     for state in STATES {
         for weight in [0, 1, 42, 100, 255] {
--- a/health/tests/words.rs
+++ b/health/tests/words.rs
@@ -1,4 +1,4 @@
-//! The words of each protocol: tables of cases, and parsers under arbitrary bytes.
+//! Messages of each health protocol: tables of cases, and property tests of the parsers with arbitrary bytes.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -29,39 +29,39 @@
     HealthState::Down,
 ];
 
-fn now(state: HealthState) -> Assessment {
+fn assessment(state: HealthState) -> Assessment {
     Assessment { state, weight: 87, cause: HealthCause::Healthy }
 }
 
 #[test]
-fn agent_lines_are_read_as_the_manual_has_them() {
-    let says = |percent, maxconn, admin, operation, reason: Option<&str>| AgentReply {
+fn parses_agent_check_lines_as_specified() {
+    let reply = |percent, maxconn, admin, operation, reason: Option<&str>| AgentReply {
         percent,
         maxconn,
         admin,
         operation,
         reason: reason.map(String::from),
     };
-    for (line, want) in [
-        ("75%\n", says(Some(75), None, None, None, None)),
-        ("up ready 0%\r\n", says(Some(0), None, Some(AdminState::Ready), Some(OperationalState::Up), None)),
+    for (line, expected) in [
+        ("75%\n", reply(Some(75), None, None, None, None)),
+        ("up ready 0%\r\n", reply(Some(0), None, Some(AdminState::Ready), Some(OperationalState::Up), None)),
         (
             "UP,READY\t300%\n",
-            says(Some(300), None, Some(AdminState::Ready), Some(OperationalState::Up), None),
+            reply(Some(300), None, Some(AdminState::Ready), Some(OperationalState::Up), None),
         ),
-        ("maxconn:30 drain\n", says(None, Some(30), Some(AdminState::Drain), None, None)),
-        ("maint\nup\n", says(None, None, Some(AdminState::Maintenance), None, None)),
+        ("maxconn:30 drain\n", reply(None, Some(30), Some(AdminState::Drain), None, None)),
+        ("maint\nup\n", reply(None, None, Some(AdminState::Maintenance), None, None)),
         (
             "down #no disk, no hope\n",
-            says(None, None, None, Some(OperationalState::Down), Some("no disk, no hope")),
+            reply(None, None, None, Some(OperationalState::Down), Some("no disk, no hope")),
         ),
-        ("failed#x\n", says(None, None, None, Some(OperationalState::Failed), Some("x"))),
-        ("stopped\n", says(None, None, None, Some(OperationalState::Stopped), None)),
-        ("up #for nothing\n", says(None, None, None, Some(OperationalState::Up), None)),
+        ("failed#x\n", reply(None, None, None, Some(OperationalState::Failed), Some("x"))),
+        ("stopped\n", reply(None, None, None, Some(OperationalState::Stopped), None)),
+        ("up #for nothing\n", reply(None, None, None, Some(OperationalState::Up), None)),
     ] {
-        assert_eq!(AgentReply::parse(line.as_bytes(), false), Ok(want), "{line:?}");
+        assert_eq!(AgentReply::parse(line.as_bytes(), false), Ok(expected), "{line:?}");
     }
-    for (line, closed, want) in [
+    for (line, closed, expected) in [
         ("up", false, AgentReplyError::Incomplete),
         ("", true, AgentReplyError::Empty),
         (" ,\t\n", false, AgentReplyError::Empty),
@@ -72,15 +72,15 @@
         ("maxconn: 3\n", false, AgentReplyError::UnknownWord("maxconn:".into())),
         ("maxconn:99999999999\n", false, AgentReplyError::UnknownWord("maxconn:99999999999".into())),
     ] {
-        assert_eq!(AgentReply::parse(line.as_bytes(), closed), Err(want), "{line:?}");
+        assert_eq!(AgentReply::parse(line.as_bytes(), closed), Err(expected), "{line:?}");
     }
     assert_eq!(AgentReply::parse("up".as_bytes(), true).map(|s| s.operation), Ok(Some(OperationalState::Up)));
     assert_eq!(AgentReply::parse(&[b'u'; 300], false), Err(AgentReplyError::TooLong));
 }
 
 #[test]
-fn each_state_takes_back_what_the_ones_before_it_said() {
-    let lines = STATES.map(|s| AgentReply::from_assessment(&now(s), Some(40)).to_string());
+fn the_line_of_each_state_overrides_the_previous_one() {
+    let lines = STATES.map(|s| AgentReply::from_assessment(&assessment(s), Some(40)).to_string());
     assert_eq!(
         lines,
         [
@@ -91,14 +91,17 @@
             "down ready #well"
         ]
     );
-    assert_eq!(AgentReply::from_assessment(&now(HealthState::Up), None).to_string(), "up ready 87%");
-    let sly = AgentReply::unknown_service("x\nup ready 100%\u{e9}").to_string();
-    assert_eq!(sly, "failed #no service xup ready 100%", "what comes from outside ends no line");
+    assert_eq!(AgentReply::from_assessment(&assessment(HealthState::Up), None).to_string(), "up ready 87%");
+    let injected = AgentReply::unknown_service("x\nup ready 100%\u{e9}").to_string();
+    assert_eq!(
+        injected, "failed #no service xup ready 100%",
+        "a service name from outside must not end the line"
+    );
 }
 
 #[test]
-fn what_a_balancer_sends_first_picks_the_service() {
-    for (bytes, want) in [
+fn the_request_line_of_an_agent_check_selects_the_service() {
+    for (bytes, expected) in [
         (&b""[..], AgentRequest::Incomplete),
         (b"messages", AgentRequest::Incomplete),
         (b"messages\n", AgentRequest::Service("messages".into())),
@@ -108,7 +111,7 @@
         (b"\x16\x03\x01\n", AgentRequest::Invalid),
         (&[b'x'; 300], AgentRequest::Invalid),
     ] {
-        assert_eq!(parse_request(bytes), want, "{bytes:?}");
+        assert_eq!(parse_request(bytes), expected, "{bytes:?}");
     }
 }
 
@@ -116,46 +119,46 @@
 fn http_checks_answer_by_path_method_and_state() {
     let statuses = StatusCodes { degraded: 200, drain: 404, maintenance: 503, down: 503 };
     let policy = HttpCheckPolicy { statuses, envoy: true, ..HttpCheckPolicy::default() };
-    let parts = [Component { name: "nodes", healthy: false, note: "0 of 3 warm".into() }];
-    let ask = |method, target, accept, state| {
-        policy.answer(http_check::CheckRequest { method, target, accept }, &now(state), &parts)
+    let components = [Component { name: "nodes", healthy: false, note: "0 of 3 warm".into() }];
+    let answer = |method, target, accept, state| {
+        policy.answer(http_check::CheckRequest { method, target, accept }, &assessment(state), &components)
     };
-    let status = |target, state| ask("GET", target, None, state).map(|a| a.status);
+    let status = |target, state| answer("GET", target, None, state).map(|a| a.status);
     assert_eq!(STATES.map(|s| status("/healthz", s)), [200, 200, 404, 503, 503].map(Some));
     assert_eq!(STATES.map(|s| status("/readyz", s)), [200, 200, 404, 503, 503].map(Some));
-    assert_eq!(STATES.map(|s| status("/livez", s)), [200; 5].map(Some), "to drain is to live");
+    assert_eq!(STATES.map(|s| status("/livez", s)), [200; 5].map(Some), "a draining router is alive");
     assert_eq!(status("/health", HealthState::Up), None);
     assert_eq!(status("/healthz/x", HealthState::Up), None);
-    let post = ask("POST", "/healthz", None, HealthState::Up).unwrap();
+    let post = answer("POST", "/healthz", None, HealthState::Up).unwrap();
     assert!(post.status == 405 && post.fields.starts_with("Allow: GET, HEAD, OPTIONS\r\n"));
-    let fields = |state| ask("GET", "/healthz?x", None, state).unwrap().fields;
+    let fields = |state| answer("GET", "/healthz?x", None, state).unwrap().fields;
     assert!(fields(HealthState::Draining).contains("x-envoy-immediate-health-check-fail: true\r\n"));
     assert!(fields(HealthState::Degraded).contains("x-envoy-degraded: true\r\n"));
     assert!(!fields(HealthState::Up).contains("envoy"));
-    assert_eq!(ask("GET", "/readyz", None, HealthState::Up).unwrap().body, "ok\n");
+    assert_eq!(answer("GET", "/readyz", None, HealthState::Up).unwrap().body, "ok\n");
     assert_eq!(
-        ask("GET", "/readyz?verbose", None, HealthState::Down).unwrap().body,
+        answer("GET", "/readyz?verbose", None, HealthState::Down).unwrap().body,
         "[+]ping ok\n[-]nodes not well: 0 of 3 warm\nstate down 87%: well\nreadyz check failed\n"
     );
-    let json = ask("GET", "/healthz", Some("application/health+json"), HealthState::Degraded).unwrap();
+    let json = answer("GET", "/healthz", Some("application/health+json"), HealthState::Degraded).unwrap();
     let body: serde_json::Value = serde_json::from_str(&json.body).unwrap();
     assert_eq!((&body["status"], &body["checks"]["nodes"][0]["status"]), (&"warn".into(), &"warn".into()));
     assert_eq!(STATES.map(|s| envoy_fields(s).is_empty()), [true, false, false, false, false]);
 }
 
 #[test]
-fn the_state_that_a_balancer_sends_is_read() {
+fn parses_the_server_state_of_a_balancer() {
     let value = "UP 2/3; name=bck/srv2; node=lb1; weight=1/2; scur=13/22; qcur=0";
-    let sent = parse_server_state(value).unwrap();
-    assert_eq!((sent.state.as_str(), sent.weight), ("UP 2/3", Some((1, 2))));
-    assert_eq!((sent.name.as_deref(), sent.node.as_deref()), (Some("bck/srv2"), Some("lb1")));
+    let server = parse_server_state(value).unwrap();
+    assert_eq!((server.state.as_str(), server.weight), ("UP 2/3", Some((1, 2))));
+    assert_eq!((server.name.as_deref(), server.node.as_deref()), (Some("bck/srv2"), Some("lb1")));
     assert_eq!(parse_server_state("NOLB; weight=x/y").map(|s| s.weight), Some(None));
     assert_eq!(parse_server_state(" ; name=x"), None);
 }
 
 #[test]
-fn grpc_messages_have_the_bytes_of_the_specification() {
-    // From the encoding rules of protocol buffers by hand: field 1, length 2, `ab`; and field 1, varint 1.
+fn grpc_messages_are_encoded_as_specified() {
+    // Encoded by hand by the rules of protocol buffers: field 1 with length 2 and `ab`, and field 1 with varint 1.
     let request = HealthCheckRequest { service: "ab".into() };
     assert_eq!(&grpc_health::encode_frame(&request)[..], b"\0\0\0\0\x04\x0a\x02ab");
     assert_eq!(&grpc_health::encode_frame(&HealthCheckResponse { status: 1 })[..], b"\0\0\0\0\x02\x08\x01");
@@ -164,12 +167,15 @@
     buf.extend_from_slice(b"b\0\0");
     assert_eq!(grpc_health::decode_frame(&mut buf), Ok(Some(request)));
     assert_eq!(&buf[..], b"\0\0");
-    for (bytes, want) in [
+    for (bytes, expected) in [
         (&b"\x01\0\0\0\0"[..], grpc_health::DecodeError::CompressedFrame),
         (b"\0\xff\xff\xff\xff", grpc_health::DecodeError::FrameTooLarge),
         (b"\0\0\0\0\x01\x0a", grpc_health::DecodeError::InvalidMessage),
     ] {
-        assert_eq!(grpc_health::decode_frame::<HealthCheckRequest>(&mut BytesMut::from(bytes)), Err(want));
+        assert_eq!(
+            grpc_health::decode_frame::<HealthCheckRequest>(&mut BytesMut::from(bytes)),
+            Err(expected)
+        );
     }
     let services = ["messages".to_string()];
     let status = |service, state| grpc_health::service_status(service, &services, state);
@@ -179,18 +185,19 @@
 }
 
 #[test]
-fn a_watch_tells_each_change_once_and_a_slow_one_the_newest() {
+fn a_watch_sends_each_change_once_and_only_the_latest_status_to_a_slow_watcher() {
     let mut watch = WatchState::default();
     use ServingStatus::*;
-    let told: Vec<_> = [Serving, Serving, NotServing, NotServing, Serving].map(|s| watch.notify(s)).into();
-    let statuses: Vec<_> = told.into_iter().flatten().map(|r| r.status).collect();
+    let responses: Vec<_> =
+        [Serving, Serving, NotServing, NotServing, Serving].map(|s| watch.notify(s)).into();
+    let statuses: Vec<_> = responses.into_iter().flatten().map(|r| r.status).collect();
     assert_eq!(statuses, [1, 2, 1]);
-    // Away while it changed there and back: nothing has changed for this watcher.
+    // A change that was reversed before the watcher read it is not sent.
     assert_eq!(watch.notify(Serving), None);
 }
 
 #[test]
-fn load_reports_have_the_form_of_the_specification() {
+fn load_reports_are_formatted_as_specified() {
     let report = OrcaLoadReport {
         cpu_utilization: 0.25,
         application_utilization: 0.5,
@@ -207,30 +214,30 @@
     assert!(report
         .header_field(ReportFormat::Json)
         .starts_with("endpoint-load-metrics: JSON {\"application_utilization\":0.5"));
-    // Field 1, 64 bits: 0.25.
+    // Field 1 with 64 bits: 0.25.
     let cpu = OrcaLoadReport { cpu_utilization: 0.25, ..OrcaLoadReport::default() };
     assert_eq!(cpu.encode_to_vec(), [0x09, 0, 0, 0, 0, 0, 0, 0xd0, 0x3f]);
     assert_eq!(cpu.header_field(ReportFormat::Binary), "endpoint-load-metrics-bin: CQAAAAAAANA/\r\n");
-    let asked = |seconds, nanos| OrcaLoadReportRequest {
+    let request_every = |seconds, nanos| OrcaLoadReportRequest {
         report_interval: Some(ProtoDuration { seconds, nanos }),
         request_cost_names: Vec::new(),
     };
     let ms = Duration::from_millis;
-    for (request, want) in [
-        (asked(1, 500_000_000), ms(1500)),
-        (asked(0, 1_000_000), ms(100)),
-        (asked(0, 0), ms(10_000)),
-        (asked(-5, 0), ms(10_000)),
-        (asked(0, -1), ms(10_000)),
-        (asked(i64::MAX, 0), ms(10_000)),
+    for (request, expected) in [
+        (request_every(1, 500_000_000), ms(1500)),
+        (request_every(0, 1_000_000), ms(100)),
+        (request_every(0, 0), ms(10_000)),
+        (request_every(-5, 0), ms(10_000)),
+        (request_every(0, -1), ms(10_000)),
+        (request_every(i64::MAX, 0), ms(10_000)),
         (OrcaLoadReportRequest::default(), ms(10_000)),
     ] {
-        assert_eq!(request.interval(ms(100), ms(10_000)), want, "{request:?}");
+        assert_eq!(request.interval(ms(100), ms(10_000)), expected, "{request:?}");
     }
 }
 
 #[test]
-fn prefaces_of_both_versions_are_read() {
+fn parses_proxy_headers_of_both_versions() {
     let v2 = |command: u8, family: u8, body: &[u8]| {
         let mut bytes = b"\r\n\r\n\0\r\nQUIT\n".to_vec();
         bytes.extend([0x20 | command, family]);
@@ -243,7 +250,7 @@
     let line = b"PROXY TCP4 192.0.2.7 127.0.0.1 8080 80\r\n";
     let six = b"PROXY TCP6 2001:db8::7 ::1 8080 80\r\n";
     let from = |bytes: &[u8], addr| ProxyHeader::Proxied(bytes.len(), addr);
-    for (bytes, want) in [
+    for (bytes, expected) in [
         (line.to_vec(), from(line, client)),
         ([&line[..], b"GET / HTTP/1.1\r\n"].concat(), from(line, client)),
         ([&line[..], &[0xff, 0xfe]].concat(), from(line, client)),
@@ -261,7 +268,7 @@
         (b"\r\n\r\n".to_vec(), ProxyHeader::Incomplete),
         (Vec::new(), ProxyHeader::Incomplete),
     ] {
-        assert_eq!(proxy_protocol::parse(&bytes), want, "{bytes:?}");
+        assert_eq!(proxy_protocol::parse(&bytes), expected, "{bytes:?}");
     }
     for bytes in [
         b"GET / HTTP/1.1\r\n".to_vec(),
@@ -275,15 +282,15 @@
         assert!(matches!(proxy_protocol::parse(&bytes), ProxyHeader::Invalid(_)), "{bytes:?}");
     }
     let senders = TrustedSenders::new(vec!["127.0.0.0/8".parse().unwrap()]);
-    for (ip, sends) in [("127.3.2.1", true), ("::ffff:127.0.0.1", true), ("10.0.0.1", false), ("::1", false)]
+    for (ip, trust) in [("127.3.2.1", true), ("::ffff:127.0.0.1", true), ("10.0.0.1", false), ("::1", false)]
     {
-        assert_eq!(senders.contains(ip.parse().unwrap()), sends, "{ip}");
+        assert_eq!(senders.contains(ip.parse().unwrap()), trust, "{ip}");
     }
-    assert!(!TrustedSenders::default().contains("127.0.0.1".parse().unwrap()), "nobody, unless it is said");
+    assert!(!TrustedSenders::default().contains("127.0.0.1".parse().unwrap()), "trusts no sender by default");
 }
 
 #[test]
-fn exit_codes_of_both_styles() {
+fn exit_codes_follow_the_chosen_style() {
     let codes = |style| STATES.map(|s| exit_code(style, s, 87));
     assert_eq!(codes(ExitCodeStyle::Plain), [0, 0, 1, 1, 1]);
     assert_eq!(codes(ExitCodeStyle::Weight), [89, 89, 2, 1, 1]);
@@ -297,30 +304,32 @@
 }
 
 proptest! {
-    /// What is written is read back to the same, whatever stands in it.
+    /// A formatted agent check line parses to the same reply.
     #[test]
-    fn agent_lines_read_back(
+    fn agent_check_lines_round_trip(
         percent in proptest::option::of(0u16..=300),
         maxconn in proptest::option::of(0u32..),
-        admin in proptest::sample::select(vec![None, Some(AdminState::Ready), Some(AdminState::Drain), Some(AdminState::Maintenance)]),
+        admin in proptest::sample::select(vec![
+            None, Some(AdminState::Ready), Some(AdminState::Drain), Some(AdminState::Maintenance),
+        ]),
         failing in any::<bool>(),
         reason in "[!-\"$-~]{1,20}",
     ) {
         let operation = Some(if failing { OperationalState::Down } else { OperationalState::Up });
-        let says = AgentReply { percent, maxconn, admin, operation, reason: failing.then_some(reason) };
-        prop_assert_eq!(AgentReply::parse(format!("{says}\n").as_bytes(), false), Ok(says));
+        let reply = AgentReply { percent, maxconn, admin, operation, reason: failing.then_some(reason) };
+        prop_assert_eq!(AgentReply::parse(format!("{reply}\n").as_bytes(), false), Ok(reply));
     }
 
-    /// Whatever comes is read or refused; a preface cut anywhere is one to be waited for.
+    /// The parsers accept or reject any bytes without a panic, and a truncated PROXY header is incomplete.
     #[test]
-    fn no_bytes_make_a_parser_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), cut in 0usize..28) {
+    fn parsers_do_not_panic_on_arbitrary_bytes(bytes in proptest::collection::vec(any::<u8>(), 0..200), cut in 0usize..28) {
         let _ = (AgentReply::parse(&bytes, false), parse_request(&bytes), proxy_protocol::parse(&bytes));
-        let signed = [&b"\r\n\r\n\0\r\nQUIT\n"[..], &bytes].concat();
+        let with_signature = [&b"\r\n\r\n\0\r\nQUIT\n"[..], &bytes].concat();
         let line = [&b"PROXY "[..], &bytes].concat();
-        let _ = (proxy_protocol::parse(&signed), proxy_protocol::parse(&line));
+        let _ = (proxy_protocol::parse(&with_signature), proxy_protocol::parse(&line));
         let _ = parse_server_state(&String::from_utf8_lossy(&bytes));
         let _ = grpc_health::decode_frame::<HealthCheckRequest>(&mut BytesMut::from(&bytes[..]));
-        let whole = b"PROXY TCP4 192.0.2.7 127.0.0.1 8080 80\r\n";
-        prop_assert_eq!(proxy_protocol::parse(&whole[..cut]), ProxyHeader::Incomplete);
+        let header = b"PROXY TCP4 192.0.2.7 127.0.0.1 8080 80\r\n";
+        prop_assert_eq!(proxy_protocol::parse(&header[..cut]), ProxyHeader::Incomplete);
     }
 }
