--- a/router/tests/cold_budget.rs
+++ b/router/tests/cold_budget.rs
@@ -1,4 +1,4 @@
-//! Hundreds of cores before one fleet: what all of them together send to nodes that have just started.
+//! Checks how many requests all routers of a large fleet together send to nodes that have just started.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,30 +13,32 @@
 const MS: Nanos = 1_000_000;
 const START: Nanos = 1_700_000_000 * SECOND;
 const NODES: u32 = 20;
-/// So many start anew.
-const STARTED: u32 = 5;
-/// The time of the rule, s; how much of its work a node can bear; requests a second, half of what the nodes can do.
-const FALL_S: f64 = 2.0;
-const FALL: f64 = 2.5;
-const FLOW: f64 = 100.0;
-const COLD_S: f64 = 10.0;
-const COLD_SHARE: f64 = 0.2;
+/// Number of nodes that restart.
+const RESTARTED_NODES: u32 = 5;
+/// Window of the overload rule in seconds.
+const OVERLOAD_WINDOW_S: f64 = 2.0;
+/// Multiple of its capacity that a node can bear.
+const OVERLOAD_MULTIPLE: f64 = 2.5;
+/// Requests per second, half of the capacity of all nodes.
+const REQUESTS_PER_S: f64 = 100.0;
+const WARM_UP_S: f64 = 10.0;
+const INITIAL_CAPACITY_SHARE: f64 = 0.2;
 
 fn row(n: u32, last_start: Nanos) -> EndpointEntry {
     let replica = name_hash::replica_id(&format!("s-{n}"));
     EndpointEntry { replica, state: EndpointState::Ready, started_at: last_start, ..EndpointEntry::default() }
 }
 
-fn settings(cores: u32, me: u32) -> Settings {
+fn settings(cores: u32, own_index: u32) -> Settings {
     Settings {
-        own_index: PeerId(me),
+        own_index: PeerId(own_index),
         router_count: cores,
-        warm_up_time: (COLD_S * SECOND as f64) as Nanos,
-        initial_capacity_share: COLD_SHARE,
-        overload_window: (FALL_S * SECOND as f64) as Nanos,
-        overload_multiple: FALL,
+        warm_up_time: (WARM_UP_S * SECOND as f64) as Nanos,
+        initial_capacity_share: INITIAL_CAPACITY_SHARE,
+        overload_window: (OVERLOAD_WINDOW_S * SECOND as f64) as Nanos,
+        overload_multiple: OVERLOAD_MULTIPLE,
         idle_timeout: 5 * SECOND,
-        // What is over a share is another test.s matter.
+        // Tenant quotas are not tested here.
         tenants: Vec::new(),
         digest: TenantsDigest::default(),
         ..common::config().deployment.decisions
@@ -44,56 +46,62 @@
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    First(usize, RequestId, u32),
-    End(usize, RequestId, u32),
+enum Event {
+    FirstToken(usize, RequestId, u32),
+    AttemptEnd(usize, RequestId, u32),
 }
 
-/// The cores, and what their nodes owe.
+/// The router cores, and the pending events of the attempts at their nodes.
 struct Fleet {
     cores: Vec<Core>,
-    due: BinaryHeap<Reverse<(Nanos, Due)>>,
-    /// When which node got an attempt.
+    pending_events: BinaryHeap<Reverse<(Nanos, Event)>>,
+    /// Time and node of each attempt.
     sent: Vec<(Nanos, u32)>,
 }
 
 impl Fleet {
     fn new(cores: u32) -> Fleet {
-        let cores = (0..cores).map(|me| Fleet::core(cores, me, START, 0)).collect();
-        Fleet { cores, due: BinaryHeap::new(), sent: Vec::new() }
+        let cores = (0..cores).map(|own_index| Fleet::core(cores, own_index, START, 0)).collect();
+        Fleet { cores, pending_events: BinaryHeap::new(), sent: Vec::new() }
     }
 
-    /// One that has just begun, and knows the nodes.
-    fn core(cores: u32, me: u32, now: Nanos, last_start: Nanos) -> Core {
-        let mut core = Core::new(settings(cores, me), u64::from(me), 10 * MS).unwrap();
-        let start = |n| if n < STARTED { last_start } else { 0 };
-        core.endpoints_changed(now, ListUpdate::Cached, (0..NODES).map(|n| row(n, start(n))).collect());
+    /// Returns a core that has just started and knows the nodes.
+    fn core(cores: u32, own_index: u32, now: Nanos, last_start: Nanos) -> Core {
+        let mut core = Core::new(settings(cores, own_index), u64::from(own_index), 10 * MS).unwrap();
+        let last_start_of = |n| if n < RESTARTED_NODES { last_start } else { 0 };
+        core.endpoints_changed(
+            now,
+            ListUpdate::Cached,
+            (0..NODES).map(|n| row(n, last_start_of(n))).collect(),
+        );
         core
     }
 
-    /// Does what a core orders; nodes that have just started idle, the others are busy.
+    /// Carries out the instructions of a core; nodes that have just started are idle and respond fast, the others
+    /// are busy.
     fn carry_out(&mut self, now: Nanos, c: usize) {
-        for order in self.cores[c].take_instructions() {
-            if let Instruction::StartAttempt { request: id, attempt, replica: node, .. } = order {
+        for instruction in self.cores[c].take_instructions() {
+            if let Instruction::StartAttempt { request: id, attempt, replica: node, .. } = instruction {
                 let n =
                     (0..NODES).find(|n| name_hash::replica_id(&format!("s-{n}")) == node).expect("listed");
-                let first = if n < STARTED { SECOND / 5 } else { SECOND };
+                let first_token_after = if n < RESTARTED_NODES { SECOND / 5 } else { SECOND };
                 self.sent.push((now, n));
-                self.due.push(Reverse((now + first, Due::First(c, id, attempt))));
+                self.pending_events
+                    .push(Reverse((now + first_token_after, Event::FirstToken(c, id, attempt))));
             }
         }
     }
 
     fn step(&mut self, now: Nanos) {
-        while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-            let Some(Reverse((at, due))) = self.due.pop() else { break };
-            let c = match due {
-                Due::First(c, id, attempt) => {
+        while self.pending_events.peek().is_some_and(|Reverse((at, _))| *at <= now) {
+            let Some(Reverse((at, event))) = self.pending_events.pop() else { break };
+            let c = match event {
+                Event::FirstToken(c, id, attempt) => {
                     self.cores[c].first_event(at, id, attempt);
-                    self.due.push(Reverse((at + SECOND / 2, Due::End(c, id, attempt))));
+                    self.pending_events.push(Reverse((at + SECOND / 2, Event::AttemptEnd(c, id, attempt))));
                     c
                 }
-                Due::End(c, id, attempt) => {
+                Event::AttemptEnd(c, id, attempt) => {
                     self.cores[c].attempt_ended(at, id, attempt, Outcome::Completed.into());
                     c
                 }
@@ -109,77 +117,82 @@
     }
 }
 
-/// The most that a node got within the time of the rule, against what it allows; and how many it got in all.
-fn play(cores: u32, restarts: bool, seed: u64) -> (f64, usize) {
+/// Runs random traffic. Returns the largest number of requests that a node got within the window, relative to what
+/// the rule allows, and the number of requests sent to all restarted nodes.
+fn simulate(cores: u32, restarts: bool, seed: u64) -> (f64, usize) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut fleet = Fleet::new(cores);
-    // An exponential spread: some get several times the mean, many next to nothing.
+    // Exponentially distributed weights: some cores get several times the mean, many almost nothing.
     let weights: Vec<f64> = (0..cores).map(|_| -(1.0 - rng.f64()).ln()).collect();
-    let all: f64 = weights.iter().sum();
-    let told = START + 24 * SECOND;
-    let last_start = told - SECOND;
+    let total_weight: f64 = weights.iter().sum();
+    let listed_at = START + 24 * SECOND;
+    let last_start = listed_at - SECOND;
     for step in 0..3_000u64 {
         let now = START + step * 10 * MS;
-        if now == told {
+        if now == listed_at {
             for core in &mut fleet.cores {
                 core.endpoints_changed(
                     now,
                     ListUpdate::Delta,
-                    (0..STARTED).map(|n| row(n, last_start)).collect(),
+                    (0..RESTARTED_NODES).map(|n| row(n, last_start)).collect(),
                 );
             }
         }
-        if restarts && now > told && step % (1200 / u64::from(cores)).max(1) == 0 {
+        if restarts && now > listed_at && step % (1200 / u64::from(cores)).max(1) == 0 {
             let c = rng.usize(..fleet.cores.len());
             fleet.cores[c] = Fleet::core(cores, c as u32, now, last_start);
-            let gone = |due: &Due| matches!(due, Due::First(d, ..) | Due::End(d, ..) if *d == c);
-            fleet.due.retain(|Reverse((_, due))| !gone(due));
+            let is_stale = |event: &Event| matches!(event, Event::FirstToken(d, ..) | Event::AttemptEnd(d, ..) if *d == c);
+            fleet.pending_events.retain(|Reverse((_, event))| !is_stale(event));
         }
         fleet.step(now);
-        let mut left = rng.f64() * all;
+        let mut remaining = rng.f64() * total_weight;
         let c = weights.iter().position(|w| {
-            left -= w;
-            left < 0.0
+            remaining -= w;
+            remaining < 0.0
         });
         let c = c.unwrap_or(0);
-        let ask = NewRequest { time_left: 4 * SECOND, prompt_tokens: 3000, ..NewRequest::default() };
-        fleet.cores[c].accept(now, ask);
+        let request = NewRequest { time_left: 4 * SECOND, prompt_tokens: 3000, ..NewRequest::default() };
+        fleet.cores[c].accept(now, request);
         fleet.carry_out(now, c);
     }
     let (mut worst, mut sent) = (0.0f64, 0);
-    for n in 0..STARTED {
-        let at: Vec<Nanos> = fleet.sent.iter().filter(|s| s.1 == n && s.0 >= told).map(|s| s.0).collect();
+    for n in 0..RESTARTED_NODES {
+        let at: Vec<Nanos> =
+            fleet.sent.iter().filter(|s| s.1 == n && s.0 >= listed_at).map(|s| s.0).collect();
         sent += at.len();
         for (k, &t) in at.iter().enumerate() {
-            let from = t.saturating_sub((FALL_S * SECOND as f64) as Nanos);
+            let from = t.saturating_sub((OVERLOAD_WINDOW_S * SECOND as f64) as Nanos);
             let within = at[..=k].iter().filter(|a| **a > from).count() as f64;
-            // What it can do in the middle of that time.
+            // Requests that the node can serve in the middle of the window.
             let age = (t - SECOND - last_start.min(t - SECOND)) as f64 / SECOND as f64;
-            let can = 2.0 * FLOW / f64::from(NODES)
-                * (COLD_SHARE + (1.0 - COLD_SHARE) * age / COLD_S)
-                * FALL
-                * FALL_S;
-            worst = worst.max(within / (can + 2.0 * can.sqrt() + 2.0));
+            let capacity = 2.0 * REQUESTS_PER_S / f64::from(NODES)
+                * (INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * age / WARM_UP_S)
+                * OVERLOAD_MULTIPLE
+                * OVERLOAD_WINDOW_S;
+            worst = worst.max(within / (capacity + 2.0 * capacity.sqrt() + 2.0));
         }
     }
     (worst, sent)
 }
 
-/// Guards against parts of the budget of a cold node that are right in one core and too much in hundreds.
+/// Guards against shares of a warming-up node's budget that suit a single core but add up to too much over
+/// hundreds of cores.
 #[test]
-fn cores_together_send_a_cold_node_no_more_than_the_rule_allows() {
+fn all_cores_together_stay_within_the_budget_of_a_restarted_node() {
     for (cores, seeds) in [(1, 2), (30, 2), (300, 3)] {
         for restarts in [false, true] {
             for seed in 0..seeds {
-                let (worst, sent) = play(cores, restarts, seed);
-                println!("{cores}, restarts {restarts}, seed {seed}: {worst:.2} of what the rule allows, {sent} sent");
+                let (worst, sent) = simulate(cores, restarts, seed);
+                println!(
+                    "{cores}, restarts {restarts}, seed {seed}: {worst:.2} of the allowed load, {sent} sent"
+                );
                 assert!(
                     worst < 1.0,
-                    "{cores}, restarts {restarts}, seed {seed}: {worst:.2} times what is allowed"
+                    "{cores}, restarts {restarts}, seed {seed}: {worst:.2} times the allowed load"
                 );
                 assert!(
                     sent > 50,
-                    "{cores}, restarts {restarts}, seed {seed}: the budget is not used, {sent}"
+                    "{cores}, restarts {restarts}, seed {seed}: the budget is not used, only {sent} sent"
                 );
             }
         }
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -1,4 +1,4 @@
-//! Real sockets and rough company: clients and model nodes that break the protocol, or stay and say nothing.
+//! Clients and model nodes on real sockets that violate the protocol, or stay connected and send nothing.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,9 +13,9 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Guards against two requests under one name: model nodes would take them for copies of one.
+/// Guards against two requests with one id: model nodes would take them for copies of one request.
 #[test]
-fn a_name_in_use_is_refused_to_another_and_its_owner_is_served() {
+fn a_request_id_in_use_is_rejected_and_its_first_request_is_served() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Slow]);
@@ -27,7 +27,7 @@
         other.send(&request).await;
         assert_eq!(other.answer().await.0, 409);
         assert_eq!((owner.answer().await.0, node.so_far().1), (200, 0));
-        // A copy may be late; further on, the name is forgotten.
+        // A late copy is still rejected; after further requests, the id is forgotten.
         other.send(&request).await;
         assert_eq!(other.answer().await.0, 409);
         for _ in 0..2 {
@@ -37,30 +37,31 @@
     });
 }
 
-/// Guards against connections that say nothing and take the room of those that do.
+/// Guards against idle connections that take up the limit at the expense of active ones.
 #[test]
-fn who_says_nothing_goes_first_and_who_has_begun_stays() {
+fn idle_connections_are_closed_before_those_with_a_partial_request() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |l| {
             (l.max_clients, l.client_eviction_idle_time) = (3, Duration::ZERO)
         })
         .await;
-        let mut usual = Client::to(router.addr).await;
-        assert_eq!(usual.ask("").await.0, 200);
-        let mut half = Client::to(router.addr).await;
+        let mut active = Client::to(router.addr).await;
+        assert_eq!(active.ask("").await.0, 200);
+        let mut partial = Client::to(router.addr).await;
         let request = platform("", "{}");
-        half.send(&request[..20]).await;
+        partial.send(&request[..20]).await;
         let mut silent = Vec::new();
         for _ in 0..40 {
             silent.push(Client::to(router.addr).await);
         }
-        for quiet in &mut silent[..39] {
-            assert_eq!(quiet.answer().await.0, 0, "closed to make room");
+        for client in &mut silent[..39] {
+            assert_eq!(client.answer().await.0, 0, "closed because the limit is exceeded");
         }
-        half.send(&request[20..]).await;
-        assert_eq!((half.answer().await.0, usual.ask("").await.0), (200, 200));
-        // Those that were told to close are read for a moment more. Nobody needs room any more, so nobody else is closed.
+        partial.send(&request[20..]).await;
+        assert_eq!((partial.answer().await.0, active.ask("").await.0), (200, 200));
+        // Connections told to close are still read for a moment. The limit is no longer exceeded, so no other
+        // connection is closed.
         until(|| router.components.clients.open() <= 3).await;
         assert_eq!(
             (router.components.clients.open(), router.components.clients.is_one_closing()),
@@ -71,26 +72,26 @@
     });
 }
 
-/// Guards against clients that hold a connection without ever asking, or never end what they began.
+/// Guards against clients that hold a connection without sending a request, or never complete one.
 #[test]
-fn a_first_request_has_to_come_and_to_be_whole_soon() {
+fn the_first_request_must_arrive_completely_within_its_timeout() {
     run(async {
         let router = Router::new(Chat, &[], |l| {
             (l.first_request_timeout, l.request_read_timeout) = (60 * MS, 90 * MS)
         })
         .await;
-        let (mut silent, mut half) = (Client::to(router.addr).await, Client::to(router.addr).await);
-        tokio::time::sleep(30 * MS).await; // its time runs from the connection, not from the first byte
-        half.send("POST /v1/chat").await;
-        let begun = Instant::now();
-        assert_eq!((silent.answer().await.0, half.answer().await.0), (0, 408));
-        assert!(begun.elapsed() < 85 * MS, "{:?}", begun.elapsed());
+        let (mut silent, mut partial) = (Client::to(router.addr).await, Client::to(router.addr).await);
+        tokio::time::sleep(30 * MS).await; // the timeout runs from the connection, not from the first byte
+        partial.send("POST /v1/chat").await;
+        let started = Instant::now();
+        assert_eq!((silent.answer().await.0, partial.answer().await.0), (0, 408));
+        assert!(started.elapsed() < 85 * MS, "{:?}", started.elapsed());
     });
 }
 
-/// Guards against bodies that are announced and never sent: they would leave no room for the others.
+/// Guards against bodies that are announced and never sent, which would use up the budget of other requests.
 #[test]
-fn a_body_counts_as_it_comes() {
+fn a_body_counts_against_the_budget_as_it_arrives() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |l| l.body_budget = 1000).await;
@@ -101,79 +102,93 @@
             announced.push(client);
         }
         until(|| router.components.clients.open() == 8).await;
-        let mut usual = Client::to(router.addr).await;
-        usual.send(&platform("", &"x".repeat(900))).await;
-        assert_eq!(usual.answer().await.0, 200);
+        let mut active = Client::to(router.addr).await;
+        active.send(&platform("", &"x".repeat(900))).await;
+        assert_eq!(active.answer().await.0, 200);
         let mut large = Client::to(router.addr).await;
         large.send(&platform("", &"x".repeat(1001))).await;
         assert_eq!(large.answer().await.0, 503);
     });
 }
 
-/// Guards against a client that asks again the moment it is turned away, and so takes the processor.
+/// Guards against a client that takes up the processor because it retries at once whenever it is rejected.
 #[test]
-fn who_asks_again_at_once_again_and_again_is_not_read_for_a_while() {
+fn a_client_that_keeps_retrying_at_once_is_not_read_for_a_while() {
     run(async {
         let router =
             Router::new(Chat, &[], |l| (l.max_immediate_retries, l.immediate_retry_pause) = (2, 50 * MS))
                 .await;
         let mut hasty = Client::to(router.addr).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         hasty.send(&(0..6).map(|_| platform("", "{}")).collect::<String>()).await;
         for _ in 0..6 {
             assert_eq!(hasty.answer().await.0, 503);
         }
-        assert!(begun.elapsed() >= 150 * MS, "{:?}", begun.elapsed());
-        let (mut calm, begun) = (Client::to(router.addr).await, Instant::now());
+        assert!(started.elapsed() >= 150 * MS, "{:?}", started.elapsed());
+        let (mut calm, started) = (Client::to(router.addr).await, Instant::now());
         for _ in 0..6 {
             assert_eq!(calm.ask("").await.0, 503);
             tokio::time::sleep(25 * MS).await;
         }
-        assert!(begun.elapsed() < 250 * MS, "{:?}", begun.elapsed());
+        assert!(started.elapsed() < 250 * MS, "{:?}", started.elapsed());
     });
 }
 
-/// Guards against streams spoilt on their way: no byte that is not the answer's may pass, the last chunk
-/// only after the whole, and the connection serves nobody else.
+/// Guards against corrupted streams: no byte that is not part of the response may be forwarded, the last chunk
+/// only after the complete response, and the connection must not be reused.
 #[test]
-fn a_spoilt_stream_fails_and_its_connection_is_not_used_again() {
+fn a_corrupted_stream_fails_and_its_connection_is_not_reused() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let router = Router::new(Chat, &[], |l| l.response_head_timeout = 80 * MS).await;
         let first = HEAD.to_string() + &chunk(CHAT[0]);
-        let good = HEAD.to_string() + &CHAT.iter().map(|e| chunk(e)).collect::<String>() + "0\r\n\r\n";
-        let again = "HTTP/1.1 100 Continue\r\n\r\n";
-        let spoilt_load = good.replacen("\r\n", "\r\nSrv-Load: TEXT q=nan, eps=-1, latency_ms=1e999\r\n", 1);
+        let valid_response =
+            HEAD.to_string() + &CHAT.iter().map(|e| chunk(e)).collect::<String>() + "0\r\n\r\n";
+        let interim = "HTTP/1.1 100 Continue\r\n\r\n";
+        let invalid_load =
+            valid_response.replacen("\r\n", "\r\nSrv-Load: TEXT q=nan, eps=-1, latency_ms=1e999\r\n", 1);
         let refused = (503, "refused\n".to_string(), true);
-        let huge = chunk(&CHAT[1].repeat(4000));
-        for (n, (what, text, wanted)) in [
-            ("noise", "\0\u{1}garbage\r\n\r\n".to_string(), refused.clone()),
-            ("a head that goes on", HEAD.replace("\r\n\r\n", &"\r\nX-A: b".repeat(3000)), refused.clone()),
-            ("a head that stops", "HTTP/1.1 200 O".to_string(), refused.clone()),
-            ("answers before it without end", again.repeat(500), refused.clone()),
+        let large_chunk = chunk(&CHAT[1].repeat(4000));
+        for (n, (case, text, expected)) in [
+            ("invalid bytes", "\0\u{1}garbage\r\n\r\n".to_string(), refused.clone()),
             (
-                "a first chunk that does not fit",
-                first.replace("\r\ndata", "0\r\ndata") + &huge,
+                "a head that is too long",
+                HEAD.replace("\r\n\r\n", &"\r\nX-A: b".repeat(3000)),
+                refused.clone(),
+            ),
+            ("a head that is incomplete", "HTTP/1.1 200 O".to_string(), refused.clone()),
+            ("endless interim responses", interim.repeat(500), refused.clone()),
+            (
+                "a first chunk that is too long",
+                first.replace("\r\ndata", "0\r\ndata") + &large_chunk,
                 refused.clone(),
             ),
             ("a first chunk too short", first.replace("Grüß", "Grüß Gott, "), refused.clone()),
-            ("a size in words", first.clone() + "many\r\n", (200, CHAT[0].into(), false)),
-            ("a negative size", first.clone() + "-5\r\nabcde\r\n", (200, CHAT[0].into(), false)),
+            ("a chunk size that is no number", first.clone() + "many\r\n", (200, CHAT[0].into(), false)),
+            ("a negative chunk size", first.clone() + "-5\r\nabcde\r\n", (200, CHAT[0].into(), false)),
             (
-                "3 GB of whole events",
+                "a chunk of 3 GB with complete events",
                 first.clone() + "b2d05e00\r\n" + &CHAT[1].repeat(90),
                 (200, CHAT[0].into(), false),
             ),
-            ("another answer behind", good.clone() + &good, (200, CHAT.concat(), true)),
-            ("one answer before", again.to_string() + &good, (200, CHAT.concat(), true)),
-            ("a load that is none", spoilt_load, (200, CHAT.concat(), true)),
+            (
+                "a second response after it",
+                valid_response.clone() + &valid_response,
+                (200, CHAT.concat(), true),
+            ),
+            (
+                "one interim response before it",
+                interim.to_string() + &valid_response,
+                (200, CHAT.concat(), true),
+            ),
+            ("an invalid load report", invalid_load, (200, CHAT.concat(), true)),
         ]
         .into_iter()
         .enumerate()
         {
-            // Under a new name each time: what one did is not held against the next.
+            // Each case uses a new replica id, so that failures of one do not affect the next.
             router.list([row(&format!("s-{n}"), listener.local_addr().unwrap(), "active")]);
-            let begun = Instant::now();
+            let started = Instant::now();
             let mut client = Client::to(router.addr).await;
             client.send(&platform("Req-Deadline-Ms: 700\r\n", "{}")).await;
             let (stream, _) = listener.accept().await.unwrap();
@@ -184,20 +199,21 @@
                 node.message().await.is_some()
             });
             let (status, _, body, whole) = client.answer().await;
-            assert_eq!((status, body, whole), wanted, "{what}");
-            assert!(begun.elapsed() < 600 * MS, "{what}: {:?}", begun.elapsed());
-            // Good ones are kept, and closed when their node goes; none carries a second request.
+            assert_eq!((status, body, whole), expected, "{case}");
+            assert!(started.elapsed() < 600 * MS, "{case}: {:?}", started.elapsed());
+            // Intact connections are retained and closed when their node is removed; none carries a second
+            // request.
             router.list([]);
-            assert!(!reused.await.unwrap(), "{what}");
+            assert!(!reused.await.unwrap(), "{case}");
         }
         assert_eq!(router.components.replicas.connection_counts(), (0, 0));
     });
 }
 
-/// Guards against a close over bytes that the client has sent ahead: it resets the connection, and what the client has
-/// not read yet of its broken stream may be lost with it.
+/// Guards against closing a connection with unread bytes from the client: that resets it, and the client may lose
+/// the part of its broken stream that it has not read yet.
 #[test]
-fn a_broken_stream_ends_without_a_reset_whatever_was_sent_ahead() {
+fn a_broken_stream_ends_without_a_reset_although_requests_are_unread() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Silence]);
@@ -212,10 +228,11 @@
     });
 }
 
-/// Guards against a second answer to one request that comes after the first has ended: on a connection that is used again
-/// at once it would be taken for the next request's. Here none has rested long enough, however slow the machine is.
+/// Guards against a second response to a request after the first one has ended: on a connection that is reused at
+/// once it would count as the response to the next request. The reuse delay here is so long that no connection is
+/// reused, however slow the machine is.
 #[test]
-fn a_second_answer_that_comes_late_is_nobody_s() {
+fn a_late_second_response_is_not_forwarded() {
     run(async {
         let (router, listener) = by_hand(|l| l.replica_reuse_delay = Duration::MAX).await;
         let (mut one, mut other) = (Client::to(router.addr).await, Client::to(router.addr).await);
@@ -223,7 +240,7 @@
         let mut first = asked(&listener).await;
         first.send(&answer("first")).await;
         assert!(one.answer().await.2.contains("first"));
-        // Asked for at once; then the second answer to the first comes.
+        // The second request is sent at once; then the second response to the first request arrives.
         other.send(&platform("", "{}")).await;
         let mut second = asked(&listener).await;
         first.send(&answer("late")).await;
@@ -232,9 +249,9 @@
     });
 }
 
-/// Guards against a spoilt connection that is used again once it has rested, and against one that rests for ever.
+/// Guards against reusing a corrupted connection after the reuse delay, and against never reusing an intact one.
 #[test]
-fn of_two_rested_connections_the_spoilt_one_is_closed_and_the_other_used() {
+fn after_the_reuse_delay_a_corrupted_connection_is_closed_and_an_intact_one_reused() {
     run(async {
         let (router, listener) = by_hand(|_| {}).await;
         let (mut one, mut other) = (Client::to(router.addr).await, Client::to(router.addr).await);
@@ -244,27 +261,27 @@
         let mut second = asked(&listener).await;
         second.send(&answer("second")).await;
         assert!(other.answer().await.2.contains("second"));
-        // The most recently used one, which would be taken first.
+        // The most recently used connection, which would be reused first.
         first.send(&answer("first")).await;
         assert!(one.answer().await.2.contains("first"));
         first.send(&answer("late")).await;
         tokio::time::sleep(router.components.limits.replica_reuse_delay * 2).await;
         one.send(&platform("", "{}")).await;
-        second.message().await.expect("on the one that is not spoilt");
+        second.message().await.expect("request on the intact connection");
         second.send(&answer("third")).await;
         assert!(one.answer().await.2.contains("third"));
-        assert!(first.message().await.is_none(), "closed");
+        assert!(first.message().await.is_none(), "the corrupted connection is closed");
     });
 }
 
-/// Guards against a new node at the address of one that has gone: it would be asked on connections that
-/// were opened to the other one.
+/// Guards against a new node at the address of a removed one that gets requests on connections opened to the
+/// removed one.
 #[test]
-fn a_new_node_at_an_old_address_inherits_no_connection() {
+fn a_new_node_at_an_old_address_gets_no_old_connection() {
     run(async {
         let node = Node::new(Chat).await;
         let mut config = config();
-        // A node that has just started takes work at once here: this is about connections.
+        // Disables the warm-up, so that a node accepts requests as soon as it has started.
         config.deployment.decisions.warm_up_time = 0;
         let router = Router::by(config, Chat, &[&node], None).await;
         let mut client = Client::to(router.addr).await;
@@ -282,7 +299,7 @@
             node.so_far();
             assert_eq!((client.ask("").await.0, node.so_far()), (200, (1, 1)), "{id}");
         }
-        // One that was out when its node went does not come back.
+        // A connection that was in use when its node was removed is not retained.
         node.plan(&[Fault::Slow]);
         client.send(&platform("", "{}")).await;
         node.next_request().await;
@@ -291,10 +308,10 @@
     });
 }
 
-/// Guards against a machine that is cut off: nothing is said on the connections it had, so after one request
-/// without an answer the next has to open a new one, and that tells.
+/// Guards against a node that is cut off from the network: its idle connections give no sign of that, so after one
+/// request without a response the next request has to open a new connection, which detects the failure.
 #[test]
-fn a_silent_node_has_its_idle_connections_closed() {
+fn idle_connections_of_an_unresponsive_node_are_closed() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Slow, Fault::Slow, Fault::Mute]);
@@ -309,9 +326,9 @@
     });
 }
 
-/// Guards against a body of which one side reads another request.
+/// Guards against request smuggling: a body in which one side sees a second request.
 #[test]
-fn a_request_hidden_in_a_body_goes_nowhere() {
+fn a_request_hidden_in_a_body_is_not_served() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |_| {}).await;
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -1,5 +1,6 @@
-//! What the decision module is told of attempts, beside what the sockets did: each first token, end, decline and reset,
-//! once, at its time, for the life of the node that it was sent to.
+//! Checks the attempt events that the decision module receives against what happened on the sockets: each first
+//! token, end, decline and reset arrives exactly once, at its time, and counts for the process of the node that
+//! the attempt was sent to.
 #![allow(missing_docs)]
 
 mod common;
@@ -8,25 +9,26 @@
 
 use common::*;
 use tallypin::name_hash;
-use tallypin::replica_snapshot::ReplicaSnapshot as View;
+use tallypin::replica_snapshot::ReplicaSnapshot;
 use tallypin_router::dialect::Dialect::Chat;
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The module's view of the first node, beside the attempts on its connections.
-fn view(router: &Router) -> (View, u32) {
+/// Returns the decision module's snapshot of the first node, and the number of attempts in flight on its
+/// connections.
+fn snapshot_and_in_flight(router: &Router) -> (ReplicaSnapshot, u32) {
     let id = name_hash::replica_id("s-0");
-    let seen = router.components.with(|core, now| core.view(now));
-    let seen = seen.into_iter().find(|s| s.replica == id).expect("listed as active");
-    (seen, router.components.replicas.in_flight(id))
+    let snapshot = router.components.with(|core, now| core.view(now));
+    let snapshot = snapshot.into_iter().find(|s| s.replica == id).expect("listed as active");
+    (snapshot, router.components.replicas.in_flight(id))
 }
 
 #[test]
-fn each_end_of_an_attempt_reaches_the_module_once() {
+fn the_decision_module_receives_each_attempt_end_once() {
     run(async {
         let node = Node::new(Chat).await;
         let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
-        // done, error, busy, timed out, refused, reset, cancelled, skipped
+        // Outcomes in order: completed, error, busy, timed out, refused, reset, cancelled, skipped.
         let faults = [
             (Fault::None, 200, [1, 0, 0, 0, 0, 0, 0, 0]),
             (Fault::UnknownEvent, 200, [2, 0, 0, 0, 0, 0, 0, 0]),
@@ -40,37 +42,40 @@
         let mut streams = 0;
         for (fault, status, outcomes) in faults {
             node.plan(&[fault]);
-            let unsure = view(&router).0.decode_rate.log_std_dev;
+            let std_dev_before = snapshot_and_in_flight(&router).0.decode_rate.log_std_dev;
             assert_eq!(Client::to(router.addr).await.ask("").await.0, status, "{fault:?}");
             until(|| router.open() == 0).await;
             assert_eq!(router.tallies().outcomes, outcomes, "{fault:?}");
-            let (seen, out) = view(&router);
+            let (snapshot, in_flight) = snapshot_and_in_flight(&router);
             assert_eq!(
-                (seen.in_flight, seen.awaiting_first_token, out),
+                (snapshot.in_flight, snapshot.awaiting_first_token, in_flight),
                 (0, 0, 0),
-                "after {fault:?} nothing is out, on either side"
+                "after {fault:?} no attempt is in flight on either side"
             );
-            let whole = status == 200 && fault != Fault::Break;
+            let complete = status == 200 && fault != Fault::Break;
             assert_eq!(
-                seen.decode_rate.log_std_dev < unsure,
-                whole,
-                "{fault:?}: only a whole stream tells of a pace"
+                snapshot.decode_rate.log_std_dev < std_dev_before,
+                complete,
+                "{fault:?}: only a complete stream gives a decode rate sample"
             );
             streams += u64::from(status == 200);
             assert_eq!(router.tallies().streams_started, streams, "{fault:?}");
         }
-        let slow = view(&router).0;
-        assert!(slow.wait_sample_age.is_some_and(|age| age < 5_000_000_000), "sampled at its time");
+        let last = snapshot_and_in_flight(&router).0;
         assert!(
-            slow.first_token_wait > 0 && slow.first_token_wait < 1_000_000_000,
-            "a first token here takes between 0 and 40 ms, not {}",
-            slow.first_token_wait
+            last.wait_sample_age.is_some_and(|age| age < 5_000_000_000),
+            "the wait was sampled at the time of the first token"
+        );
+        assert!(
+            last.first_token_wait > 0 && last.first_token_wait < 1_000_000_000,
+            "the first token should take between 0 and 40 ms, not {}",
+            last.first_token_wait
         );
     });
 }
 
 #[test]
-fn while_an_attempt_is_out_both_sides_say_so() {
+fn the_decision_module_and_the_connections_agree_on_attempts_in_flight() {
     run(async {
         let node = Node::new(Chat).await;
         node.plan(&[Fault::Mute, Fault::Silence]);
@@ -81,17 +86,28 @@
         silent.send(&platform("", "{}")).await;
         node.next_request().await;
         until(|| router.tallies().streams_started == 1).await;
-        let (seen, out) = view(&router);
-        assert_eq!((seen.in_flight, seen.awaiting_first_token, out), (2, 1, 2), "one has begun, one waits");
+        let (snapshot, in_flight) = snapshot_and_in_flight(&router);
+        assert_eq!(
+            (snapshot.in_flight, snapshot.awaiting_first_token, in_flight),
+            (2, 1, 2),
+            "one attempt streams, one awaits its first token"
+        );
         drop((mute, silent));
         until(|| router.open() == 0).await;
-        until(|| view(&router).1 == 0).await;
-        assert_eq!((view(&router).0.in_flight, view(&router).0.awaiting_first_token), (0, 0));
+        until(|| snapshot_and_in_flight(&router).1 == 0).await;
+        assert_eq!(
+            (
+                snapshot_and_in_flight(&router).0.in_flight,
+                snapshot_and_in_flight(&router).0.awaiting_first_token
+            ),
+            (0, 0)
+        );
     });
 }
 
-/// Streams that break after the node's restart was told, or without one; whether the node is excluded then.
-async fn excluded_after_breaks(restarted: bool) -> bool {
+/// Breaks three streams of a node, with `restarted` after the list showed that the node has restarted. Returns
+/// whether the node is then ejected.
+async fn is_ejected_after_broken_streams(restarted: bool) -> bool {
     let node = Node::new(Chat).await;
     node.plan(&[Fault::Silence; 3]);
     let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 300 * MS).await;
@@ -108,18 +124,21 @@
     }
     router.list([listed]);
     until(|| router.tallies().interrupted == 3).await;
-    let seen = view(&router).0;
+    let snapshot = snapshot_and_in_flight(&router).0;
     assert_eq!(
-        (seen.in_flight, seen.is_warming_up, seen.wait_sample_age.is_none()),
+        (snapshot.in_flight, snapshot.is_warming_up, snapshot.wait_sample_age.is_none()),
         (0, restarted, restarted)
     );
-    seen.ejected_for > 0
+    snapshot.ejected_for > 0
 }
 
 #[test]
-fn streams_that_break_with_a_node_s_earlier_life_are_not_held_against_it() {
+fn streams_that_break_when_a_node_restarts_do_not_eject_its_new_process() {
     run(async {
-        assert!(excluded_after_breaks(false).await, "three in a row of its own");
-        assert!(!excluded_after_breaks(true).await);
+        assert!(
+            is_ejected_after_broken_streams(false).await,
+            "three broken streams of the current process eject the node"
+        );
+        assert!(!is_ejected_after_broken_streams(true).await);
     });
 }
