--- a/test-support/src/trial/mod.rs
+++ b/test-support/src/trial/mod.rs
@@ -1,6 +1,7 @@
-//! A trial of one router process: it is told to end while clients go on sending and replicas misbehave, and is killed at
-//! the earliest moment that the protocol allows. Observers that see only the bytes of clients and replicas then check
-//! the rules. A [`Plan`] says what happens; most are drawn by a seed, so that a trial can be played again.
+//! Runs one router process against clients and mock replicas: the process gets SIGTERM while clients go on sending
+//! and replicas misbehave, and SIGKILL at the earliest moment that the protocol allows. The rules are then checked
+//! only on what the clients and replicas observed. A [`Scenario`] says what happens; most are random and
+//! reproducible by their seed.
 
 mod client;
 mod pauses;
@@ -16,217 +17,224 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub use client::{Ending, Try};
-pub use plan::{Behaviour, Change, ChangeKind, Class, Effect, Group, Plan, ReplicaPlan, Signal};
-pub use replica::{Received, ReplicaEnd};
+pub use client::{Exchange, Outcome};
+pub use plan::{
+    Change, ChangeKind, Class, Effect, Group, ReplicaBehaviour, ReplicaScenario, Scenario, Signal,
+};
+pub use replica::{ReplicaAttempt, ReplicaOutcome};
 use tokio::sync::watch;
 use tokio::time::Instant;
-pub use verdict::{Break, Rule};
+pub use verdict::{Rule, Violation};
 
-use crate::lateness::note_lateness;
+use crate::lateness::record_max_delay;
 use crate::park::{List, Reserved};
 use pauses::{Pause, Pauses};
 use process::Router;
 
-/// The harness is on time if it is never later than this; else rules about times are not judged.
-const ON_TIME: Duration = Duration::from_millis(60);
-/// A router has to be ready within this.
-const READY: Duration = Duration::from_secs(20);
+/// Largest delay of the harness's own thread up to which rules about times are checked.
+const MAX_HARNESS_DELAY: Duration = Duration::from_millis(60);
+/// Time within which a router has to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What was seen in a trial.
+/// The results of one run.
 #[derive(Debug)]
 pub struct Report {
-    /// The rules that were broken.
-    pub breaks: Vec<Break>,
-    /// Requests that clients sent.
+    /// The violated rules.
+    pub violations: Vec<Violation>,
+    /// Number of requests that clients sent.
     pub requests: usize,
-    /// Attempts that replicas received whole.
-    pub received: usize,
-    /// Final answers by status, in the order of their number.
+    /// Number of attempts that replicas received completely.
+    pub attempts_received: usize,
+    /// Number of responses by status code.
     pub statuses: BTreeMap<u16, usize>,
-    /// Attempts that came to replicas in the last part of the shutdown, and that the router gave up.
-    pub given_up_late: usize,
-    /// Requests that were open when the router was killed.
-    pub killed: usize,
-    /// The longest time in which the router was held up.
+    /// Number of attempts that reached a replica in the last part of the shutdown and whose connection the router
+    /// closed.
+    pub cancelled_late: usize,
+    /// Number of requests without an outcome when the router was killed.
+    pub open_at_kill: usize,
+    /// The longest pause of the router process.
     pub longest_pause: Duration,
-    /// The harness was late by so much at the most.
-    pub late: Duration,
-    /// Whether rules about times were judged.
-    pub on_time: bool,
-    /// Where the router's log is; gone with the report.
+    /// The largest delay of the harness's own thread.
+    pub max_harness_delay: Duration,
+    /// Whether rules about times were checked.
+    pub timing_checked: bool,
+    /// Path of the router's log, deleted when the report is dropped.
     pub log: PathBuf,
     _dir: tempfile::TempDir,
 }
 
-/// What all tasks of a trial share.
-struct Trial {
-    plan: Plan,
-    began: Instant,
+/// State shared by all tasks of a run.
+struct Run {
+    scenario: Scenario,
+    started: Instant,
     front: SocketAddr,
-    /// The monotonic clock of the system at that moment.
-    began_at: Duration,
-    /// Clients begin no further request.
-    over: Cell<bool>,
-    /// When the router was ready.
+    /// Reading of the system's monotonic clock at `started`.
+    started_monotonic: Duration,
+    /// Whether clients send no further requests.
+    clients_stopped: Cell<bool>,
+    /// When the router became ready, since `started`.
     ready: Cell<Duration>,
-    /// Seconds since the start, once the signals were sent.
-    told: Cell<Option<Duration>>,
-    killed: Cell<Option<Duration>>,
-    /// When the router was stopped by a signal.
-    stopped: RefCell<Vec<Pause>>,
-    tries: RefCell<Vec<Try>>,
-    received: RefCell<Vec<Received>>,
-    /// The replicas that are down, and word of each that goes down.
+    /// When the first SIGTERM was sent, since `started`.
+    sigterm_at: Cell<Option<Duration>>,
+    killed_at: Cell<Option<Duration>>,
+    /// Pauses of the router between SIGSTOP and SIGCONT.
+    signal_pauses: RefCell<Vec<Pause>>,
+    exchanges: RefCell<Vec<Exchange>>,
+    attempts: RefCell<Vec<ReplicaAttempt>>,
+    /// Whether each replica is down.
     down: RefCell<Vec<bool>>,
-    goes_down: watch::Sender<usize>,
-    /// When the list said of a replica that it leaves.
-    left: RefCell<BTreeMap<usize, Duration>>,
+    /// Announces the number of each replica that goes down.
+    failures: watch::Sender<usize>,
+    /// When the node list first showed each draining replica as draining.
+    draining_since: RefCell<BTreeMap<usize, Duration>>,
 }
 
-impl Trial {
+impl Run {
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
-    /// The list as it is now.
-    fn rows(&self, addresses: &[SocketAddr]) -> Vec<String> {
-        let left = self.left.borrow();
-        let row = |(number, at): (usize, &SocketAddr)| self.plan.row(number, *at, left.contains_key(&number));
+    /// Returns the current rows of the node list.
+    fn list_rows(&self, addresses: &[SocketAddr]) -> Vec<String> {
+        let draining_since = self.draining_since.borrow();
+        let row = |(number, at): (usize, &SocketAddr)| {
+            self.scenario.row(number, *at, draining_since.contains_key(&number))
+        };
         addresses.iter().enumerate().map(row).collect()
     }
 
-    /// Waits while nobody is to ask.
-    async fn lull(&self) {
-        let from = self.plan.quiet / 2;
+    /// Waits until the idle period is over, if it is under way.
+    async fn wait_out_idle_period(&self) {
+        let from = self.scenario.load_time / 2;
         let since_ready = self.now().saturating_sub(self.ready.get());
-        if since_ready >= from && since_ready < from + self.plan.lull {
-            tokio::time::sleep(from + self.plan.lull - since_ready).await;
+        if since_ready >= from && since_ready < from + self.scenario.idle_period {
+            tokio::time::sleep(from + self.scenario.idle_period - since_ready).await;
         }
     }
 
-    /// A random source for a part of the trial, the same in each play of the plan.
-    fn random(&self, part: u64) -> fastrand::Rng {
-        fastrand::Rng::with_seed(self.plan.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ part)
+    /// Returns the random source of one task; it is the same in every run of the scenario.
+    fn rng(&self, task: u64) -> fastrand::Rng {
+        fastrand::Rng::with_seed(self.scenario.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ task)
     }
 }
 
-/// The system's monotonic clock, by which the router's process tells of its pauses.
+/// Reads the system's monotonic clock, which the fault library uses in the pauses that it logs.
 fn monotonic() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     Duration::new(now.tv_sec.unsigned_abs(), now.tv_nsec as u32)
 }
 
-/// Plays a plan with this program on addresses of this IP.
-pub fn play(program: &Path, ip: &str, plan: &Plan) -> std::io::Result<Report> {
+/// Runs a scenario with the given router program on addresses of the given IP.
+pub fn run_scenario(program: &Path, ip: &str, scenario: &Scenario) -> std::io::Result<Report> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    tokio::task::LocalSet::new().block_on(&runtime, played(program, ip, plan))
+    tokio::task::LocalSet::new().block_on(&runtime, run_to_report(program, ip, scenario))
 }
 
-async fn played(program: &Path, ip: &str, plan: &Plan) -> std::io::Result<Report> {
+async fn run_to_report(program: &Path, ip: &str, scenario: &Scenario) -> std::io::Result<Report> {
     let dir = tempfile::tempdir()?;
     let reserved = Reserved::on(ip)?;
-    let trial = Rc::new(Trial {
-        plan: plan.clone(),
-        began: Instant::now(),
-        began_at: monotonic(),
+    let run = Rc::new(Run {
+        scenario: scenario.clone(),
+        started: Instant::now(),
+        started_monotonic: monotonic(),
         front: reserved.at,
-        over: Cell::new(false),
+        clients_stopped: Cell::new(false),
         ready: Cell::new(Duration::ZERO),
-        told: Cell::new(None),
-        killed: Cell::new(None),
-        stopped: RefCell::default(),
-        tries: RefCell::default(),
-        received: RefCell::default(),
-        down: RefCell::new(vec![false; plan.replicas.len()]),
-        goes_down: watch::Sender::new(usize::MAX),
-        left: RefCell::default(),
+        sigterm_at: Cell::new(None),
+        killed_at: Cell::new(None),
+        signal_pauses: RefCell::default(),
+        exchanges: RefCell::default(),
+        attempts: RefCell::default(),
+        down: RefCell::new(vec![false; scenario.replicas.len()]),
+        failures: watch::Sender::new(usize::MAX),
+        draining_since: RefCell::default(),
     });
     let mut addresses = Vec::new();
-    for number in 0..plan.replicas.len() {
-        addresses.push(replica::start(&trial, ip, number).await?);
+    for number in 0..scenario.replicas.len() {
+        addresses.push(replica::start(&run, ip, number).await?);
     }
-    let rows = trial.rows(&addresses);
-    // The second is where a new configuration may move the list.
-    let lists = [List::start(ip, &rows), List::start(ip, &rows)];
-    let places = [lists[0].at, lists[1].at];
-    let late = Rc::new(Cell::new(Duration::ZERO));
-    let lateness = tokio::task::spawn_local(note_lateness(late.clone()));
-    let mut router = Router::start(program, dir.path(), &trial, places)?;
-    router.until_ready(READY).await?;
-    trial.ready.set(trial.now());
-    let clients: Vec<_> = (0..plan.clients)
-        .map(|n| tokio::task::spawn_local(client::run(trial.clone(), n as u64)))
-        .chain((0..plan.crowd).map(|_| tokio::task::spawn_local(client::idle(trial.clone()))))
+    let list_rows = run.list_rows(&addresses);
+    // A configuration reload may switch the router to the second list service.
+    let lists = [List::start(ip, &list_rows), List::start(ip, &list_rows)];
+    let list_addresses = [lists[0].at, lists[1].at];
+    let max_delay = Rc::new(Cell::new(Duration::ZERO));
+    let delay_recorder = tokio::task::spawn_local(record_max_delay(max_delay.clone()));
+    let mut router = Router::start(program, dir.path(), &run, list_addresses)?;
+    router.wait_until_ready(READY_TIMEOUT).await?;
+    run.ready.set(run.now());
+    let clients: Vec<_> = (0..scenario.clients)
+        .map(|n| tokio::task::spawn_local(client::run_active(run.clone(), n as u64)))
+        .chain((0..scenario.idle_clients).map(|_| tokio::task::spawn_local(client::run_idle(run.clone()))))
         .collect();
     let lists = Rc::new(lists);
-    let changes = tokio::task::spawn_local(change(trial.clone(), addresses, lists.clone()));
-    let outage = tokio::task::spawn_local(fall_silent(trial.clone(), lists));
-    tokio::time::sleep(plan.quiet + plan.lull).await;
-    late.set(Duration::ZERO);
-    let exit = router.end(&trial).await?;
-    trial.over.set(true);
-    // Whatever the end of its connections tells the clients arrives at once.
+    let changes = tokio::task::spawn_local(apply_changes(run.clone(), addresses, lists.clone()));
+    let list_outage = tokio::task::spawn_local(silence_lists(run.clone(), lists));
+    tokio::time::sleep(scenario.load_time + scenario.idle_period).await;
+    max_delay.set(Duration::ZERO);
+    let exit = router.shut_down(&run).await?;
+    run.clients_stopped.set(true);
+    // Leaves the clients time to notice that the router's connections have ended.
     tokio::time::sleep(Duration::from_millis(100)).await;
     clients.iter().for_each(|c| c.abort());
-    lateness.abort();
+    delay_recorder.abort();
     changes.abort();
-    outage.abort();
-    let on_time = late.get() < ON_TIME;
+    list_outage.abort();
+    let timing_checked = max_delay.get() < MAX_HARNESS_DELAY;
     let log = router.log();
-    let tries = trial.tries.borrow();
-    let received = trial.received.borrow();
+    let exchanges = run.exchanges.borrow();
+    let attempts = run.attempts.borrow();
     let mut statuses = BTreeMap::new();
-    for status in tries.iter().filter_map(|t| t.ending.status()) {
+    for status in exchanges.iter().filter_map(|t| t.outcome.status()) {
         *statuses.entry(status).or_default() += 1;
     }
-    let logged = std::fs::read_to_string(&log).unwrap_or_default();
-    let seen = verdict::Seen {
-        plan,
-        tries: &tries,
-        received: &received,
-        told: trial.told.get().unwrap_or_default(),
-        killed: trial.killed.get(),
-        left: &trial.left.borrow(),
+    let log_text = std::fs::read_to_string(&log).unwrap_or_default();
+    let observations = verdict::Observations {
+        scenario,
+        exchanges: &exchanges,
+        attempts: &attempts,
+        sigterm_at: run.sigterm_at.get().unwrap_or_default(),
+        killed_at: run.killed_at.get(),
+        draining_since: &run.draining_since.borrow(),
         exit,
-        pauses: Pauses::of(&trial.stopped.borrow(), &logged, trial.began_at),
-        log: &logged,
-        on_time,
+        pauses: Pauses::collect(&run.signal_pauses.borrow(), &log_text, run.started_monotonic),
+        log: &log_text,
+        timing_checked,
     };
-    let late_from = seen.told + verdict::OWED_AFTER;
-    let given_up_late = |r: &&Received| r.at > late_from && r.end == ReplicaEnd::GivenUp;
+    let last_part_from = observations.sigterm_at + verdict::ANSWER_REQUIRED_AFTER;
+    let cancelled_late =
+        |r: &&ReplicaAttempt| r.head_at > last_part_from && r.outcome == ReplicaOutcome::ClosedByRouter;
     Ok(Report {
-        given_up_late: received.iter().filter(given_up_late).count(),
-        breaks: verdict::judge(&seen),
-        requests: tries.len(),
-        received: received.iter().filter(|r| r.whole_at.is_some()).count(),
+        cancelled_late: attempts.iter().filter(cancelled_late).count(),
+        violations: verdict::find_violations(&observations),
+        requests: exchanges.len(),
+        attempts_received: attempts.iter().filter(|r| r.complete_at.is_some()).count(),
         statuses,
-        killed: tries.iter().filter(|t| t.ending == Ending::Open).count(),
-        longest_pause: seen.pauses.iter().map(Pause::length).max().unwrap_or_default(),
-        late: late.get(),
-        on_time,
+        open_at_kill: exchanges.iter().filter(|t| t.outcome == Outcome::Open).count(),
+        longest_pause: observations.pauses.iter().map(Pause::length).max().unwrap_or_default(),
+        max_harness_delay: max_delay.get(),
+        timing_checked,
         log,
         _dir: dir,
     })
 }
 
-/// Has the replicas leave and fail as planned, and keeps the lists until then.
-async fn change(trial: Rc<Trial>, addresses: Vec<SocketAddr>, lists: Rc<[List; 2]>) {
-    let began = trial.now();
-    for Change { at, replica, what } in trial.plan.changes.clone() {
-        tokio::time::sleep((began + at).saturating_sub(trial.now())).await;
-        match what {
-            ChangeKind::Leaves => {
-                trial.left.borrow_mut().entry(replica).or_insert(trial.now());
-                lists.iter().for_each(|list| list.set(&trial.rows(&addresses)));
+/// Drains and fails replicas as the scenario says; keeps the list services running until it is aborted.
+async fn apply_changes(run: Rc<Run>, addresses: Vec<SocketAddr>, lists: Rc<[List; 2]>) {
+    let first_request_at = run.now();
+    for Change { at, replica, kind } in run.scenario.changes.clone() {
+        tokio::time::sleep((first_request_at + at).saturating_sub(run.now())).await;
+        match kind {
+            ChangeKind::Drains => {
+                run.draining_since.borrow_mut().entry(replica).or_insert(run.now());
+                lists.iter().for_each(|list| list.set(&run.list_rows(&addresses)));
             }
-            ChangeKind::Fails(time) => {
-                trial.down.borrow_mut()[replica] = true;
-                trial.goes_down.send_replace(replica);
-                let trial = trial.clone();
+            ChangeKind::Fails(length) => {
+                run.down.borrow_mut()[replica] = true;
+                run.failures.send_replace(replica);
+                let run = run.clone();
                 tokio::task::spawn_local(async move {
-                    tokio::time::sleep(time).await;
-                    trial.down.borrow_mut()[replica] = false;
+                    tokio::time::sleep(length).await;
+                    run.down.borrow_mut()[replica] = false;
                 });
             }
         }
@@ -234,9 +242,9 @@
     std::future::pending().await
 }
 
-/// Has the lists fall silent as planned.
-async fn fall_silent(trial: Rc<Trial>, lists: Rc<[List; 2]>) {
-    let Some((at, length)) = trial.plan.outage else { return };
+/// Silences the list services as the scenario says.
+async fn silence_lists(run: Rc<Run>, lists: Rc<[List; 2]>) {
+    let Some((at, length)) = run.scenario.list_outage else { return };
     tokio::time::sleep(at).await;
     lists.iter().for_each(|list| list.silence(true));
     tokio::time::sleep(length).await;
--- a/test-support/src/trial/replica.rs
+++ b/test-support/src/trial/replica.rs
@@ -1,4 +1,5 @@
-//! A replica of a trial: does with each request what its plan draws, and notes what it received and when.
+//! A mock replica of a run: handles each request with a random behaviour of its scenario, and records what it
+//! received and when.
 
 use std::future::Future;
 use std::io;
@@ -9,201 +10,218 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-use super::plan::Behaviour;
-use super::Trial;
-use crate::wire::Wire;
+use super::plan::ReplicaBehaviour;
+use super::Run;
+use crate::wire::HttpConnection;
 
-/// How an attempt ended at a replica.
+/// The outcome of an attempt at a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReplicaEnd {
-    /// It is out.
-    Out,
-    /// It was answered whole.
-    Served,
-    /// It was turned away unseen.
+pub enum ReplicaOutcome {
+    /// The attempt is in flight.
+    InFlight,
+    /// The complete response was written.
+    Completed,
+    /// The replica declined the request before running it.
     Declined,
-    /// It was answered 500.
+    /// The replica responded with status 500.
     Failed,
-    /// The replica ended the connection.
-    Broken,
-    /// The router ended the connection.
-    GivenUp,
+    /// The replica closed the connection.
+    ClosedByReplica,
+    /// The router closed the connection.
+    ClosedByRouter,
 }
 
-/// An attempt as its replica saw it; times count from the start of the trial.
+/// An attempt as its replica observed it; times count from the start of the run.
 #[derive(Debug, Clone)]
-pub struct Received {
-    /// The client's name for the request.
+pub struct ReplicaAttempt {
+    /// The request id.
     pub id: String,
-    /// The replica.
+    /// Index of the replica.
     pub replica: usize,
-    /// How long the router said that it waits.
-    pub told_ms: Option<u64>,
-    /// When its head had arrived.
-    pub at: Duration,
-    /// When its last byte had arrived.
-    pub whole_at: Option<Duration>,
-    /// When the first byte of its answer was written.
-    pub begun_at: Option<Duration>,
-    /// When it ended.
+    /// Deadline that the router sent, in milliseconds.
+    pub deadline_ms: Option<u64>,
+    /// When the head of the request had arrived.
+    pub head_at: Duration,
+    /// When the whole request had arrived.
+    pub complete_at: Option<Duration>,
+    /// When the first byte of the response was written.
+    pub response_begun_at: Option<Duration>,
+    /// When the attempt ended.
     pub ended_at: Option<Duration>,
-    /// How it ended.
-    pub end: ReplicaEnd,
+    /// Outcome of the attempt.
+    pub outcome: ReplicaOutcome,
 }
 
-impl Received {
-    /// Whether it may have run.
+impl ReplicaAttempt {
+    /// Whether the replica may have run the request.
     pub fn may_have_run(&self) -> bool {
-        self.whole_at.is_some() && self.end != ReplicaEnd::Declined
+        self.complete_at.is_some() && self.outcome != ReplicaOutcome::Declined
     }
 }
 
-/// Starts a replica; gives its address.
-pub(super) async fn start(trial: &Rc<Trial>, ip: &str, number: usize) -> io::Result<SocketAddr> {
+/// Starts a replica and returns its address.
+pub(super) async fn start(run: &Rc<Run>, ip: &str, number: usize) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((ip, 0)).await?;
     let at = listener.local_addr()?;
-    let trial = trial.clone();
+    let run = run.clone();
     tokio::task::spawn_local(async move {
-        let mut rng = trial.random(1_000 + number as u64);
+        let mut rng = run.rng(1_000 + number as u64);
         while let Ok((stream, _)) = listener.accept().await {
             let rng = rng.fork();
-            tokio::task::spawn_local(serve(trial.clone(), number, Wire::new(stream), rng));
+            tokio::task::spawn_local(serve(run.clone(), number, HttpConnection::new(stream), rng));
         }
     });
     Ok(at)
 }
 
-async fn serve(trial: Rc<Trial>, number: usize, mut wire: Wire, mut rng: fastrand::Rng) {
-    let plan = trial.plan.replicas[number].clone();
+async fn serve(run: Rc<Run>, number: usize, mut connection: HttpConnection, mut rng: fastrand::Rng) {
+    let scenario = run.scenario.replicas[number].clone();
     loop {
-        // An idle connection ends after the replica's time, or by the router.
-        let idle = timeout(plan.idle_close, wire.head());
-        let Some(Ok(Ok(head))) = unless_down(&trial, number, idle).await else { return };
-        let place = trial.received.borrow().len();
-        trial.received.borrow_mut().push(Received {
+        // An idle connection is closed after the replica's idle timeout, or by the router.
+        let idle = timeout(scenario.idle_close, connection.read_head());
+        let Some(Ok(Ok(head))) = run_unless_down(&run, number, idle).await else { return };
+        let index = run.attempts.borrow().len();
+        run.attempts.borrow_mut().push(ReplicaAttempt {
             id: head.field("req-id").unwrap_or_default().into(),
             replica: number,
-            told_ms: head.field("req-deadline-ms").and_then(|ms| ms.parse().ok()),
-            at: trial.now(),
-            whole_at: None,
-            begun_at: None,
+            deadline_ms: head.field("req-deadline-ms").and_then(|ms| ms.parse().ok()),
+            head_at: run.now(),
+            complete_at: None,
+            response_begun_at: None,
             ended_at: None,
-            end: ReplicaEnd::Out,
+            outcome: ReplicaOutcome::InFlight,
         });
-        let whole = wire.body(&head).await.is_ok();
-        if whole {
-            trial.received.borrow_mut()[place].whole_at = Some(trial.now());
+        let complete = connection.skip_body(&head).await.is_ok();
+        if complete {
+            run.attempts.borrow_mut()[index].complete_at = Some(run.now());
         }
-        let since_told = trial.told.get().map(|told| trial.now().saturating_sub(told));
-        let hangs = plan.hangs_after.is_some_and(|after| since_told >= Some(after));
-        let drawn = plan.behaviours[rng.usize(..plan.behaviours.len())];
-        let behaviour = if hangs { Behaviour::Hang } else { drawn };
-        let begun = || trial.received.borrow_mut()[place].begun_at = Some(trial.now());
-        let end = match whole {
+        let since_sigterm = run.sigterm_at.get().map(|sigterm_at| run.now().saturating_sub(sigterm_at));
+        let hangs = scenario.hangs_after.is_some_and(|after| since_sigterm >= Some(after));
+        let random_behaviour = scenario.behaviours[rng.usize(..scenario.behaviours.len())];
+        let behaviour = if hangs { ReplicaBehaviour::Hang } else { random_behaviour };
+        let on_begun = || run.attempts.borrow_mut()[index].response_begun_at = Some(run.now());
+        let outcome = match complete {
             true => {
-                let acts = act(&mut wire, behaviour, &mut rng, begun);
-                unless_down(&trial, number, acts).await.unwrap_or(ReplicaEnd::Broken)
+                let handled = handle(&mut connection, behaviour, &mut rng, on_begun);
+                run_unless_down(&run, number, handled).await.unwrap_or(ReplicaOutcome::ClosedByReplica)
             }
-            false => ReplicaEnd::GivenUp,
+            false => ReplicaOutcome::ClosedByRouter,
         };
         {
-            let received = &mut trial.received.borrow_mut()[place];
-            (received.end, received.ended_at) = (end, Some(trial.now()));
+            let attempt = &mut run.attempts.borrow_mut()[index];
+            (attempt.outcome, attempt.ended_at) = (outcome, Some(run.now()));
         }
-        if matches!(end, ReplicaEnd::Broken | ReplicaEnd::GivenUp) {
+        if matches!(outcome, ReplicaOutcome::ClosedByReplica | ReplicaOutcome::ClosedByRouter) {
             return;
         }
-        if behaviour == Behaviour::SecondAnswer {
+        if behaviour == ReplicaBehaviour::SecondResponse {
             sleep(Duration::from_millis(rng.u64(1..10))).await;
-            // The connection goes on: whoever asks on it meanwhile takes this for the answer, and is served all the same.
-            if wire.write(DECLINED).await.is_err() {
+            // The connection stays open: the next request on it is served, but its reader takes this response for
+            // its own.
+            if connection.write(DECLINED_RESPONSE).await.is_err() {
                 return;
             }
         }
     }
 }
 
-/// Waits for something; `None` if the replica is down, or goes down first.
-async fn unless_down<T>(trial: &Trial, number: usize, what: impl Future<Output = T>) -> Option<T> {
-    let mut word = trial.goes_down.subscribe();
-    if trial.down.borrow()[number] {
+/// Runs `operation`; returns `None` if the replica is down or goes down before the end.
+async fn run_unless_down<T>(run: &Run, number: usize, operation: impl Future<Output = T>) -> Option<T> {
+    let mut failures = run.failures.subscribe();
+    if run.down.borrow()[number] {
         return None;
     }
     tokio::select! {
-        done = what => Some(done),
-        _ = word.wait_for(|down| *down == number) => None,
+        result = operation => Some(result),
+        _ = failures.wait_for(|failed| *failed == number) => None,
     }
 }
 
-const DECLINED: &[u8] = b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-const FAILED: &[u8] = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
-const BEGUN: &str =
+const DECLINED_RESPONSE: &[u8] = b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+const ERROR_RESPONSE: &[u8] = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
+const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn event() -> String {
+fn content_event() -> String {
     let event =
         "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abcd\"},\"finish_reason\":null}]}\n\n";
     format!("{:x}\r\n{event}\r\n", event.len())
 }
 
-fn last() -> String {
+fn last_event() -> String {
     let event =
         "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":4,\"completion_tokens\":2}}\n\ndata: [DONE]\n\n";
     format!("{:x}\r\n{event}\r\n0\r\n\r\n", event.len())
 }
 
-/// Does it, and notices when the router ends the connection; `begun` is called when a stream has begun.
-async fn act(wire: &mut Wire, behaviour: Behaviour, rng: &mut fastrand::Rng, begun: impl Fn()) -> ReplicaEnd {
-    let written = |result: io::Result<()>, end| if result.is_ok() { end } else { ReplicaEnd::GivenUp };
+/// Handles a request as `behaviour` says and detects when the router closes the connection; `on_begun` is called
+/// once a stream has begun.
+async fn handle(
+    connection: &mut HttpConnection,
+    behaviour: ReplicaBehaviour,
+    rng: &mut fastrand::Rng,
+    on_begun: impl Fn(),
+) -> ReplicaOutcome {
+    let outcome_of_write = |result: io::Result<()>, outcome| {
+        if result.is_ok() {
+            outcome
+        } else {
+            ReplicaOutcome::ClosedByRouter
+        }
+    };
     match behaviour {
-        Behaviour::Hang => {
-            gone(wire).await;
-            ReplicaEnd::GivenUp
+        ReplicaBehaviour::Hang => {
+            wait_for_close(connection).await;
+            ReplicaOutcome::ClosedByRouter
+        }
+        ReplicaBehaviour::Decline => {
+            outcome_of_write(connection.write(DECLINED_RESPONSE).await, ReplicaOutcome::Declined)
+        }
+        ReplicaBehaviour::Error => {
+            outcome_of_write(connection.write(ERROR_RESPONSE).await, ReplicaOutcome::Failed)
         }
-        Behaviour::Decline => written(wire.write(DECLINED).await, ReplicaEnd::Declined),
-        Behaviour::Error => written(wire.write(FAILED).await, ReplicaEnd::Failed),
-        Behaviour::Reset => ReplicaEnd::Broken,
-        Behaviour::BreakOff => {
-            let begun = BEGUN.to_string() + &event();
-            written(wire.write(begun.as_bytes()).await, ReplicaEnd::Broken)
+        ReplicaBehaviour::Close => ReplicaOutcome::ClosedByReplica,
+        ReplicaBehaviour::CloseMidStream => {
+            let beginning = STREAM_HEAD.to_string() + &content_event();
+            outcome_of_write(connection.write(beginning.as_bytes()).await, ReplicaOutcome::ClosedByReplica)
         }
-        Behaviour::Serve { first, events, gap } => {
-            let first = first.mul_f64(0.5 + rng.f64());
-            stream(wire, first, events, gap, begun).await
+        ReplicaBehaviour::Serve { first_event_after, events, gap } => {
+            let first_event_after = first_event_after.mul_f64(0.5 + rng.f64());
+            write_stream(connection, first_event_after, events, gap, on_begun).await
         }
-        Behaviour::SecondAnswer => {
-            stream(wire, Duration::from_millis(5), 1, Duration::from_millis(1), begun).await
+        ReplicaBehaviour::SecondResponse => {
+            write_stream(connection, Duration::from_millis(5), 1, Duration::from_millis(1), on_begun).await
         }
     }
 }
 
-async fn stream(
-    wire: &mut Wire,
-    first: Duration,
+async fn write_stream(
+    connection: &mut HttpConnection,
+    first_event_after: Duration,
     events: u32,
     gap: Duration,
-    begun: impl Fn(),
-) -> ReplicaEnd {
+    on_begun: impl Fn(),
+) -> ReplicaOutcome {
     for n in 0..=events {
-        let pause = if n == 0 { first } else { gap };
-        if timeout(pause, gone(wire)).await.is_ok() {
-            return ReplicaEnd::GivenUp;
+        let pause = if n == 0 { first_event_after } else { gap };
+        if timeout(pause, wait_for_close(connection)).await.is_ok() {
+            return ReplicaOutcome::ClosedByRouter;
         }
-        let text = if n == 0 { BEGUN.to_string() + &event() } else { event() };
-        if wire.write(text.as_bytes()).await.is_err() {
-            return ReplicaEnd::GivenUp;
+        let text = if n == 0 { STREAM_HEAD.to_string() + &content_event() } else { content_event() };
+        if connection.write(text.as_bytes()).await.is_err() {
+            return ReplicaOutcome::ClosedByRouter;
         }
         if n == 0 {
-            begun();
+            on_begun();
         }
     }
-    match wire.write(last().as_bytes()).await {
-        Ok(()) => ReplicaEnd::Served,
-        Err(_) => ReplicaEnd::GivenUp,
+    match connection.write(last_event().as_bytes()).await {
+        Ok(()) => ReplicaOutcome::Completed,
+        Err(_) => ReplicaOutcome::ClosedByRouter,
     }
 }
 
-/// Waits until the router has ended its side.
-async fn gone(wire: &mut Wire) {
-    while wire.more().await.is_ok() {}
+/// Waits until the router has closed its side.
+async fn wait_for_close(connection: &mut HttpConnection) {
+    while connection.read_more().await.is_ok() {}
 }
