--- a/consensus/src/replica_drains.rs
+++ b/consensus/src/replica_drains.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use clearing::{routers_not_clear, AppliedState, ReplicaUse};
+pub use clearing::{routers_still_using, AppliedState, ReplicaUse};
 pub(crate) use limits::check_limits;
 pub use limits::{Limit, ReplicaLimitExceeded, ReplicaLimits, ReplicaView};
 
--- a/consensus/src/replica_drains/clearing.rs
+++ b/consensus/src/replica_drains/clearing.rs
@@ -35,6 +35,6 @@
 ///
 /// The replica is out since version `since` of the fleet state. A router is clear once it has reported that it applies that
 /// version and has no request in flight at the replica. `uses` is by [`RouterIndex`].
-pub fn routers_not_clear(replica: &str, since: u64, uses: &[ReplicaUse<'_>]) -> Vec<RouterIndex> {
+pub fn routers_still_using(replica: &str, since: u64, uses: &[ReplicaUse<'_>]) -> Vec<RouterIndex> {
     (0..).zip(uses).filter(|(_, of)| of.may_use(replica, since)).map(|(router, _)| router).collect()
 }
--- a/consensus/src/replica_drains/tests.rs
+++ b/consensus/src/replica_drains/tests.rs
@@ -65,10 +65,10 @@
     let left = |applied| ReplicaUse { applied, has_left: true };
     let uses = [live(Some(&late)), live(Some(&busy)), live(Some(&done)), live(None), left(None)];
     assert_eq!(
-        routers_not_clear("n1", 5, &uses),
+        routers_still_using("n1", 5, &uses),
         [0, 1, 3],
         "one applies an earlier version, one has requests in flight, one has not reported"
     );
-    assert_eq!(routers_not_clear("n2", 5, &uses), [0, 2, 3]);
-    assert!(routers_not_clear("n1", 5, &[live(Some(&done)), left(Some(&late))]).is_empty());
+    assert_eq!(routers_still_using("n2", 5, &uses), [0, 2, 3]);
+    assert!(routers_still_using("n1", 5, &[live(Some(&done)), left(Some(&late))]).is_empty());
 }
--- a/consensus/tests/fleet/events.rs
+++ b/consensus/tests/fleet/events.rs
@@ -117,7 +117,7 @@
 
     fn send_heartbeats(&mut self, r: usize, incarnation: u64) {
         let now = self.now;
-        self.routers[r].detector.note_clock(now);
+        self.routers[r].detector.advance_clock(now);
         let advertised = self.routers[r].advertised();
         for member in 0..COUNCIL {
             self.send(r, member, Event::Heartbeat { to: member, from: r, incarnation, advertised });
--- a/consensus/tests/recorded/drain_lease.rs
+++ b/consensus/tests/recorded/drain_lease.rs
@@ -9,7 +9,7 @@
 use tallypin_consensus::fleet_state::{
     Command, DrainEntry, DrainStage, FleetState, ReleaseLeaseRequest, RouterIncarnation,
 };
-use tallypin_consensus::replica_drains::{routers_not_clear, AppliedState, ReplicaUse};
+use tallypin_consensus::replica_drains::{routers_still_using, AppliedState, ReplicaUse};
 
 use crate::record::{compare, json, lines, parse};
 
@@ -134,7 +134,7 @@
     let uses: Vec<ReplicaUse> =
         reports.flat_map(|applied| [false, true].map(|has_left| ReplicaUse { applied, has_left })).collect();
     for (replica, order_version) in [("n1", 5), ("n2", 5), ("n4", 5), ("n4", 7), ("n1", 0)] {
-        let routers = routers_not_clear(replica, order_version, &uses);
+        let routers = routers_still_using(replica, order_version, &uses);
         writeln!(transcript, "{replica} out since {order_version}: {routers:?}").expect("writes to a string");
     }
     compare("unclear.txt", &transcript);
--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -66,7 +66,7 @@
     ///
     /// A member that was itself paused has received nothing in the meantime. So after a pause all routers get a full
     /// silence limit again.
-    pub fn note_clock(&mut self, now: Nanos) {
+    pub fn advance_clock(&mut self, now: Nanos) {
         if elapsed(now, self.last_clock) > self.timing.silence_limit / 2 {
             self.listening_since = now;
         }
@@ -86,7 +86,7 @@
         incarnation: Incarnation,
         advertised: AdvertisedStatus,
     ) -> Result<(), HeartbeatError> {
-        self.note_clock(now);
+        self.advance_clock(now);
         let last = self.last.get_mut(usize::from(from)).ok_or(HeartbeatError::UnknownRouter(from))?;
         match last {
             Some(known) if known.incarnation > incarnation => {
@@ -134,7 +134,7 @@
 
     /// Returns all routers that count as out of service.
     pub fn out_of_service(&mut self, now: Nanos) -> Vec<RouterIndex> {
-        self.note_clock(now);
+        self.advance_clock(now);
         let all = 0..self.last.len() as RouterIndex;
         all.filter(|&router| self.status(now, router).is_out_of_service()).collect()
     }
--- a/membership/src/failure_detector/tests.rs
+++ b/membership/src/failure_detector/tests.rs
@@ -17,7 +17,7 @@
 fn a_router_is_silent_after_the_limit_until_its_next_heartbeat() {
     let mut detector = FailureDetector::new(TIMING, 3, 0);
     assert_eq!(record_serving(&mut detector, S, 0), Ok(()));
-    (1..=6).for_each(|k| detector.note_clock(S + k * S / 2));
+    (1..=6).for_each(|k| detector.advance_clock(S + k * S / 2));
     assert_eq!(detector.status(3 * S, 0), PeerStatus::Alive(AdvertisedStatus::Serving), "within the limit");
     assert_eq!(detector.status(4 * S, 0), PeerStatus::Silent);
     assert_eq!(detector.status(4 * S, 1), PeerStatus::Silent, "no heartbeat within the limit");
@@ -32,7 +32,7 @@
     // The member was paused for 20 s, and the heartbeats of other routers are still unread in its sockets.
     assert_eq!(detector.out_of_service(25 * S), vec![], "its own pause is not silence of other routers");
     assert!(!detector.can_detect_silence(25 * S));
-    (0..6).for_each(|k| detector.note_clock(25 * S + k * S / 2));
+    (0..6).for_each(|k| detector.advance_clock(25 * S + k * S / 2));
     assert_eq!(detector.out_of_service(28 * S), vec![0, 1], "silent for a full limit after the pause");
 }
 
--- a/router/benches/checks.rs
+++ b/router/benches/checks.rs
@@ -137,10 +137,10 @@
         agent_line(router.agent, "\n").await.expect("the agent check is answered");
         agent += started.elapsed().as_micros() as u64;
         let started = Instant::now();
-        probe::http(router.http, "/healthz").await.expect("the HTTP check is answered");
+        probe::check_http(router.http, "/healthz").await.expect("the HTTP check is answered");
         http += started.elapsed().as_micros() as u64;
         let started = Instant::now();
-        probe::grpc(router.grpc, "").await.expect("the gRPC check is answered");
+        probe::check_grpc(router.grpc, "").await.expect("the gRPC check is answered");
         grpc += started.elapsed().as_micros() as u64;
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
--- a/router/src/checks/context.rs
+++ b/router/src/checks/context.rs
@@ -2,13 +2,13 @@
 
 use std::rc::Rc;
 
+use crate::balancer_interface::BalancerInterface;
 use crate::body_budget::BodyBudget;
 use crate::clients::Clients;
 use crate::dispatcher::Dispatcher;
 use crate::endpoint_list_state::EndpointListState;
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::outward::Outward;
 use crate::peers::Peers;
 use crate::replica::ReplicaPool;
 
@@ -21,7 +21,7 @@
     /// The stage of a shutdown. A drain enters its stages up to the closing of the listeners.
     pub lifecycle: Rc<Lifecycle>,
     /// The interface to balancers, with the PROXY protocol policy.
-    pub outward: Rc<Outward>,
+    pub balancer_interface: Rc<BalancerInterface>,
     /// The client connections.
     pub clients: Rc<Clients>,
     /// The replicas, and the connections to them.
--- a/router/src/checks/control.rs
+++ b/router/src/checks/control.rs
@@ -17,7 +17,7 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-use super::{Board, CheckContext};
+use super::{CheckContext, HealthMonitor};
 use crate::installation::ControlSettings;
 
 /// Maximum length of an order, in bytes.
@@ -30,7 +30,7 @@
 const MAX_CONNECTIONS: usize = 4;
 
 /// Executes orders to the fleet. It applies a time limit of its own.
-pub type ToFleet = Rc<dyn Fn(String) -> Pin<Box<dyn Future<Output = Value>>>>;
+pub type FleetOrderHandler = Rc<dyn Fn(String) -> Pin<Box<dyn Future<Output = Value>>>>;
 
 /// An operator's order.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 }
 
 /// Parses an order.
-pub fn read(line: &str) -> Result<Command, String> {
+pub fn parse(line: &str) -> Result<Command, String> {
     let words: Vec<&str> = line.split_ascii_whitespace().collect();
     match words[..] {
         ["show"] => Ok(Command::Show),
@@ -77,20 +77,20 @@
 }
 
 /// The bound control socket. Dropping it removes the socket file.
-pub struct Control {
+pub struct ControlSocket {
     listener: UnixListener,
     path: PathBuf,
 }
 
-impl Drop for Control {
+impl Drop for ControlSocket {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.path);
     }
 }
 
-impl Control {
+impl ControlSocket {
     /// Binds the socket. A socket file left by an ended router is replaced; one on which a router listens is an error.
-    pub async fn bind(settings: &ControlSettings) -> io::Result<Control> {
+    pub async fn bind(settings: &ControlSettings) -> io::Result<ControlSocket> {
         let path = settings.socket.clone();
         let with_path = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
         if UnixStream::connect(&path).await.is_ok() {
@@ -109,11 +109,16 @@
             let _ = std::fs::remove_file(temporary);
             return Err(with_path(e));
         }
-        Ok(Control { listener, path })
+        Ok(ControlSocket { listener, path })
     }
 
     /// Accepts connections and executes their orders. Never returns.
-    pub async fn serve(self, context: Rc<CheckContext>, board: Rc<Board>, fleet: Option<ToFleet>) {
+    pub async fn serve(
+        self,
+        context: Rc<CheckContext>,
+        health_monitor: Rc<HealthMonitor>,
+        fleet: Option<FleetOrderHandler>,
+    ) {
         let permits = std::sync::Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let Ok(permit) = permits.clone().acquire_owned().await else { return };
@@ -121,9 +126,9 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 continue;
             };
-            let (context, board, fleet) = (context.clone(), board.clone(), fleet.clone());
+            let (context, health_monitor, fleet) = (context.clone(), health_monitor.clone(), fleet.clone());
             tokio::task::spawn_local(async move {
-                let _ = serve_connection(stream, &context, &board, fleet).await;
+                let _ = serve_connection(stream, &context, &health_monitor, fleet).await;
                 drop(permit);
             });
         }
@@ -133,8 +138,8 @@
 async fn serve_connection(
     mut stream: UnixStream,
     context: &Rc<CheckContext>,
-    board: &Rc<Board>,
-    fleet: Option<ToFleet>,
+    health_monitor: &Rc<HealthMonitor>,
+    fleet: Option<FleetOrderHandler>,
 ) -> io::Result<()> {
     let (reader, mut writer) = stream.split();
     let mut line = String::new();
@@ -142,14 +147,14 @@
         timeout(IO_TIMEOUT, BufReader::new(reader.take(MAX_FLEET_ORDER_BYTES)).read_line(&mut line)).await?;
     let fits = line.len() <= MAX_ORDER_BYTES || line.starts_with("fleet ");
     let answer = match read_line {
-        Ok(_) if fits && line.ends_with('\n') => match read(&line) {
+        Ok(_) if fits && line.ends_with('\n') => match parse(&line) {
             Ok(Command::Fleet(words)) => match fleet {
                 Some(fleet) => fleet(words).await,
                 None => {
                     json!({"done": false, "why": "this router is of no fleet: the settings have no section `fleet`"})
                 }
             },
-            Ok(command) => execute(command, context, board),
+            Ok(command) => execute(command, context, health_monitor),
             Err(why) => json!({"done": false, "why": why}),
         },
         _ => json!({"done": false, "why": "the order is not one complete line of text"}),
@@ -158,11 +163,11 @@
 }
 
 /// Executes an order, and returns its answer.
-pub fn execute(command: Command, context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
+pub fn execute(command: Command, context: &Rc<CheckContext>, health_monitor: &Rc<HealthMonitor>) -> Value {
     let (goal, order) = match command {
-        Command::Show => return show(context, board),
+        Command::Show => return show(context, health_monitor),
         Command::Weight(most) => {
-            board.set_max_weight(most);
+            health_monitor.set_max_weight(most);
             tracing::info!(target: "control", most, "operator limited the weight");
             return json!({"done": true, "most": most});
         }
@@ -174,38 +179,38 @@
             return json!({"done": false, "why": "the order is for the fleet, not for one router"})
         }
     };
-    if !board.want(goal, order) {
+    if !health_monitor.set_drain_goal(goal, order) {
         return json!({"done": false, "why": "too late: the router is shutting down"});
     }
-    super::signals::follow(&context.lifecycle, board.phase());
+    super::signals::apply_drain_phase(&context.lifecycle, health_monitor.drain_phase());
     tracing::info!(target: "control", order = ?order, wish = ?goal, "operator order accepted");
-    let unnotified = board.askers().iter().filter(|checker| !checker.notified).count();
-    let pending = if board.phase() == DrainPhase::Notifying { unnotified } else { 0 };
-    json!({"done": true, "state": board.assessment().state.name(), "balancers_to_tell": pending})
+    let unnotified = health_monitor.checkers().iter().filter(|checker| !checker.notified).count();
+    let pending = if health_monitor.drain_phase() == DrainPhase::Notifying { unnotified } else { 0 };
+    json!({"done": true, "state": health_monitor.assessment().state.name(), "balancers_to_tell": pending})
 }
 
-fn show(context: &Rc<CheckContext>, board: &Rc<Board>) -> Value {
-    let assessment = board.assessment();
+fn show(context: &Rc<CheckContext>, health_monitor: &Rc<HealthMonitor>) -> Value {
+    let assessment = health_monitor.assessment();
     let ms = |d: Duration| d.as_millis() as u64;
     let checker = |c: &tallypin_health::checkers::CheckerStatus| {
         json!({"from": c.id.ip.to_string(), "by": c.id.protocol.name(), "asked_ms_ago": ms(c.last_check_ago),
             "interval_ms": c.interval.map(ms), "told": c.notified})
     };
-    let components: Vec<Value> = board
+    let components: Vec<Value> = health_monitor
         .components()
         .iter()
         .map(|c| json!({"name": c.name, "well": c.healthy, "note": c.note}))
         .collect();
-    let (answered, invalid) = board.check_counts();
-    let counts = context.dispatcher.with(|core, _| core.counts().clone());
+    let (answered, invalid) = health_monitor.check_counts();
+    let counts = context.dispatcher.with_core(|core, _| core.counts().clone());
     json!({
         "done": true, "state": assessment.state.name(), "weight": assessment.weight,
         "cause": assessment.cause.description(),
-        "most": board.max_weight(), "phase": board.phase().name(),
-        "untold": board.untold(),
-        "balancers": board.askers().iter().map(checker).collect::<Vec<_>>(), "parts": components,
+        "most": health_monitor.max_weight(), "phase": health_monitor.drain_phase().name(),
+        "untold": health_monitor.notification_timed_out(),
+        "balancers": health_monitor.checkers().iter().map(checker).collect::<Vec<_>>(), "parts": components,
         "checks": {"answered": answered, "spoilt": invalid},
-        "clients": context.clients.open(), "open": context.dispatcher.with(|core, _| core.open_requests()),
+        "clients": context.clients.open(), "open": context.dispatcher.with_core(|core, _| core.open_requests()),
         "taken": counts.accepted, "served": counts.completed, "refused": counts.rejected,
         "failed": counts.failed, "broken": counts.interrupted, "left": counts.client_disconnects,
     })
--- a/router/src/checks/grpc.rs
+++ b/router/src/checks/grpc.rs
@@ -18,13 +18,13 @@
 use tokio::time::timeout;
 
 use super::listen::CheckConnection;
-use super::Board;
+use super::HealthMonitor;
 
 /// Answers the calls of one connection.
 pub async fn answer(mut conn: CheckConnection) {
     let time_limit = conn.time_limit();
     let mut idle = conn.mark_idle();
-    let CheckConnection { board, wire, ip, client, .. } = conn;
+    let CheckConnection { health_monitor, wire, ip, client, .. } = conn;
     let mut builder = h2::server::Builder::new();
     // Checks and their answers are small, so these limits suffice.
     builder.max_concurrent_streams(64).max_header_list_size(8 << 10).max_frame_size(16 << 10);
@@ -37,7 +37,7 @@
         result = timeout(time_limit, builder.handshake::<_, Bytes>(wire.stream)) => result,
         () = idle.close_requested() => return,
     };
-    let Ok(Ok(mut connection)) = handshake else { return board.record_invalid_check() };
+    let Ok(Ok(mut connection)) = handshake else { return health_monitor.record_invalid_check() };
     let open_calls = Rc::new(OpenCalls::default());
     let mut idle = Some(idle);
     loop {
@@ -45,7 +45,7 @@
         if open_calls.count.get() == 0 && idle.is_none() {
             idle = Some(client.idle());
         }
-        let idle_timeout = board.check_setting(|c| c.idle).unwrap_or(time_limit);
+        let idle_timeout = health_monitor.check_setting(|c| c.idle_timeout).unwrap_or(time_limit);
         let accepted = tokio::select! {
             biased;
             accepted = connection.accept() => accepted,
@@ -55,7 +55,12 @@
         };
         let Some(Ok((request, respond))) = accepted else { return };
         idle = None;
-        let handler = CallHandler { board: board.clone(), ip, _open: open_calls.clone().enter(), time_limit };
+        let handler = CallHandler {
+            health_monitor: health_monitor.clone(),
+            ip,
+            _open: open_calls.clone().enter(),
+            time_limit,
+        };
         tokio::task::spawn_local(handler.answer(request, respond));
     }
     connection.graceful_shutdown();
@@ -95,15 +100,15 @@
 }
 
 /// Counts a long-lived stream, of a watch or of load reports, towards the limit of all connections until it is dropped.
-struct StreamGuard(Rc<Board>);
+struct StreamGuard(Rc<HealthMonitor>);
 
 impl StreamGuard {
     /// Counts another stream; `None` if the limit is reached.
-    fn enter(board: &Rc<Board>) -> Option<StreamGuard> {
-        let max_streams = board.check_setting(|c| c.grpc.map_or(0, |g| g.watches)).unwrap_or(0);
-        (board.open_streams.get() < max_streams).then(|| {
-            board.open_streams.set(board.open_streams.get() + 1);
-            StreamGuard(board.clone())
+    fn enter(health_monitor: &Rc<HealthMonitor>) -> Option<StreamGuard> {
+        let max_streams = health_monitor.check_setting(|c| c.grpc.map_or(0, |g| g.max_streams)).unwrap_or(0);
+        (health_monitor.open_streams.get() < max_streams).then(|| {
+            health_monitor.open_streams.set(health_monitor.open_streams.get() + 1);
+            StreamGuard(health_monitor.clone())
         })
     }
 }
@@ -116,7 +121,7 @@
 
 /// Handles one call.
 struct CallHandler {
-    board: Rc<Board>,
+    health_monitor: Rc<HealthMonitor>,
     ip: std::net::IpAddr,
     /// Counts the call as open while it is handled.
     _open: OpenCallGuard,
@@ -138,7 +143,7 @@
         let content_type = head.headers.get("content-type").and_then(|v| v.to_str().ok()).unwrap_or("");
         if head.method != Method::POST || !content_type.starts_with("application/grpc") {
             let status = if head.method != Method::POST { 405 } else { 415 };
-            self.board.record_invalid_check();
+            self.health_monitor.record_invalid_check();
             let mut response = Response::new(());
             *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
             let _ = respond.send_response(response, true);
@@ -148,7 +153,7 @@
             Ok(Ok(bytes)) => bytes,
             Ok(Err(ClientGone)) => return,
             Err(_) => {
-                self.board.record_invalid_check();
+                self.health_monitor.record_invalid_check();
                 return respond.send_reset(h2::Reason::CANCEL);
             }
         };
@@ -165,7 +170,7 @@
 
     /// Returns the minimum and maximum interval of load reports; `None` if they are not enabled.
     fn report_intervals(&self) -> Option<(Duration, Duration)> {
-        self.board.check_setting(|c| c.grpc.and_then(|g| g.reports)).flatten()
+        self.health_monitor.check_setting(|c| c.grpc.and_then(|g| g.report_intervals)).flatten()
     }
 
     /// Sends an error without a message: its status is in the response head.
@@ -175,7 +180,7 @@
         code: GrpcStatusCode,
         why: &'static str,
     ) -> Result<(), ClientGone> {
-        self.board.record_invalid_check();
+        self.health_monitor.record_invalid_check();
         let mut response = response_head();
         response.headers_mut().extend(trailers(code, why));
         respond.send_response(response, true)?;
@@ -189,11 +194,13 @@
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthCheckRequest")
             }
         };
-        let state = self.board.assessment().state;
-        let Some(status) = grpc_health::service_status(&request.service, self.board.services(), state) else {
+        let state = self.health_monitor.assessment().state;
+        let Some(status) =
+            grpc_health::service_status(&request.service, self.health_monitor.services(), state)
+        else {
             return self.fail(&mut respond, GrpcStatusCode::NotFound, "no such service");
         };
-        self.board.record_check(self.ip, CheckProtocol::Grpc);
+        self.health_monitor.record_check(self.ip, CheckProtocol::Grpc);
         let message = grpc_health::encode_frame(&HealthCheckResponse { status: status as i32 });
         send_message(respond.send_response(response_head(), false)?, message)
     }
@@ -202,10 +209,10 @@
         if grpc_health::decode_frame::<HealthListRequest>(&mut bytes).is_err() {
             return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthListRequest");
         }
-        let status = ServingStatus::from(self.board.assessment().state) as i32;
-        let names = self.board.services().iter().cloned().chain([String::new()]);
+        let status = ServingStatus::from(self.health_monitor.assessment().state) as i32;
+        let names = self.health_monitor.services().iter().cloned().chain([String::new()]);
         let statuses = names.map(|name| (name, HealthCheckResponse { status })).collect();
-        self.board.record_check(self.ip, CheckProtocol::Grpc);
+        self.health_monitor.record_check(self.ip, CheckProtocol::Grpc);
         send_message(
             respond.send_response(response_head(), false)?,
             grpc_health::encode_frame(&HealthListResponse { statuses }),
@@ -219,15 +226,15 @@
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthCheckRequest")
             }
         };
-        let Some(_stream_guard) = StreamGuard::enter(&self.board) else {
+        let Some(_stream_guard) = StreamGuard::enter(&self.health_monitor) else {
             return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many watches");
         };
-        let (mut assessment, mut watch) = (self.board.subscribe(), WatchState::default());
+        let (mut assessment, mut watch) = (self.health_monitor.subscribe(), WatchState::default());
         let mut stream = respond.send_response(response_head(), false)?;
-        let _watcher_guard = WatcherGuard { board: self.board.clone(), ip: self.ip };
+        let _watcher_guard = WatcherGuard { health_monitor: self.health_monitor.clone(), ip: self.ip };
         loop {
             let state = assessment.borrow_and_update().state;
-            let services = self.board.services();
+            let services = self.health_monitor.services();
             let status = |state| {
                 grpc_health::service_status(&request.service, services, state)
                     .unwrap_or(ServingStatus::ServiceUnknown)
@@ -243,7 +250,7 @@
                 let newest = status(assessment.borrow_and_update().state);
                 if let Some(response) = watch.notify(newest) {
                     stream.send_data(grpc_health::encode_frame(&response), false)?;
-                    self.board.record_check(self.ip, CheckProtocol::Watch);
+                    self.health_monitor.record_check(self.ip, CheckProtocol::Watch);
                 }
             }
             tokio::select! {
@@ -267,12 +274,12 @@
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no OrcaLoadReportRequest")
             }
         };
-        let Some(_stream_guard) = StreamGuard::enter(&self.board) else {
+        let Some(_stream_guard) = StreamGuard::enter(&self.health_monitor) else {
             return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many streams");
         };
         let mut stream = respond.send_response(response_head(), false)?;
         loop {
-            let message = grpc_health::encode_frame(&self.board.load_report());
+            let message = grpc_health::encode_frame(&self.health_monitor.load_report());
             wait_for_capacity(&mut stream, message.len()).await?;
             stream.send_data(message, false)?;
             let (min_interval, max_interval) = self.report_intervals().ok_or(ClientGone)?;
@@ -286,13 +293,13 @@
 
 /// Removes the watcher when its watch ends: it need not be notified of a drain any more.
 struct WatcherGuard {
-    board: Rc<Board>,
+    health_monitor: Rc<HealthMonitor>,
     ip: std::net::IpAddr,
 }
 
 impl Drop for WatcherGuard {
     fn drop(&mut self) {
-        self.board.remove_watcher(self.ip);
+        self.health_monitor.remove_watcher(self.ip);
     }
 }
 
--- a/router/src/checks/http.rs
+++ b/router/src/checks/http.rs
@@ -6,7 +6,7 @@
 use tokio::time::timeout;
 
 use super::listen::CheckConnection;
-use crate::front::{linger, Rejection};
+use crate::front::{close_gracefully, Rejection};
 use crate::http::{reason_phrase, BodyFraming, BodyPart, BodyReader, HttpError, MessageHead, StartLine};
 
 /// Maximum size of a check's body, in bytes. A body is read and ignored.
@@ -17,9 +17,9 @@
     loop {
         let time_limit = conn.time_limit();
         let mut idle = conn.mark_idle();
-        if conn.wire.unread.is_empty() {
+        if conn.wire.read_buffer.is_empty() {
             conn.wire.release_buffer();
-            let idle_timeout = conn.board.check_setting(|c| c.idle).unwrap_or(time_limit);
+            let idle_timeout = conn.health_monitor.check_setting(|c| c.idle_timeout).unwrap_or(time_limit);
             let received = tokio::select! {
                 biased;
                 received = timeout(idle_timeout, conn.wire.read_more()) => received,
@@ -34,18 +34,18 @@
         let outcome = tokio::select! {
             biased;
             outcome = timeout(time_limit, read(&mut conn)) => outcome,
-            () = idle.close_requested() => return conn.board.record_invalid_check(),
+            () = idle.close_requested() => return conn.health_monitor.record_invalid_check(),
         };
         drop(idle);
         let Ok(outcome) = outcome else {
-            conn.board.record_invalid_check();
+            conn.health_monitor.record_invalid_check();
             let _ = timeout(time_limit, write_response(&mut conn, error_response(408), false, false)).await;
             return;
         };
         let (response, is_head, keep_alive) = match outcome {
             ReadOutcome::Closed => return,
             ReadOutcome::Invalid(error) => {
-                conn.board.record_invalid_check();
+                conn.health_monitor.record_invalid_check();
                 (error_response(Rejection::from(error).status()), false, false)
             }
             ReadOutcome::Request(head) => {
@@ -60,7 +60,7 @@
             return;
         }
         if !keep_alive {
-            let _ = timeout(time_limit, linger(conn.wire, conn.context.limits.close_linger)).await;
+            let _ = timeout(time_limit, close_gracefully(conn.wire, conn.context.limits.close_linger)).await;
             return;
         }
     }
@@ -75,7 +75,7 @@
 async fn read(conn: &mut CheckConnection) -> ReadOutcome {
     let limits = conn.context.limits.clone();
     let head = loop {
-        match MessageHead::parse_request(&mut conn.wire.unread, &limits) {
+        match MessageHead::parse_request(&mut conn.wire.read_buffer, &limits) {
             Ok(Some(head)) => break head,
             Ok(None) if matches!(conn.wire.read_more().await, Ok(true)) => {}
             Ok(None) => return ReadOutcome::Closed,
@@ -92,7 +92,7 @@
     };
     let (mut body, mut size) = (BodyReader::new(framing, MAX_BODY_BYTES), 0);
     loop {
-        match body.next_part(&mut conn.wire.unread) {
+        match body.next_part(&mut conn.wire.read_buffer) {
             Ok(Some(BodyPart::Data(data))) => {
                 size += data.len() as u64;
                 if size > MAX_BODY_BYTES {
@@ -119,18 +119,20 @@
         return error_response(400);
     };
     let accept = head.text_value("accept").ok().flatten();
-    let (assessment, components) = (conn.board.assessment(), conn.board.components());
+    let (assessment, components) = (conn.health_monitor.assessment(), conn.health_monitor.components());
     let response = conn
-        .board
-        .check_setting(|c| c.policy.answer(CheckRequest { method, target, accept }, &assessment, &components))
+        .health_monitor
+        .check_setting(|c| {
+            c.http_policy.answer(CheckRequest { method, target, accept }, &assessment, &components)
+        })
         .flatten();
     let Some(response) = response else {
-        conn.board.record_invalid_check();
+        conn.health_monitor.record_invalid_check();
         return error_response(404);
     };
     // `/livez` is polled by a supervisor that restarts the router, not by a balancer that must be notified of a drain.
     if !target.starts_with("/livez") && response.status != 405 {
-        conn.board.record_check(conn.ip, CheckProtocol::Http);
+        conn.health_monitor.record_check(conn.ip, CheckProtocol::Http);
     }
     if let Some(sent) = head.text_value("x-haproxy-server-state").ok().flatten().and_then(parse_server_state)
     {
--- a/router/src/checks/listen.rs
+++ b/router/src/checks/listen.rs
@@ -10,19 +10,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-use super::{Board, CheckContext};
+use super::{CheckContext, HealthMonitor};
+use crate::balancer_interface::ListenerKind;
 use crate::bind::bind_with_retry;
 use crate::clients::{Client, IdleGuard};
 use crate::http::BufferedConnection;
 use crate::installation::CheckSettings;
-use crate::outward::Door;
 
 /// A connection that carries health checks.
 pub struct CheckConnection {
     /// The parts of the router that checks use.
     pub context: Rc<CheckContext>,
     /// The health that checks report.
-    pub board: Rc<Board>,
+    pub health_monitor: Rc<HealthMonitor>,
     /// The connection.
     pub wire: BufferedConnection,
     /// The address of the balancer.
@@ -36,7 +36,7 @@
 impl CheckConnection {
     /// Returns the time within which a check must be complete, and then within which it must be answered.
     pub fn time_limit(&self) -> Duration {
-        self.board.check_setting(|c| c.budget).unwrap_or_default()
+        self.health_monitor.check_setting(|c| c.time_limit).unwrap_or_default()
     }
 
     /// Marks the connection as idle until the result is dropped.
@@ -48,7 +48,7 @@
 /// Binds an address and accepts connections there. Returns the bound address and the task.
 pub async fn start<F: Future<Output = ()> + 'static>(
     context: &Rc<CheckContext>,
-    board: &Rc<Board>,
+    health_monitor: &Rc<HealthMonitor>,
     address: SocketAddr,
     address_of: impl Fn(&CheckSettings) -> Option<SocketAddr> + 'static,
     answer: impl Fn(CheckConnection) -> F + Copy + 'static,
@@ -57,7 +57,7 @@
     let bound = listener.local_addr()?;
     let task = tokio::task::spawn_local(serve(
         context.clone(),
-        board.clone(),
+        health_monitor.clone(),
         listener,
         address,
         address_of,
@@ -73,24 +73,24 @@
 /// Accepts connections until the process ends, so that checks are also answered during a drain.
 async fn serve<F: Future<Output = ()> + 'static>(
     context: Rc<CheckContext>,
-    board: Rc<Board>,
+    health_monitor: Rc<HealthMonitor>,
     mut listener: TcpListener,
     mut address: SocketAddr,
     address_of: impl Fn(&CheckSettings) -> Option<SocketAddr>,
     answer: impl Fn(CheckConnection) -> F + Copy + 'static,
 ) {
-    let mut settings_version = board.settings_version.subscribe();
+    let mut settings_version = health_monitor.settings_version.subscribe();
     loop {
         // Connections that were asked to close do so as soon as their tasks run. No further one is accepted before that,
         // so the number of descriptors stays within the limit.
-        while board.connections.open() > board.max_open_connections {
-            board.connections.connection_closed().await;
+        while health_monitor.connections.open() > health_monitor.max_open_connections {
+            health_monitor.connections.connection_closed().await;
         }
         let accepted = tokio::select! {
             biased;
             changed = settings_version.changed() => {
                 if changed.is_err() { return }
-                let new_address = board.check_setting(&address_of).flatten().unwrap_or(address);
+                let new_address = health_monitor.check_setting(&address_of).flatten().unwrap_or(address);
                 if new_address != address {
                     match bind(new_address).await {
                         // Accepted connections continue; the old address accepts no further ones.
@@ -106,7 +106,7 @@
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, peer)) => handle_connection(&context, &board, stream, peer, answer),
+            Ok((stream, peer)) => handle_connection(&context, &health_monitor, stream, peer, answer),
             // The process is out of descriptors. This passes, because check connections have a reserve of their own.
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
@@ -115,28 +115,31 @@
 
 fn handle_connection<F: Future<Output = ()> + 'static>(
     context: &Rc<CheckContext>,
-    board: &Rc<Board>,
+    health_monitor: &Rc<HealthMonitor>,
     stream: TcpStream,
     peer: SocketAddr,
     answer: impl Fn(CheckConnection) -> F + Copy + 'static,
 ) {
-    let (client, mut idle) = board.connections.register();
+    let (client, mut idle) = health_monitor.connections.register();
     if client.over_limit {
         // All other connections are in the middle of a check, which ends within its time limit.
-        board.record_invalid_check();
+        health_monitor.record_invalid_check();
         return;
     }
-    let (context, board, mut wire) = (context.clone(), board.clone(), BufferedConnection::new(stream));
+    let (context, health_monitor, mut wire) =
+        (context.clone(), health_monitor.clone(), BufferedConnection::new(stream));
     tokio::task::spawn_local(async move {
         let origin = tokio::select! {
             biased;
-            origin = context.outward.origin(Door::Checks, &mut wire) => origin,
+            origin = context.balancer_interface.read_origin(ListenerKind::Checks, &mut wire) => origin,
             () = idle.close_requested() => None,
         };
-        let Some(origin) = origin else { return board.record_invalid_check() };
+        let Some(origin) = origin else { return health_monitor.record_invalid_check() };
         let ip = origin.client.unwrap_or(peer).ip();
-        let (monitor, conn) =
-            (board.clone(), CheckConnection { context, board, wire, ip, client, idle: Some(idle) });
+        let (monitor, conn) = (
+            health_monitor.clone(),
+            CheckConnection { context, health_monitor, wire, ip, client, idle: Some(idle) },
+        );
         tokio::select! {
             () = answer(conn) => {}
             () = monitor.stopped() => {}
--- a/router/src/checks/mod.rs
+++ b/router/src/checks/mod.rs
@@ -26,12 +26,12 @@
 
 pub use context::CheckContext;
 
+use crate::balancer_interface::BalancerInterface;
 use crate::clients::Clients;
 use crate::installation::{CheckSettings, HealthSettings, Installation};
-use crate::outward::Outward;
 
 /// The health of the router as balancers see it, the balancers that check it, and the drain in progress.
-pub struct Board {
+pub struct HealthMonitor {
     started_at: Instant,
     /// The settings of the checks. They may change at runtime.
     check_settings: RefCell<Option<CheckSettings>>,
@@ -53,7 +53,7 @@
     has_stopped: watch::Sender<bool>,
     load_report: RefCell<OrcaLoadReport>,
     components: RefCell<Vec<Component>>,
-    balancers: Rc<Outward>,
+    balancers: Rc<BalancerInterface>,
     /// The names of the services, without the empty name.
     services: Vec<String>,
     /// The check connections. Their limit is independent of the limit on client connections.
@@ -65,23 +65,23 @@
     invalid_checks: Cell<u64>,
 }
 
-impl Board {
+impl HealthMonitor {
     /// Creates the health of a router that has just started: *degraded* with the cause *slow start* until measured.
-    pub fn new(installation: &Installation, balancers: Rc<Outward>) -> Rc<Board> {
+    pub fn new(installation: &Installation, balancers: Rc<BalancerInterface>) -> Rc<HealthMonitor> {
         let health = installation.health.clone();
-        let assessor = HealthAssessor::new(health.figures);
+        let assessor = HealthAssessor::new(health.assessment_limits);
         let check_settings = installation.checks.clone();
-        let max_connections = check_settings.as_ref().map_or(0, |c| c.connections);
+        let max_connections = check_settings.as_ref().map_or(0, |c| c.max_connections);
         let mut services = vec!["platform".to_string()];
         services.extend(installation.messages.is_some().then(|| "messages".to_string()));
-        Rc::new(Board {
+        Rc::new(HealthMonitor {
             started_at: Instant::now(),
             settings_version: watch::Sender::new(0),
             assessment: watch::Sender::new(assessor.current()),
             drain_phase: watch::Sender::new(DrainPhase::Serving),
             has_stopped: watch::Sender::new(false),
             assessor: RefCell::new(assessor),
-            checkers: RefCell::new(CheckerRegistry::new(health.askers)),
+            checkers: RefCell::new(CheckerRegistry::new(health.checker_limits)),
             drain: RefCell::new(DrainSequence::new(health.drain)),
             signals: Cell::default(),
             max_weight: Cell::new(100),
@@ -139,18 +139,18 @@
     }
 
     /// Applies those settings that can change at runtime.
-    pub fn adopt(&self, installation: &Installation) {
+    pub fn apply_settings(&self, installation: &Installation) {
         let health = &installation.health;
-        self.assessor.borrow_mut().reconfigure(health.figures);
-        self.checkers.borrow_mut().reconfigure(health.askers);
+        self.assessor.borrow_mut().reconfigure(health.assessment_limits);
+        self.checkers.borrow_mut().reconfigure(health.checker_limits);
         self.drain.borrow_mut().reconfigure(health.drain);
-        let every = self.health_settings().every;
-        *self.health_settings.borrow_mut() = HealthSettings { every, ..health.clone() };
+        let interval = self.health_settings().interval;
+        *self.health_settings.borrow_mut() = HealthSettings { interval, ..health.clone() };
         // The set of listeners is fixed at the start; their addresses are not.
         let mut check_settings = self.check_settings.borrow_mut();
         if let (Some(old), Some(new)) = (check_settings.as_mut(), &installation.checks) {
             let (agent, http, grpc) = (old.agent, old.http, old.grpc);
-            *old = CheckSettings { connections: old.connections, ..new.clone() };
+            *old = CheckSettings { max_connections: old.max_connections, ..new.clone() };
             old.agent = agent.and(new.agent).or(agent);
             old.http = http.and(new.http).or(http);
             old.grpc = grpc.and(new.grpc).or(grpc);
@@ -199,11 +199,12 @@
                 why = assessment.cause.description(), "health state changed");
         }
         let fields = self.check_setting(|c| {
-            let envoy = if c.policy.envoy { envoy_fields(assessment.state) } else { "" };
-            let load = c.report.map(|form| self.load_report.borrow().header_field(form)).unwrap_or_default();
+            let envoy = if c.http_policy.envoy { envoy_fields(assessment.state) } else { "" };
+            let load =
+                c.report_format.map(|form| self.load_report.borrow().header_field(form)).unwrap_or_default();
             format!("{envoy}{load}")
         });
-        self.balancers.set_fields(&fields.unwrap_or_default());
+        self.balancers.set_response_fields(&fields.unwrap_or_default());
     }
 
     /// Records an answered check. The balancer has received the current state with the answer.
@@ -237,7 +238,7 @@
     }
 
     /// Returns the balancers that check this router, the most recent first.
-    pub fn askers(&self) -> Vec<CheckerStatus> {
+    pub fn checkers(&self) -> Vec<CheckerStatus> {
         self.checkers.borrow().statuses(self.uptime())
     }
 
@@ -257,7 +258,7 @@
     }
 
     /// Sets the goal of the drain. Returns false if the router is already shutting down.
-    pub fn want(&self, goal: DrainGoal, order: OperatorOrder) -> bool {
+    pub fn set_drain_goal(&self, goal: DrainGoal, order: OperatorOrder) -> bool {
         let now = self.uptime();
         if !self.drain.borrow_mut().set_goal(now, goal) {
             return false;
@@ -286,17 +287,17 @@
     }
 
     /// Returns the phase of the drain.
-    pub fn phase(&self) -> DrainPhase {
+    pub fn drain_phase(&self) -> DrainPhase {
         self.drain.borrow().phase()
     }
 
     /// Subscribes to changes of the drain's phase.
-    pub fn phases(&self) -> watch::Receiver<DrainPhase> {
+    pub fn subscribe_drain_phase(&self) -> watch::Receiver<DrainPhase> {
         self.drain_phase.subscribe()
     }
 
     /// Whether the drain proceeded before all balancers were notified, because the notification time was over.
-    pub fn untold(&self) -> bool {
+    pub fn notification_timed_out(&self) -> bool {
         self.drain.borrow().notify_timed_out()
     }
 }
@@ -333,8 +334,11 @@
 /// Starts the check listeners of the settings and the measurements.
 ///
 /// An address that can't be bound is an error: a balancer that can't reach the checks would consider the router down.
-pub async fn start(context: &Rc<CheckContext>, board: &Rc<Board>) -> io::Result<CheckListeners> {
-    let (agent, http, grpc) = board
+pub async fn start(
+    context: &Rc<CheckContext>,
+    health_monitor: &Rc<HealthMonitor>,
+) -> io::Result<CheckListeners> {
+    let (agent, http, grpc) = health_monitor
         .check_setting(|c| (c.agent.map(|a| a.listen), c.http, c.grpc.map(|g| g.listen)))
         .unwrap_or_default();
     let mut listeners = CheckListeners {
@@ -342,25 +346,26 @@
         http: None,
         grpc: None,
         tasks: Vec::new(),
-        has_stopped: board.has_stopped.clone(),
+        has_stopped: health_monitor.has_stopped.clone(),
     };
     if let Some(address) = agent {
         let address_of = |c: &CheckSettings| c.agent.map(|a| a.listen);
-        let (bound, task) = listen::start(context, board, address, address_of, agent::answer).await?;
+        let (bound, task) =
+            listen::start(context, health_monitor, address, address_of, agent::answer).await?;
         (listeners.agent, listeners.tasks) = (Some(bound), vec![task]);
     }
     if let Some(address) = http {
-        let (bound, task) = listen::start(context, board, address, |c| c.http, http::answer).await?;
+        let (bound, task) = listen::start(context, health_monitor, address, |c| c.http, http::answer).await?;
         listeners.http = Some(bound);
         listeners.tasks.push(task);
     }
     if let Some(address) = grpc {
         let address_of = |c: &CheckSettings| c.grpc.map(|g| g.listen);
-        let (bound, task) = listen::start(context, board, address, address_of, grpc::answer).await?;
+        let (bound, task) = listen::start(context, health_monitor, address, address_of, grpc::answer).await?;
         listeners.grpc = Some(bound);
         listeners.tasks.push(task);
     }
-    let measuring = signals::measure_periodically(context.clone(), board.clone());
+    let measuring = signals::measure_periodically(context.clone(), health_monitor.clone());
     listeners.tasks.push(tokio::task::spawn_local(measuring).abort_handle());
     Ok(listeners)
 }
--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -10,7 +10,7 @@
 use tallypin_health::http_check::Component;
 use tallypin_health::load_report::OrcaLoadReport;
 
-use super::{Board, CheckContext};
+use super::{CheckContext, HealthMonitor};
 use crate::core::RequestCounts;
 use crate::lifecycle::{Lifecycle, Stage};
 
@@ -18,27 +18,27 @@
 const DELAY_SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Measures the signals and advances the drain, once per interval of the settings. Never returns.
-pub async fn measure_periodically(context: Rc<CheckContext>, board: Rc<Board>) {
+pub async fn measure_periodically(context: Rc<CheckContext>, health_monitor: Rc<HealthMonitor>) {
     let mut last = LastMeasurement::new(&context);
     let (mut max_delay, mut measured_at) = (Duration::ZERO, Instant::now());
     loop {
         let due = Instant::now() + DELAY_SAMPLE_INTERVAL;
         tokio::time::sleep_until(due.into()).await;
         max_delay = max_delay.max(Instant::now().saturating_duration_since(due));
-        let interval = board.health_settings().every;
+        let interval = health_monitor.health_settings().interval;
         if measured_at.elapsed() < interval {
             continue;
         }
         let elapsed = std::mem::replace(&mut measured_at, Instant::now()).elapsed();
         let (signals, load_report, components) =
-            last.measure(&context, &board, std::mem::take(&mut max_delay), elapsed);
-        board.record_measurement(signals, load_report, components);
-        follow(&context.lifecycle, board.advance_drain());
+            last.measure(&context, &health_monitor, std::mem::take(&mut max_delay), elapsed);
+        health_monitor.record_measurement(signals, load_report, components);
+        apply_drain_phase(&context.lifecycle, health_monitor.advance_drain());
     }
 }
 
 /// Applies the phase of a drain to the client connections. `crate::shutdown` closes the listeners and ends the program.
-pub fn follow(lifecycle: &Lifecycle, phase: DrainPhase) {
+pub fn apply_drain_phase(lifecycle: &Lifecycle, phase: DrainPhase) {
     let stage = match phase {
         DrainPhase::Serving => Stage::Serving,
         DrainPhase::Notifying => Stage::Grace,
@@ -65,7 +65,7 @@
 impl LastMeasurement {
     fn new(context: &Rc<CheckContext>) -> LastMeasurement {
         LastMeasurement {
-            counts: context.dispatcher.with(|core, _| core.counts().clone()),
+            counts: context.dispatcher.with_core(|core, _| core.counts().clone()),
             cpu_time: process_cpu_seconds(),
             rates: (0.0, 0.0),
             cpu_utilization: 0.0,
@@ -75,13 +75,13 @@
     fn measure(
         &mut self,
         context: &Rc<CheckContext>,
-        board: &Board,
+        health_monitor: &HealthMonitor,
         max_delay: Duration,
         elapsed: Duration,
     ) -> (Signals, OrcaLoadReport, Vec<Component>) {
-        let (view, counts, open_requests) = context
-            .dispatcher
-            .with(|core, now| (core.view(now), core.counts().clone(), core.open_requests()));
+        let (view, counts, open_requests) = context.dispatcher.with_core(|core, now| {
+            (core.replica_snapshots(now), core.counts().clone(), core.open_requests())
+        });
         let before = std::mem::replace(&mut self.counts, counts);
         let since = |get: fn(&RequestCounts) -> u64| get(&self.counts) - get(&before);
         let summary = ReplicaSummary {
@@ -95,16 +95,16 @@
                         / n as f64
                 }
             },
-            list_silent_for: context.endpoint_list.silence(),
+            list_silent_for: context.endpoint_list.silent_for(),
         };
-        let health = board.health_settings();
+        let health = health_monitor.health_settings();
         let routers = context.router_count.max(1) as usize;
         let free = |used: usize, limit: usize| 1.0 - used.min(limit) as f64 / limit.max(1) as f64;
         let (connections, idle) = context.replicas.connection_counts();
         let signals = Signals {
             replicas: summary,
             in_flight: open_requests,
-            capacity: health.node_room * summary.ready / routers,
+            capacity: health.requests_per_replica * summary.ready / routers,
             clients_free: free(context.clients.open(), context.limits.max_clients),
             bodies_free: context.body_budget.available() as f64 / context.limits.body_budget.max(1) as f64,
             replica_connections_free: free(
@@ -117,7 +117,11 @@
             rejected_quota: since(|t| t.rejected_over_quota),
             answered: since(RequestCounts::answered),
             unanswered: since(RequestCounts::unanswered),
-            peer_serving_at: context.peers.as_ref().and_then(|p| p.served_at()).map(|at| board.uptime_at(at)),
+            peer_serving_at: context
+                .peers
+                .as_ref()
+                .and_then(|p| p.last_served_report_at())
+                .map(|at| health_monitor.uptime_at(at)),
             ..Signals::default()
         };
         let seconds = elapsed.as_secs_f64().max(1e-3);
@@ -134,7 +138,7 @@
         (
             signals,
             self.load_report(&signals),
-            components(&signals, board.health_settings().figures.max_list_silence),
+            components(&signals, health_monitor.health_settings().assessment_limits.max_list_silence),
         )
     }
 
--- a/router/src/cli/help.rs
+++ b/router/src/cli/help.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use tallypin_settings_schema::nearest;
+use tallypin_settings_schema::closest_match;
 
 /// The help on a command: its name, a description in one line, and the full text.
 struct CommandHelp {
@@ -115,7 +115,7 @@
 impl fmt::Display for UnknownCommand {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = &self.name;
-        match nearest(name, COMMANDS.iter().map(|command| command.name)) {
+        match closest_match(name, COMMANDS.iter().map(|command| command.name)) {
             Some(closest) => write!(f, "unknown command `{name}`; did you mean `{closest}`?"),
             None => write!(f, "unknown command `{name}`; `tallypin help` lists the commands"),
         }
@@ -150,6 +150,6 @@
 fn settings() -> String {
     format!(
         "What may stand in the settings file (see docs/SETTINGS.md for its form):\n\n{}",
-        tallypin_settings_schema::describe(&tallypin_router::installation::FILE)
+        tallypin_settings_schema::describe(&tallypin_router::installation::SCHEMA)
     )
 }
--- a/router/src/cli/parse.rs
+++ b/router/src/cli/parse.rs
@@ -138,7 +138,7 @@
     fn ctl(self) -> Result<Command, lexopt::Error> {
         let socket = self.socket.ok_or_else(|| missing("ctl", "--socket PATH"))?;
         let order = self.arguments.join(" ");
-        tallypin_router::checks::control::read(&order)?;
+        tallypin_router::checks::control::parse(&order)?;
         Ok(Command::Ctl { socket, order })
     }
 
@@ -172,7 +172,7 @@
 
 fn parse_timeout(text: &str) -> Result<Duration, lexopt::Error> {
     let kind = Kind::Duration(TIMEOUT_RANGE_MS.0, TIMEOUT_RANGE_MS.1);
-    match kind.read(text) {
+    match kind.parse(text) {
         Some(Setting::Duration(timeout)) => Ok(timeout),
         _ => Err(format!("--timeout: expected {}", kind.expects()).into()),
     }
--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -58,7 +58,7 @@
         self.open.set(self.open.get() + 1);
         let over = || self.open.get() - self.closing.get() > self.limit;
         if over() {
-            self.close_one_idle();
+            self.request_idle_close();
         }
         let client = Client { clients: self.clone(), over_limit: over() };
         // Idle from now on, as many others may connect before the connection's task first runs.
@@ -83,7 +83,7 @@
 
     /// Asks an idle connection to close; returns false if there is none. Call it only once for each place that is needed. A
     /// connection on which a request has begun in the meantime serves it and stays open.
-    pub fn close_one_idle(&self) -> bool {
+    pub fn request_idle_close(&self) -> bool {
         let mut without_request = self.without_request.borrow_mut();
         let mut between_requests = self.between_requests.borrow_mut();
         let oldest = without_request.first_entry();
@@ -99,7 +99,7 @@
     }
 
     /// Whether a connection was asked to close and is still open.
-    pub fn is_one_closing(&self) -> bool {
+    pub fn has_closing_connection(&self) -> bool {
         self.closing.get() > 0
     }
 
--- a/router/src/components.rs
+++ b/router/src/components.rs
@@ -8,6 +8,7 @@
 use tallypin::deployment::Deployment;
 use tokio::task::JoinSet;
 
+use crate::balancer_interface::BalancerInterface;
 use crate::body_budget::BodyBudget;
 use crate::checks::CheckContext;
 use crate::clients::Clients;
@@ -22,7 +23,6 @@
 use crate::front::FrontContext;
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::outward::Outward;
 use crate::peers::{self, Peers};
 use crate::replica::{self, ReplicaContext, ReplicaPool};
 use crate::request_ids::RequestIds;
@@ -46,7 +46,7 @@
     /// The stage of the shutdown.
     pub lifecycle: Rc<Lifecycle>,
     /// The information for balancers that is added to ordinary answers.
-    pub outward: Rc<Outward>,
+    pub balancer_interface: Rc<BalancerInterface>,
     /// The client connections.
     pub clients: Rc<Clients>,
     /// The identifiers of open and recent requests.
@@ -69,10 +69,10 @@
         dialect: Dialect,
         peers: Option<Peers>,
     ) -> Result<Rc<Components>, SettingsError> {
-        let Config { seed, deployment, limits, node_list, .. } = config;
+        let Config { seed, deployment, limits, endpoint_list_agent, .. } = config;
         let (deployment, limits, clock) = (Rc::new(deployment), Rc::new(limits), Clock::new());
         let (lifecycle, peers) = (Rc::new(Lifecycle::new()), peers.map(Rc::new));
-        let list_state = Rc::new(EndpointListState::new(node_list, limits.list_silence_limit));
+        let list_state = Rc::new(EndpointListState::new(endpoint_list_agent, limits.list_silence_limit));
         let request_ids = Rc::new(RequestIds::new(seed, limits.max_remembered_requests));
         let replicas = Rc::new(ReplicaPool::new(dialect, &limits));
         let report_fields = deployment.report_field_names.clone();
@@ -98,7 +98,7 @@
         Ok(Rc::new(Components {
             clients: Clients::new(limits.max_clients, limits.client_eviction_idle_time),
             body_budget: BodyBudget::new(limits.body_budget),
-            outward: Rc::default(),
+            balancer_interface: Rc::default(),
             tasks: RefCell::default(),
             deployment,
             limits,
@@ -114,8 +114,8 @@
     }
 
     /// Calls `use_core` with the core and the current time, and carries out the resulting instructions.
-    pub fn with<R>(&self, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> R {
-        self.dispatcher.with(use_core)
+    pub fn with_core<R>(&self, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> R {
+        self.dispatcher.with_core(use_core)
     }
 
     /// Starts the background tasks: the core's timers, the receiver of messages of other routers, the endpoint list, and the
@@ -137,7 +137,7 @@
             limits: self.limits.clone(),
             clock: self.clock,
             lifecycle: self.lifecycle.clone(),
-            outward: self.outward.clone(),
+            balancer_interface: self.balancer_interface.clone(),
             clients: self.clients.clone(),
             replicas: self.replicas.clone(),
             request_ids: self.request_ids.clone(),
@@ -150,9 +150,9 @@
     pub fn check_context(&self) -> Rc<CheckContext> {
         Rc::new(CheckContext {
             limits: self.limits.clone(),
-            router_count: self.deployment.decisions.router_count,
+            router_count: self.deployment.decision_settings.router_count,
             lifecycle: self.lifecycle.clone(),
-            outward: self.outward.clone(),
+            balancer_interface: self.balancer_interface.clone(),
             clients: self.clients.clone(),
             replicas: self.replicas.clone(),
             peers: self.peers.clone(),
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -66,9 +66,9 @@
     /// The address that receives messages of other routers.
     pub listen: SocketAddr,
     /// The address of each router by its index, including this one.
-    pub each: Vec<SocketAddr>,
+    pub routers: Vec<SocketAddr>,
     /// An address that reaches all routers, if there is one.
-    pub all: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
 }
 
 /// A router's configuration.
@@ -79,7 +79,7 @@
     /// The address of the platform's front.
     pub listen: SocketAddr,
     /// The address of the endpoint list agent.
-    pub node_list: SocketAddr,
+    pub endpoint_list_agent: SocketAddr,
     /// The seed of the random number generator.
     pub seed: u64,
     /// The other routers, if messages are exchanged with any.
@@ -97,7 +97,7 @@
     pub fn from_env(var: impl Fn(&str) -> Option<String>) -> Result<Config, FieldError> {
         let mut config = Config::reread(&var)?;
         if let Some(value) = var("PROXY_DISCOVERY") {
-            config.node_list = value.parse().map_err(|e| FieldError::new("PROXY_DISCOVERY", e))?;
+            config.endpoint_list_agent = value.parse().map_err(|e| FieldError::new("PROXY_DISCOVERY", e))?;
         }
         Ok(config)
     }
@@ -140,15 +140,14 @@
             ));
         }
         let limits = Limits::new(file.limits.memory_mb, file.limits.sockets, &deployment);
-        let peers = file.peer_listen.filter(|_| deployment.decisions.has_peers).map(|listen| PeerAddresses {
-            listen,
-            each: file.peers,
-            all: file.peers_all,
-        });
+        let peers = file
+            .peer_listen
+            .filter(|_| deployment.decision_settings.has_peers)
+            .map(|listen| PeerAddresses { listen, routers: file.peers, broadcast: file.peers_all });
         Ok(Config {
             name: file.name,
             listen: file.listen,
-            node_list: file.discovery,
+            endpoint_list_agent: file.discovery,
             seed,
             peers,
             cached_list: file.known,
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -17,7 +17,7 @@
 use tallypin::replica_snapshot::ReplicaSnapshot;
 use tallypin::Balancer;
 
-use crate::operator_override::{OverriddenList, Restoration};
+use crate::operator_override::{OverriddenEndpointList, ReplicaRestoration};
 use request::OpenRequest;
 use timers::{TimerKind, Timers};
 
@@ -37,7 +37,7 @@
     instructions: Vec<Instruction>,
     actions: Vec<Action>,
     /// The endpoint list with the operator overrides applied to it.
-    endpoints: OverriddenList,
+    endpoints: OverriddenEndpointList,
     /// Number of streams that began after more than half of the time to their deadline had passed.
     late_streams: u64,
     /// Events that the decision module has not handled yet.
@@ -64,7 +64,7 @@
             last_id: 0,
             instructions: Vec::new(),
             actions: Vec::new(),
-            endpoints: OverriddenList::default(),
+            endpoints: OverriddenEndpointList::default(),
             late_streams: 0,
             events: VecDeque::new(),
             counts: RequestCounts::default(),
@@ -170,16 +170,16 @@
     }
 
     /// Applies a full endpoint list or a change to it.
-    pub fn endpoints_changed(&mut self, now: Nanos, kind: ListUpdate, rows: Vec<EndpointEntry>) {
-        let rows = self.endpoints.apply_update(kind, rows);
-        self.notify(now, Event::EndpointList { kind, rows });
+    pub fn endpoints_changed(&mut self, now: Nanos, kind: ListUpdate, entries: Vec<EndpointEntry>) {
+        let entries = self.endpoints.apply_update(kind, entries);
+        self.notify(now, Event::EndpointList { kind, entries });
     }
 
     /// Replaces the operator overrides of the endpoint list.
-    pub fn override_replicas(&mut self, now: Nanos, drained: &[ReplicaId], restored: &[Restoration]) {
-        let rows = self.endpoints.set_overrides(drained, restored);
-        if !rows.is_empty() {
-            self.notify(now, Event::EndpointList { kind: ListUpdate::Override, rows });
+    pub fn override_replicas(&mut self, now: Nanos, drained: &[ReplicaId], restored: &[ReplicaRestoration]) {
+        let entries = self.endpoints.set_overrides(drained, restored);
+        if !entries.is_empty() {
+            self.notify(now, Event::EndpointList { kind: ListUpdate::Override, entries });
         }
     }
 
@@ -387,7 +387,7 @@
     }
 
     /// The decision module's view of the replicas that accept requests.
-    pub fn view(&self, now: Nanos) -> Vec<ReplicaSnapshot> {
+    pub fn replica_snapshots(&self, now: Nanos) -> Vec<ReplicaSnapshot> {
         self.balancer.replica_snapshots(now)
     }
 
--- a/router/src/dialect/splitter.rs
+++ b/router/src/dialect/splitter.rs
@@ -26,13 +26,13 @@
     }
 
     /// Removes and returns the bytes of the incomplete event.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_incomplete(&mut self) -> Bytes {
         self.searched = 0;
         self.incomplete.split().freeze()
     }
 
     /// The size of the incomplete event, bytes.
-    pub fn held_size(&self) -> usize {
+    pub fn incomplete_size(&self) -> usize {
         self.incomplete.len()
     }
 }
--- a/router/src/dispatcher.rs
+++ b/router/src/dispatcher.rs
@@ -43,9 +43,9 @@
     /// The client's idempotency key. A replica that has seen the key drops the repeated request.
     pub idempotency_key: Option<Bytes>,
     /// Whether the front needs the text of events in addition to their bytes.
-    pub text: bool,
+    pub needs_event_text: bool,
     /// The client's address if a balancer passed it on; for the log.
-    pub client: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
 }
 
 /// Everything that an attempt needs to start.
@@ -147,7 +147,8 @@
         request_ids: Rc<RequestIds>,
         executor: Box<dyn Executor>,
     ) -> Result<Rc<Dispatcher>, SettingsError> {
-        let core = Core::new(deployment.decisions.clone(), seed, limits.deadline_slack.as_nanos() as Nanos)?;
+        let core =
+            Core::new(deployment.decision_settings.clone(), seed, limits.deadline_slack.as_nanos() as Nanos)?;
         let classes = deployment.classes.iter().map(|c| c.name.clone()).collect();
         Ok(Rc::new(Dispatcher {
             core: RefCell::new(core),
@@ -165,7 +166,7 @@
     }
 
     /// Calls `use_core` with the core and the current time, and carries out the resulting instructions.
-    pub fn with<R>(self: &Rc<Self>, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> R {
+    pub fn with_core<R>(self: &Rc<Self>, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> R {
         let (result, instructions) = self.call_core(use_core);
         self.execute(instructions);
         result
@@ -207,7 +208,7 @@
         tracing::debug!(target: "request", request = id.0, name = %String::from_utf8_lossy(&upstream.id),
             class = name(&self.names.classes, request.class.0),
             tenant = name(&self.names.tenants, request.tenant.0),
-            client = upstream.client.map(tracing::field::display),
+            client = upstream.client_address.map(tracing::field::display),
             session = request.session.map(|s| s.0), prefix = request.prefix.map(|p| p.0),
             prompt_tokens = request.prompt_tokens, prefix_tokens = request.prefix_tokens,
             time_left_ms = request.time_left / 1_000_000, "request accepted");
@@ -279,7 +280,7 @@
             match self.next_timer.get().map(|at| self.clock.instant(at)) {
                 // Both branches are cancel-safe: `Notify` keeps a notification for the next iteration.
                 Some(at) => tokio::select! {
-                    () = tokio::time::sleep_until(at.into()) => self.with(|core, now| core.run_timers(now)),
+                    () = tokio::time::sleep_until(at.into()) => self.with_core(|core, now| core.run_timers(now)),
                     () = self.timer_changed.notified() => {}
                 },
                 None => self.timer_changed.notified().await,
@@ -324,6 +325,6 @@
 impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.dispatcher.waiting.borrow_mut().remove(&self.id);
-        self.dispatcher.with(|core, now| core.client_disconnected(now, self.id));
+        self.dispatcher.with_core(|core, now| core.client_disconnected(now, self.id));
     }
 }
--- a/router/src/endpoint_list/apply.rs
+++ b/router/src/endpoint_list/apply.rs
@@ -37,7 +37,7 @@
         entries.iter().partition(|entry| entry.state == EndpointState::Gone);
     let removed: Vec<ReplicaId> = removed.iter().map(|entry| entry.replica).collect();
     let listed: FxHashSet<ReplicaId> = listed.iter().map(|entry| entry.replica).collect();
-    context.dispatcher.with(|core, now| core.endpoints_changed(now, kind, entries));
+    context.dispatcher.with_core(|core, now| core.endpoints_changed(now, kind, entries));
     match kind {
         ListUpdate::Delta | ListUpdate::Override => context.replicas.remove(&removed),
         ListUpdate::Full | ListUpdate::Cached | ListUpdate::Failed | ListUpdate::Truncated => {
--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -76,11 +76,11 @@
 /// Each branch of the `select!` is cancel-safe: `Notify` keeps its permit, the address channel its newest value, and
 /// `SourceWatch::run` its watch.
 pub async fn follow(context: Rc<EndpointListContext>) {
-    let timeouts = SourceTimeouts::new(context.deployment.decisions.list_mode, &context.limits);
+    let timeouts = SourceTimeouts::new(context.deployment.decision_settings.list_mode, &context.limits);
     let mut address = context.state.address();
     let mut current = SourceWatch::new(*address.borrow_and_update(), timeouts.current, None);
     let mut next: Option<SourceWatch> = None;
-    if context.deployment.decisions.list_mode == EndpointListMode::Pushed {
+    if context.deployment.decision_settings.list_mode == EndpointListMode::Pushed {
         current.source.clock.request_watch(context.clock.now());
     }
     loop {
@@ -113,7 +113,7 @@
             lost = current.run(&context) => {
                 log_lost(&context, Some(current.source.address), &lost, "endpoint list watch lost");
                 let update = if lost.truncated { ListUpdate::Truncated } else { ListUpdate::Failed };
-                context.dispatcher.with(|core, now| core.endpoints_changed(now, update, Vec::new()));
+                context.dispatcher.with_core(|core, now| core.endpoints_changed(now, update, Vec::new()));
             }
         }
     }
--- a/router/src/endpoint_list/watch.rs
+++ b/router/src/endpoint_list/watch.rs
@@ -107,7 +107,7 @@
     let (mut body, mut objects) =
         (BodyReader::new(framing, limits.max_list_message_size as u64), ObjectReader::default());
     loop {
-        match body.next_part(&mut wire.unread) {
+        match body.next_part(&mut wire.read_buffer) {
             Ok(Some(BodyPart::Data(data))) => {
                 objects.push(&data);
                 let complete = apply_complete_messages(context, source, &mut objects).await?;
@@ -166,7 +166,7 @@
     wire: &mut BufferedConnection,
 ) -> Result<BodyFraming, WatchError> {
     let head = loop {
-        match parse_head(context, &mut wire.unread)? {
+        match parse_head(context, &mut wire.read_buffer)? {
             Some(head) => break head,
             None if wire.read_more().await? => {}
             None => return Err(WatchError::ClosedBeforeHead),
--- a/router/src/endpoint_list_state.rs
+++ b/router/src/endpoint_list_state.rs
@@ -83,7 +83,7 @@
     }
 
     /// Waits at most `limit` for the first list to be applied. Returns false if none was. Supports one waiter.
-    pub async fn wait_for_first(&self, limit: Duration) -> bool {
+    pub async fn wait_for_first_list(&self, limit: Duration) -> bool {
         self.version.get().is_some() || timeout(limit, self.first_applied.notified()).await.is_ok()
     }
 
@@ -110,12 +110,12 @@
     }
 
     /// Time since the last message or keep-alive, if it exceeds the silence limit.
-    pub fn silence(&self) -> Option<Duration> {
+    pub fn silent_for(&self) -> Option<Duration> {
         Some(self.time_since_activity()).filter(|s| *s > self.silence_limit)
     }
 
     /// Whether a message or keep-alive has arrived within the silence limit.
-    pub fn is_fresh(&self) -> bool {
-        self.last_activity_at.get().is_some() && self.silence().is_none()
+    pub fn is_active(&self) -> bool {
+        self.last_activity_at.get().is_some() && self.silent_for().is_none()
     }
 }
--- a/router/src/fleet/file_faults.rs
+++ b/router/src/fleet/file_faults.rs
@@ -137,7 +137,7 @@
         );
         // After too many unconfirmed starts the old file is installed again, whatever the interrupted run left behind.
         for _ in 0..9 {
-            release_files::begin_trial(&file.path);
+            release_files::record_trial_start(&file.path);
         }
         assert_eq!(file.installed_digest().unwrap(), old, "{case}: after unconfirmed starts");
         file.install(&new).unwrap();
--- a/router/src/fleet/operator_orders.rs
+++ b/router/src/fleet/operator_orders.rs
@@ -106,7 +106,7 @@
 /// Parses a drain duration such as `90s`, `30m` or `2h`.
 fn parse_time(text: &str) -> Result<Duration, OrderError> {
     let kind = tallypin_settings_schema::Kind::Duration(MIN_REPLICA_DRAIN_MS, MAX_REPLICA_DRAIN_MS);
-    match kind.read(text) {
+    match kind.parse(text) {
         Some(tallypin_settings_schema::Value::Duration(time)) => Ok(time),
         _ => Err(OrderError::InvalidTime(text.into())),
     }
--- a/router/src/fleet/peer_table.rs
+++ b/router/src/fleet/peer_table.rs
@@ -6,7 +6,7 @@
 
 use tallypin_consensus::fleet_state::FleetState;
 use tallypin_consensus::release_monitor::RouterReport;
-use tallypin_consensus::replica_drains::{routers_not_clear, ReplicaStage, ReplicaUse, MAX_REPLICA_DRAINS};
+use tallypin_consensus::replica_drains::{routers_still_using, ReplicaStage, ReplicaUse, MAX_REPLICA_DRAINS};
 use tallypin_membership::{
     AdvertisedStatus, FailureDetector, HeartbeatTiming, Incarnation, Nanos, RouterIndex,
 };
@@ -110,7 +110,7 @@
     /// Passes the current time to the failure detector, so that a pause of this process does not count as silence of the
     /// other routers.
     pub fn observe_clock(&self, now: Nanos) {
-        self.failure_detector.borrow_mut().note_clock(now);
+        self.failure_detector.borrow_mut().advance_clock(now);
     }
 
     /// Returns the routers that this one considers out of service, even if it has not listened long enough to vote.
@@ -121,7 +121,7 @@
     /// Returns the routers that this one votes to be out of service; `None` if it has not listened long enough to tell.
     pub fn out_of_service_vote(&self, now: Nanos) -> Option<Vec<RouterIndex>> {
         let mut detector = self.failure_detector.borrow_mut();
-        detector.note_clock(now);
+        detector.advance_clock(now);
         detector.can_detect_silence(now).then(|| detector.out_of_service(now))
     }
 
@@ -146,7 +146,7 @@
         });
         drained
             .map(|(id, since)| {
-                let mut first_routers = routers_not_clear(id, since, &uses);
+                let mut first_routers = routers_still_using(id, since, &uses);
                 let router_count = first_routers.len();
                 first_routers.truncate(MAX_LISTED_ROUTERS);
                 RemainingUse { replica: id.clone(), router_count, first_routers }
@@ -158,7 +158,7 @@
     /// result is `None` if this router has just started or was paused: it would mistake live routers for crashed ones.
     pub fn release_reports(&self, now: Nanos) -> Option<Vec<Option<RouterReport>>> {
         let mut detector = self.failure_detector.borrow_mut();
-        detector.note_clock(now);
+        detector.advance_clock(now);
         if !detector.can_detect_silence(now) {
             return None;
         }
--- a/router/src/fleet/release_files.rs
+++ b/router/src/fleet/release_files.rs
@@ -254,7 +254,7 @@
 
 /// Counts a start of the program if the file is on trial, and installs the previous file again after too many starts. Must
 /// be called before the file is read. Returns the event to be logged, if any.
-pub fn begin_trial(path: &Path) -> Option<TrialEvent> {
+pub fn record_trial_start(path: &Path) -> Option<TrialEvent> {
     let marker = trial_path(path);
     let mut trial: Trial = serde_json::from_slice(&fs::read(&marker).ok()?).ok()?;
     trial.starts = trial.starts.saturating_add(1);
--- a/router/src/fleet/release_files/tests.rs
+++ b/router/src/fleet/release_files/tests.rs
@@ -29,7 +29,7 @@
 
     /// Simulates a start of the program and returns the text of its trial event.
     fn start(&self) -> Option<String> {
-        begin_trial(&self.file.path).map(|event| event.to_string())
+        record_trial_start(&self.file.path).map(|event| event.to_string())
     }
 }
 
--- a/router/src/fleet/release_plan.rs
+++ b/router/src/fleet/release_plan.rs
@@ -8,7 +8,7 @@
 use tallypin_consensus::release::{ReleasePlan, MAX_WAVES};
 use tallypin_membership::RouterIndex;
 use tallypin_settings_schema::{
-    check, load, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
+    check, load, Checked, Directive, Entry, Kind, LoadLimits, Problem, Problems, Section,
 };
 
 use super::release_files;
@@ -19,7 +19,7 @@
 
 const RELEASE: Section = Section {
     name: "release",
-    always: true,
+    always_present: true,
     about: "a release",
     directives: &[
         Directive::required(
@@ -73,7 +73,7 @@
 };
 
 const FILE: Section =
-    Section { name: "", always: true, about: "a plan", directives: &[], sections: &[RELEASE] };
+    Section { name: "", always_present: true, about: "a plan", directives: &[], sections: &[RELEASE] };
 
 /// A plan as it is sent to a router. Waves are unresolved arguments, as only the router knows the fleet's settings.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,9 +118,9 @@
     path: &Path,
     read_file: &dyn Fn(&Path) -> io::Result<String>,
 ) -> Result<ReleaseRequest, Problems> {
-    let (tree, sources, mut problems) = load(path, Bounds::default(), read_file);
+    let (tree, sources, mut problems) = load(path, LoadLimits::default(), read_file);
     let checked = check(&tree, &FILE, &mut problems);
-    let request = checked.within("release").map(|section| request(section, path, &mut problems));
+    let request = checked.subsection("release").map(|section| request(section, path, &mut problems));
     match request.filter(|_| problems.is_empty()) {
         Some(request) => Ok(request),
         None => Err(Problems::new(sources, problems)),
@@ -130,10 +130,10 @@
 fn request(section: &Checked, path: &Path, problems: &mut Vec<Problem>) -> ReleaseRequest {
     let digest = digest(section, path, problems);
     let arguments = |entry: &Entry| (0..entry.values.len()).map(|i| entry.text(i).to_string()).collect();
-    let waves: Vec<Vec<String>> = section.all("wave").map(arguments).collect();
+    let waves: Vec<Vec<String>> = section.entries_of("wave").map(arguments).collect();
     if waves.len() > MAX_WAVES {
         let message = format!("a release has at most {MAX_WAVES} waves");
-        problems.push(Problem::new(section.place, message));
+        problems.push(Problem::new(section.span, message));
     }
     let per_mille = |name: &str| (section.share(name) * 1000.0).round() as u64;
     let ms = |name: &str| section.duration(name).as_millis() as u64;
@@ -159,19 +159,19 @@
         (Some(entry), None) => {
             let file = path.parent().unwrap_or(Path::new("")).join(entry.text(0));
             std::fs::read(&file).map(|bytes| release_files::digest(&bytes)).unwrap_or_else(|error| {
-                problems.push(Problem::new(entry.place(1), format!("{}: {error}", file.display())));
+                problems.push(Problem::new(entry.span_of(1), format!("{}: {error}", file.display())));
                 String::new()
             })
         }
         (None, Some(entry)) => {
             let digest = entry.text(0).to_ascii_lowercase();
             if !release_files::is_digest(&digest) {
-                problems.push(Problem::new(entry.place(1), "a digest has 64 hex digits".to_string()));
+                problems.push(Problem::new(entry.span_of(1), "a digest has 64 hex digits".to_string()));
             }
             digest
         }
         _ => {
-            problems.push(Problem::new(section.place, "a plan names either `file` or `digest`".to_string()));
+            problems.push(Problem::new(section.span, "a plan names either `file` or `digest`".to_string()));
             String::new()
         }
     }
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -14,7 +14,7 @@
 use tallypin_consensus::register::MAX_MEMBERS;
 use tallypin_consensus::replica_drains::{Limit, ReplicaLimits};
 use tallypin_membership::{HeartbeatTiming, RouterIndex};
-use tallypin_settings_schema::{nearest, Checked, Entry, Problem, Value};
+use tallypin_settings_schema::{closest_match, Checked, Entry, Problem, Value};
 
 use super::release_files::ReleaseFile;
 use limits::{parse_replica_limit, parse_router_limit, WholeGroup};
@@ -76,7 +76,7 @@
     /// Reads the section. Problems are added to `problems`; the result is valid only if there are none.
     pub fn from_section(section: &Checked, problems: &mut Vec<Problem>) -> FleetSettings {
         let mut reader =
-            SectionReader { section, routers: section.all("router").map(router).collect(), problems };
+            SectionReader { section, routers: section.entries_of("router").map(router).collect(), problems };
         reader.check_routers();
         let own_index = section.entry("me").map_or(0, |entry| reader.router_index(entry, 0));
         let council = reader.council();
@@ -105,7 +105,7 @@
 
     /// Returns the number of file descriptors that the fleet agent needs: connections to all council members and, on a
     /// member, connections from all routers.
-    pub fn descriptors(&self) -> usize {
+    pub fn descriptor_count(&self) -> usize {
         let accepted_connections = match self.own_member_index() {
             Some(_) => CONNECTIONS_PER_MEMBER * self.routers.len(),
             None => 0,
@@ -161,7 +161,7 @@
 impl SectionReader<'_> {
     /// Adds a problem that is reported at the head of the section.
     fn add_problem(&mut self, message: impl Into<String>) {
-        self.problems.push(Problem::new(self.section.place, message.into()));
+        self.problems.push(Problem::new(self.section.span, message.into()));
     }
 
     fn check_routers(&mut self) {
@@ -179,8 +179,8 @@
         let name = entry.text(argument);
         index_of(&self.routers, name).unwrap_or_else(|| {
             let mut problem =
-                Problem::new(entry.place(argument + 1), format!("the fleet has no router `{name}`"));
-            let suggestion = nearest(name, self.routers.iter().map(|router| router.name.as_str()));
+                Problem::new(entry.span_of(argument + 1), format!("the fleet has no router `{name}`"));
+            let suggestion = closest_match(name, self.routers.iter().map(|router| router.name.as_str()));
             problem.help = suggestion.map(|suggestion| format!("did you mean `{suggestion}`?"));
             self.problems.push(problem);
             0
@@ -217,7 +217,7 @@
     fn router_limit(&mut self, name: &str, group_size: usize, whole_group: WholeGroup) -> usize {
         let Some(entry) = self.section.entry(name) else { return 0 };
         parse_router_limit(entry.text(0), group_size, whole_group).unwrap_or_else(|error| {
-            self.problems.push(Problem::new(entry.place(1), format!("`{name}`: {error}")));
+            self.problems.push(Problem::new(entry.span_of(1), format!("`{name}`: {error}")));
             0
         })
     }
@@ -242,7 +242,7 @@
         match parse_replica_limit(entry.text(0)) {
             Ok(limit) => Some(limit),
             Err(error) => {
-                self.problems.push(Problem::new(entry.place(1), format!("`{name}`: {error}")));
+                self.problems.push(Problem::new(entry.span_of(1), format!("`{name}`: {error}")));
                 None
             }
         }
@@ -254,7 +254,7 @@
             path: path(entry, 1),
             store_dir: path(entry, 2),
         };
-        let files: Vec<ReleaseFile> = self.section.all("release").map(file).collect();
+        let files: Vec<ReleaseFile> = self.section.entries_of("release").map(file).collect();
         let artifacts: BTreeSet<&str> = files.iter().map(|file| file.artifact.as_str()).collect();
         if artifacts.len() < files.len() {
             self.add_problem("`release`: each kind of file may be given once");
--- a/router/src/fleet/settings/schema.rs
+++ b/router/src/fleet/settings/schema.rs
@@ -8,7 +8,7 @@
 /// Schema of the section. Its texts appear in the operator documentation.
 pub const SECTION: Section = Section {
     name: "fleet",
-    always: false,
+    always_present: false,
     about: "drains that the routers of a fleet agree on",
     directives: &[
         Directive::required("name", &[Kind::Text], "the fleet's name; messages of another are not read"),
--- a/router/src/front/accept.rs
+++ b/router/src/front/accept.rs
@@ -34,8 +34,8 @@
     loop {
         // At the limit, further connections wait in the kernel's accept queue, where they use no descriptor.
         while context.clients.open() >= max_connections {
-            if !context.clients.is_one_closing() {
-                context.clients.close_one_idle();
+            if !context.clients.has_closing_connection() {
+                context.clients.request_idle_close();
             }
             context.clients.connection_closed().await;
         }
--- a/router/src/front/connection.rs
+++ b/router/src/front/connection.rs
@@ -11,12 +11,12 @@
 
 use super::FrontContext;
 use super::{Front, IncomingRequest, Rejection};
+use crate::balancer_interface::ConnectionOrigin;
 use crate::body_budget::BufferedBody;
 use crate::clients::{Client, IdleGuard};
 use crate::http::{BodyFraming, BodyPart, BodyReader, BufferedConnection, HttpError, MessageHead, StartLine};
 use crate::keep_alive::{AfterAnswer, IdleLimit, KeepAlive};
 use crate::lifecycle::Stage;
-use crate::outward::Origin;
 
 /// Why a client connection is closed. The names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,9 +55,9 @@
     tracing::debug!(target: "front", ?cause, stage = ?context.lifecycle.stage(), "closing client connection");
     match cause {
         CloseCause::NoOrigin | CloseCause::ReadFailed(_) | CloseCause::WriteFailed(_) => {}
-        CloseCause::RoomWanted => linger(connection, context.limits.final_read_time).await,
+        CloseCause::RoomWanted => close_gracefully(connection, context.limits.final_read_duration).await,
         CloseCause::Ended | CloseCause::Idle | CloseCause::Shutdown | CloseCause::Answered(_) => {
-            linger(connection, context.limits.close_linger).await
+            close_gracefully(connection, context.limits.close_linger).await
         }
     }
 }
@@ -73,10 +73,10 @@
     let over_limit = client.over_limit;
     let origin = tokio::select! {
         biased;
-        origin = context.outward.origin(front.listener_kind(), connection) => origin,
+        origin = context.balancer_interface.read_origin(front.listener_kind(), connection) => origin,
         () = wait_for_close_request(idle) => return CloseCause::RoomWanted,
     };
-    let Some(Origin { client: client_address }) = origin else { return CloseCause::NoOrigin };
+    let Some(ConnectionOrigin { client: client_address }) = origin else { return CloseCause::NoOrigin };
     let mut keep_alive = KeepAlive::new(Instant::now(), over_limit);
     loop {
         let idle_limit = keep_alive.idle_limit(&context.limits);
@@ -139,7 +139,7 @@
     connection: &mut BufferedConnection,
     idle_limit: IdleLimit,
 ) -> Result<(), CloseCause> {
-    if !connection.unread.is_empty() {
+    if !connection.read_buffer.is_empty() {
         // Yields between pipelined requests: events of other connections would otherwise wait for all of them.
         tokio::task::yield_now().await;
         return Ok(());
@@ -166,7 +166,7 @@
 /// still read.
 pub(super) async fn wait_for_stage(context: &FrontContext, until: Stage) {
     context.lifecycle.wait_for(until).await;
-    tokio::time::sleep(context.limits.final_read_time).await;
+    tokio::time::sleep(context.limits.final_read_duration).await;
 }
 
 /// Reads a request. The outer error is one of the connection, the inner one the reason to reject the request.
@@ -182,7 +182,7 @@
     let StartLine::Request(method, target) = head.start_line.clone() else {
         return Ok(Err(HttpError::Malformed.into()));
     };
-    if head.expects_continue() && connection.unread.is_empty() {
+    if head.expects_continue() && connection.read_buffer.is_empty() {
         connection.write(&b"HTTP/1.1 100 Continue\r\n\r\n"[..]).await?;
     }
     let body = match framing {
@@ -199,7 +199,7 @@
     connection: &mut BufferedConnection,
 ) -> io::Result<Result<(MessageHead, BodyFraming), HttpError>> {
     let head = loop {
-        match MessageHead::parse_request(&mut connection.unread, &context.limits) {
+        match MessageHead::parse_request(&mut connection.read_buffer, &context.limits) {
             Ok(Some(head)) => break head,
             Ok(None) => read_more(connection).await?,
             Err(error) => return Ok(Err(error)),
@@ -230,7 +230,7 @@
     let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
     let (mut reader, mut body) = (BodyReader::new(BodyFraming::Chunked, max_bytes as u64), Vec::new());
     loop {
-        match reader.next_part(&mut connection.unread) {
+        match reader.next_part(&mut connection.read_buffer) {
             Ok(Some(BodyPart::Data(data))) if body.len() + data.len() > max_bytes => {
                 return Ok(Err(HttpError::BodyTooLarge.into()));
             }
@@ -252,13 +252,13 @@
     length: usize,
 ) -> io::Result<Result<BufferedBody, Rejection>> {
     let Some(mut reserved) = context.body_budget.reserve(0) else { return Ok(Err(Rejection::Full)) };
-    while reserved.grow(connection.unread.len().min(length)) && connection.unread.len() < length {
+    while reserved.grow(connection.read_buffer.len().min(length)) && connection.read_buffer.len() < length {
         read_more(connection).await?;
     }
-    if connection.unread.len() < length || !reserved.grow(length) {
+    if connection.read_buffer.len() < length || !reserved.grow(length) {
         return Ok(Err(Rejection::Full));
     }
-    Ok(Ok(BufferedBody { bytes: connection.unread.split_to(length).freeze(), reserved }))
+    Ok(Ok(BufferedBody { bytes: connection.read_buffer.split_to(length).freeze(), reserved }))
 }
 
 /// Reads more of a request; fails with `UnexpectedEof` if the client closes the connection.
@@ -271,12 +271,12 @@
 
 /// Closes the write side, then reads and discards input for up to `limit`. Closing at once while unread input is pending
 /// would reset the connection and could destroy the end of the response.
-pub async fn linger(mut connection: BufferedConnection, limit: Duration) {
+pub async fn close_gracefully(mut connection: BufferedConnection, limit: Duration) {
     use tokio::io::AsyncWriteExt;
     let _ = connection.stream.shutdown().await;
     let discard_input = async {
         for _ in 0..64 {
-            connection.unread.clear();
+            connection.read_buffer.clear();
             if !matches!(connection.read_more().await, Ok(true)) {
                 break;
             }
--- a/router/src/front/context.rs
+++ b/router/src/front/context.rs
@@ -4,13 +4,13 @@
 
 use tallypin::deployment::Deployment;
 
+use crate::balancer_interface::BalancerInterface;
 use crate::body_budget::BodyBudget;
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::dispatcher::Dispatcher;
 use crate::lifecycle::Lifecycle;
 use crate::limits::Limits;
-use crate::outward::Outward;
 use crate::replica::ReplicaPool;
 use crate::request_ids::RequestIds;
 
@@ -25,7 +25,7 @@
     /// The stage of a shutdown.
     pub lifecycle: Rc<Lifecycle>,
     /// Health header fields of ordinary responses, and the connections that have to begin with a PROXY preface.
-    pub outward: Rc<Outward>,
+    pub balancer_interface: Rc<BalancerInterface>,
     /// The open client connections.
     pub clients: Rc<Clients>,
     /// The replicas: their dialect, and the number of ready ones.
--- a/router/src/front/health.rs
+++ b/router/src/front/health.rs
@@ -25,7 +25,8 @@
 impl FrontHealth {
     /// The current health of the router.
     pub fn current(context: &FrontContext) -> FrontHealth {
-        match context.outward.told().map(|assessment| (assessment.state, assessment.weight)) {
+        match context.balancer_interface.assessment().map(|assessment| (assessment.state, assessment.weight))
+        {
             Some((HealthState::Up | HealthState::Degraded, weight)) => return FrontHealth::Up(weight),
             Some((HealthState::Draining, _)) => return FrontHealth::Draining,
             Some((HealthState::Maintenance | HealthState::Down, _)) => return FrontHealth::Down,
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -175,8 +175,8 @@
             target: Bytes::from_static(context.replicas.dialect.path()),
             body,
             idempotency_key,
-            text: !(same_dialect && conversation.stream),
-            client: request.client,
+            needs_event_text: !(same_dialect && conversation.stream),
+            client_address: request.client,
         };
         let Some(mut handle) = context.dispatcher.submit(new_request, upstream_request) else {
             return reject(context, connection, Rejection::Twice).await;
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -16,19 +16,19 @@
 
 pub use accept::serve;
 use bytes::{Buf, Bytes};
-pub use connection::linger;
+pub use connection::close_gracefully;
 pub use context::FrontContext;
 pub use messages::MessagesFront;
 use tallypin::api::Nanos;
 use tokio::time::timeout;
 
+use crate::balancer_interface::ListenerKind;
 use crate::body_budget::BufferedBody;
 use crate::core::FinalAnswer;
 use crate::dispatcher::{RequestHandle, ResponseEvent};
 use crate::http::{reason_phrase, BufferedConnection, HttpError, MessageHead};
 use crate::keep_alive::AfterAnswer;
 use crate::lifecycle::Stage;
-use crate::outward::Door;
 
 /// A protocol that clients speak.
 pub enum Front {
@@ -128,12 +128,12 @@
     loop {
         // Input that arrives before the response is buffered up to the maximum head size; beyond that, the connection is
         // only checked for having been closed.
-        let room = connection.unread.len() < context.limits.max_head_size;
+        let room = connection.read_buffer.len() < context.limits.max_head_size;
         let sends_on = async {
             match room {
                 true => matches!(connection.read_more().await, Ok(true)),
                 false => {
-                    connection.wait_until_closed(context.limits.client_departure_check_interval).await;
+                    connection.wait_until_closed(context.limits.client_disconnect_check_interval).await;
                     false
                 }
             }
@@ -190,7 +190,7 @@
 /// The header fields that every response carries at this moment: health fields for balancers, and `Connection: close` once
 /// a shutdown announces the close. The platform has none before its shutdown.
 fn common_fields(context: &FrontContext) -> String {
-    let health = context.outward.fields();
+    let health = context.balancer_interface.response_fields();
     let close =
         if context.lifecycle.stage() >= Stage::AnnouncingClose { "Connection: close\r\n" } else { "" };
     if health.is_empty() {
@@ -224,10 +224,10 @@
 }
 
 impl Front {
-    fn listener_kind(&self) -> Door {
+    fn listener_kind(&self) -> ListenerKind {
         match self {
-            Front::Platform => Door::Platform,
-            Front::Messages(_) => Door::Messages,
+            Front::Platform => ListenerKind::Platform,
+            Front::Messages(_) => ListenerKind::Messages,
         }
     }
 
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -108,7 +108,7 @@
         return reject(context, connection, Rejection::Full).await;
     }
     let same_dialect = context.replicas.dialect == Dialect::Chat;
-    let IncomingRequest { method, mut target, mut body, client, .. } = request;
+    let IncomingRequest { method, mut target, mut body, client: client_address, .. } = request;
     if !same_dialect {
         // The replicas speak the messages dialect: request and events are translated.
         let Ok(conversation) = ConversationRequest::parse_chat(&body.bytes) else {
@@ -123,8 +123,15 @@
             BufferedBody { bytes: bytes.into(), reserved },
         );
     }
-    let upstream_request =
-        UpstreamRequest { id, method, target, body, idempotency_key, text: !same_dialect, client };
+    let upstream_request = UpstreamRequest {
+        id,
+        method,
+        target,
+        body,
+        idempotency_key,
+        needs_event_text: !same_dialect,
+        client_address,
+    };
     let Some(mut handle) = context.dispatcher.submit(new_request, upstream_request) else {
         return reject(context, connection, Rejection::Twice).await;
     };
--- a/router/src/http/connection.rs
+++ b/router/src/http/connection.rs
@@ -28,7 +28,7 @@
     /// The connection.
     pub stream: TcpStream,
     /// Bytes that have been received and not consumed yet.
-    pub unread: BytesMut,
+    pub read_buffer: BytesMut,
     /// When the first byte of `unread` was read.
     first_read_at: Instant,
     /// When the last byte of `unread` was read.
@@ -68,7 +68,7 @@
         let now = Instant::now();
         BufferedConnection {
             stream,
-            unread: BytesMut::new(),
+            read_buffer: BytesMut::new(),
             first_read_at: now,
             last_read_at: now,
             consecutive_reads: 0,
@@ -100,9 +100,9 @@
         loop {
             // The buffer is allocated only when input is ready: most connections are idle most of the time.
             self.stream.readable().await?;
-            let was_empty = self.unread.is_empty();
-            self.unread.reserve(MIN_READ_SIZE);
-            match self.stream.try_read_buf(&mut self.unread) {
+            let was_empty = self.read_buffer.is_empty();
+            self.read_buffer.reserve(MIN_READ_SIZE);
+            match self.stream.try_read_buf(&mut self.read_buffer) {
                 Ok(read) => {
                     self.consecutive_reads += 1;
                     self.last_read_at = Instant::now();
@@ -140,8 +140,8 @@
 
     /// Frees the buffer if it is empty, before a wait.
     pub fn release_buffer(&mut self) {
-        if self.unread.is_empty() {
-            self.unread = BytesMut::new();
+        if self.read_buffer.is_empty() {
+            self.read_buffer = BytesMut::new();
         }
     }
 
@@ -183,6 +183,6 @@
     pub fn is_unusable(&mut self) -> bool {
         let mut byte = [0u8; 1];
         let is_silent = matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock);
-        !is_silent || !self.unread.is_empty()
+        !is_silent || !self.read_buffer.is_empty()
     }
 }
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -14,15 +14,15 @@
 use tallypin_health::proxy_protocol::TrustedSenders;
 use tallypin_health::{assessment, checkers, drain_sequence};
 use tallypin_settings_schema::{
-    check, load, nearest, Bounds, Checked, Directive, Entry, Kind, Problem, Problems, Section,
+    check, closest_match, load, Checked, Directive, Entry, Kind, LoadLimits, Problem, Problems, Section,
 };
 
+use crate::balancer_interface::ProxyProtocolPolicy;
 use crate::dialect::Dialect;
 use crate::fleet::{self, settings::FleetSettings};
 use crate::front::MessagesFront;
 use crate::limits::Limits;
 use crate::log::{self, LogSettings};
-use crate::outward::Gate;
 
 const HOUR_MS: u64 = 3_600_000;
 const TIME: &[Kind] = &[Kind::Duration(1, HOUR_MS)];
@@ -33,7 +33,7 @@
 
 const LOG: Section = Section {
     name: "log",
-    always: true,
+    always_present: true,
     about: "what is logged, and how",
     directives: &[
         Directive::with("level", &[Kind::OneOf(&log::LEVELS)], &["info"], "of what no target names").live(),
@@ -57,7 +57,7 @@
 
 const MESSAGES: Section = Section {
     name: "messages",
-    always: false,
+    always_present: false,
     about: "the messages API",
     directives: &[
         Directive::required("listen", &[Kind::Address], "where it listens"),
@@ -73,7 +73,7 @@
 
 const AGENT: Section = Section {
     name: "agent",
-    always: false,
+    always_present: false,
     about: "agent checks: one line to each connection",
     directives: &[
         Directive::required("listen", &[Kind::Address], "where").live(),
@@ -86,7 +86,7 @@
 
 const HTTP: Section = Section {
     name: "http",
-    always: false,
+    always_present: false,
     about: "checks over HTTP",
     directives: &[
         Directive::required("listen", &[Kind::Address], "where").live(),
@@ -112,7 +112,7 @@
 
 const GRPC: Section = Section {
     name: "grpc",
-    always: false,
+    always_present: false,
     about: "gRPC health checking, and load reports out of band",
     directives: &[
         Directive::required("listen", &[Kind::Address], "where").live(),
@@ -127,7 +127,7 @@
 
 const CHECKS: Section = Section {
     name: "checks",
-    always: false,
+    always_present: false,
     about: "what balancers in front may ask",
     directives: &[
         Directive::with("connections", &[Kind::Count(4, 4096)], &["32"], "check connections at once"),
@@ -148,7 +148,7 @@
 
 const HEALTH: Section = Section {
     name: "health",
-    always: true,
+    always_present: true,
     about: "how state and weight are found",
     directives: &[
         Directive::with("every", TIME, &["100ms"], "measured so often"),
@@ -193,7 +193,7 @@
 
 const DRAIN: Section = Section {
     name: "drain",
-    always: true,
+    always_present: true,
     about: "how a drain goes where balancers check",
     directives: &[
         Directive::with("least", TIME_OR_0, &["500ms"], "balancers are told for so long at least").live(),
@@ -224,7 +224,7 @@
 
 const CONTROL: Section = Section {
     name: "control",
-    always: false,
+    always_present: false,
     about: "the operator's orders, over a Unix socket",
     directives: &[
         Directive::required("socket", &[Kind::Path], "its path"),
@@ -235,7 +235,7 @@
 
 const PROXY: Section = Section {
     name: "proxy-protocol",
-    always: false,
+    always_present: false,
     about: "connections that begin with a PROXY preface",
     directives: &[
         Directive::optional("from", &[Kind::Network], "networks of balancers that send it").many().live(),
@@ -248,9 +248,9 @@
 };
 
 /// The schema of the settings file.
-pub static FILE: Section = Section {
+pub static SCHEMA: Section = Section {
     name: "",
-    always: true,
+    always_present: true,
     about: "",
     directives: &[],
     sections: &[LOG, MESSAGES, CHECKS, HEALTH, DRAIN, CONTROL, PROXY, fleet::settings::SECTION],
@@ -260,19 +260,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct CheckSettings {
     /// Maximum number of open check connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time limit for receiving and answering a check.
-    pub budget: Duration,
+    pub time_limit: Duration,
     /// Idle timeout of a check connection that is kept open.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Agent checks, if they are enabled.
     pub agent: Option<AgentSettings>,
     /// The address for checks over HTTP, if they are enabled.
     pub http: Option<SocketAddr>,
     /// How checks over HTTP are answered.
-    pub policy: HttpCheckPolicy,
+    pub http_policy: HttpCheckPolicy,
     /// The format of the load report on ordinary responses, if it is enabled.
-    pub report: Option<ReportFormat>,
+    pub report_format: Option<ReportFormat>,
     /// gRPC health checking, if it is enabled.
     pub grpc: Option<GrpcSettings>,
 }
@@ -283,7 +283,7 @@
     /// The address that it listens on.
     pub listen: SocketAddr,
     /// How long to wait for a line that names the service.
-    pub send_wait: Duration,
+    pub request_wait: Duration,
     /// Whether answers carry the maximum number of connections.
     pub maxconn: bool,
 }
@@ -294,24 +294,24 @@
     /// The address that it listens on.
     pub listen: SocketAddr,
     /// Maximum number of open watches and report streams.
-    pub watches: usize,
+    pub max_streams: usize,
     /// Minimum and maximum interval of out-of-band load reports, if they are enabled.
-    pub reports: Option<(Duration, Duration)>,
+    pub report_intervals: Option<(Duration, Duration)>,
 }
 
 /// How health state and weight are determined.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthSettings {
     /// Interval between assessments.
-    pub every: Duration,
+    pub interval: Duration,
     /// Limits that the assessment uses.
-    pub figures: assessment::AssessmentLimits,
+    pub assessment_limits: assessment::AssessmentLimits,
     /// Open requests that one warm replica has capacity for.
-    pub node_room: usize,
+    pub requests_per_replica: usize,
     /// The timing of a drain.
     pub drain: drain_sequence::DrainTiming,
     /// Limits on the balancers that are tracked.
-    pub askers: checkers::CheckerLimits,
+    pub checker_limits: checkers::CheckerLimits,
 }
 
 /// The operator's Unix socket.
@@ -339,7 +339,7 @@
     /// The fleet that the router belongs to, if there is one.
     pub fleet: Option<FleetSettings>,
     /// Which listeners require a PROXY preface, and from which senders.
-    pub gate: Gate,
+    pub proxy_policy: ProxyProtocolPolicy,
     /// The checked file, for printing and for comparison on reload.
     pub checked: Checked,
 }
@@ -347,17 +347,17 @@
 impl Installation {
     /// Reads the settings file. The classes and tenants that it names must exist in the deployment. Reports all problems.
     pub fn read(path: &Path, deployment: &Deployment) -> Result<Installation, Problems> {
-        Installation::read_by(path, deployment, &|path| std::fs::read_to_string(path))
+        Installation::read_with(path, deployment, &|path| std::fs::read_to_string(path))
     }
 
     /// Like [`Installation::read`], with `read` as the file system.
-    pub fn read_by(
+    pub fn read_with(
         path: &Path,
         deployment: &Deployment,
         read: &dyn Fn(&Path) -> io::Result<String>,
     ) -> Result<Installation, Problems> {
-        let (tree, sources, mut problems) = load(path, Bounds::default(), read);
-        let checked = check(&tree, &FILE, &mut problems);
+        let (tree, sources, mut problems) = load(path, LoadLimits::default(), read);
+        let checked = check(&tree, &SCHEMA, &mut problems);
         let installation = Installation::from_checked(checked, deployment, &mut problems);
         match problems.is_empty() {
             true => Ok(installation),
@@ -366,30 +366,30 @@
     }
 
     fn from_checked(checked: Checked, deployment: &Deployment, problems: &mut Vec<Problem>) -> Installation {
-        let section = |name: &str| checked.within(name);
+        let section = |name: &str| checked.subsection(name);
         let health = health_settings(section("health"), section("drain"));
         let messages = section("messages").map(|s| messages_front(s, deployment, problems));
-        let gate = section("proxy-protocol").map(|s| proxy_gate(s, problems)).unwrap_or_default();
+        let proxy_policy = section("proxy-protocol").map(|s| proxy_policy(s, problems)).unwrap_or_default();
         let checks = section("checks").map(|s| check_settings(s, problems));
         let control = section("control").map(|s| ControlSettings {
             socket: s.path("socket").map(PathBuf::from).unwrap_or_default(),
             mode: s.number("mode") as u32,
         });
         let fleet = section("fleet").map(|s| FleetSettings::from_section(s, problems));
-        if let Some(place) = section("fleet").map(|s| s.place).filter(|_| control.is_none()) {
-            problems.push(Problem::new(place, "section `fleet` requires section `control` for its orders"));
+        if let Some(span) = section("fleet").map(|s| s.span).filter(|_| control.is_none()) {
+            problems.push(Problem::new(span, "section `fleet` requires section `control` for its orders"));
         }
         let log = section("log").map(log_settings).unwrap_or_default();
-        Installation { log, messages, checks, health, control, fleet, gate, checked }
+        Installation { log, messages, checks, health, control, fleet, proxy_policy, checked }
     }
 
     /// Reserves descriptors for checks, operator orders and the fleet; an error if fewer than two remain for clients.
     pub fn reserve(&self, limits: &mut Limits) -> Result<(), String> {
         let checks = self.checks.as_ref().map_or(0, |c| {
             let listeners = usize::from(c.agent.is_some()) + usize::from(c.http.is_some());
-            c.connections + listeners + usize::from(c.grpc.is_some())
+            c.max_connections + listeners + usize::from(c.grpc.is_some())
         });
-        let fleet = self.fleet.as_ref().map_or(0, FleetSettings::descriptors);
+        let fleet = self.fleet.as_ref().map_or(0, FleetSettings::descriptor_count);
         // The control socket needs a listener and four connections.
         let needed = checks + fleet + if self.control.is_some() { 5 } else { 0 };
         match limits.max_clients.checked_sub(needed).filter(|left| *left >= 2) {
@@ -408,7 +408,7 @@
     let level = |name: &str| log::parse_level(name).unwrap_or(tracing::level_filters::LevelFilter::INFO);
     LogSettings {
         level: level(s.text("level")),
-        targets: s.all("target").map(|e| (e.text(0).to_string(), level(e.text(1)))).collect(),
+        targets: s.entries_of("target").map(|e| (e.text(0).to_string(), level(e.text(1)))).collect(),
         json: s.text("form") == "json",
         queue: s.number("queue") as usize,
     }
@@ -420,8 +420,8 @@
     names.iter().position(|n| *n == name).map_or_else(
         || {
             let mut problem =
-                Problem::new(entry.place(argument + 1), format!("the deployment has no {kind} `{name}`"));
-            problem.help = Some(match nearest(name, names.iter().copied()) {
+                Problem::new(entry.span_of(argument + 1), format!("the deployment has no {kind} `{name}`"));
+            problem.help = Some(match closest_match(name, names.iter().copied()) {
                 Some(closest) => format!("did you mean `{closest}`?"),
                 None => format!("known names: {}", names.join(", ")),
             });
@@ -436,14 +436,14 @@
     let classes: Vec<&str> = deployment.classes.iter().map(|c| c.name.as_str()).collect();
     let tenant_names: Vec<&str> = deployment.tenant_names.iter().map(String::as_str).collect();
     let mut models = BTreeMap::new();
-    for e in s.all("model") {
+    for e in s.entries_of("model") {
         models.insert(e.text(0).to_string(), ClassId(index_of(e, 1, "class", &classes, problems)));
     }
     if models.is_empty() {
-        problems.push(Problem::new(s.place, "section `messages` has no `model`: it could serve no request"));
+        problems.push(Problem::new(s.span, "section `messages` has no `model`: it could serve no request"));
     }
     let mut tenants = BTreeMap::new();
-    for e in s.all("partner") {
+    for e in s.entries_of("partner") {
         tenants.insert(e.text(0).to_string(), TenantId(index_of(e, 1, "partner", &tenant_names, problems)));
     }
     let default_tenant = s.entry("partner-otherwise");
@@ -460,69 +460,69 @@
 
 /// The arguments of all entries of a directive, as text.
 fn arguments(s: &Checked, name: &str) -> Vec<String> {
-    s.all(name).flat_map(|e| &e.values).map(ToString::to_string).collect()
+    s.entries_of(name).flat_map(|e| &e.values).map(ToString::to_string).collect()
 }
 
 fn check_settings(s: &Checked, problems: &mut Vec<Problem>) -> CheckSettings {
-    let (agent, http, grpc) = (s.within("agent"), s.within("http"), s.within("grpc"));
+    let (agent, http, grpc) = (s.subsection("agent"), s.subsection("http"), s.subsection("grpc"));
     if agent.is_none() && http.is_none() && grpc.is_none() {
-        problems.push(Problem::new(s.place, "section `checks` requires `agent`, `http` or `grpc`"));
+        problems.push(Problem::new(s.span, "section `checks` requires `agent`, `http` or `grpc`"));
     }
-    let mut policy = HttpCheckPolicy { envoy: s.is_on("envoy"), ..HttpCheckPolicy::default() };
+    let mut http_policy = HttpCheckPolicy { envoy: s.is_on("envoy"), ..HttpCheckPolicy::default() };
     if let Some(http) = http {
         let status = |name: &str| http.number(name) as u16;
-        (policy.paths, policy.methods) = (arguments(http, "paths"), arguments(http, "methods"));
-        policy.statuses = StatusCodes {
+        (http_policy.paths, http_policy.methods) = (arguments(http, "paths"), arguments(http, "methods"));
+        http_policy.statuses = StatusCodes {
             degraded: status("degraded"),
             drain: status("drain"),
             maintenance: status("maint"),
             down: status("down"),
         };
-        for e in http.all("paths") {
+        for e in http.entries_of("paths") {
             for (i, path) in e.values.iter().enumerate().filter(|(_, p)| !p.to_string().starts_with('/')) {
                 problems
-                    .push(Problem::new(e.place(i + 1), format!("path `{path}` does not begin with a slash")));
+                    .push(Problem::new(e.span_of(i + 1), format!("path `{path}` must begin with a slash")));
             }
         }
         for name in ["drain", "maint", "down"] {
             if (200..400).contains(&status(name)) {
-                let place = http.entry(name).map_or(s.place, |e| e.place(1));
+                let span = http.entry(name).map_or(s.span, |e| e.span_of(1));
                 let text = format!("`{name}` must not be a 2xx or 3xx status: balancers read it as healthy");
-                problems.push(Problem::new(place, text));
+                problems.push(Problem::new(span, text));
             }
         }
     }
     CheckSettings {
-        connections: s.number("connections") as usize,
-        budget: s.duration("budget"),
-        idle: s.duration("idle"),
+        max_connections: s.number("connections") as usize,
+        time_limit: s.duration("budget"),
+        idle_timeout: s.duration("idle"),
         agent: agent.and_then(|a| {
-            let (send_wait, maxconn) = (a.duration("send-wait"), a.is_on("maxconn"));
-            a.address("listen").map(|listen| AgentSettings { listen, send_wait, maxconn })
+            let (request_wait, maxconn) = (a.duration("send-wait"), a.is_on("maxconn"));
+            a.address("listen").map(|listen| AgentSettings { listen, request_wait, maxconn })
         }),
         http: http.and_then(|h| h.address("listen")),
-        policy,
-        report: ReportFormat::from_name(s.text("report")),
+        http_policy,
+        report_format: ReportFormat::from_name(s.text("report")),
         grpc: grpc.and_then(|g| {
             let bounds = (g.duration("report-least"), g.duration("report-most"));
-            let (watches, reports) = (g.number("watches") as usize, g.is_on("reports").then_some(bounds));
-            g.address("listen").map(|listen| GrpcSettings { listen, watches, reports })
+            let (max_streams, reports) = (g.number("watches") as usize, g.is_on("reports").then_some(bounds));
+            g.address("listen").map(|listen| GrpcSettings { listen, max_streams, report_intervals: reports })
         }),
     }
 }
 
 fn health_settings(health: Option<&Checked>, drain: Option<&Checked>) -> HealthSettings {
     let mut settings = HealthSettings {
-        every: Duration::from_millis(100),
-        figures: assessment::AssessmentLimits::default(),
-        node_room: 16,
+        interval: Duration::from_millis(100),
+        assessment_limits: assessment::AssessmentLimits::default(),
+        requests_per_replica: 16,
         drain: drain_sequence::DrainTiming::default(),
-        askers: checkers::CheckerLimits::default(),
+        checker_limits: checkers::CheckerLimits::default(),
     };
     if let Some(s) = health {
-        settings.every = s.duration("every");
-        settings.node_room = s.number("node-room") as usize;
-        settings.figures = assessment::AssessmentLimits {
+        settings.interval = s.duration("every");
+        settings.requests_per_replica = s.number("node-room") as usize;
+        settings.assessment_limits = assessment::AssessmentLimits {
             min_weight: s.share("floor"),
             slow_start: s.duration("slow-start"),
             max_change_per_s: s.share("step"),
@@ -546,7 +546,7 @@
             settle: s.duration("settle"),
             close_connections: s.duration("parting"),
         };
-        settings.askers = checkers::CheckerLimits {
+        settings.checker_limits = checkers::CheckerLimits {
             max_checkers: s.number("askers") as usize,
             silent_intervals: s.number("intervals") as u32,
             default_interval: s.duration("unknown-interval"),
@@ -557,17 +557,17 @@
     settings
 }
 
-fn proxy_gate(s: &Checked, problems: &mut Vec<Problem>) -> Gate {
+fn proxy_policy(s: &Checked, problems: &mut Vec<Problem>) -> ProxyProtocolPolicy {
     let networks = s.networks("from");
-    let gate = Gate {
+    let proxy_policy = ProxyProtocolPolicy {
         platform: s.is_on("platform"),
         messages: s.is_on("messages"),
         checks: s.is_on("checks"),
-        within: s.duration("within"),
-        senders: TrustedSenders::new(networks.clone()),
+        header_timeout: s.duration("within"),
+        trusted_senders: TrustedSenders::new(networks.clone()),
     };
-    if networks.is_empty() && (gate.platform || gate.messages || gate.checks) {
-        problems.push(Problem::new(s.place, "section `proxy-protocol` is enabled but has no `from`"));
+    if networks.is_empty() && (proxy_policy.platform || proxy_policy.messages || proxy_policy.checks) {
+        problems.push(Problem::new(s.span, "section `proxy-protocol` is enabled but has no `from`"));
     }
-    gate
+    proxy_policy
 }
--- a/router/src/lib.rs
+++ b/router/src/lib.rs
@@ -2,6 +2,7 @@
 //! through these modules. The modules form layers with imports in one direction only; `router/tests/layers.rs` lists the
 //! layers and checks the imports.
 
+pub mod balancer_interface;
 pub mod bind;
 pub mod body_budget;
 pub mod checks;
@@ -24,7 +25,6 @@
 pub mod limits;
 pub mod log;
 pub mod operator_override;
-pub mod outward;
 pub mod peers;
 pub mod probe;
 pub mod reload;
--- a/router/src/limits.rs
+++ b/router/src/limits.rs
@@ -62,7 +62,7 @@
     /// Pause before the next request on a connection is read after too many immediate retries.
     pub immediate_retry_pause: Duration,
     /// Interval at which the router checks whether a client that has sent much data ahead has disconnected.
-    pub client_departure_check_interval: Duration,
+    pub client_disconnect_check_interval: Duration,
     /// Time without write progress after which a client counts as disconnected.
     pub client_write_timeout: Duration,
     /// Time without an event after which a stream that has begun counts as broken.
@@ -100,7 +100,7 @@
     /// soon afterwards.
     pub forwarding_end_after_stop: Duration,
     /// Time for which idle connections are still read before they are closed, as a request may be in transit.
-    pub final_read_time: Duration,
+    pub final_read_duration: Duration,
     /// Maximum time for which a closing connection is still read, so that its client receives the complete answer.
     pub close_linger: Duration,
     /// The pause of the accept loop after an error, such as a lack of file descriptors.
@@ -148,7 +148,7 @@
     max_immediate_retries: 8,
     immediate_retry_window: Duration::from_millis(20),
     immediate_retry_pause: Duration::from_millis(50),
-    client_departure_check_interval: Duration::from_millis(20),
+    client_disconnect_check_interval: Duration::from_millis(20),
     client_write_timeout: Duration::from_secs(30),
     stream_silence_timeout: Duration::from_secs(4),
     health_check_timeout: Duration::from_millis(500),
@@ -162,7 +162,7 @@
     peer_silence_timeout: Duration::from_secs(2),
     // 0.7 s by the protocol, less a delay of 0.15 s before the router sees the signal, less a reserve of 0.05 s.
     late_arrival_after_stop: Duration::from_millis(500),
-    final_read_time: Duration::from_millis(20),
+    final_read_duration: Duration::from_millis(20),
     close_linger: Duration::from_millis(500),
     accept_backoff: Duration::from_millis(5),
     drain_time: Duration::from_secs(60),
@@ -199,7 +199,7 @@
             max_replica_connections,
             max_open_requests: deployment.max_in_flight,
             list_call_interval: nanos(list_call_interval(
-                deployment.decisions.router_count,
+                deployment.decision_settings.router_count,
                 0,
                 MOVED_LIST_NOTIFICATION_TIME_NS,
             )),
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -9,8 +9,8 @@
 use cli::{Command, Protocol};
 use tallypin::api::EndpointListMode;
 use tallypin_health::exit_code;
-use tallypin_router::checks::control::{Control, ToFleet};
-use tallypin_router::checks::{self, Board};
+use tallypin_router::checks::control::{ControlSocket, FleetOrderHandler};
+use tallypin_router::checks::{self, HealthMonitor};
 use tallypin_router::components::Components;
 use tallypin_router::config::Config;
 use tallypin_router::dialect::Dialect;
@@ -22,7 +22,7 @@
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::{self, SettingsReloader, StartupConfiguration};
 use tallypin_router::router_control::ProcessControl;
-use tallypin_router::shutdown::{self, Termination};
+use tallypin_router::shutdown::{self, ShutdownSignals};
 use tallypin_router::{bind, probe, status};
 use tokio::net::TcpListener;
 
@@ -61,7 +61,7 @@
                 for message in [Some(path.clone()), configuration]
                     .into_iter()
                     .flatten()
-                    .filter_map(|path| release_files::begin_trial(&path))
+                    .filter_map(|path| release_files::record_trial_start(&path))
                 {
                     eprintln!("tallypin: {message}");
                 }
@@ -81,9 +81,9 @@
             let result = run(async {
                 let answer = async {
                     match protocol {
-                        Protocol::Agent => probe::agent(at, &service).await,
-                        Protocol::Http => probe::http(at, &path).await,
-                        Protocol::Grpc => probe::grpc(at, &service).await,
+                        Protocol::Agent => probe::check_agent(at, &service).await,
+                        Protocol::Http => probe::check_http(at, &path).await,
+                        Protocol::Grpc => probe::check_grpc(at, &service).await,
                     }
                 };
                 let timed_out = |_| std::io::Error::from(std::io::ErrorKind::TimedOut);
@@ -91,7 +91,7 @@
             });
             return match result {
                 Ok(answer) => {
-                    println!("{}", answer.words);
+                    println!("{}", answer.text);
                     ExitCode::from(exit_code::exit_code(style, answer.state, answer.weight))
                 }
                 Err(e) => {
@@ -102,7 +102,7 @@
         }
         Command::Watch { socket } => return watch(&socket),
         Command::Ctl { socket, order } => {
-            match run(async { Ok(probe::order(&socket, &order).await?) }) {
+            match run(async { Ok(probe::send_order(&socket, &order).await?) }) {
                 Ok(line) => {
                     print!("{line}");
                     let done =
@@ -125,7 +125,7 @@
     let mut last_status = serde_json::Value::Null;
     let mut release_ran = false;
     loop {
-        match run(async { Ok(probe::order(socket, "fleet status").await?) }) {
+        match run(async { Ok(probe::send_order(socket, "fleet status").await?) }) {
             Ok(line) => {
                 let status: serde_json::Value = serde_json::from_str(&line).unwrap_or_default();
                 if status["version"] != last_status["version"] || status["done"] != last_status["done"] {
@@ -207,14 +207,14 @@
 ) -> RunResult<()> {
     // Comes first: until their handlers are installed, these signals end the program at once.
     let hangup = reload::hangup_signal()?;
-    let termination = Termination::new()?;
+    let termination = ShutdownSignals::new()?;
     let (listen, cached_list, startup_configuration) =
-        (config.listen, config.cached_list.clone(), StartupConfiguration::of(&config));
+        (config.listen, config.cached_list.clone(), StartupConfiguration::from_config(&config));
     let name = config.name.clone();
     let peers = match config.peers.clone() {
         Some(addresses) => {
-            let decisions = &config.deployment.decisions;
-            Some(Peers::new(addresses, decisions.own_index, decisions.digest).await?)
+            let decisions = &config.deployment.decision_settings;
+            Some(Peers::new(addresses, decisions.own_index, decisions.tenants_digest).await?)
         }
         None => None,
     };
@@ -228,24 +228,27 @@
     components.start();
     // Precedes the health checks, which report to balancers that the router serves.
     wait_for_agent(&components).await;
-    let mut board = None;
+    let mut health_monitor = None;
     // Dropping the fleet agent or the check listeners ends their tasks: these bindings last until the program ends.
     let (mut reloader, mut _check_listeners, mut _fleet) = (None, None, None);
     if let Some(installation) = &installation {
-        components.outward.guard(installation.gate.clone());
+        components.balancer_interface.set_proxy_protocol_policy(installation.proxy_policy.clone());
         if installation.checks.is_some() || installation.control.is_some() {
-            let new_board = Board::new(installation, components.outward.clone());
+            let new_board = HealthMonitor::new(installation, components.balancer_interface.clone());
             let fleet = match installation.fleet.clone() {
                 Some(fleet_settings) => {
                     let settings = settings.clone().unwrap_or_default();
-                    let control =
-                        ProcessControl { components: components.clone(), board: new_board.clone(), settings };
+                    let control = ProcessControl {
+                        components: components.clone(),
+                        health_monitor: new_board.clone(),
+                        settings_path: settings,
+                    };
                     Some(FleetAgent::start(fleet_settings, Box::new(control)).await?)
                 }
                 None => None,
             };
             if let Some(control) = &installation.control {
-                let control = Control::bind(control).await?;
+                let control = ControlSocket::bind(control).await?;
                 let orders = fleet.clone().map(fleet_order_handler);
                 tokio::task::spawn_local(control.serve(
                     components.check_context(),
@@ -259,9 +262,9 @@
             }
             _fleet = fleet;
             _check_listeners = Some(checks::start(&components.check_context(), &new_board).await?);
-            board = Some(new_board);
+            health_monitor = Some(new_board);
         }
-        reloader = Some(SettingsReloader::new(installation, board.clone(), Some(log.clone())));
+        reloader = Some(SettingsReloader::new(installation, health_monitor.clone(), Some(log.clone())));
     }
     if let Some(front) = messages {
         let listener = bind::bind_with_retry(async || TcpListener::bind(front.listen).await).await?;
@@ -276,7 +279,7 @@
     tokio::task::spawn_local(status::log_periodically(components.clone(), Some(log)));
     let read = move || reread(settings.as_deref());
     tokio::task::spawn_local(reload::run(
-        components.outward.clone(),
+        components.balancer_interface.clone(),
         components.endpoint_list.state.clone(),
         hangup,
         startup_configuration,
@@ -284,8 +287,8 @@
         read,
     ));
     tracing::info!(target: "router", name, %listen, "router is listening");
-    shutdown::on_signal(components.clone(), board, termination).await;
-    let tallies = components.with(|core, _| core.counts().clone());
+    shutdown::shut_down_on_signal(components.clone(), health_monitor, termination).await;
+    let tallies = components.with_core(|core, _| core.counts().clone());
     tracing::info!(target: "router", name, ?tallies, "router has shut down");
     Ok(())
 }
@@ -294,18 +297,18 @@
 /// list while the agent answers. After the agent's response timeout the router serves with the configured list.
 async fn wait_for_agent(components: &Components) {
     let list = &components.endpoint_list;
-    if list.deployment.decisions.list_mode != EndpointListMode::Pushed {
+    if list.deployment.decision_settings.list_mode != EndpointListMode::Pushed {
         return;
     }
     let limit = list.limits.agent_response_timeout;
-    if !list.state.wait_for_first(limit).await {
+    if !list.state.wait_for_first_list(limit).await {
         tracing::warn!(target: "node_list", limit_ms = limit.as_millis() as u64,
             "endpoint list agent did not respond at startup, serving with the configured list");
     }
 }
 
 /// A handler that parses operator orders from the socket and passes them to the fleet agent.
-fn fleet_order_handler(fleet: Rc<FleetAgent>) -> ToFleet {
+fn fleet_order_handler(fleet: Rc<FleetAgent>) -> FleetOrderHandler {
     Rc::new(move |order| {
         let fleet = fleet.clone();
         Box::pin(async move {
--- a/router/src/operator_override.rs
+++ b/router/src/operator_override.rs
@@ -9,7 +9,7 @@
 
 /// A replica that was returned to service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Restoration {
+pub struct ReplicaRestoration {
     /// The replica.
     pub replica: ReplicaId,
     /// Time of its return to service, in ns, at which its slow start begins.
@@ -18,13 +18,13 @@
 
 /// The endpoint list as received, and the operator overrides. Its size is bounded by the list and the fleet state.
 #[derive(Debug, Default)]
-pub struct OverriddenList {
+pub struct OverriddenEndpointList {
     received: FxHashMap<ReplicaId, EndpointEntry>,
     drained: FxHashSet<ReplicaId>,
     restored_at: FxHashMap<ReplicaId, Nanos>,
 }
 
-impl OverriddenList {
+impl OverriddenEndpointList {
     /// Returns the entries as received, without overrides.
     pub fn entries(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.received.values()
@@ -45,7 +45,11 @@
     }
 
     /// Replaces the overrides and returns the entries that change.
-    pub fn set_overrides(&mut self, drained: &[ReplicaId], restored: &[Restoration]) -> Vec<EndpointEntry> {
+    pub fn set_overrides(
+        &mut self,
+        drained: &[ReplicaId],
+        restored: &[ReplicaRestoration],
+    ) -> Vec<EndpointEntry> {
         let before: Vec<EndpointEntry> =
             self.received.values().map(|entry| self.overridden(entry.clone())).collect();
         self.drained = drained.iter().copied().collect();
--- a/router/src/operator_override/tests.rs
+++ b/router/src/operator_override/tests.rs
@@ -9,14 +9,14 @@
 }
 
 /// A list of two replicas, both started at 5 ns.
-fn list() -> OverriddenList {
-    let mut list = OverriddenList::default();
+fn list() -> OverriddenEndpointList {
+    let mut list = OverriddenEndpointList::default();
     let all = vec![entry(1, Ready, 5), entry(2, Ready, 5)];
     assert_eq!(list.apply_update(ListUpdate::Full, all.clone()), all, "no entry is overridden");
     list
 }
 
-fn update(list: &mut OverriddenList, entry: EndpointEntry) -> Vec<EndpointEntry> {
+fn update(list: &mut OverriddenEndpointList, entry: EndpointEntry) -> Vec<EndpointEntry> {
     list.apply_update(ListUpdate::Delta, vec![entry])
 }
 
@@ -36,7 +36,7 @@
     let mut list = list();
     list.set_overrides(&[FIRST], &[]);
     update(&mut list, entry(1, Ready, 8));
-    let restored = Restoration { replica: FIRST, restored_at: 20 };
+    let restored = ReplicaRestoration { replica: FIRST, restored_at: 20 };
     assert_eq!(list.set_overrides(&[], &[restored]), [entry(1, Ready, 20)]);
     assert_eq!(update(&mut list, entry(1, Ready, 8)), [entry(1, Ready, 20)], "the listed start is earlier");
     assert_eq!(
@@ -50,7 +50,7 @@
 #[test]
 fn a_replica_that_has_left_the_list_is_not_overridden() {
     let mut list = list();
-    list.set_overrides(&[], &[Restoration { replica: FIRST, restored_at: 20 }]);
+    list.set_overrides(&[], &[ReplicaRestoration { replica: FIRST, restored_at: 20 }]);
     assert_eq!(update(&mut list, entry(1, Gone, 30)), [entry(1, Gone, 30)]);
     assert_eq!((list.set_overrides(&[FIRST], &[]), list.entries().count()), (vec![], 1));
 }
--- a/router/src/peers.rs
+++ b/router/src/peers.rs
@@ -95,10 +95,10 @@
             return;
         }
         let send = |to: SocketAddr| drop(self.socket.try_send_to(bytes, to));
-        match self.addresses.all {
+        match self.addresses.broadcast {
             Some(all) => send(all),
             None => {
-                let others = self.addresses.each.iter().enumerate().filter(|(i, _)| *i != self.own_index);
+                let others = self.addresses.routers.iter().enumerate().filter(|(i, _)| *i != self.own_index);
                 others.for_each(|(_, to)| send(*to));
             }
         }
@@ -106,7 +106,7 @@
 
     /// Sends a message to one other router. It may be lost.
     pub fn send_to(&self, peer: PeerId, bytes: &[u8]) {
-        let address = self.addresses.each.get(peer.0 as usize);
+        let address = self.addresses.routers.get(peer.0 as usize);
         if let Some(to) = address.filter(|_| bytes.len() <= MAX_MESSAGE_BYTES) {
             let _ = self.socket.try_send_to(bytes, *to);
         }
@@ -134,7 +134,7 @@
     /// Records the arrival of a peer's message. Drain notices do not count, as a router that is starting or shutting down
     /// sends them as well: they do not show that clients can connect to it.
     fn record_received(&self, bytes: &[u8]) {
-        if DrainMessage::is_one(bytes) {
+        if DrainMessage::is_drain_message(bytes) {
             tracing::debug!(target: "peers", message = ?DrainMessage::decode(bytes), "drain notice received");
             return;
         }
@@ -174,13 +174,13 @@
     }
 
     /// When the last report with served requests arrived.
-    pub fn served_at(&self) -> Option<Instant> {
+    pub fn last_served_report_at(&self) -> Option<Instant> {
         self.served_at.get()
     }
 
     /// Returns the other router at an address.
     fn peer_at(&self, address: SocketAddr) -> Option<PeerId> {
-        let index = self.addresses.each.iter().position(|peer| *peer == address)?;
+        let index = self.addresses.routers.iter().position(|peer| *peer == address)?;
         (index != self.own_index).then_some(PeerId(index as u32))
     }
 }
@@ -189,6 +189,6 @@
 pub async fn receive_messages(peers: Rc<Peers>, dispatcher: Rc<Dispatcher>) {
     loop {
         let (from, bytes) = peers.receive().await;
-        dispatcher.with(|core, now| core.peer_message_received(now, from, bytes));
+        dispatcher.with_core(|core, now| core.peer_message_received(now, from, bytes));
     }
 }
--- a/router/src/probe.rs
+++ b/router/src/probe.rs
@@ -20,7 +20,7 @@
     /// The weight in percent, 1 to 100; 100 if the protocol has no weight.
     pub weight: u8,
     /// The answer as text.
-    pub words: String,
+    pub text: String,
 }
 
 /// Maximum size of the answer to a check, in bytes.
@@ -31,7 +31,7 @@
 }
 
 /// Sends an agent check.
-pub async fn agent(at: SocketAddr, service: &str) -> io::Result<ProbeReply> {
+pub async fn check_agent(at: SocketAddr, service: &str) -> io::Result<ProbeReply> {
     let mut stream = TcpStream::connect(at).await?;
     stream.write_all(format!("{service}\n").as_bytes()).await?;
     let mut bytes = Vec::new();
@@ -44,11 +44,11 @@
         _ => HealthState::Up,
     };
     let weight = reply.percent.unwrap_or(100).clamp(1, 100) as u8;
-    Ok(ProbeReply { state, weight, words: reply.to_string() })
+    Ok(ProbeReply { state, weight, text: reply.to_string() })
 }
 
 /// Sends a check over HTTP.
-pub async fn http(at: SocketAddr, path: &str) -> io::Result<ProbeReply> {
+pub async fn check_http(at: SocketAddr, path: &str) -> io::Result<ProbeReply> {
     let mut stream = TcpStream::connect(at).await?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).await?;
@@ -67,11 +67,11 @@
         404 => HealthState::Draining,
         _ => HealthState::Down,
     };
-    Ok(ProbeReply { state, weight: 100, words })
+    Ok(ProbeReply { state, weight: 100, text: words })
 }
 
 /// Sends a check over gRPC.
-pub async fn grpc(at: SocketAddr, service: &str) -> io::Result<ProbeReply> {
+pub async fn check_grpc(at: SocketAddr, service: &str) -> io::Result<ProbeReply> {
     let stream = TcpStream::connect(at).await?;
     let (mut send, connection) = h2::client::handshake(stream).await.map_err(invalid_data)?;
     let connection_task = tokio::task::spawn_local(connection);
@@ -108,11 +108,11 @@
         ServingStatus::Unknown => (HealthState::Down, "UNKNOWN"),
         ServingStatus::ServiceUnknown => (HealthState::Down, "SERVICE_UNKNOWN"),
     };
-    Ok(ProbeReply { state, weight: 100, words: words.into() })
+    Ok(ProbeReply { state, weight: 100, text: words.into() })
 }
 
 /// Sends an order over the control socket. Returns the answer, one line of JSON.
-pub async fn order(socket: &Path, order: &str) -> io::Result<String> {
+pub async fn send_order(socket: &Path, order: &str) -> io::Result<String> {
     let mut stream = UnixStream::connect(socket).await?;
     stream.write_all(format!("{order}\n").as_bytes()).await?;
     let mut line = String::new();
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -7,16 +7,16 @@
 use std::rc::Rc;
 
 use tallypin::deployment::Deployment;
-use tallypin_settings_schema::{changes, Checked, Takes};
+use tallypin_settings_schema::{changes, Checked, TakesEffect};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-use crate::checks::Board;
+use crate::balancer_interface::BalancerInterface;
+use crate::checks::HealthMonitor;
 use crate::config::{Config, PeerAddresses};
 use crate::endpoint_list_state::EndpointListState;
 use crate::installation::Installation;
 use crate::limits::Limits;
 use crate::log::Log;
-use crate::outward::Outward;
 
 /// Installs the handler of SIGHUP. From then on the signal does not end the program, even if nothing receives it.
 ///
@@ -38,7 +38,7 @@
 
 impl StartupConfiguration {
     /// Extracts this part of a configuration.
-    pub fn of(config: &Config) -> StartupConfiguration {
+    pub fn from_config(config: &Config) -> StartupConfiguration {
         let Config { name, listen, peers, deployment, limits, .. } = config.clone();
         StartupConfiguration { name, listen, peers, deployment, limits }
     }
@@ -58,7 +58,7 @@
 
 /// Applies reloaded settings files to a running router.
 pub struct SettingsReloader {
-    board: Option<Rc<Board>>,
+    health_monitor: Option<Rc<HealthMonitor>>,
     log: Option<Rc<Log>>,
     /// The settings with which the program started.
     started: Checked,
@@ -70,24 +70,28 @@
     /// Creates a reloader for a router that was started with this installation.
     pub fn new(
         installation: &Installation,
-        board: Option<Rc<Board>>,
+        health_monitor: Option<Rc<HealthMonitor>>,
         log: Option<Rc<Log>>,
     ) -> SettingsReloader {
         let (started, last) = (installation.checked.clone(), installation.checked.clone());
-        SettingsReloader { board, log, started, current: last }
+        SettingsReloader { health_monitor, log, started, current: last }
     }
 
     /// Applies the changes that a running router can apply, and logs those that require a restart.
-    pub fn apply(&mut self, outward: &Outward, new: &Installation) {
-        for change in changes(&self.started, &new.checked).iter().filter(|c| c.takes == Takes::Restart) {
+    pub fn apply(&mut self, balancer_interface: &BalancerInterface, new: &Installation) {
+        for change in
+            changes(&self.started, &new.checked).iter().filter(|c| c.takes_effect == TakesEffect::OnRestart)
+        {
             tracing::warn!(target: "reload", field = change.path, "setting changed: takes effect after a restart");
         }
-        for change in changes(&self.current, &new.checked).iter().filter(|c| c.takes == Takes::Now) {
+        for change in
+            changes(&self.current, &new.checked).iter().filter(|c| c.takes_effect == TakesEffect::OnReload)
+        {
             tracing::info!(target: "reload", field = change.path, "setting applied");
         }
-        outward.guard(new.gate.clone());
+        balancer_interface.set_proxy_protocol_policy(new.proxy_policy.clone());
         self.log.iter().for_each(|log| log.change_levels(&new.log));
-        self.board.iter().for_each(|board| board.adopt(new));
+        self.health_monitor.iter().for_each(|health_monitor| health_monitor.apply_settings(new));
         self.current = new.checked.clone();
     }
 }
@@ -95,7 +99,7 @@
 /// Reloads both files at every signal. `read` returns the errors of the files as lines. Never returns. A signal that arrives
 /// during a reload causes another one.
 pub async fn run(
-    outward: Rc<Outward>,
+    balancer_interface: Rc<BalancerInterface>,
     endpoint_list: Rc<EndpointListState>,
     mut hangup: Signal,
     running: StartupConfiguration,
@@ -107,7 +111,7 @@
             Ok((config, installation)) => {
                 apply(&endpoint_list, &running, &config);
                 if let (Some(reloader), Some(installation)) = (&mut reloader, &installation) {
-                    reloader.apply(&outward, installation);
+                    reloader.apply(&balancer_interface, installation);
                 }
             }
             Err(lines) => {
@@ -124,6 +128,6 @@
     for field in running.changed_fields(config) {
         tracing::warn!(target: "reload", field, "configuration changed: takes effect after a restart");
     }
-    let moved = endpoint_list.set_address(config.node_list);
-    tracing::info!(target: "reload", endpoint_list = %config.node_list, moved, "configuration reloaded");
+    let moved = endpoint_list.set_address(config.endpoint_list_agent);
+    tracing::info!(target: "reload", endpoint_list = %config.endpoint_list_agent, moved, "configuration reloaded");
 }
--- a/router/src/replica/attempt.rs
+++ b/router/src/replica/attempt.rs
@@ -36,7 +36,7 @@
     /// The request to send; dropped once this attempt streams.
     pub(super) upstream: Option<Rc<UpstreamRequest>>,
     /// Whether the front needs the text of events in addition to their bytes.
-    pub(super) text: bool,
+    pub(super) needs_event_text: bool,
     /// Receives the attempt's events once it streams.
     pub(super) events: mpsc::Sender<ResponseEvent>,
     /// Whether this attempt's stream goes to the client.
@@ -47,7 +47,7 @@
     /// Creates an attempt; [`Attempt::run`] runs it.
     pub fn new(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, start: AttemptStart) -> Attempt {
         let AttemptStart { request, attempt, replica, deadline, upstream, events } = start;
-        let text = upstream.text;
+        let needs_event_text = upstream.needs_event_text;
         Attempt {
             context,
             dispatcher,
@@ -56,7 +56,7 @@
             replica,
             deadline,
             upstream: Some(upstream),
-            text,
+            needs_event_text,
             events,
             streams: false,
         }
@@ -73,7 +73,7 @@
             _ => FinalAnswer::Interrupted,
         };
         self.dispatcher.attempt_finished(self.request, self.attempt);
-        self.dispatcher.with(|core, now| core.attempt_ended(now, self.request, self.attempt, result));
+        self.dispatcher.with_core(|core, now| core.attempt_ended(now, self.request, self.attempt, result));
         if self.streams {
             let _ = self.events.send(ResponseEvent::End(answer)).await;
         }
@@ -86,7 +86,7 @@
         };
         // Encoded after the last await, so that the deadline sent is current.
         let Some(request) = self.encode_request() else { return Outcome::NotSent.into() };
-        if !self.dispatcher.with(|core, now| core.may_write(now, self.request, self.attempt)) {
+        if !self.dispatcher.with_core(|core, now| core.may_write(now, self.request, self.attempt)) {
             self.context.pool.give_back(connection);
             return Outcome::NotSent.into();
         }
@@ -171,7 +171,7 @@
         match head.start_line {
             StartLine::Status(200) => {
                 let relayed = Relay::new(self, framing, load_report).run(&mut connection.wire).await;
-                if relayed.at_message_end && head.keeps_alive() && connection.wire.unread.is_empty() {
+                if relayed.at_message_end && head.keeps_alive() && connection.wire.read_buffer.is_empty() {
                     self.context.pool.give_back(connection);
                 }
                 relayed.result
--- a/router/src/replica/probe.rs
+++ b/router/src/replica/probe.rs
@@ -18,7 +18,7 @@
 pub async fn probe(context: Rc<ReplicaContext>, dispatcher: Rc<Dispatcher>, replica: ReplicaId) {
     let checked = timeout(context.limits.health_check_timeout, check(&context, replica)).await;
     let result = checked.unwrap_or(Err(Outcome::TimedOut)).unwrap_or_else(AttemptResult::from);
-    dispatcher.with(|core, now| core.probe_ended(now, replica, result));
+    dispatcher.with_core(|core, now| core.probe_ended(now, replica, result));
 }
 
 /// Runs one health check.
@@ -37,7 +37,7 @@
     let outcome =
         if head.start_line == StartLine::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
     let load_report = dialect::parse_load_report(&String::from_utf8_lossy(&report), names);
-    if head.keeps_alive() && connection.wire.unread.is_empty() {
+    if head.keeps_alive() && connection.wire.read_buffer.is_empty() {
         context.pool.give_back(connection);
     }
     Ok(AttemptResult { outcome, cached_tokens: None, load_report })
@@ -51,7 +51,7 @@
 ) -> Result<Vec<u8>, Outcome> {
     let (mut body, mut bytes) = (BodyReader::for_response(framing, limit), Vec::new());
     loop {
-        match body.next_part(&mut wire.unread) {
+        match body.next_part(&mut wire.read_buffer) {
             Ok(Some(BodyPart::Data(data))) if bytes.len() + data.len() <= limit => {
                 bytes.extend_from_slice(&data)
             }
--- a/router/src/replica/relay.rs
+++ b/router/src/replica/relay.rs
@@ -66,10 +66,10 @@
 
     async fn relay(&mut self, wire: &mut BufferedConnection) -> Result<(), RelayStopped> {
         loop {
-            match self.body.next_part(&mut wire.unread).map_err(|_| RelayStopped)? {
+            match self.body.next_part(&mut wire.read_buffer).map_err(|_| RelayStopped)? {
                 Some(BodyPart::Data(data)) => {
                     let complete_events = self.events.push(&data);
-                    if self.events.held_size() > self.attempt.context.limits.max_event_size {
+                    if self.events.incomplete_size() > self.attempt.context.limits.max_event_size {
                         return Err(RelayStopped);
                     }
                     if let Some(bytes) = complete_events {
@@ -77,7 +77,7 @@
                     }
                 }
                 Some(BodyPart::End) => {
-                    let remainder = self.events.take_rest();
+                    let remainder = self.events.take_incomplete();
                     if !remainder.is_empty() {
                         self.relay_events(remainder).await?;
                     }
@@ -137,7 +137,7 @@
     fn begin_stream(&mut self, failed: bool) -> Result<(), RelayStopped> {
         let attempt = &mut *self.attempt;
         let (request, number) = (attempt.request, attempt.attempt);
-        if failed || !attempt.dispatcher.with(|core, now| core.first_event(now, request, number)) {
+        if failed || !attempt.dispatcher.with_core(|core, now| core.first_event(now, request, number)) {
             self.result.outcome = Outcome::ReplicaError;
             return Err(RelayStopped);
         }
@@ -153,7 +153,7 @@
     fn read_events(&mut self, bytes: &[u8]) -> Vec<StreamEvent> {
         let context = &self.attempt.context;
         let mut events = Vec::new();
-        context.pool.dialect.read_events(bytes, self.attempt.text, &mut events);
+        context.pool.dialect.read_events(bytes, self.attempt.needs_event_text, &mut events);
         for event in &events {
             match event {
                 StreamEvent::Usage { cached_tokens: Some(cached), .. } => {
--- a/router/src/replica/response.rs
+++ b/router/src/replica/response.rs
@@ -12,7 +12,7 @@
     let final_head = async {
         let mut informational = 0;
         loop {
-            match MessageHead::parse_response(&mut wire.unread, limits) {
+            match MessageHead::parse_response(&mut wire.read_buffer, limits) {
                 // Informational responses are skipped.
                 Ok(Some(head)) if matches!(head.start_line, StartLine::Status(100..=199)) => {
                     informational += 1
@@ -41,9 +41,9 @@
     }
     let mut body = BodyReader::for_response(framing, max_chunk);
     loop {
-        match body.next_part(&mut wire.unread) {
+        match body.next_part(&mut wire.read_buffer) {
             Ok(Some(BodyPart::Data(_))) => {}
-            Ok(Some(BodyPart::End)) => return wire.unread.is_empty(),
+            Ok(Some(BodyPart::End)) => return wire.read_buffer.is_empty(),
             _ => return false,
         }
     }
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -14,12 +14,12 @@
 use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
 use tallypin_membership::AdvertisedStatus;
 
-use crate::checks::{signals, Board};
+use crate::checks::{signals, HealthMonitor};
 use crate::components::Components;
 use crate::config::Config;
 use crate::fleet::{InvalidArtifact, RestoredReplica, RouterControl, ShuttingDown};
 use crate::installation::Installation;
-use crate::operator_override::Restoration;
+use crate::operator_override::ReplicaRestoration;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
@@ -28,27 +28,27 @@
     /// Requests and connections of the router.
     pub components: Rc<Components>,
     /// Health state that load balancers see.
-    pub board: Rc<Board>,
+    pub health_monitor: Rc<HealthMonitor>,
     /// Path of the settings file, which a released one would replace.
-    pub settings: PathBuf,
+    pub settings_path: PathBuf,
 }
 
 impl ProcessControl {
     fn request_phase(&self, goal: DrainGoal, order: OperatorOrder) -> Result<(), ShuttingDown> {
-        if !self.board.want(goal, order) {
+        if !self.health_monitor.set_drain_goal(goal, order) {
             return Err(ShuttingDown);
         }
-        signals::follow(&self.components.lifecycle, self.board.phase());
+        signals::apply_drain_phase(&self.components.lifecycle, self.health_monitor.drain_phase());
         Ok(())
     }
 
     /// Checks this text as the content of the settings file, with the included files as they are on disk.
     fn validate_settings(&self, text: &str) -> Result<(), InvalidArtifact> {
-        let read = |path: &Path| match path == self.settings {
+        let read = |path: &Path| match path == self.settings_path {
             true => Ok(text.to_string()),
             false => std::fs::read_to_string(path),
         };
-        match Installation::read_by(&self.settings, &self.components.deployment, &read) {
+        match Installation::read_with(&self.settings_path, &self.components.deployment, &read) {
             Ok(_) => Ok(()),
             Err(problems) => {
                 let first = problems.short().next();
@@ -69,7 +69,8 @@
 
     fn is_drained(&self) -> bool {
         // Streams accepted before the drain have finished too; the shutdown would wait for them as well.
-        self.board.phase() == DrainPhase::Drained && self.components.with(|core, _| core.open_requests()) == 0
+        self.health_monitor.drain_phase() == DrainPhase::Drained
+            && self.components.with_core(|core, _| core.open_requests()) == 0
     }
 
     fn shut_down(&self) {
@@ -78,7 +79,7 @@
     }
 
     fn advertised_status(&self) -> AdvertisedStatus {
-        match (self.board.phase(), self.board.assessment().state) {
+        match (self.health_monitor.drain_phase(), self.health_monitor.assessment().state) {
             (DrainPhase::ShuttingDown, _) => AdvertisedStatus::Ending,
             // No replica is ready, after the start or because all were lost: new requests would be rejected.
             (DrainPhase::Serving, _) if self.components.replicas.ready_count() == 0 => {
@@ -90,7 +91,8 @@
     }
 
     fn answer_counts(&self) -> AnswerCounts {
-        let (counts, late) = self.components.with(|core, _| (core.counts().clone(), core.late_streams()));
+        let (counts, late) =
+            self.components.with_core(|core, _| (core.counts().clone(), core.late_streams()));
         AnswerCounts {
             answered: counts.completed + counts.interrupted + counts.rejected + counts.failed,
             failed: counts.failed + counts.interrupted,
@@ -102,11 +104,12 @@
 
     fn replica_views(&self) -> Option<BTreeMap<String, ReplicaView>> {
         let components = &self.components;
-        if !components.endpoint_list.state.is_fresh() {
+        if !components.endpoint_list.state.is_active() {
             return None;
         }
-        let (entries, snapshots) = components
-            .with(|core, now| (core.listed_replicas().cloned().collect::<Vec<_>>(), core.view(now)));
+        let (entries, snapshots) = components.with_core(|core, now| {
+            (core.listed_replicas().cloned().collect::<Vec<_>>(), core.replica_snapshots(now))
+        });
         let impaired: FxHashSet<ReplicaId> = snapshots
             .into_iter()
             .filter(|snapshot| snapshot.is_warming_up || snapshot.ejected_for > 0)
@@ -126,12 +129,12 @@
 
     fn set_replica_overrides(&self, drained: &[String], restored: &[RestoredReplica]) {
         let drained: Vec<_> = drained.iter().map(|id| name_hash::replica_id(id)).collect();
-        self.components.with(|core, now| {
+        self.components.with_core(|core, now| {
             let restored = restored.iter().map(|replica| {
                 // Limited to the present: if the sender's clock is ahead, the slow start lasts no longer than that of a
                 // replica that starts now.
                 let restored_at = replica.restored_at_ms.saturating_mul(NANOS_PER_MS).min(now);
-                Restoration { replica: name_hash::replica_id(&replica.id), restored_at }
+                ReplicaRestoration { replica: name_hash::replica_id(&replica.id), restored_at }
             });
             core.override_replicas(now, &drained, &restored.collect::<Vec<_>>());
         });
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -11,25 +11,25 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::{sleep, timeout, timeout_at};
 
-use crate::checks::{signals, Board};
+use crate::checks::{signals, HealthMonitor};
 use crate::components::Components;
 use crate::lifecycle::Stage;
 
 /// Handlers of SIGTERM and SIGINT. They are installed before the router listens, so that no signal can end the program while
 /// it has accepted clients.
 #[derive(Debug)]
-pub struct Termination {
+pub struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl Termination {
+impl ShutdownSignals {
     /// Installs the signal handlers.
     ///
     /// # Errors
     /// Returns an error if the system does not permit it.
-    pub fn new() -> io::Result<Termination> {
-        Ok(Termination {
+    pub fn new() -> io::Result<ShutdownSignals> {
+        Ok(ShutdownSignals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
         })
@@ -44,10 +44,15 @@
     }
 }
 
-/// Shuts the router down after a signal, and returns when all requests are finished. With a board, balancers are notified
+/// Shuts the router down after a signal, and returns when all requests are finished. With a health monitor, balancers are
+/// notified
 /// first, and an operator's order can start the shutdown as well.
-pub async fn on_signal(components: Rc<Components>, board: Option<Rc<Board>>, mut termination: Termination) {
-    let Some(board) = board else {
+pub async fn shut_down_on_signal(
+    components: Rc<Components>,
+    health_monitor: Option<Rc<HealthMonitor>>,
+    mut termination: ShutdownSignals,
+) {
+    let Some(health_monitor) = health_monitor else {
         termination.received().await;
         tokio::select! {
             () = drain(&components) => {}
@@ -57,21 +62,25 @@
     };
     tokio::select! {
         () = termination.received() => {
-            notify_balancers(&components, &board, &mut termination).await;
+            notify_balancers(&components, &health_monitor, &mut termination).await;
         }
-        () = wait_until_listeners_may_close(&board) => {}
+        () = wait_until_listeners_may_close(&health_monitor) => {}
     }
-    finish_drain(&components, &board).await;
+    finish_drain(&components, &health_monitor).await;
 }
 
 /// Notifies balancers of the shutdown, and waits until the listeners may close. A second signal ends the wait: until then no
 /// request is lost.
-async fn notify_balancers(components: &Components, board: &Board, termination: &mut Termination) {
-    tracing::info!(target: "drain", balancers = board.askers().len(), "shutdown signal received");
-    board.want(DrainGoal::Exit, OperatorOrder::Drain);
-    signals::follow(&components.lifecycle, board.phase());
+async fn notify_balancers(
+    components: &Components,
+    health_monitor: &HealthMonitor,
+    termination: &mut ShutdownSignals,
+) {
+    tracing::info!(target: "drain", balancers = health_monitor.checkers().len(), "shutdown signal received");
+    health_monitor.set_drain_goal(DrainGoal::Exit, OperatorOrder::Drain);
+    signals::apply_drain_phase(&components.lifecycle, health_monitor.drain_phase());
     tokio::select! {
-        () = wait_until_listeners_may_close(board) => {}
+        () = wait_until_listeners_may_close(health_monitor) => {}
         () = termination.received() => {
             tracing::warn!(target: "drain", "second shutdown signal received: closing the listeners now");
         }
@@ -79,7 +88,7 @@
 }
 
 /// Logs further shutdown signals, which have no effect. Never returns.
-async fn log_further_signals(termination: &mut Termination) {
+async fn log_further_signals(termination: &mut ShutdownSignals) {
     loop {
         termination.received().await;
         tracing::info!(target: "drain", "further shutdown signal received: already shutting down");
@@ -87,14 +96,14 @@
 }
 
 /// Waits until the listeners may close in a drain that balancers are notified of, and finishes the drain.
-pub async fn wait_and_finish_drain(components: &Rc<Components>, board: &Board) {
-    wait_until_listeners_may_close(board).await;
-    finish_drain(components, board).await;
+pub async fn wait_and_finish_drain(components: &Rc<Components>, health_monitor: &HealthMonitor) {
+    wait_until_listeners_may_close(health_monitor).await;
+    finish_drain(components, health_monitor).await;
 }
 
-async fn wait_until_listeners_may_close(board: &Board) {
-    // Fails only if the board was dropped, but the board outlives this call.
-    let _ = board.phases().wait_for(|phase| *phase == DrainPhase::ShuttingDown).await;
+async fn wait_until_listeners_may_close(health_monitor: &HealthMonitor) {
+    // Fails only if the health monitor was dropped, but it outlives this call.
+    let _ = health_monitor.subscribe_drain_phase().wait_for(|phase| *phase == DrainPhase::ShuttingDown).await;
 }
 
 /// Waits until no client connection is open.
@@ -105,12 +114,12 @@
 }
 
 /// Finishes a drain of which balancers have been notified, from the closing of the listeners on.
-async fn finish_drain(components: &Components, board: &Board) {
-    let open_requests = components.with(|core, _| core.open_requests());
+async fn finish_drain(components: &Components, health_monitor: &HealthMonitor) {
+    let open_requests = components.with_core(|core, _| core.open_requests());
     tracing::info!(target: "drain", clients = components.clients.open(), open_requests,
-        balancers_not_notified = board.untold(), "closing the listeners");
+        balancers_not_notified = health_monitor.notification_timed_out(), "closing the listeners");
     components.lifecycle.enter(Stage::Closing);
-    sleep(components.limits.final_read_time * 2).await;
+    sleep(components.limits.final_read_duration * 2).await;
     if timeout(components.limits.drain_time, wait_until_clients_closed(components)).await.is_err() {
         let clients = components.clients.open();
         tracing::warn!(target: "drain", clients, "shutting down with clients that have not finished");
@@ -125,7 +134,7 @@
 fn is_last_router(components: &Components) -> bool {
     let silence_limit = components.limits.peer_silence_timeout;
     let silent = components.peers.as_ref().is_some_and(|peers| !peers.received_within(silence_limit));
-    let only_one = components.deployment.decisions.router_count == 1;
+    let only_one = components.deployment.decision_settings.router_count == 1;
     components.deployment.resumes_streams && (only_one || silent)
 }
 
@@ -136,7 +145,7 @@
     components.lifecycle.enter(Stage::Grace);
     let last_router = is_last_router(components);
     let grace = if last_router { limits.lone_router_shutdown_grace } else { limits.shutdown_grace };
-    let accepted = || components.with(|core, _| core.counts().accepted);
+    let accepted = || components.with_core(|core, _| core.counts().accepted);
     let accepted_before = accepted();
     let grace_ms = grace.as_millis() as u64;
     tracing::info!(target: "drain", grace_ms, last_router, "shutdown begun");
@@ -145,7 +154,7 @@
     tracing::info!(target: "drain", accepted_since, "grace time over, closing the listeners");
     components.lifecycle.enter(Stage::Closing);
     // Requests in transit when the listeners closed have arrived after this time.
-    sleep(limits.final_read_time * 2).await;
+    sleep(limits.final_read_duration * 2).await;
     let mut finished = std::pin::pin!(wait_until_clients_closed(components));
     let until = components.clock.instant(add_duration(started_at, limits.forwarding_end_after_stop));
     if timeout_at(until.into(), &mut finished).await.is_err() {
@@ -162,9 +171,9 @@
 /// Streams of requests accepted after `interrupt_after` are interrupted if clients resume streams at another router.
 fn answer_open_requests(components: &Components, interrupt_after: Nanos) {
     components.lifecycle.enter(Stage::Rejecting);
-    let open_requests = components.with(|core, _| core.open_requests());
+    let open_requests = components.with_core(|core, _| core.open_requests());
     tracing::info!(target: "drain", clients = components.clients.open(), open_requests,
         "answering requests without a response");
     let interrupt_after = components.deployment.resumes_streams.then_some(interrupt_after);
-    components.with(|core, now| core.answer_for_shutdown(now, interrupt_after));
+    components.with_core(|core, now| core.answer_for_shutdown(now, interrupt_after));
 }
--- a/router/src/status.rs
+++ b/router/src/status.rs
@@ -40,8 +40,8 @@
 
 /// Formats the state of the router and of its replicas as one line.
 pub fn format_state(components: &Components) -> String {
-    let (open, timers, replicas) =
-        components.with(|core, now| (core.open_requests(), core.scheduled_timers(), core.view(now)));
+    let (open, timers, replicas) = components
+        .with_core(|core, now| (core.open_requests(), core.scheduled_timers(), core.replica_snapshots(now)));
     let (connections, idle) = components.replicas.connection_counts();
     let mut line = format!(
         "open requests {open}, clients {}, replica connections {connections} ({idle} idle), request ids {}, \
@@ -83,7 +83,7 @@
     loop {
         interval.tick().await;
         tracing::info!(target: "status", "{}", format_state(&components));
-        tracing::info!(target: "status", "{}", components.with(|core, _| format_counts(core.counts())));
+        tracing::info!(target: "status", "{}", components.with_core(|core, _| format_counts(core.counts())));
         tracing::info!(target: "status", "{}", format_endpoint_list(&components.endpoint_list.state));
         let dropped = log.as_ref().map_or(0, |log| log.newly_dropped());
         if dropped > 0 {
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -14,8 +14,8 @@
 use tallypin_health::assessment::{HealthState, OperatorOrder};
 use tallypin_health::drain_sequence::{DrainGoal, DrainPhase};
 use tallypin_health::{grpc_health, load_report};
-use tallypin_router::checks::control::{execute, Command, Control};
-use tallypin_router::checks::{self, Board, CheckListeners};
+use tallypin_router::checks::control::{execute, Command, ControlSocket};
+use tallypin_router::checks::{self, CheckListeners, HealthMonitor};
 use tallypin_router::components::Components;
 use tallypin_router::dialect::Dialect::Chat;
 use tallypin_router::endpoint_list::{self, EndpointListMessage, EndpointRecord};
@@ -35,7 +35,7 @@
 /// A router with check listeners, and its addresses.
 struct TestRouter {
     components: Rc<Components>,
-    board: Rc<Board>,
+    health_monitor: Rc<HealthMonitor>,
     front: SocketAddr,
     messages_front: SocketAddr,
     /// `None` only while the router stops.
@@ -84,14 +84,14 @@
     installation.reserve(&mut config.limits).unwrap();
     let components = Components::new(config, Chat, peers).unwrap();
     components.start();
-    components.outward.guard(installation.gate.clone());
+    components.balancer_interface.set_proxy_protocol_policy(installation.proxy_policy.clone());
     endpoint_list::apply(
         &components.endpoint_list,
         &EndpointListMessage { version: 1, full: true, endpoints },
         ListUpdate::Cached,
     );
-    let board = Board::new(&installation, components.outward.clone());
-    let check_listeners = checks::start(&components.check_context(), &board).await.unwrap();
+    let health_monitor = HealthMonitor::new(&installation, components.balancer_interface.clone());
+    let check_listeners = checks::start(&components.check_context(), &health_monitor).await.unwrap();
     let (platform_listener, messages_listener) =
         (TcpListener::bind(addresses[0]).await.unwrap(), TcpListener::bind(ANY_PORTS[0]).await.unwrap());
     let (front, messages_front) =
@@ -109,7 +109,7 @@
     ];
     TestRouter {
         components,
-        board,
+        health_monitor,
         front,
         messages_front,
         check_listeners: Some(check_listeners),
@@ -128,11 +128,11 @@
 
 impl TestRouter {
     async fn until(&self, condition: impl Fn(HealthState) -> bool) {
-        let _ = self.board.subscribe().wait_for(|assessment| condition(assessment.state)).await;
+        let _ = self.health_monitor.subscribe().wait_for(|assessment| condition(assessment.state)).await;
     }
 
     async fn until_phase(&self, phase: DrainPhase) {
-        let _ = self.board.phases().wait_for(|p| *p == phase).await;
+        let _ = self.health_monitor.subscribe_drain_phase().wait_for(|p| *p == phase).await;
     }
 
     fn agent(&self) -> SocketAddr {
@@ -163,9 +163,9 @@
 
     /// Begins a drain that ends with the router's shutdown, as SIGTERM does.
     fn begin_shutdown(&self) -> JoinHandle<()> {
-        assert!(self.board.want(DrainGoal::Exit, OperatorOrder::Drain));
-        let (components, board) = (self.components.clone(), self.board.clone());
-        spawn_local(async move { shutdown::wait_and_finish_drain(&components, &board).await })
+        assert!(self.health_monitor.set_drain_goal(DrainGoal::Exit, OperatorOrder::Drain));
+        let (components, health_monitor) = (self.components.clone(), self.health_monitor.clone());
+        spawn_local(async move { shutdown::wait_and_finish_drain(&components, &health_monitor).await })
     }
 }
 
@@ -196,11 +196,15 @@
         });
         until(|| !statuses.borrow().is_empty()).await;
         assert_eq!(router.agent_check().await, "up ready 100%");
-        execute(Command::Drain { end: false }, &router.components.check_context(), &router.board);
+        execute(Command::Drain { end: false }, &router.components.check_context(), &router.health_monitor);
         // Checks are answered with the drain at once, on old and on new connections.
         assert_eq!(router.agent_check().await, "up drain");
-        assert_eq!(probe::grpc(grpc, "").await.unwrap().words, "NOT_SERVING");
-        assert_eq!(router.board.phase(), DrainPhase::Notifying, "the HTTP checker has not been notified yet");
+        assert_eq!(probe::check_grpc(grpc, "").await.unwrap().text, "NOT_SERVING");
+        assert_eq!(
+            router.health_monitor.drain_phase(),
+            DrainPhase::Notifying,
+            "the HTTP checker has not been notified yet"
+        );
         let (code, head, _, complete) = client.ask("").await;
         assert!(code == 200 && complete && field(&head, "connection").is_none(), "{head}");
         assert_eq!(get(&mut checker, "/healthz").await.0, 404);
@@ -210,7 +214,10 @@
         let (code, head, _, complete) = client.ask("").await;
         assert!(code == 200 && complete && field(&head, "connection") == Some("close"), "{head}");
         // The drain is cancelled while connections close.
-        assert_eq!(execute(Command::Ready, &router.components.check_context(), &router.board)["done"], true);
+        assert_eq!(
+            execute(Command::Ready, &router.components.check_context(), &router.health_monitor)["done"],
+            true
+        );
         assert_eq!(router.agent_check().await, "up ready 100%");
         assert_eq!(get(&mut checker, "/healthz").await.0, 200);
         until(|| *statuses.borrow() == [1, 2, 1]).await;
@@ -219,18 +226,22 @@
         assert!(code == 200 && field(&head, "connection").is_none());
         // A second drain completes: idle connections close, and new ones are served until the router shuts down.
         assert_eq!(
-            execute(Command::Drain { end: false }, &router.components.check_context(), &router.board)["done"],
+            execute(
+                Command::Drain { end: false },
+                &router.components.check_context(),
+                &router.health_monitor
+            )["done"],
             true
         );
         router.agent_check().await;
-        probe::grpc(grpc, "").await.unwrap();
+        probe::check_grpc(grpc, "").await.unwrap();
         get(&mut checker, "/healthz").await;
         router.until_phase(DrainPhase::Drained).await;
         assert_eq!(client.stream.read(&mut [0; 8]).await.unwrap(), 0, "the router closes an idle connection");
         assert_eq!(Client::to(router.front).await.ask("").await.0, 200);
         let shutdown = router.begin_shutdown();
         assert_eq!(
-            execute(Command::Ready, &router.components.check_context(), &router.board)["done"],
+            execute(Command::Ready, &router.components.check_context(), &router.health_monitor)["done"],
             false,
             "a shutdown cannot be cancelled"
         );
@@ -250,7 +261,7 @@
             replica.plan(&[Fault::Mute]);
             let mut config = config();
             config.limits.drain_time = 30 * MS;
-            config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = effect);
+            config.deployment.decision_settings.classes.iter_mut().for_each(|c| c.effect = effect);
             let router =
                 start_with(config, vec![row("s-0", replica.addr, "active")], &ANY_PORTS, &[], None).await;
             router.until(|s| s == HealthState::Up).await;
@@ -284,7 +295,7 @@
         let (code, _, body) = get(&mut client, "/healthz").await;
         assert!(code == 200 && body.contains("every model node is cold"), "{body}");
         set_endpoints(vec![]);
-        until(|| router.board.assessment().cause.description() == "no model node takes work").await;
+        until(|| router.health_monitor.assessment().cause.description() == "no model node takes work").await;
         assert!(router.agent_check().await.starts_with("up ready "));
         let (code, _, body) = get(&mut client, "/readyz?verbose").await;
         assert!(code == 200 && body.contains("[-]nodes not well: 0 ready"), "{body}");
@@ -301,9 +312,9 @@
         let own_address = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let mut config = config();
         let each = vec![own_address, peer.local_addr().unwrap()];
-        let addresses = config::PeerAddresses { listen: own_address, each, all: None };
+        let addresses = config::PeerAddresses { listen: own_address, routers: each, broadcast: None };
         config.peers = Some(addresses.clone());
-        let digest = config.deployment.decisions.digest;
+        let digest = config.deployment.decision_settings.tenants_digest;
         let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
         let refusing = ReservedPort::new();
         // Several replicas, because a router waits before it uses one again that refused a connection.
@@ -315,11 +326,11 @@
         for _ in 0..4 {
             client.ask("").await;
         }
-        until(|| router.board.assessment().cause.description() == "no model node answers").await;
+        until(|| router.health_monitor.assessment().cause.description() == "no model node answers").await;
         assert!(router.agent_check().await.starts_with("up ready "), "no peer is known to serve");
         let report = tallypin::served_report::encode(digest, 500, &[served(7, 0)]);
         let mut interval = tokio::time::interval(20 * MS);
-        while router.board.assessment().state != HealthState::Down {
+        while router.health_monitor.assessment().state != HealthState::Down {
             interval.tick().await;
             peer.send_to(&report[0], own_address).await.unwrap();
         }
@@ -327,7 +338,7 @@
             router.agent_check().await,
             "down ready #no model node answers here while another router serves"
         );
-        assert_eq!(probe::http(router.http(), "/healthz").await.unwrap().state, HealthState::Down);
+        assert_eq!(probe::check_http(router.http(), "/healthz").await.unwrap().state, HealthState::Down);
         // When the peer falls silent, this router may be the last one, and returns to degraded.
         router.until(|s| s == HealthState::Degraded).await;
     });
@@ -357,8 +368,8 @@
                 silent.push(stream);
             }
             assert!(router.agent_check().await.starts_with("up ready "));
-            assert_eq!(probe::http(router.http(), "/healthz").await.unwrap().state, HealthState::Up);
-            assert_eq!(probe::grpc(router.grpc(), "").await.unwrap().state, HealthState::Up);
+            assert_eq!(probe::check_http(router.http(), "/healthz").await.unwrap().state, HealthState::Up);
+            assert_eq!(probe::check_grpc(router.grpc(), "").await.unwrap().state, HealthState::Up);
         }
         let mut still_open = 0;
         for stream in &silent {
@@ -410,7 +421,7 @@
         ] {
             assert_eq!(agent_line(router.agent(), line).await.as_deref(), Some(expected), "{line:?}");
         }
-        assert!(probe::grpc(router.grpc(), "letters")
+        assert!(probe::check_grpc(router.grpc(), "letters")
             .await
             .unwrap_err()
             .to_string()
@@ -450,7 +461,7 @@
         );
         for order in [OperatorOrder::Drain, OperatorOrder::Ready, OperatorOrder::Maintenance] {
             let goal = if order == OperatorOrder::Ready { DrainGoal::Serve } else { DrainGoal::Drain };
-            router.board.want(goal, order);
+            router.health_monitor.set_drain_goal(goal, order);
             tokio::time::sleep(5 * MS).await;
         }
         proceed.notify_one();
@@ -472,11 +483,12 @@
         let router = start(&[&replica], &addresses, &[]).await;
         let mut old_connection = Client::to(router.http()).await;
         assert_eq!(get(&mut old_connection, "/healthz").await.0, 200);
-        let mut reloader = SettingsReloader::new(&router.installation, Some(router.board.clone()), None);
+        let mut reloader =
+            SettingsReloader::new(&router.installation, Some(router.health_monitor.clone()), None);
         addresses[2] = new.addr();
         let replacements = [("drain 404", "drain 418"), ("checks {", "checks {\n connections 5\n envoy on")];
         let changed = installation(&config(), &fast_settings(&addresses, &replacements));
-        reloader.apply(&router.components.outward, &changed);
+        reloader.apply(&router.components.balancer_interface, &changed);
         let mut new_connection = loop {
             match TcpStream::connect(new.addr()).await {
                 Ok(stream) => break Client { stream, buf: Vec::new() },
@@ -484,7 +496,7 @@
             }
         };
         assert!(TcpStream::connect(old.addr()).await.is_err(), "the old listener is closed");
-        router.board.want(DrainGoal::Drain, OperatorOrder::Drain);
+        router.health_monitor.set_drain_goal(DrainGoal::Drain, OperatorOrder::Drain);
         assert_eq!(
             get(&mut old_connection, "/healthz").await.0,
             418,
@@ -496,7 +508,10 @@
         // An address in use is not taken over, but the other settings apply.
         let occupied = TcpListener::bind("127.0.0.1:0").await.unwrap();
         addresses[2] = occupied.local_addr().unwrap();
-        reloader.apply(&router.components.outward, &installation(&config(), &fast_settings(&addresses, &[])));
+        reloader.apply(
+            &router.components.balancer_interface,
+            &installation(&config(), &fast_settings(&addresses, &[])),
+        );
         assert_eq!(get(&mut old_connection, "/healthz").await.0, 404);
         assert_eq!(get(&mut Client::to(new.addr()).await, "/healthz").await.0, 404);
     });
@@ -516,7 +531,7 @@
             ("listen 127.0.0.1:0\n    }\n}", "listen 127.0.0.1:0\n reports on\n }\n}"),
         ];
         let router = start(&[&replica], &ANY_PORTS, &replacements).await;
-        until(|| router.components.outward.fields().contains("weight=1")).await;
+        until(|| router.components.balancer_interface.response_fields().contains("weight=1")).await;
         for (head, body) in [
             {
                 let (_, h, b, _) = Client::to(router.front).await.ask("").await;
@@ -533,10 +548,10 @@
             );
             assert_eq!(field(&head, "x-envoy-degraded"), None);
         }
-        execute(Command::Maint, &router.components.check_context(), &router.board);
+        execute(Command::Maint, &router.components.check_context(), &router.health_monitor);
         let (_, head, ..) = Client::to(router.front).await.ask("").await;
         assert_eq!(field(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
-        let report = router.board.load_report();
+        let report = router.health_monitor.load_report();
         assert!(report.named_metrics.contains_key("open") && report.utilization.contains_key("clients"));
     });
 }
@@ -623,7 +638,8 @@
             messages.stream.write_all(header).await.unwrap();
             assert_eq!(get(&mut messages, "/healthz").await.0, 200);
         }
-        let checkers: Vec<String> = router.board.askers().iter().map(|a| a.id.ip.to_string()).collect();
+        let checkers: Vec<String> =
+            router.health_monitor.checkers().iter().map(|a| a.id.ip.to_string()).collect();
         assert!(
             checkers.contains(&"192.0.2.7".into()) && checkers.contains(&"127.0.0.1".into()),
             "{checkers:?}"
@@ -638,11 +654,11 @@
                 assert_eq!(received, b"", "{bytes:?}");
             }
         }
-        assert_eq!(router.components.outward.invalid_headers(), 9);
+        assert_eq!(router.components.balancer_interface.invalid_headers(), 9);
         // A header from an untrusted sender does not change the client address: it is an invalid request.
         let section = section.replace("from 127.0.0.1", "from 10.0.0.0/8");
         let changed = installation(&config(), &fast_settings(&ANY_PORTS, &[("health {", &section)]));
-        router.components.outward.guard(changed.gate);
+        router.components.balancer_interface.set_proxy_protocol_policy(changed.proxy_policy);
         let mut client = Client::to(router.front).await;
         client.stream.write_all(&v1).await.unwrap();
         assert_eq!(client.ask("").await.0, 400);
@@ -660,14 +676,17 @@
         // A killed router leaves its socket file behind.
         drop(std::os::unix::net::UnixListener::bind(&socket).unwrap());
         let settings = ControlSettings { socket: socket.clone(), mode: 0o600 };
-        let control = Control::bind(&settings).await.unwrap();
+        let control = ControlSocket::bind(&settings).await.unwrap();
         assert_eq!(std::fs::metadata(&socket).unwrap().permissions().mode() & 0o777, 0o600);
-        let serving =
-            spawn_local(control.serve(router.components.check_context(), router.board.clone(), None));
-        let error = Control::bind(&settings).await.err().expect("the socket is in use").to_string();
+        let serving = spawn_local(control.serve(
+            router.components.check_context(),
+            router.health_monitor.clone(),
+            None,
+        ));
+        let error = ControlSocket::bind(&settings).await.err().expect("the socket is in use").to_string();
         assert!(error.contains("another router answers there"), "{error}");
         let send = async |order: &str| -> serde_json::Value {
-            serde_json::from_str(&probe::order(&socket, order).await.unwrap()).unwrap()
+            serde_json::from_str(&probe::send_order(&socket, order).await.unwrap()).unwrap()
         };
         let status = send("show").await;
         assert_eq!(
@@ -675,7 +694,7 @@
             (&"up".into(), &100.into(), &"serving".into())
         );
         assert_eq!(send("weight 30%").await["done"], true);
-        until(|| router.board.assessment().weight == 30).await;
+        until(|| router.health_monitor.assessment().weight == 30).await;
         assert_eq!(router.agent_check().await, "up ready 30%");
         assert_eq!(send("maint").await["state"], "maint");
         assert_eq!(router.agent_check().await, "stopped maint #in maintenance");
@@ -805,12 +824,12 @@
         let shutdown = router.begin_shutdown();
         infrequent.until(0, |h| !h.ready || !h.up).await;
         assert!(
-            router.board.phase() <= DrainPhase::ClosingConnections,
+            router.health_monitor.drain_phase() <= DrainPhase::ClosingConnections,
             "the router still serves when the infrequent check reports the drain"
         );
         assert!(!frequent.held(0).ready);
         shutdown.await.unwrap();
-        assert!(!router.board.untold());
+        assert!(!router.health_monitor.notification_timed_out());
     });
 }
 
@@ -842,10 +861,14 @@
                 execute(
                     Command::Drain { end: true },
                     &routers[number].components.check_context(),
-                    &routers[number].board,
+                    &routers[number].health_monitor,
                 );
                 tokio::time::sleep(Duration::from_millis(random.u64(0..10))).await;
-                execute(Command::Ready, &routers[number].components.check_context(), &routers[number].board);
+                execute(
+                    Command::Ready,
+                    &routers[number].components.check_context(),
+                    &routers[number].health_monitor,
+                );
                 balancer.until(number, |h| h.up && h.ready).await;
             }
             routers[number].begin_shutdown().await.unwrap();
--- a/router/tests/closing.rs
+++ b/router/tests/closing.rs
@@ -40,7 +40,7 @@
     for (delay, front) in (0..60).flat_map(|delay| [(delay, 0), (delay, 1)]) {
         let node = Node::new(Chat).await;
         let router =
-            Router::new(Chat, &[&node], |limits| limits.final_read_time = Duration::from_millis(2)).await;
+            Router::new(Chat, &[&node], |limits| limits.final_read_duration = Duration::from_millis(2)).await;
         let statuses = scenario(delay, &node, &router, fronts(&router)[front]).await;
         let requests = node.so_far().1;
         assert_eq!(statuses, vec![200; requests], "front {front}, delay {delay}: {requests} forwarded");
@@ -103,7 +103,7 @@
         for (shutdown, front) in [(true, 0), (true, 1), (false, 0), (false, 1)] {
             let node = Node::new(Chat).await;
             let router = Router::new(Chat, &[&node], |limits| {
-                limits.final_read_time = Duration::from_millis(1);
+                limits.final_read_duration = Duration::from_millis(1);
                 if !shutdown {
                     limits.client_idle_timeout = Duration::from_millis(5);
                 }
--- a/router/tests/cold_budget.rs
+++ b/router/tests/cold_budget.rs
@@ -40,8 +40,8 @@
         idle_timeout: 5 * SECOND,
         // Tenant quotas are not tested here.
         tenants: Vec::new(),
-        digest: TenantsDigest::default(),
-        ..common::config().deployment.decisions
+        tenants_digest: TenantsDigest::default(),
+        ..common::config().deployment.decision_settings
     }
 }
 
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -55,7 +55,7 @@
 
 pub fn installation(config: &Config, text: &str) -> Installation {
     let read = |_: &std::path::Path| Ok(text.to_string());
-    let read = Installation::read_by("t.conf".as_ref(), &config.deployment, &read);
+    let read = Installation::read_with("t.conf".as_ref(), &config.deployment, &read);
     read.unwrap_or_else(|problems| panic!("{problems}"))
 }
 
@@ -456,12 +456,12 @@
     }
 
     pub fn tallies(&self) -> RequestCounts {
-        self.components.with(|core, _| core.counts().clone())
+        self.components.with_core(|core, _| core.counts().clone())
     }
 
     /// Number of open requests.
     pub fn open(&self) -> usize {
-        self.components.with(|core, _| core.open_requests())
+        self.components.with_core(|core, _| core.open_requests())
     }
 }
 
--- a/router/tests/core.rs
+++ b/router/tests/core.rs
@@ -13,12 +13,12 @@
 
 /// Returns a core with the settings of the tests and `replicas` ready replicas of one zone.
 fn core(replicas: u32) -> Core {
-    core_with_settings(common::config().deployment.decisions, replicas)
+    core_with_settings(common::config().deployment.decision_settings, replicas)
 }
 
 /// Returns a core in which all classes have the same effect.
 fn core_with_effect(effect: Effect, replicas: u32) -> Core {
-    let mut settings = common::config().deployment.decisions;
+    let mut settings = common::config().deployment.decision_settings;
     settings.classes.iter_mut().for_each(|c| c.effect = effect);
     core_with_settings(settings, replicas)
 }
@@ -267,7 +267,7 @@
     let deployment =
         tallypin::deployment::parse(settings_text).unwrap_or_else(|e| panic!("{e}: {settings_text}"));
     assert_eq!(deployment.validate(), Ok(()), "{settings_text}");
-    let (settings, resumes_streams) = (deployment.decisions.clone(), deployment.resumes_streams);
+    let (settings, resumes_streams) = (deployment.decision_settings.clone(), deployment.resumes_streams);
     let mut core = Core::new(settings.clone(), seed, 10 * MS).expect("the settings are valid");
     let entry = |n: u32, state, started_at| EndpointEntry {
         replica: name_hash::replica_id(&format!("s-{n}")),
@@ -333,7 +333,7 @@
                 let counts: Vec<_> = (0..rng.u32(..4))
                     .map(|tenant| ServedCount { tenant: TenantId(tenant), requests: rng.u32(..2_000_000) })
                     .collect();
-                let reports = served_report::encode(settings.digest, rng.u64(..20_000), &counts);
+                let reports = served_report::encode(settings.tenants_digest, rng.u64(..20_000), &counts);
                 for bytes in reports.into_iter().chain([random_bytes]) {
                     core.peer_message_received(now, PeerId(rng.u32(..400)), bytes);
                 }
@@ -409,7 +409,7 @@
             issued.push(match instruction {
                 // Replaces the digest of the tenants' names, the only part of an instruction that may depend on names.
                 Instruction::SendReport(bytes) => {
-                    let report = served_report::decode(settings.digest, &bytes)
+                    let report = served_report::decode(settings.tenants_digest, &bytes)
                         .expect("the report has the router's own digest");
                     let [without_names] =
                         &served_report::encode(TenantsDigest::default(), report.span_ms, &report.served)[..]
--- a/router/tests/ending.rs
+++ b/router/tests/ending.rs
@@ -133,7 +133,7 @@
             let mut config = config();
             config
                 .deployment
-                .decisions
+                .decision_settings
                 .classes
                 .iter_mut()
                 .for_each(|class| class.effect = Effect::NotIdempotent);
@@ -162,8 +162,8 @@
             client.send(&request()).await;
             node.next_request().await;
             // The attempt has reported its first event to the core, but not yet to the client's front.
-            router.components.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
-            router.components.with(|core, now| core.answer_for_shutdown(now, Some(0)));
+            router.components.with_core(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
+            router.components.with_core(|core, now| core.answer_for_shutdown(now, Some(0)));
             let (actual, _, body, _) = client.answer().await;
             assert_eq!(actual, expected, "front {front}");
             assert!(front == 0 || body.contains("event: error"), "front {front}: {body}");
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -34,7 +34,7 @@
             // This task runs on the router's thread, in between the router's own tasks.
             let components = router.components.clone();
             let disconnect_task = spawn_local(async move {
-                while components.with(|core, _| core.open_requests()) < clients.len() {
+                while components.with_core(|core, _| core.open_requests()) < clients.len() {
                     turns(1).await;
                 }
                 turns(wait_turns).await;
@@ -80,7 +80,7 @@
             client.send(&request()).await;
             let components = router.components.clone();
             let disconnect_task = spawn_local(async move {
-                let open_requests = || components.with(|core, _| core.open_requests());
+                let open_requests = || components.with_core(|core, _| core.open_requests());
                 while open_requests() == 0 {
                     turns(1).await;
                 }
--- a/router/tests/layers.rs
+++ b/router/tests/layers.rs
@@ -20,7 +20,7 @@
         purpose: "values and utilities independent of requests: sizes, times, the clock, HTTP, the dialects, configuration files",
         modules: &[
             "shortage", "clock", "lifecycle", "limits", "log", "bind", "http", "body_budget", "request_ids", "clients",
-            "keep_alive", "outward", "probe", "endpoint_list::message", "config", "dialect",
+            "keep_alive", "balancer_interface", "probe", "endpoint_list::message", "config", "dialect",
         ],
     },
     Layer {
--- a/router/tests/list_budget.rs
+++ b/router/tests/list_budget.rs
@@ -44,7 +44,7 @@
 }
 
 fn simulated_router(index: u32, router_count: u32, limits: &Limits) -> SimulatedRouter {
-    let mut settings = common::config().deployment.decisions;
+    let mut settings = common::config().deployment.decision_settings;
     (settings.own_index, settings.router_count) = (PeerId(index), router_count);
     settings.list_mode = EndpointListMode::Polled { max_poll_interval: 10 * SECOND };
     let timeouts = WatchTimeouts {
--- a/router/tests/list_crowd.rs
+++ b/router/tests/list_crowd.rs
@@ -101,7 +101,7 @@
 
     /// Creates the core of a router that starts with the list of its configuration.
     fn core(&mut self, index: u32, now: Nanos) -> Core {
-        let mut settings = common::config().deployment.decisions;
+        let mut settings = common::config().deployment.decision_settings;
         (settings.own_index, settings.router_count) = (PeerId(index), self.scenario.routers);
         settings.list_mode = EndpointListMode::Polled { max_poll_interval: 10 * SECOND };
         settings.has_peers = self.scenario.message_loss.is_some();
@@ -136,7 +136,9 @@
             self.answer_calls(now);
         }
         let end = self.changed_at + NOTIFICATION_LIMIT + DRAIN_GRACE;
-        let sends = |router: &Router| router.core.view(end).iter().any(|replica| replica.replica == DRAINED);
+        let sends = |router: &Router| {
+            router.core.replica_snapshots(end).iter().any(|replica| replica.replica == DRAINED)
+        };
         self.routers.iter().filter(|router| sends(router)).count()
     }
 
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -68,7 +68,7 @@
                     &list_message(update, records),
                     update,
                 );
-                let ready_in_core = router.components.with(|core, _| {
+                let ready_in_core = router.components.with_core(|core, _| {
                     core.listed_replicas().filter(|r| r.state == EndpointState::Ready).count()
                 });
                 let case = format!("{update:?}, {states:?}");
@@ -103,19 +103,19 @@
         let node = Node::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
-        config.node_list = list.local_addr().unwrap();
+        config.endpoint_list_agent = list.local_addr().unwrap();
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, _) = next_call(&list).await;
         call.send(&(WATCH.to_string() + &long_list(41, 1, &"n".repeat(60_000), &node))).await;
         until(|| router.components.replicas.ready_count() == 1).await;
         call.send(&long_list(42, 5_000, "u", &node)).await;
-        until(|| router.components.with(|core, _| core.listed_replicas().count()) == 5_001).await;
+        until(|| router.components.with_core(|core, _| core.listed_replicas().count()) == 5_001).await;
         let too_long = long_list(43, 100_000, "t", &node);
         // The router closes the connection before it has read the whole list, so the write may fail.
         let _ = tokio::io::AsyncWriteExt::write_all(&mut call.stream, too_long.as_bytes()).await;
         let (_second_call, head) = next_call(&list).await;
         assert!(head.contains("since=42"), "{head}");
-        assert_eq!(router.components.with(|core, _| core.listed_replicas().count()), 5_001);
+        assert_eq!(router.components.with_core(|core, _| core.listed_replicas().count()), 5_001);
         assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
     });
 }
--- a/router/tests/list_watch.rs
+++ b/router/tests/list_watch.rs
@@ -23,7 +23,7 @@
 
 /// Returns the number of replicas that the router may send requests to.
 fn usable_replicas(router: &Router) -> usize {
-    router.components.with(|core, now| core.view(now).len())
+    router.components.with_core(|core, now| core.replica_snapshots(now).len())
 }
 
 /// Guards against an incomplete message that counts as a sign of life: blank lines after it would keep the watch open for
@@ -34,7 +34,7 @@
         let node = Node::new(Chat).await;
         let list = listener().await;
         let mut config = config();
-        config.node_list = list.local_addr().unwrap();
+        config.endpoint_list_agent = list.local_addr().unwrap();
         config.limits.list_message_stall_timeout = 100 * MS;
         let router = Router::by(config, Chat, &[], None).await;
         let complete = page(41, true, "s-1", &node, "active");
@@ -75,7 +75,7 @@
     run(async {
         let list = listener().await;
         let mut config = config();
-        config.node_list = list.local_addr().unwrap();
+        config.endpoint_list_agent = list.local_addr().unwrap();
         config.limits.list_message_stall_timeout = 100 * MS;
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, _) = next_call(&list).await;
@@ -83,7 +83,7 @@
         let (_second_call, _) = next_call(&list).await;
         let counts = router.components.endpoint_list.state.counts();
         assert_eq!(counts, WatchCounts { opened: 2, established: 0, failed: 1, lost: 0 });
-        assert!(!router.components.endpoint_list.state.is_fresh());
+        assert!(!router.components.endpoint_list.state.is_active());
     });
 }
 
@@ -94,10 +94,10 @@
         let node = Node::new(Chat).await;
         let (former, new) = (listener().await, listener().await);
         let mut config = config();
-        config.node_list = former.local_addr().unwrap();
+        config.endpoint_list_agent = former.local_addr().unwrap();
         let mut new_config = config.clone();
-        new_config.node_list = new.local_addr().unwrap();
-        let startup = StartupConfiguration::of(&config);
+        new_config.endpoint_list_agent = new.local_addr().unwrap();
+        let startup = StartupConfiguration::from_config(&config);
         let router = Router::by(config, Chat, &[], None).await;
         let (mut first_call, _) = next_call(&former).await;
         first_call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
@@ -123,14 +123,15 @@
         let mut routers = Vec::new();
         for (index, list) in lists.iter().enumerate() {
             let mut config = config();
-            let decisions = &mut config.deployment.decisions;
+            let decisions = &mut config.deployment.decision_settings;
             (decisions.own_index, decisions.router_count) = (PeerId(index as u32), 2);
             // Long intervals and timeouts, so that each router makes a single call.
             decisions.list_mode = EndpointListMode::Polled { max_poll_interval: 60 * SECOND };
-            let digest = decisions.digest;
-            config.node_list = list.local_addr().unwrap();
+            let digest = decisions.tenants_digest;
+            config.endpoint_list_agent = list.local_addr().unwrap();
             config.limits.list_response_timeout = Duration::from_secs(60);
-            let addresses = PeerAddresses { listen: peer_addrs[index], each: peer_addrs.clone(), all: None };
+            let addresses =
+                PeerAddresses { listen: peer_addrs[index], routers: peer_addrs.clone(), broadcast: None };
             let peers = Peers::new(addresses, PeerId(index as u32), digest).await.unwrap();
             routers.push(Router::by(config, Chat, &[&nodes[0], &nodes[1]], Some(peers)).await);
         }
@@ -140,7 +141,7 @@
         until(|| usable_replicas(&routers[0]) == 1).await;
         until(|| usable_replicas(&routers[1]) == 1).await;
         assert_eq!(
-            routers[1].components.with(|core, _| core.listed_replicas().count()),
+            routers[1].components.with_core(|core, _| core.listed_replicas().count()),
             2,
             "the second router keeps its own list"
         );
@@ -151,7 +152,7 @@
         second_call.send(&(WATCH.to_string() + &page(40, true, "s-1", &nodes[1], "active"))).await;
         until(|| usable_replicas(&routers[1]) == 1).await;
         let listed =
-            routers[1].components.with(|core, _| core.listed_replicas().cloned().collect::<Vec<_>>());
+            routers[1].components.with_core(|core, _| core.listed_replicas().cloned().collect::<Vec<_>>());
         assert_eq!((listed.len(), listed[0].state), (1, EndpointState::Ready));
     });
 }
