--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -107,7 +107,7 @@
             }
         }
         assert_eq!(
-            (&complete_events[..], &events.take_rest()[..]),
+            (&complete_events[..], &events.take_incomplete()[..]),
             (&text[..text.len() - 2], &b"da"[..]),
             "pieces of {piece_size} bytes"
         );
@@ -326,14 +326,14 @@
     ];
     let errors = cases.map(|(from, to)| {
         let text = settings.replace(from, to);
-        match Installation::read_by("t.conf".as_ref(), &deployment, &|_| Ok(text.clone())) {
+        match Installation::read_with("t.conf".as_ref(), &deployment, &|_| Ok(text.clone())) {
             Ok(_) => format!("{to}: taken"),
             Err(error) => format!("{to}\n  {}", error.short().collect::<Vec<_>>().join("\n  ")),
         }
     });
     insta::assert_snapshot!(errors.join("\n"));
     let read_settings = |text: &str| {
-        Installation::read_by("t.conf".as_ref(), &deployment, &|_| Ok(text.to_string())).unwrap()
+        Installation::read_with("t.conf".as_ref(), &deployment, &|_| Ok(text.to_string())).unwrap()
     };
     let original = read_settings(&settings);
     let reread = read_settings(&tallypin_settings_schema::print(&original.checked));
@@ -346,8 +346,8 @@
     assert_eq!(sections(&original), sections(&reread));
     // The defaults of the settings table equal those in the code.
     let defaults = read_settings("");
-    assert_eq!(defaults.health.figures, Default::default());
-    assert_eq!((defaults.health.drain, defaults.health.askers), Default::default());
+    assert_eq!(defaults.health.assessment_limits, Default::default());
+    assert_eq!((defaults.health.drain, defaults.health.checker_limits), Default::default());
     let mut limits = Limits::new(16, 64, &deployment);
     assert!(original.reserve(&mut limits).is_err(), "64 descriptors are too few for 32 checks and clients");
     let mut limits = Limits::new(192, 256, &deployment);
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -38,7 +38,7 @@
             // This task runs between the choice of the replica and the first poll of the attempt.
             let components = router.components.clone();
             let closing = tokio::task::spawn_local(async move {
-                while components.with(|core, _| core.open_requests()) == 0 {
+                while components.with_core(|core, _| core.open_requests()) == 0 {
                     turns(1).await;
                 }
                 node.shutdown(std::net::Shutdown::Write).unwrap();
@@ -108,7 +108,7 @@
             idle.send(&request()).await;
             assert_eq!(idle.answer().await.0, 200);
             let mut idle = into_blocking(idle);
-            until(|| router.components.clients.close_one_idle()).await;
+            until(|| router.components.clients.request_idle_close()).await;
             // The connection's task was asked to close and has not run; it knows the readiness of the last poll only.
             idle.write_all(request().as_bytes()).unwrap();
             wait_for_arrival(&[&idle], Arrival::Data);
@@ -126,7 +126,7 @@
         for front in [0, 1] {
             let node = Node::new(Chat).await;
             let router =
-                Router::new(Chat, &[&node], |l| (l.max_clients, l.final_read_time) = (1, 200 * MS)).await;
+                Router::new(Chat, &[&node], |l| (l.max_clients, l.final_read_duration) = (1, 200 * MS)).await;
             let (addr, request) = fronts(&router)[front];
             let mut idle = Client::to(addr).await;
             idle.send(&request()).await;
@@ -187,10 +187,10 @@
     let bind = || TcpListener::bind("127.0.0.1:0");
     let (former, new) = (bind().await.unwrap(), bind().await.unwrap());
     let mut config = Config::parse(CONFIG).unwrap();
-    config.node_list = former.local_addr().unwrap();
+    config.endpoint_list_agent = former.local_addr().unwrap();
     let mut moved = config.clone();
-    moved.node_list = new.local_addr().unwrap();
-    let running = StartupConfiguration::of(&config);
+    moved.endpoint_list_agent = new.local_addr().unwrap();
+    let running = StartupConfiguration::from_config(&config);
     let router = Router::by(config, Chat, &[], None).await;
     let mut old_watch = accept_watch(&former).await;
     old_watch.write_all(page(41, true, "s-1", node, "active").as_bytes()).unwrap();
@@ -210,7 +210,7 @@
         new_watch.write_all(page(7, true, "s-1", &node, "leaving").as_bytes()).unwrap();
         old_watch.write_all(page(42, false, "s-1", &node, "active").as_bytes()).unwrap();
         wait_for_arrival(&[&new_watch, &old_watch], Arrival::Data);
-        let state = || router.components.with(|core, _| core.listed_replicas().map(|r| r.state).next());
+        let state = || router.components.with_core(|core, _| core.listed_replicas().map(|r| r.state).next());
         until(|| state() != Some(tallypin::api::EndpointState::Ready)).await;
         for _ in 0..50 {
             tokio::task::yield_now().await;
@@ -233,15 +233,15 @@
         let node = Node::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = Config::parse(CONFIG).unwrap();
-        config.node_list = list.local_addr().unwrap();
+        config.endpoint_list_agent = list.local_addr().unwrap();
         let router = Router::by(config, Chat, &[], None).await;
         let mut watch = accept_watch(&list).await;
         let mut send = |page: String| watch.write_all(page.as_bytes()).unwrap();
         let state_of = |id: &str| {
             let id = tallypin::name_hash::replica_id(id);
-            router
-                .components
-                .with(|core, _| core.listed_replicas().filter(|r| r.replica == id).map(|r| r.state).next())
+            router.components.with_core(|core, _| {
+                core.listed_replicas().filter(|r| r.replica == id).map(|r| r.state).next()
+            })
         };
         send(page(41, true, "s-1", &node, "active"));
         send(page(43, false, "s-1", &node, "leaving"));
--- a/router/tests/recorded_fleet/files.rs
+++ b/router/tests/recorded_fleet/files.rs
@@ -45,7 +45,7 @@
         result.map_or_else(|e| format!("{:?}: {e}", e.kind()), |()| "done".into())
     };
     let begin_trial = || {
-        release_files::begin_trial(&release_file.path)
+        release_files::record_trial_start(&release_file.path)
             .map_or("nothing said".into(), |event| event.to_string())
     };
     let marker_path = dir.join("t.conf.trial");
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -64,7 +64,7 @@
 /// Starts a router whose settings forbid a retry of a request that may have run.
 async fn router_with_side_effects(node: &Node) -> Router {
     let mut config = config();
-    config.deployment.decisions.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
+    config.deployment.decision_settings.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
     Router::by(config, Chat, &[node], None).await
 }
 
@@ -214,8 +214,8 @@
         let mut client = Client::to(cut.addr).await;
         client.send(&platform_with_id("cut", "", "{}")).await;
         node.next_request().await;
-        cut.components.with(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
-        cut.components.with(|core, now| core.answer_for_shutdown(now, Some(0)));
+        cut.components.with_core(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
+        cut.components.with_core(|core, now| core.answer_for_shutdown(now, Some(0)));
         recording.case("cut before it was passed on", raw_answer(&mut client).await);
         recording.check();
     });
@@ -384,7 +384,7 @@
             [("grace", Stage::Grace), ("parting", Stage::AnnouncingClose), ("refusing", Stage::Rejecting)]
         {
             for front in [0, 1] {
-                let (router, _node) = router(Chat, &[], |l| l.final_read_time = 300 * MS).await;
+                let (router, _node) = router(Chat, &[], |l| l.final_read_duration = 300 * MS).await;
                 let (addr, request) = match front {
                     0 => (router.addr, platform_with_id("a", "", "{}")),
                     _ => (router.messages, messages("", MESSAGE)),
@@ -467,15 +467,16 @@
     run(async {
         let mut recording = Recording::new("node-list-calls");
         for (title, mode) in
-            [("asked", config().deployment.decisions.list_mode), ("pushed", EndpointListMode::Pushed)]
+            [("asked", config().deployment.decision_settings.list_mode), ("pushed", EndpointListMode::Pushed)]
         {
             let node = Node::new(Chat).await;
             let ports = [(); 2].map(|()| ReservedPort::new());
             let (old, new) = (ports[0].listen().await, ports[1].listen().await);
             let mut config = config();
-            (config.deployment.decisions.list_mode, config.node_list) = (mode, ports[0].addr());
+            (config.deployment.decision_settings.list_mode, config.endpoint_list_agent) =
+                (mode, ports[0].addr());
             config.limits.list_call_interval = 10 * MS;
-            let (running, mut moved) = (StartupConfiguration::of(&config), config.clone());
+            let (running, mut moved) = (StartupConfiguration::from_config(&config), config.clone());
             let router = Router::by(config, Chat, &[], None).await;
             let (mut call, head) = next_call(&old).await;
             recording.case(&format!("{title}, the first call"), head);
@@ -484,7 +485,7 @@
             drop(call);
             let (_call, head) = next_call(&old).await;
             recording.case(&format!("{title}, after a loss"), head);
-            moved.node_list = ports[1].addr();
+            moved.endpoint_list_agent = ports[1].addr();
             reload::apply(&router.components.endpoint_list.state, &running, &moved);
             let (_call, head) = next_call(&new).await;
             recording.case(&format!("{title}, at a new place"), head);
@@ -504,10 +505,10 @@
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let mut config = config();
-        config.deployment.decisions.router_count = 2;
-        let digest = config.deployment.decisions.digest;
+        config.deployment.decision_settings.router_count = 2;
+        let digest = config.deployment.decision_settings.tenants_digest;
         let each = vec![own_addr, other.local_addr().unwrap()];
-        let addresses = PeerAddresses { listen: own_addr, each, all: None };
+        let addresses = PeerAddresses { listen: own_addr, routers: each, broadcast: None };
         let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
         let mut buf = [0; 512];
         for counts in [&[(3, 0), (200, 1), (70_000, 130)][..], &[(1, 0)], &[]] {
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -64,7 +64,7 @@
         // connection is closed.
         until(|| router.components.clients.open() <= 3).await;
         assert_eq!(
-            (router.components.clients.open(), router.components.clients.is_one_closing()),
+            (router.components.clients.open(), router.components.clients.has_closing_connection()),
             (3, false)
         );
         silent[39].send(&platform("", "{}")).await;
@@ -282,7 +282,7 @@
         let node = Node::new(Chat).await;
         let mut config = config();
         // Disables the warm-up, so that a node accepts requests as soon as it has started.
-        config.deployment.decisions.warm_up_time = 0;
+        config.deployment.decision_settings.warm_up_time = 0;
         let router = Router::by(config, Chat, &[&node], None).await;
         let mut client = Client::to(router.addr).await;
         assert_eq!(client.ask("").await.0, 200);
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -504,7 +504,7 @@
             let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
             let each = vec![own_addr, other.local_addr().unwrap()];
             let peers = Peers::new(
-                PeerAddresses { listen: own_addr, each, all: None },
+                PeerAddresses { listen: own_addr, routers: each, broadcast: None },
                 PeerId(0),
                 TenantsDigest::default(),
             )
@@ -580,7 +580,8 @@
         let node = Node::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
-        (config.limits.watch_silence_timeout, config.node_list) = (100 * MS, list.local_addr().unwrap());
+        (config.limits.watch_silence_timeout, config.endpoint_list_agent) =
+            (100 * MS, list.local_addr().unwrap());
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, head) = next_call(&list).await;
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
@@ -606,8 +607,8 @@
         let node = Node::new(Chat).await;
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
-        config.deployment.decisions.list_mode = EndpointListMode::Pushed;
-        config.node_list = agent.local_addr().unwrap();
+        config.deployment.decision_settings.list_mode = EndpointListMode::Pushed;
+        config.endpoint_list_agent = agent.local_addr().unwrap();
         (config.limits.watch_silence_timeout, config.limits.agent_response_timeout) = (100 * MS, 50 * MS);
         let router = Router::by(config, Chat, &[], None).await;
         let (mut call, head) = next_call(&agent).await;
@@ -648,14 +649,14 @@
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
         );
         let mut config = config();
-        (config.limits.list_call_interval, config.node_list) = (10 * MS, old.local_addr().unwrap());
+        (config.limits.list_call_interval, config.endpoint_list_agent) = (10 * MS, old.local_addr().unwrap());
         let mut moved = config.clone();
-        let running = StartupConfiguration::of(&config);
+        let running = StartupConfiguration::from_config(&config);
         let router = Router::by(config, Chat, &[], None).await;
         let (mut first, _) = next_call(&old).await;
         first.send(&(WATCH.to_string() + &page(41, true, "s-1", &a, "active"))).await;
         until(|| router.components.replicas.ready_count() == 1).await;
-        moved.node_list = new.local_addr().unwrap();
+        moved.endpoint_list_agent = new.local_addr().unwrap();
         reload::apply(&router.components.endpoint_list.state, &running, &moved);
         // The new address has its own versions, so the complete list is requested, and again after a failure.
         for _ in 0..2 {
@@ -685,7 +686,7 @@
         let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let each = vec![own_addr, other.local_addr().unwrap()];
         let peers = Peers::new(
-            PeerAddresses { listen: own_addr, each, all: None },
+            PeerAddresses { listen: own_addr, routers: each, broadcast: None },
             PeerId(0),
             TenantsDigest::default(),
         )
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -18,7 +18,7 @@
 /// connections.
 fn snapshot_and_in_flight(router: &Router) -> (ReplicaSnapshot, u32) {
     let id = name_hash::replica_id("s-0");
-    let snapshot = router.components.with(|core, now| core.view(now));
+    let snapshot = router.components.with_core(|core, now| core.replica_snapshots(now));
     let snapshot = snapshot.into_iter().find(|s| s.replica == id).expect("listed as active");
     (snapshot, router.components.replicas.in_flight(id))
 }
@@ -120,7 +120,7 @@
     until(|| router.tallies().streams_started == 3).await;
     let mut listed = row("s-0", node.addr, "active");
     if restarted {
-        listed.started_ms = router.components.with(|_, now| now) / 1_000_000;
+        listed.started_ms = router.components.with_core(|_, now| now) / 1_000_000;
     }
     router.list([listed]);
     until(|| router.tallies().interrupted == 3).await;
--- a/settings-schema/src/checked.rs
+++ b/settings-schema/src/checked.rs
@@ -8,7 +8,7 @@
 
 use crate::load::{Line, SectionTree};
 use crate::problem::{Problem, SourceSpan};
-use crate::schema::{Directive, Presence, Repeat, Section, Takes};
+use crate::schema::{Directive, Presence, Repeat, Section, TakesEffect};
 use crate::value::{Kind, Value};
 
 /// A directive that was given, or that has its default.
@@ -24,7 +24,7 @@
 
 impl Entry {
     /// The position of a token: 0 is the name, 1 the first argument. The default position if no line gives the directive.
-    pub fn place(&self, token: usize) -> SourceSpan {
+    pub fn span_of(&self, token: usize) -> SourceSpan {
         self.line.as_ref().map_or(SourceSpan::default(), |l| l.span_of(token))
     }
 
@@ -43,7 +43,7 @@
     /// Its declaration.
     pub section: &'static Section,
     /// The position of the line that opens it.
-    pub place: SourceSpan,
+    pub span: SourceSpan,
     /// Its directives in the order of the schema; repeated ones in the order of the file.
     pub entries: Vec<Entry>,
     /// The sections in it, in the order of the schema.
@@ -52,18 +52,18 @@
 
 impl Checked {
     /// The section of this name in it, if there is one.
-    pub fn within(&self, name: &str) -> Option<&Checked> {
+    pub fn subsection(&self, name: &str) -> Option<&Checked> {
         self.sections.iter().find(|s| s.section.name == name)
     }
 
     /// All entries of a directive.
-    pub fn all<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a Entry> + use<'a, 'n> {
+    pub fn entries_of<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a Entry> + use<'a, 'n> {
         self.entries.iter().filter(move |e| e.directive.name == name)
     }
 
     /// The first entry of a directive.
     pub fn entry(&self, name: &str) -> Option<&Entry> {
-        self.all(name).next()
+        self.entries_of(name).next()
     }
 
     fn value(&self, name: &str) -> Option<&Value> {
@@ -123,7 +123,7 @@
 
     /// The networks of all entries of a directive.
     pub fn networks(&self, name: &str) -> Vec<IpNet> {
-        let values = self.all(name).flat_map(|e| &e.values);
+        let values = self.entries_of(name).flat_map(|e| &e.values);
         values.filter_map(|v| if let Value::Network(n) = v { Some(*n) } else { None }).collect()
     }
 }
@@ -139,7 +139,7 @@
     entries.extend(defaults(tree, section, span, problems));
     entries.sort_by_key(|e| section.directives.iter().position(|d| d.name == e.directive.name));
     let sections = inner_sections(tree, section, problems);
-    Checked { section, place: span, entries, sections }
+    Checked { section, span, entries, sections }
 }
 
 /// The directives that the file gives in a section.
@@ -212,7 +212,7 @@
             None => problems.push(unknown_name(line, section)),
         }
     }
-    for inner in section.sections.iter().filter(|s| s.always) {
+    for inner in section.sections.iter().filter(|s| s.always_present) {
         if !sections.iter().any(|s| s.section.name == inner.name) {
             sections.push(check(&SectionTree::default(), inner, problems));
         }
@@ -250,7 +250,7 @@
 
 /// The values of default arguments.
 fn default_values(directive: &Directive, arguments: &[&str]) -> Option<Vec<Value>> {
-    arguments.iter().enumerate().map(|(i, text)| argument_kind(directive, i)?.read(text)).collect()
+    arguments.iter().enumerate().map(|(i, text)| argument_kind(directive, i)?.parse(text)).collect()
 }
 
 /// Parses the arguments of a line; `None`, with the problems reported, if one is missing, malformed or too many.
@@ -269,7 +269,7 @@
             problems.push(Problem::new(line.span_of(i), message));
             break;
         };
-        match kind.read(&token.text) {
+        match kind.parse(&token.text) {
             Some(value) => values.push(value),
             None => {
                 let message =
@@ -292,7 +292,7 @@
     /// The path of the directive or section, as `checks.agent`.
     pub path: String,
     /// When the change takes effect.
-    pub takes: Takes,
+    pub takes_effect: TakesEffect,
 }
 
 /// The directives and sections that differ between an old and a new file.
@@ -306,18 +306,19 @@
 fn compare(parent: &str, old: &Checked, new: &Checked, changes: &mut Vec<Change>) {
     let path = |name: &str| if parent.is_empty() { name.to_string() } else { format!("{parent}.{name}") };
     for directive in old.section.directives {
-        let values =
-            |c: &Checked| -> Vec<Vec<Value>> { c.all(directive.name).map(|e| e.values.clone()).collect() };
+        let values = |c: &Checked| -> Vec<Vec<Value>> {
+            c.entries_of(directive.name).map(|e| e.values.clone()).collect()
+        };
         if values(old) != values(new) {
-            changes.push(Change { path: path(directive.name), takes: directive.takes });
+            changes.push(Change { path: path(directive.name), takes_effect: directive.takes_effect });
         }
     }
     for section in old.section.sections {
-        match (old.within(section.name), new.within(section.name)) {
+        match (old.subsection(section.name), new.subsection(section.name)) {
             (Some(old), Some(new)) => compare(&path(section.name), old, new, changes),
             (None, None) => {}
             // Sections are enabled or disabled at startup only.
-            _ => changes.push(Change { path: path(section.name), takes: Takes::Restart }),
+            _ => changes.push(Change { path: path(section.name), takes_effect: TakesEffect::OnRestart }),
         }
     }
 }
--- a/settings-schema/src/describe.rs
+++ b/settings-schema/src/describe.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::schema::{Directive, Presence, Repeat, Section, Takes};
+use crate::schema::{Directive, Presence, Repeat, Section, TakesEffect};
 
 /// Describes all sections and directives of a file.
 pub fn describe(section: &Section) -> String {
@@ -18,7 +18,7 @@
         let _ = writeln!(text, "{indent}{:<20}   {}", "", summary(directive));
     }
     for inner in section.sections {
-        let off = if inner.always { "" } else { "; off unless it stands" };
+        let off = if inner.always_present { "" } else { "; off unless it stands" };
         let _ = writeln!(text, "{indent}{} {{    # {}{off}", inner.name, inner.about);
         write_section(inner, depth + 1, text);
         let _ = writeln!(text, "{indent}}}");
@@ -42,6 +42,10 @@
     if directive.repeat == Repeat::Many {
         summary.push_str("; any number of times");
     }
-    summary.push_str(if directive.takes == Takes::Now { "; live" } else { "; takes a restart" });
+    summary.push_str(if directive.takes_effect == TakesEffect::OnReload {
+        "; live"
+    } else {
+        "; takes a restart"
+    });
     summary
 }
--- a/settings-schema/src/lib.rs
+++ b/settings-schema/src/lib.rs
@@ -26,8 +26,8 @@
 
 pub use checked::{changes, check, Change, Checked, Entry};
 pub use describe::describe;
-pub use load::{load, Bounds, SectionTree};
+pub use load::{load, LoadLimits, SectionTree};
 pub use print::print;
-pub use problem::{nearest, Problem, Problems, SourceSpan};
-pub use schema::{Directive, Presence, Repeat, Section, Takes};
+pub use problem::{closest_match, Problem, Problems, SourceSpan};
+pub use schema::{Directive, Presence, Repeat, Section, TakesEffect};
 pub use value::{Kind, Value};
--- a/settings-schema/src/load.rs
+++ b/settings-schema/src/load.rs
@@ -8,7 +8,7 @@
 
 /// Limits on the input; a file beyond them is a mistake.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
+pub struct LoadLimits {
     /// Maximum size of all files together, bytes.
     pub max_bytes: usize,
     /// Maximum number of files, included ones counted.
@@ -19,9 +19,9 @@
     pub max_problems: usize,
 }
 
-impl Default for Bounds {
+impl Default for LoadLimits {
     fn default() -> Self {
-        Bounds { max_bytes: 4 << 20, max_files: 64, max_depth: 8, max_problems: 100 }
+        LoadLimits { max_bytes: 4 << 20, max_files: 64, max_depth: 8, max_problems: 100 }
     }
 }
 
@@ -64,7 +64,7 @@
 
 struct Loader<'a> {
     read: &'a dyn Fn(&Path) -> io::Result<String>,
-    bounds: Bounds,
+    bounds: LoadLimits,
     sources: Vec<Source>,
     bytes: usize,
     problems: Vec<Problem>,
@@ -73,7 +73,7 @@
 /// Reads a file and its includes, with `read` as the file system. Reading continues after a problem.
 pub fn load(
     path: &Path,
-    bounds: Bounds,
+    bounds: LoadLimits,
     read: &dyn Fn(&Path) -> io::Result<String>,
 ) -> (SectionTree, Vec<Source>, Vec<Problem>) {
     let mut loader = Loader { read, bounds, sources: Vec::new(), bytes: 0, problems: Vec::new() };
--- a/settings-schema/src/problem.rs
+++ b/settings-schema/src/problem.rs
@@ -37,13 +37,13 @@
 
     /// Adds the closest of the known names as a suggestion, if one is close to `name`.
     pub fn suggest_closest<'a>(mut self, name: &str, known: impl IntoIterator<Item = &'a str>) -> Problem {
-        self.help = nearest(name, known).map(|closest| format!("did you mean `{closest}`?"));
+        self.help = closest_match(name, known).map(|closest| format!("did you mean `{closest}`?"));
         self
     }
 }
 
 /// The known name with the smallest edit distance to `name`; `None` if no name is close enough.
-pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn closest_match<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     // One edit for every three letters counts as a typing error; beyond that, it is another name.
     let max_distance = (name.chars().count() / 3).max(1);
     let distance = |k: &&str| strsim::damerau_levenshtein(&name.to_lowercase(), k);
--- a/settings-schema/src/schema.rs
+++ b/settings-schema/src/schema.rs
@@ -24,11 +24,11 @@
 
 /// When a changed directive takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Takes {
+pub enum TakesEffect {
     /// When the file is reloaded.
-    Now,
+    OnReload,
     /// When the program is restarted.
-    Restart,
+    OnRestart,
 }
 
 /// A directive: a name followed by arguments.
@@ -45,7 +45,7 @@
     /// How often it may be given.
     pub repeat: Repeat,
     /// When a change of it takes effect.
-    pub takes: Takes,
+    pub takes_effect: TakesEffect,
     /// Its help text, one line.
     pub about: &'static str,
 }
@@ -53,8 +53,8 @@
 impl Directive {
     /// A directive that must be given exactly once; changes take effect after a restart.
     pub const fn required(name: &'static str, arguments: &'static [Kind], about: &'static str) -> Directive {
-        let (presence, repeat, takes) = (Presence::Required, Repeat::Once, Takes::Restart);
-        Directive { name, arguments, repeats_last: false, presence, repeat, takes, about }
+        let (presence, repeat, takes_effect) = (Presence::Required, Repeat::Once, TakesEffect::OnRestart);
+        Directive { name, arguments, repeats_last: false, presence, repeat, takes_effect, about }
     }
 
     /// A directive that may be left out, without a default.
@@ -84,7 +84,7 @@
 
     /// Makes changes take effect on reload.
     pub const fn live(self) -> Directive {
-        Directive { takes: Takes::Now, ..self }
+        Directive { takes_effect: TakesEffect::OnReload, ..self }
     }
 }
 
@@ -94,7 +94,7 @@
     /// Its name.
     pub name: &'static str,
     /// Whether it applies with its defaults when it is not given; other sections are disabled then.
-    pub always: bool,
+    pub always_present: bool,
     /// Its help text, one line.
     pub about: &'static str,
     /// The directives in it.
--- a/settings-schema/src/value.rs
+++ b/settings-schema/src/value.rs
@@ -99,7 +99,7 @@
     }
 
     /// Parses an argument; `None` if it is malformed or out of range.
-    pub fn read(self, text: &str) -> Option<Value> {
+    pub fn parse(self, text: &str) -> Option<Value> {
         match self {
             Kind::Address => text.parse().ok().map(Value::Address),
             Kind::Network => {
--- a/settings-schema/tests/cases.rs
+++ b/settings-schema/tests/cases.rs
@@ -11,7 +11,7 @@
 
 const INNER: Section = Section {
     name: "agent",
-    always: false,
+    always_present: false,
     about: "",
     directives: &[
         Directive::required("listen", &[Kind::Address], ""),
@@ -21,7 +21,7 @@
 };
 static FILE: Section = Section {
     name: "",
-    always: true,
+    always_present: true,
     about: "",
     directives: &[
         Directive::with("memory", &[Kind::Size(1 << 20, 1 << 40)], &["64MiB"], ""),
@@ -42,7 +42,7 @@
         let text = path.to_str().and_then(|p| files.get(p));
         text.map(|t| t.to_string()).ok_or(io::Error::from(io::ErrorKind::NotFound))
     };
-    let (tree, sources, mut problems) = load(Path::new("a.conf"), Bounds::default(), &find);
+    let (tree, sources, mut problems) = load(Path::new("a.conf"), LoadLimits::default(), &find);
     let checked = check(&tree, &FILE, &mut problems);
     if problems.is_empty() {
         Ok(checked)
@@ -117,7 +117,7 @@
         (Kind::Field, "x-partner", Some("x-partner")),
         (Kind::Field, "x: y", None),
     ] {
-        assert_eq!(kind.read(text).map(|value| value.to_string()).as_deref(), expected, "{text}");
+        assert_eq!(kind.parse(text).map(|value| value.to_string()).as_deref(), expected, "{text}");
     }
 }
 
@@ -174,7 +174,7 @@
     let files = [&valid_files[..], &[("sub/d.conf", "quiet on")]].concat();
     let checked = read(&files).unwrap();
     assert!(checked.is_on("quiet"));
-    let agent = checked.within("agent").unwrap();
+    let agent = checked.subsection("agent").unwrap();
     assert_eq!(agent.address("listen"), "127.0.0.1:1".parse().ok());
     let files = [&valid_files[..], &[("sub/d.conf", "\n quiet perhaps }")]].concat();
     let problems = read(&files).unwrap_err();
@@ -196,7 +196,7 @@
         .iter()
         .any(|problem| problem.contains("sections are nested more than 8 deep")));
     let long_text = "nonsense\n".repeat(5000) + "quiet 'on\n";
-    let bounds = Bounds { max_bytes: 1000, ..Bounds::default() };
+    let bounds = LoadLimits { max_bytes: 1000, ..LoadLimits::default() };
     let (_, _, problems) = load(Path::new("a.conf"), bounds, &|_| Ok(long_text.clone()));
     assert!(problems[0].message.contains("more than 1000 bytes"), "{problems:?}");
 }
@@ -206,12 +206,17 @@
     let settings = |text: &str| read(&[("a.conf", text)]).unwrap();
     let old = settings("partner a b\nagent {\nlisten 127.0.0.1:1\n}");
     let new = settings("partner a c\nquiet on\nagent {\nlisten 127.0.0.1:1\nbudget 1s\n}");
-    let found: Vec<_> = changes(&old, &new).into_iter().map(|change| (change.path, change.takes)).collect();
-    let expected = [("quiet", Takes::Now), ("partner", Takes::Restart), ("agent.budget", Takes::Now)];
+    let found: Vec<_> =
+        changes(&old, &new).into_iter().map(|change| (change.path, change.takes_effect)).collect();
+    let expected = [
+        ("quiet", TakesEffect::OnReload),
+        ("partner", TakesEffect::OnRestart),
+        ("agent.budget", TakesEffect::OnReload),
+    ];
     assert_eq!(found, expected.map(|(path, effect)| (path.to_string(), effect)));
     assert_eq!(
-        changes(&old, &settings("partner a b")).first().map(|change| change.takes),
-        Some(Takes::Restart)
+        changes(&old, &settings("partner a b")).first().map(|change| change.takes_effect),
+        Some(TakesEffect::OnRestart)
     );
     assert!(
         changes(&old, &settings("quiet off # said\npartner a b\nagent {\nlisten 127.0.0.1:1\n}")).is_empty()
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -82,15 +82,15 @@
         let mut names = ReplicaNames::default();
         let instance = self.instances.get_mut(&router);
         let names = instance.map_or(&mut names, |instance| &mut instance.names);
-        let mut rows = Vec::new();
+        let mut entries = Vec::new();
         for _ in 0..count {
             let Some(line) = lines.next()? else { break };
             match wire::parse_row(line, names) {
-                Ok(row) => rows.push(row),
+                Ok(row) => entries.push(row),
                 Err(error) => return Ok(Err(MalformedLine { router: Some(router), ..error })),
             }
         }
-        self.handle(router, Event::EndpointList { kind, rows });
+        self.handle(router, Event::EndpointList { kind, entries });
         Ok(Ok(()))
     }
 
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -290,7 +290,8 @@
 pub fn parse_born(fields: &Fields) -> Result<(u64, Settings), MalformedLine> {
     let seed = fields.number("Nonce64")?;
     let text = fields.text("ProfileData").ok_or_else(|| fields.error("ProfileData", "missing"))?;
-    let settings = deployment::parse(text).map_err(|e| fields.error("ProfileData", e.to_string()))?.decisions;
+    let settings =
+        deployment::parse(text).map_err(|e| fields.error("ProfileData", e.to_string()))?.decision_settings;
     Ok((seed, settings))
 }
 
--- a/simulator/src/file.rs
+++ b/simulator/src/file.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use tallypin::api::{Class, Effect, Tenant};
 use tallypin_settings_schema::{
-    check, load, nearest, Bounds, Checked, Directive, Kind, Problem, Problems, Section, Value,
+    check, closest_match, load, Checked, Directive, Kind, LoadLimits, Problem, Problems, Section, Value,
 };
 
 const DAY_MS: u64 = 86_400_000;
@@ -18,7 +18,7 @@
 
 const FLEET: Section = Section {
     name: "fleet",
-    always: true,
+    always_present: true,
     about: "how many, and what lies between them",
     directives: &[
         Directive::required("nodes", &[Kind::Count(1, 20_000)], "model nodes at the start"),
@@ -41,7 +41,7 @@
 /// Values of the node kinds. Each directive has the kind's name as its first value.
 const KINDS: Section = Section {
     name: "kinds",
-    always: true,
+    always_present: true,
     about: "kinds of model nodes; each line names one",
     directives: &[
         Directive::optional(
@@ -90,7 +90,7 @@
 
 const LOAD: Section = Section {
     name: "load",
-    always: true,
+    always_present: true,
     about: "what clients ask for",
     directives: &[
         Directive::required("rate", &[Kind::Count(1, 1_000_000)], "requests a second"),
@@ -107,7 +107,7 @@
 
 const PARTNERS: Section = Section {
     name: "partners",
-    always: true,
+    always_present: true,
     about: "whose requests they are; without any there are no shares",
     directives: &[Directive::optional(
         "partner",
@@ -120,7 +120,7 @@
 
 const CLASSES: Section = Section {
     name: "classes",
-    always: true,
+    always_present: true,
     about: "classes of requests",
     directives: &[
         Directive::optional(
@@ -137,7 +137,7 @@
 
 const TROUBLES: Section = Section {
     name: "troubles",
-    always: true,
+    always_present: true,
     about: "what goes wrong",
     directives: &[
         Directive::optional(
@@ -162,7 +162,7 @@
 
 static FILE: Section = Section {
     name: "",
-    always: true,
+    always_present: true,
     about: "",
     directives: &[],
     sections: &[FLEET, KINDS, LOAD, PARTNERS, CLASSES, TROUBLES],
@@ -179,7 +179,7 @@
     seed: u64,
     read_file: &dyn Fn(&Path) -> io::Result<String>,
 ) -> Result<Plan, Problems> {
-    let (tree, sources, mut problems) = load(path, Bounds::default(), read_file);
+    let (tree, sources, mut problems) = load(path, LoadLimits::default(), read_file);
     let checked = check(&tree, &FILE, &mut problems);
     let plan = build_plan(&checked, seed, &mut problems);
     match plan.filter(|_| problems.is_empty()) {
@@ -211,9 +211,9 @@
 
 /// Builds the plan. Returns `None` only if a section is missing, which the check has reported.
 fn build_plan(file: &Checked, seed: u64, problems: &mut Vec<Problem>) -> Option<Plan> {
-    let (fleet, load) = (file.within("fleet")?, file.within("load")?);
-    let (partners, classes) = (file.within("partners")?, file.within("classes")?);
-    let faults = file.within("troubles")?;
+    let (fleet, load) = (file.subsection("fleet")?, file.subsection("load")?);
+    let (partners, classes) = (file.subsection("partners")?, file.subsection("classes")?);
+    let faults = file.subsection("troubles")?;
     let time = |s: &Checked, name: &str| s.duration(name).as_nanos() as u64;
     let duration = time(load, "length");
     let mut period = |name: &str| {
@@ -221,16 +221,16 @@
         let (from, to) = (ns(entry.values.first()), ns(entry.values.get(1)));
         if from >= to || to > duration {
             let what = format!("`{name}` must end after it begins and within the length of the load");
-            problems.push(Problem::new(entry.place(2), what));
+            problems.push(Problem::new(entry.span_of(2), what));
         }
         Some((from, to, share(entry.values.get(2)), number(entry.values.get(3)) as f64))
     };
     let (deploy, slow_period) = (period("deploy"), period("slow"));
-    let kinds = read_kinds(file.within("kinds")?, problems);
+    let kinds = read_kinds(file.subsection("kinds")?, problems);
     let mut class = |e: &tallypin_settings_schema::Entry| {
         let (objective, deadline) = (ns(e.values.get(1)), ns(e.values.get(2)));
         if deadline < objective {
-            problems.push(Problem::new(e.place(3), "a client gives up before the aim"));
+            problems.push(Problem::new(e.span_of(3), "a client gives up before the aim"));
         }
         let per_1000 = time(classes, "per-1000-tokens");
         let token_interval = time(classes, "token-aim");
@@ -246,9 +246,10 @@
             deadline,
         )
     };
-    let (request_classes, deadlines): (Vec<Class>, Vec<u64>) = classes.all("class").map(&mut class).unzip();
+    let (request_classes, deadlines): (Vec<Class>, Vec<u64>) =
+        classes.entries_of("class").map(&mut class).unzip();
     if request_classes.is_empty() {
-        problems.push(Problem::new(classes.place, "section `classes` lacks `class`"));
+        problems.push(Problem::new(classes.span, "section `classes` lacks `class`"));
     }
     let quota = |e: &tallypin_settings_schema::Entry| Tenant { quota_per_s: number(e.values.get(1)) as f64 };
     Some(Plan {
@@ -256,7 +257,7 @@
         routers: fleet.number("routers") as u32,
         nodes: fleet.number("nodes") as u32,
         kinds,
-        tenants: partners.all("partner").map(quota).collect(),
+        tenants: partners.entries_of("partner").map(quota).collect(),
         classes: request_classes,
         deadlines,
         rate_per_s: load.number("rate") as f64,
@@ -281,22 +282,23 @@
 
 /// Reads the node kinds and repeats each according to its part of the fleet, evenly interleaved.
 fn read_kinds(section: &Checked, problems: &mut Vec<Problem>) -> Vec<NodeKind> {
-    let names: Vec<&str> = section.all("kind").map(|e| e.text(0)).collect();
+    let names: Vec<&str> = section.entries_of("kind").map(|e| e.text(0)).collect();
     if names.is_empty() {
-        problems.push(Problem::new(section.place, "section `kinds` lacks `kind`"));
+        problems.push(Problem::new(section.span, "section `kinds` lacks `kind`"));
     }
     for entry in section.entries.iter().filter(|e| !names.contains(&e.text(0))) {
         let what = format!("no kind of node is named `{}`", entry.text(0));
-        let mut problem = Problem::new(entry.place(1), what);
+        let mut problem = Problem::new(entry.span_of(1), what);
         problem.help =
-            nearest(entry.text(0), names.iter().copied()).map(|near| format!("did you mean `{near}`?"));
+            closest_match(entry.text(0), names.iter().copied()).map(|near| format!("did you mean `{near}`?"));
         problems.push(problem);
     }
     let defaults = crate::plans::default_kind();
     let mut parts: Vec<(u64, NodeKind)> = Vec::new();
-    for kind in section.all("kind") {
-        let value =
-            |name: &str| section.all(name).find(|e| e.text(0) == kind.text(0)).and_then(|e| e.values.get(1));
+    for kind in section.entries_of("kind") {
+        let value = |name: &str| {
+            section.entries_of(name).find(|e| e.text(0) == kind.text(0)).and_then(|e| e.values.get(1))
+        };
         let count = |name: &str, default: u64| value(name).map_or(default, |v| number(Some(v)));
         let time = |name: &str, default: f64| value(name).map_or(default, |v| ns(Some(v)) as f64);
         let node = NodeKind {
@@ -315,7 +317,8 @@
             crowding_threshold: value("crowded").map_or(defaults.crowding_threshold, |v| share(Some(v))),
         };
         if node.step_base_ns + node.per_request_ns + node.per_prefill_token_ns < 1_000.0 {
-            problems.push(Problem::new(kind.place(1), "its steps take no time: nodes would answer at once"));
+            problems
+                .push(Problem::new(kind.span_of(1), "its steps take no time: nodes would answer at once"));
         }
         parts.push((number(kind.values.get(1)), node));
     }
--- a/simulator/src/policy.rs
+++ b/simulator/src/policy.rs
@@ -157,11 +157,11 @@
 impl Policy for BaselinePolicy {
     fn handle(&mut self, _: Nanos, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { rows, .. } => {
-                for row in rows {
-                    let at = self.ready.iter().position(|id| *id == row.replica);
-                    match (at, row.state == EndpointState::Ready) {
-                        (None, true) => self.ready.push(row.replica),
+            Event::EndpointList { entries, .. } => {
+                for entry in entries {
+                    let at = self.ready.iter().position(|id| *id == entry.replica);
+                    match (at, entry.state == EndpointState::Ready) {
+                        (None, true) => self.ready.push(entry.replica),
                         (Some(i), false) => {
                             self.ready.swap_remove(i);
                         }
--- a/simulator/src/world.rs
+++ b/simulator/src/world.rs
@@ -211,7 +211,7 @@
             router_count: plan.routers,
             zone: ZoneId(0),
             tenants: plan.tenants.clone(),
-            digest: TenantsDigest::default(),
+            tenants_digest: TenantsDigest::default(),
             classes: plan.classes.clone(),
             max_attempts: 4,
             concurrent_attempts: true,
@@ -257,7 +257,7 @@
         }
         let rows: Vec<EndpointEntry> = world.nodes.iter().map(|n| n.entry.clone()).collect();
         for router in 0..plan.routers {
-            world.notify(router, Event::EndpointList { kind: ListUpdate::Full, rows: rows.clone() });
+            world.notify(router, Event::EndpointList { kind: ListUpdate::Full, entries: rows.clone() });
         }
         let start = world.now;
         world.queue.push(start, SimEvent::Arrival);
@@ -361,7 +361,7 @@
                 for router in 0..self.routers.len() as u32 {
                     self.notify(
                         router,
-                        Event::EndpointList { kind: ListUpdate::Delta, rows: vec![entry.clone()] },
+                        Event::EndpointList { kind: ListUpdate::Delta, entries: vec![entry.clone()] },
                     );
                 }
             }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -12,7 +12,7 @@
         /// Content of the update.
         kind: ListUpdate,
         /// Entries of the update.
-        rows: Vec<EndpointEntry>,
+        entries: Vec<EndpointEntry>,
     },
     /// A request has arrived.
     Request(Request),
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -64,7 +64,7 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Digest of the tenants' names and order. A peer's reports count only if its digest is the same.
-    pub digest: TenantsDigest,
+    pub tenants_digest: TenantsDigest,
     /// Request classes; at least one.
     pub classes: Vec<Class>,
     /// Maximum number of attempts per request; at least one.
--- a/src/decisions/load_reports.rs
+++ b/src/decisions/load_reports.rs
@@ -45,7 +45,7 @@
             served.sort_unstable_by_key(|count| (Reverse(count.requests), count.tenant));
             let period_ms = (period_s * 1000.0) as u64;
             out.extend(
-                served_report::encode(self.settings.digest, period_ms, &served)
+                served_report::encode(self.settings.tenants_digest, period_ms, &served)
                     .into_iter()
                     .map(Action::Gossip),
             );
@@ -69,7 +69,7 @@
         if self.settings.tenants.is_empty() {
             return;
         }
-        let Ok(report) = served_report::decode(self.settings.digest, bytes) else { return };
+        let Ok(report) = served_report::decode(self.settings.tenants_digest, bytes) else { return };
         let span_s = (report.span_ms.max(1) as f64 / 1000.0).max(MIN_REPORT_SPAN_S);
         for ServedCount { tenant, requests } in report.served {
             if let Some(bucket) = self.buckets.get_mut(tenant.0 as usize) {
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -131,7 +131,7 @@
             self.start(now, out);
         }
         match event {
-            Event::EndpointList { kind, rows } => self.handle_list_update(now, kind, rows, out),
+            Event::EndpointList { kind, entries } => self.handle_list_update(now, kind, entries, out),
             Event::Request(request) => self.handle_request(now, request, out),
             Event::FirstToken { request, attempt, elapsed } => {
                 self.handle_first_token(now, request, attempt, elapsed);
@@ -148,7 +148,7 @@
                 _ => {}
             },
             Event::PeerMessage { from, bytes } if !self.is_peer(from) => drop((from, bytes)),
-            Event::PeerMessage { from, bytes } if DrainMessage::is_one(&bytes) => {
+            Event::PeerMessage { from, bytes } if DrainMessage::is_drain_message(&bytes) => {
                 self.handle_drain_message(now, from, &bytes, out);
             }
             Event::PeerMessage { from, bytes } => self.apply_peer_report(now, from, &bytes),
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
     /// Settings of the decisions.
-    pub decisions: Settings,
+    pub decision_settings: Settings,
     /// Request classes, in the order of [`Settings::classes`].
     pub classes: Vec<ClassInfo>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -147,10 +147,10 @@
 
 impl From<Document> for Deployment {
     fn from(document: Document) -> Self {
-        let decisions = document.decisions();
+        let decision_settings = document.decision_settings();
         let class = |profile: Profile| ClassInfo { name: profile.name, deadline: profile.deadline_ns };
         Deployment {
-            decisions,
+            decision_settings,
             classes: document.profiles.into_iter().map(class).collect(),
             tenant_names: document.tenants.into_iter().map(|tenant| tenant.name).collect(),
             zones: document.zones,
@@ -166,14 +166,14 @@
 }
 
 impl Document {
-    fn decisions(&self) -> Settings {
+    fn decision_settings(&self) -> Settings {
         let (limits, rules) = (&self.limits, &self.rules);
         Settings {
             own_index: PeerId(self.me),
             router_count: self.replicas_of_me,
             zone: ZoneId(self.my_zone),
             tenants: self.tenants.iter().map(|tenant| Tenant { quota_per_s: tenant.quota_per_s }).collect(),
-            digest: TenantsDigest::from_names(self.tenants.iter().map(|tenant| tenant.name.as_str())),
+            tenants_digest: TenantsDigest::from_names(self.tenants.iter().map(|tenant| tenant.name.as_str())),
             classes: self.profiles.iter().enumerate().map(|(i, profile)| self.class(i, profile)).collect(),
             max_attempts: limits.try_limit,
             concurrent_attempts: limits.parallel_tries,
--- a/src/deployment/validation.rs
+++ b/src/deployment/validation.rs
@@ -41,7 +41,7 @@
         self.validate_classes()?;
         self.validate_tenants()?;
         self.validate_own_position()?;
-        let settings = &self.decisions;
+        let settings = &self.decision_settings;
         require(settings.max_attempts != 0, "Limits.TryLimit", "1 or more")?;
         require((0.0..=1.0).contains(&settings.initial_capacity_share), "Rules.ColdShare", "0 to 1")?;
         require(
@@ -53,7 +53,7 @@
     }
 
     fn validate_classes(&self) -> Result<(), InvalidSetting> {
-        let classes = &self.decisions.classes;
+        let classes = &self.decision_settings.classes;
         require(!classes.is_empty(), "Profiles", "one class at least")?;
         for (i, (class, info)) in classes.iter().zip(&self.classes).enumerate() {
             validate_class(i, class, info)?;
@@ -62,7 +62,7 @@
     }
 
     fn validate_tenants(&self) -> Result<(), InvalidSetting> {
-        for (i, (tenant, name)) in self.decisions.tenants.iter().zip(&self.tenant_names).enumerate() {
+        for (i, (tenant, name)) in self.decision_settings.tenants.iter().zip(&self.tenant_names).enumerate() {
             validate_tenant(i, tenant, name)?;
         }
         validate_unique("Tenants", self.tenant_names.iter().map(String::as_str))
@@ -70,7 +70,7 @@
 
     /// Checks the router's index, the number of routers, and the router's zone.
     fn validate_own_position(&self) -> Result<(), InvalidSetting> {
-        let settings = &self.decisions;
+        let settings = &self.decision_settings;
         require(settings.router_count != 0, "ReplicasOfMe", "1 or more")?;
         require(settings.own_index.0 < settings.router_count, "Me", "a number below ReplicasOfMe")?;
         let zones = self.zones.len().max(1);
--- a/src/drain_notice.rs
+++ b/src/drain_notice.rs
@@ -52,7 +52,7 @@
 
 impl DrainMessage {
     /// Returns whether a message is a drain message, well formed or not.
-    pub fn is_one(bytes: &[u8]) -> bool {
+    pub fn is_drain_message(bytes: &[u8]) -> bool {
         bytes.starts_with(&DIGEST)
     }
 
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -207,7 +207,7 @@
     ];
     let mut settings = test_settings(2, 0);
     settings.tenants = vec![Tenant { quota_per_s: 1000.0 }; 2];
-    settings.digest = mine;
+    settings.tenants_digest = mine;
     let mut router = TestRouter::with_replicas(settings, 1, 4);
     for (difference, other) in others {
         let bytes = served_report::encode(other, 1000, &[served(900_000, 0), served(900_000, 1)]).remove(0);
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -44,7 +44,7 @@
         let mut balancer = Balancer::new(test_settings(1, 0), 7).expect("the settings are valid");
         let (mut now, mut actions) = (1_000_000 * MS, Vec::with_capacity(64));
         let rows = (0..replicas).map(ready_entry).collect();
-        balancer.handle(now, Event::EndpointList { kind: ListUpdate::Full, rows }, &mut actions);
+        balancer.handle(now, Event::EndpointList { kind: ListUpdate::Full, entries: rows }, &mut actions);
         // Hash tables grow to their final sizes, and each session gets its preferred replica.
         handle_requests(&mut balancer, &mut now, 8, 20_000, &mut actions);
         let mut sent = 0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -29,7 +29,7 @@
         router_count,
         zone: ZoneId(0),
         tenants: vec![Tenant { quota_per_s: 1000.0 }],
-        digest: TenantsDigest::default(),
+        tenants_digest: TenantsDigest::default(),
         classes: vec![class],
         max_attempts: 3,
         concurrent_attempts: false,
@@ -137,14 +137,14 @@
         router
     }
 
-    pub fn update_list(&mut self, kind: ListUpdate, rows: Vec<EndpointEntry>) -> Vec<Action> {
+    pub fn update_list(&mut self, kind: ListUpdate, entries: Vec<EndpointEntry>) -> Vec<Action> {
         if kind == ListUpdate::Full || kind == ListUpdate::Cached {
             self.entries.clear();
         }
-        for entry in &rows {
+        for entry in &entries {
             self.entries.insert(entry.replica, entry.clone());
         }
-        self.handle(Event::EndpointList { kind, rows })
+        self.handle(Event::EndpointList { kind, entries })
     }
 
     pub fn submit(&mut self, request: Request) -> Vec<Action> {
--- a/tests/common/played.rs
+++ b/tests/common/played.rs
@@ -475,12 +475,12 @@
 
     /// Delivers the current endpoint list: 1 in full, 2 as cached before a restart; 3 reports a failed poll.
     fn deliver_list(&mut self, router: usize, kind: u8) {
-        let mut rows: Vec<EndpointEntry> = self.servers.iter().map(|s| s.entry.clone()).collect();
-        rows.retain(|r| r.state != EndpointState::Gone);
+        let mut entries: Vec<EndpointEntry> = self.servers.iter().map(|s| s.entry.clone()).collect();
+        entries.retain(|r| r.state != EndpointState::Gone);
         match kind {
-            1 => self.deliver(router, Event::EndpointList { kind: ListUpdate::Full, rows }),
-            2 => self.deliver(router, Event::EndpointList { kind: ListUpdate::Cached, rows }),
-            _ => self.deliver(router, Event::EndpointList { kind: ListUpdate::Failed, rows: vec![] }),
+            1 => self.deliver(router, Event::EndpointList { kind: ListUpdate::Full, entries }),
+            2 => self.deliver(router, Event::EndpointList { kind: ListUpdate::Cached, entries }),
+            _ => self.deliver(router, Event::EndpointList { kind: ListUpdate::Failed, entries: vec![] }),
         }
     }
 
@@ -525,8 +525,8 @@
 
     fn announce(&mut self, server_index: usize) {
         for router in 0..self.routers.len() {
-            let rows = vec![self.servers[server_index].entry.clone()];
-            self.deliver(router, Event::EndpointList { kind: ListUpdate::Delta, rows });
+            let entries = vec![self.servers[server_index].entry.clone()];
+            self.deliver(router, Event::EndpointList { kind: ListUpdate::Delta, entries });
         }
     }
 
--- a/tests/common/sized.rs
+++ b/tests/common/sized.rs
@@ -22,8 +22,8 @@
         let balancer = Balancer::new(test_settings(2, 0), 7).expect("the settings are valid");
         let mut fleet =
             SizedFleet { balancer, replicas, now: 1_000_000 * MS, next_request: 0, actions: Vec::new() };
-        let rows = (0..replicas).map(ready_entry).collect();
-        fleet.handle(Event::EndpointList { kind: ListUpdate::Full, rows });
+        let entries = (0..replicas).map(ready_entry).collect();
+        fleet.handle(Event::EndpointList { kind: ListUpdate::Full, entries });
         for _ in 0..200 {
             fleet.request();
         }
@@ -33,8 +33,8 @@
     /// Delivers the full endpoint list again.
     pub fn full_list(&mut self) {
         self.now += MS;
-        let rows = (0..self.replicas).map(ready_entry).collect();
-        self.handle(Event::EndpointList { kind: ListUpdate::Full, rows });
+        let entries = (0..self.replicas).map(ready_entry).collect();
+        self.handle(Event::EndpointList { kind: ListUpdate::Full, entries });
     }
 
     /// Ends the report period.
@@ -73,8 +73,8 @@
     pub fn drain_and_restore(&mut self) {
         self.now += MS;
         for state in [EndpointState::Draining, EndpointState::Ready] {
-            let rows = vec![EndpointEntry { state, ..ready_entry(3) }];
-            self.handle(Event::EndpointList { kind: ListUpdate::Delta, rows });
+            let entries = vec![EndpointEntry { state, ..ready_entry(3) }];
+            self.handle(Event::EndpointList { kind: ListUpdate::Delta, entries });
         }
     }
 }
--- a/tests/drain_notices.rs
+++ b/tests/drain_notices.rs
@@ -187,7 +187,7 @@
             .map(|(replica, start_digest)| Incarnation { replica: ReplicaId(replica), start_digest });
         let message = DrainMessage::Notice(entries.collect());
         let bytes = message.encode();
-        prop_assert!(bytes.len() <= 256 && DrainMessage::is_one(&bytes));
+        prop_assert!(bytes.len() <= 256 && DrainMessage::is_drain_message(&bytes));
         prop_assert_eq!(DrainMessage::decode(&bytes), Some(message));
     }
 
--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -61,7 +61,7 @@
         tenants,
         classes: classes(),
         concurrent_attempts: true,
-        digest: TenantsDigest::from_names(["one", "two", "three", "four"]),
+        tenants_digest: TenantsDigest::from_names(["one", "two", "three", "four"]),
         report_fields,
         ..test_settings(1, 0)
     };
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -67,7 +67,7 @@
         let allocated = allocation_counter::measure(|| {
             balancer.handle(
                 1_000_000 * MS,
-                Event::EndpointList { kind: ListUpdate::Full, rows },
+                Event::EndpointList { kind: ListUpdate::Full, entries: rows },
                 &mut actions,
             );
         });
