--- a/simulator/src/engine.rs
+++ b/simulator/src/engine.rs
@@ -8,7 +8,7 @@
 //!
 //! Not modelled: transfer of cached prompts between nodes, several devices in one node, speculative decoding.
 
-use crate::kept::PrefixCache;
+use crate::prefix_cache::PrefixCache;
 use crate::queue::Time;
 use std::collections::VecDeque;
 
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tallypin_simulator::policy::{self, Policy, TimedPolicy};
 use tallypin_simulator::world::{Plan, World};
-use tallypin_simulator::{compare, file, plans};
+use tallypin_simulator::{compare, fleet_file, plans};
 
 const USAGE: &str = "tallypin-simulator run [--fleet FILE | --nodes N --routers N --load SHARE --seconds N --rough]
                  [--seed N] [--policy NAME] ...
@@ -176,7 +176,7 @@
         None => {
             make_plan(arguments.seed, arguments.nodes, arguments.routers, arguments.load, arguments.seconds)
         }
-        Some(path) => match file::read(path, arguments.seed) {
+        Some(path) => match fleet_file::read(path, arguments.seed) {
             Ok(plan) => plan,
             Err(problems) => {
                 eprint!("{problems}");
--- a/simulator/src/world.rs
+++ b/simulator/src/world.rs
@@ -1,10 +1,10 @@
 //! Simulation of routers in front of a fleet of inference nodes, in virtual time: arrivals, attempts, the endpoint list, peer
 //! messages, rolling deploys and slow periods. A run uses one thread; the same seed gives the same result.
 
-use crate::draw;
 use crate::engine::{Engine, Job, NodeKind, Progress};
 use crate::policy::Policy;
 use crate::queue::{Queue, Time};
+use crate::random_streams;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
@@ -205,7 +205,7 @@
 impl<'a> World<'a> {
     /// Creates a world. `policy` makes each router's policy from its settings and a seed.
     pub fn new(plan: &'a Plan, policy: impl Fn(Settings, u64) -> Box<dyn Policy>) -> Self {
-        let mut seeds = draw::stream(plan.seed, "routers");
+        let mut seeds = random_streams::stream(plan.seed, "routers");
         let settings = |me| Settings {
             own_index: PeerId(me),
             router_count: plan.routers,
@@ -229,7 +229,7 @@
             idle_timeout: 5 * SECOND,
         };
         let routers = (0..plan.routers).map(|me| policy(settings(me), seeds.random())).collect();
-        let stream = |name| draw::stream(plan.seed, name);
+        let stream = |name| random_streams::stream(plan.seed, name);
         let mut world = World {
             plan,
             queue: Queue::default(),
--- a/simulator/tests/theory.rs
+++ b/simulator/tests/queueing_theory.rs
@@ -3,8 +3,8 @@
 
 use proptest::prelude::*;
 use rand_distr::{Distribution, Exp};
-use tallypin_simulator::draw;
 use tallypin_simulator::engine::{Engine, Job, NodeKind, Progress};
+use tallypin_simulator::random_streams;
 
 const MS: f64 = 1e6;
 
@@ -34,7 +34,7 @@
     mean_tokens: f64,
 ) -> (f64, f64) {
     const BATCH: usize = 24_000;
-    let mut rng = draw::stream(7, "theory");
+    let mut rng = random_streams::stream(7, "theory");
     let gaps = Exp::new(load * f64::from(slots) / (mean_tokens * MS)).expect("the load is above zero");
     let mut engine = Engine::new(constant_step_kind(slots));
     let (mut arrived, mut waits) = (Vec::new(), Vec::new());
