--- a/tests/source_files.rs
+++ b/tests/source_files.rs
@@ -23,7 +23,7 @@
 /// Paths of the decision files start with these.
 const DECISION_PATHS: [&str; 2] = ["src/decisions/", "src/state"];
 /// Files above `MAX_LINES` with their own maximum. Each is to be split (`docs/ROADMAP.md`), and none may be added.
-const LONG_FILES: [(&str, usize); 2] = [("router/src/installation.rs", 573), ("simulator/src/world.rs", 786)];
+const LONG_FILES: [(&str, usize); 2] = [("router/src/installation.rs", 573), ("simulator/src/world.rs", 773)];
 
 fn files(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder)
