--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -61,7 +61,7 @@
             self.request_idle_close();
         }
         let client = Client { clients: self.clone(), over_limit: over() };
-        // Idle from now on, as many others may connect before the connection's task first runs.
+        // The connection counts as idle immediately, as many others may connect before its task first runs.
         let idle = self.add_idle(false);
         (client, idle)
     }
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Asks an idle connection to close; returns false if there is none. Call it only once for each place that is needed. A
+    /// Asks an idle connection to close; returns false if there is none. Must be called once per required slot. A
     /// connection on which a request has begun in the meantime serves it and stays open.
     pub fn request_idle_close(&self) -> bool {
         let mut without_request = self.without_request.borrow_mut();
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -14,9 +14,9 @@
 /// A malformed field of a JSON object or a malformed environment variable.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FieldError {
-    /// The path of the field, or the name of the variable.
+    /// The path of the malformed JSON field, or the name of the malformed environment variable.
     pub field: String,
-    /// Why it cannot be used.
+    /// Why the field or variable cannot be used.
     pub reason: String,
 }
 
@@ -82,7 +82,7 @@
     pub endpoint_list_agent: SocketAddr,
     /// The seed of the random number generator.
     pub seed: u64,
-    /// The other routers, if messages are exchanged with any.
+    /// The addresses for messages between routers, if the deployment has other routers.
     pub peers: Option<PeerAddresses>,
     /// The last endpoint list before the start, if the configuration has one.
     pub cached_list: Option<EndpointListMessage>,
--- a/router/src/front/accept.rs
+++ b/router/src/front/accept.rs
@@ -14,11 +14,11 @@
     let front = Rc::new(front);
     tokio::select! {
         biased;
-        // Checked first: clients that keep reconnecting would otherwise hold the listener open.
+        // The shutdown is checked first: clients that keep reconnecting would otherwise keep the listener open.
         () = wait_for_stage(&context, Stage::Closing) => {}
         () = accept(&context, &listener, &front) => {}
     }
-    // Closing the listener resets connections in the kernel's accept queue; serve those that fit the limit.
+    // Connections in the kernel's accept queue are served up to the limit, as closing the listener resets them.
     let max_connections = context.limits.max_clients + context.limits.max_rejected_clients;
     while context.clients.open() < max_connections {
         match accept_queued(&listener).await {
--- a/router/src/front/connection.rs
+++ b/router/src/front/connection.rs
@@ -21,17 +21,17 @@
 /// Why a client connection is closed. The names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseCause {
-    /// A PROXY preface was required, but missing or malformed.
+    /// The required PROXY header was missing or malformed.
     NoOrigin,
-    /// The client closed it, or reading failed, between two requests.
+    /// Reading failed between two requests, or the client closed the connection there.
     Ended,
-    /// It exceeded the idle limit.
+    /// The connection exceeded the idle limit.
     Idle,
-    /// It was idle and was closed to make room for other connections.
+    /// The connection was idle and was closed to make room for another one.
     RoomWanted,
-    /// The router shuts down.
+    /// The shutdown of the router has reached the stage that closes idle connections.
     Shutdown,
-    /// Reading failed, or the client closed it, within a request.
+    /// Reading failed within a request, or the client closed the connection there.
     ReadFailed(io::ErrorKind),
     /// Writing a response failed.
     WriteFailed(io::ErrorKind),
@@ -47,8 +47,8 @@
     stream: TcpStream,
     front: Rc<Front>,
 ) {
-    // The guard lives until the connection has closed: until then it counts as closing, so that no second idle
-    // connection is closed for the same slot.
+    // The guard is kept until the connection has closed. The connection counts as closing until then, so that no second
+    // idle connection is closed for the same slot.
     let mut idle = Some(idle);
     let mut connection = BufferedConnection::new(stream);
     let cause = serve_requests(&context, &client, &mut idle, &mut connection, &front).await;
@@ -169,7 +169,7 @@
     tokio::time::sleep(context.limits.final_read_duration).await;
 }
 
-/// Reads a request. The outer error is one of the connection, the inner one the reason to reject the request.
+/// Reads a request. The outer error is an error of the connection, the inner one is the reason to reject the request.
 async fn read_request(
     context: &FrontContext,
     connection: &mut BufferedConnection,
--- a/router/src/front/context.rs
+++ b/router/src/front/context.rs
@@ -24,7 +24,7 @@
     pub clock: Clock,
     /// The stage of a shutdown.
     pub lifecycle: Rc<Lifecycle>,
-    /// Health header fields of ordinary responses, and the connections that have to begin with a PROXY preface.
+    /// The health header fields of ordinary responses, and the listeners that require a PROXY header.
     pub balancer_interface: Rc<BalancerInterface>,
     /// The open client connections.
     pub clients: Rc<Clients>,
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -39,7 +39,7 @@
 /// The settings of this front.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MessagesFront {
-    /// The address that it listens on.
+    /// The address that the front listens on.
     pub listen: SocketAddr,
     /// The dialect of the replicas.
     pub replica_dialect: Dialect,
@@ -67,9 +67,9 @@
 /// Why a request is rejected before it reaches the core.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum InvalidRequest {
-    /// With the error message.
+    /// The request is malformed; with the error message.
     Invalid(String),
-    /// With the name of the unknown model.
+    /// The settings lack the requested model; with its name.
     UnknownModel(String),
     Rejection(Rejection),
 }
@@ -238,7 +238,7 @@
                 ResponseEvent::End(FinalAnswer::Interrupted) => {
                     return write_error(context, connection, 500, "", "the answer broke off").await;
                 }
-                // Rejected after the deadline: the client gets a timeout, not an overload.
+                // A rejection after the deadline is answered as a timeout, not as an overload.
                 ResponseEvent::End(FinalAnswer::Rejected {
                     retry_after: advice,
                     reason: RejectReason::NoCapacity,
@@ -261,7 +261,7 @@
                         .await;
                 }
                 ResponseEvent::End(FinalAnswer::Failed { past_deadline: true }) => {
-                    // No Retry-After: the request may have been executed.
+                    // The response has no Retry-After, as a replica may have run the request.
                     return write_error(context, connection, 504, "", TIMEOUT_MESSAGE).await;
                 }
                 ResponseEvent::End(FinalAnswer::Failed { past_deadline: false }) => {
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -50,7 +50,7 @@
     pub body: BufferedBody,
     /// When the first byte was read.
     pub received_at: Nanos,
-    /// The client's address, from the PROXY preface if there is one.
+    /// The client's address, from the PROXY header if there is one.
     pub client: Option<SocketAddr>,
 }
 
@@ -129,7 +129,7 @@
         // Input that arrives before the response is buffered up to the maximum head size; beyond that, the connection is
         // only checked for having been closed.
         let room = connection.read_buffer.len() < context.limits.max_head_size;
-        let sends_on = async {
+        let is_connected = async {
             match room {
                 true => matches!(connection.read_more().await, Ok(true)),
                 false => {
@@ -140,11 +140,11 @@
         };
         tokio::select! {
             biased;
-            // The channel ends without a final event if the stream was cancelled by this router.
+            // The channel is closed without a final event if this router cancelled the stream: the stream counts as interrupted.
             event = handle.next() => {
                 return NextEvent::Response(event.unwrap_or(ResponseEvent::End(FinalAnswer::Interrupted)))
             }
-            sends_on = sends_on => if !sends_on {
+            is_connected = is_connected => if !is_connected {
                 return NextEvent::ClientDisconnected;
             },
         }
@@ -188,7 +188,7 @@
 }
 
 /// The header fields that every response carries at this moment: health fields for balancers, and `Connection: close` once
-/// a shutdown announces the close. The platform has none before its shutdown.
+/// a shutdown announces the close. Responses on the platform's front have none before a shutdown.
 fn common_fields(context: &FrontContext) -> String {
     let health = context.balancer_interface.response_fields();
     let close =
@@ -199,8 +199,8 @@
     format!("{health}{close}")
 }
 
-/// The head of a streamed response on the first call, with `fields` and the common fields added; empty afterwards.
-/// `head` ends with the blank line.
+/// Returns the head of a streamed response if `head_pending` is set, and clears it; empty otherwise. `fields` and the common
+/// fields are inserted before the blank line at the end of `head`.
 pub fn take_stream_head(
     context: &FrontContext,
     head_pending: &mut bool,
--- a/router/src/front/platform.rs
+++ b/router/src/front/platform.rs
@@ -49,8 +49,8 @@
     let kind = head.text_value("req-kind")?;
     let class =
         deployment.classes.iter().position(|c| Some(c.name.as_str()) == kind).ok_or(HttpError::Malformed)?;
-    let owner = head.text_value("req-owner")?;
-    let tenant = match deployment.tenant_names.iter().position(|p| Some(p.as_str()) == owner) {
+    let tenant_name = head.text_value("req-owner")?;
+    let tenant = match deployment.tenant_names.iter().position(|p| Some(p.as_str()) == tenant_name) {
         Some(tenant) => tenant,
         None if deployment.tenant_names.is_empty() => 0,
         None => return Err(HttpError::Malformed.into()),
--- a/router/src/http/connection.rs
+++ b/router/src/http/connection.rs
@@ -12,7 +12,7 @@
 
 /// Delay before a call that failed for lack of memory or buffers is retried. Transient shortages end within milliseconds.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// Maximum number of such retries of one call; the connection then fails, after about 0.1 s.
+/// Maximum number of retries of one call during a shortage; the connection then fails, after about 0.1 s.
 const MAX_SHORTAGE_RETRIES: u32 = 100;
 /// Maximum number of slices in one gathered write; a head with a chunk and its framing has fewer.
 const MAX_WRITE_SLICES: usize = 8;
@@ -29,9 +29,9 @@
     pub stream: TcpStream,
     /// Bytes that have been received and not consumed yet.
     pub read_buffer: BytesMut,
-    /// When the first byte of `unread` was read.
+    /// When the first byte of `read_buffer` was read.
     first_read_at: Instant,
-    /// When the last byte of `unread` was read.
+    /// When the last byte of `read_buffer` was read.
     last_read_at: Instant,
     /// Reads since the task last yielded.
     consecutive_reads: u8,
@@ -85,7 +85,7 @@
         self.first_read_at = self.last_read_at;
     }
 
-    /// Reads more into `unread`; false at the end of the peer's input.
+    /// Reads more into `read_buffer`; false at the end of the peer's input.
     ///
     /// Cancel-safe: there is no await point between reading bytes and storing them.
     ///
@@ -122,7 +122,7 @@
     /// Lets the event loop poll the sockets once more, then reads what has arrived; `None` if nothing has.
     pub async fn read_arrived(&mut self) -> Option<io::Result<bool>> {
         tokio::task::yield_now().await;
-        // Cancelling `read_more` loses nothing.
+        // `read_more` is cancel-safe.
         tokio::select! {
             biased;
             read = self.read_more() => Some(read),
--- a/router/src/http/head.rs
+++ b/router/src/http/head.rs
@@ -49,7 +49,7 @@
         Span { start: part.as_ptr() as usize - buffer.as_ptr() as usize, length: part.len() }
     }
 
-    fn cut(self, head: &Bytes) -> Bytes {
+    fn slice_of(self, head: &Bytes) -> Bytes {
         head.slice(self.start..self.start + self.length)
     }
 }
@@ -63,13 +63,13 @@
         let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
         let mut parsed = httparse::Request::new(&mut slots);
         let status = parsed.parse(buffer).map_err(from_parser)?;
-        let Some(length) = complete_length(status, buffer, limits)? else { return Ok(None) };
+        let Some(length) = complete_head_length(status, buffer, limits)? else { return Ok(None) };
         let span = |part: Option<&str>| Span::within(buffer, part.unwrap_or_default().as_bytes());
         let (method, target) = (span(parsed.method), span(parsed.path));
         let (fields, is_http_11) = (field_spans(buffer, parsed.headers), parsed.version == Some(1));
         let head = buffer.split_to(length).freeze();
-        let start_line = StartLine::Request(method.cut(&head), target.cut(&head));
-        Ok(Some(MessageHead { start_line, fields: cut_fields(&head, &fields), is_http_11 }))
+        let start_line = StartLine::Request(method.slice_of(&head), target.slice_of(&head));
+        Ok(Some(MessageHead { start_line, fields: slice_fields(&head, &fields), is_http_11 }))
     }
 
     /// Removes a complete response head from the front of `buffer`; `None` if more input is needed.
@@ -80,11 +80,11 @@
         let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
         let mut parsed = httparse::Response::new(&mut slots);
         let status = parsed.parse(buffer).map_err(from_parser)?;
-        let Some(length) = complete_length(status, buffer, limits)? else { return Ok(None) };
+        let Some(length) = complete_head_length(status, buffer, limits)? else { return Ok(None) };
         let start_line = StartLine::Status(parsed.code.unwrap_or_default());
         let (fields, is_http_11) = (field_spans(buffer, parsed.headers), parsed.version == Some(1));
         let head = buffer.split_to(length).freeze();
-        Ok(Some(MessageHead { start_line, fields: cut_fields(&head, &fields), is_http_11 }))
+        Ok(Some(MessageHead { start_line, fields: slice_fields(&head, &fields), is_http_11 }))
     }
 
     /// The values of all fields of a name, compared without regard to case.
@@ -165,7 +165,7 @@
 }
 
 /// The length in bytes of the head at the front of `buffer`; `None` if it is not complete.
-fn complete_length(
+fn complete_head_length(
     status: httparse::Status<usize>,
     buffer: &[u8],
     limits: &Limits,
@@ -187,8 +187,8 @@
     fields.iter().map(spans).collect()
 }
 
-fn cut_fields(head: &Bytes, fields: &[(Span, Span)]) -> Vec<(Bytes, Bytes)> {
-    fields.iter().map(|(name, value)| (name.cut(head), value.cut(head))).collect()
+fn slice_fields(head: &Bytes, fields: &[(Span, Span)]) -> Vec<(Bytes, Bytes)> {
+    fields.iter().map(|(name, value)| (name.slice_of(head), value.slice_of(head))).collect()
 }
 
 /// Parses the value of a Content-Length field; digits only, as `str::parse` alone would accept a sign.
--- a/router/src/installation.rs
+++ b/router/src/installation.rs
@@ -280,7 +280,7 @@
 /// How agent checks are served.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AgentSettings {
-    /// The address that it listens on.
+    /// The address for agent checks.
     pub listen: SocketAddr,
     /// How long to wait for a line that names the service.
     pub request_wait: Duration,
@@ -291,7 +291,7 @@
 /// How gRPC health checking is served.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GrpcSettings {
-    /// The address that it listens on.
+    /// The address for gRPC health checking.
     pub listen: SocketAddr,
     /// Maximum number of open watches and report streams.
     pub max_streams: usize,
@@ -317,9 +317,9 @@
 /// The operator's Unix socket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// Its path.
+    /// Path of the socket.
     pub socket: PathBuf,
-    /// Its file mode.
+    /// File mode of the socket.
     pub mode: u32,
 }
 
@@ -338,7 +338,7 @@
     pub control: Option<ControlSettings>,
     /// The fleet that the router belongs to, if there is one.
     pub fleet: Option<FleetSettings>,
-    /// Which listeners require a PROXY preface, and from which senders.
+    /// Which listeners require a PROXY header, and from which senders.
     pub proxy_policy: ProxyProtocolPolicy,
     /// The checked file, for printing and for comparison on reload.
     pub checked: Checked,
@@ -370,7 +370,7 @@
         let health = health_settings(section("health"), section("drain"));
         let messages = section("messages").map(|s| messages_front(s, deployment, problems));
         let proxy_policy = section("proxy-protocol").map(|s| proxy_policy(s, problems)).unwrap_or_default();
-        let checks = section("checks").map(|s| check_settings(s, problems));
+        let checks = section("checks").map(|s| read_check_settings(s, problems));
         let control = section("control").map(|s| ControlSettings {
             socket: s.path("socket").map(PathBuf::from).unwrap_or_default(),
             mode: s.number("mode") as u32,
@@ -463,7 +463,7 @@
     s.entries_of(name).flat_map(|e| &e.values).map(ToString::to_string).collect()
 }
 
-fn check_settings(s: &Checked, problems: &mut Vec<Problem>) -> CheckSettings {
+fn read_check_settings(s: &Checked, problems: &mut Vec<Problem>) -> CheckSettings {
     let (agent, http, grpc) = (s.subsection("agent"), s.subsection("http"), s.subsection("grpc"));
     if agent.is_none() && http.is_none() && grpc.is_none() {
         problems.push(Problem::new(s.span, "section `checks` requires `agent`, `http` or `grpc`"));
