--- a/router/src/checks/context.rs
+++ b/router/src/checks/context.rs
@@ -18,7 +18,7 @@
     pub limits: Rc<Limits>,
     /// Number of routers of the deployment.
     pub router_count: u32,
-    /// The stage of a shutdown. A drain enters its stages up to the closing of the listeners.
+    /// The stage of a shutdown. A drain goes through the stages before the listeners close.
     pub lifecycle: Rc<Lifecycle>,
     /// The interface to balancers, with the PROXY protocol policy.
     pub balancer_interface: Rc<BalancerInterface>,
--- a/router/src/checks/grpc.rs
+++ b/router/src/checks/grpc.rs
@@ -58,7 +58,7 @@
         let handler = CallHandler {
             health_monitor: health_monitor.clone(),
             ip,
-            _open: open_calls.clone().enter(),
+            _open: open_calls.clone().begin_call(),
             time_limit,
         };
         tokio::task::spawn_local(handler.answer(request, respond));
@@ -86,7 +86,7 @@
 struct OpenCallGuard(Rc<OpenCalls>);
 
 impl OpenCalls {
-    fn enter(self: Rc<Self>) -> OpenCallGuard {
+    fn begin_call(self: Rc<Self>) -> OpenCallGuard {
         self.count.set(self.count.get() + 1);
         OpenCallGuard(self)
     }
@@ -104,7 +104,7 @@
 
 impl StreamGuard {
     /// Counts another stream; `None` if the limit is reached.
-    fn enter(health_monitor: &Rc<HealthMonitor>) -> Option<StreamGuard> {
+    fn try_acquire(health_monitor: &Rc<HealthMonitor>) -> Option<StreamGuard> {
         let max_streams = health_monitor.check_setting(|c| c.grpc.map_or(0, |g| g.max_streams)).unwrap_or(0);
         (health_monitor.open_streams.get() < max_streams).then(|| {
             health_monitor.open_streams.set(health_monitor.open_streams.get() + 1);
@@ -226,7 +226,7 @@
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no HealthCheckRequest")
             }
         };
-        let Some(_stream_guard) = StreamGuard::enter(&self.health_monitor) else {
+        let Some(_stream_guard) = StreamGuard::try_acquire(&self.health_monitor) else {
             return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many watches");
         };
         let (mut assessment, mut watch) = (self.health_monitor.subscribe(), WatchState::default());
@@ -274,7 +274,7 @@
                 return self.fail(&mut respond, GrpcStatusCode::InvalidArgument, "no OrcaLoadReportRequest")
             }
         };
-        let Some(_stream_guard) = StreamGuard::enter(&self.health_monitor) else {
+        let Some(_stream_guard) = StreamGuard::try_acquire(&self.health_monitor) else {
             return self.fail(&mut respond, GrpcStatusCode::ResourceExhausted, "too many streams");
         };
         let mut stream = respond.send_response(response_head(), false)?;
--- a/router/src/checks/listen.rs
+++ b/router/src/checks/listen.rs
@@ -29,17 +29,17 @@
     pub ip: IpAddr,
     /// The connection's entry among the open check connections.
     pub client: Client,
-    /// Marks a new connection as idle until its first check. It resolves when the connection must make room for another.
+    /// Marks a new connection as idle until its first check. Resolves when the connection must close for another one.
     pub idle: Option<IdleGuard>,
 }
 
 impl CheckConnection {
-    /// Returns the time within which a check must be complete, and then within which it must be answered.
+    /// Returns the time limit for receiving a complete check, which is also the time limit for answering it.
     pub fn time_limit(&self) -> Duration {
         self.health_monitor.check_setting(|c| c.time_limit).unwrap_or_default()
     }
 
-    /// Marks the connection as idle until the result is dropped.
+    /// Marks the connection as idle until the returned guard is dropped.
     pub fn mark_idle(&mut self) -> IdleGuard {
         self.idle.take().unwrap_or_else(|| self.client.idle())
     }
@@ -107,7 +107,7 @@
         };
         match accepted {
             Ok((stream, peer)) => handle_connection(&context, &health_monitor, stream, peer, answer),
-            // The process is out of descriptors. This passes, because check connections have a reserve of their own.
+            // The process has no free descriptors. This is temporary, because check connections have a reserve of their own.
             Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
         }
     }
@@ -122,7 +122,7 @@
 ) {
     let (client, mut idle) = health_monitor.connections.register();
     if client.over_limit {
-        // All other connections are in the middle of a check, which ends within its time limit.
+        // No connection is idle: each is in the middle of a check. The new connection is closed and counted as an invalid check.
         health_monitor.record_invalid_check();
         return;
     }
--- a/router/src/checks/mod.rs
+++ b/router/src/checks/mod.rs
@@ -54,7 +54,7 @@
     load_report: RefCell<OrcaLoadReport>,
     components: RefCell<Vec<Component>>,
     balancers: Rc<BalancerInterface>,
-    /// The names of the services, without the empty name.
+    /// The names of the services that checks can name. The empty name, of the router as a whole, is not included.
     services: Vec<String>,
     /// The check connections. Their limit is independent of the limit on client connections.
     connections: Rc<Clients>,
@@ -123,7 +123,7 @@
         self.assessment.subscribe()
     }
 
-    /// Returns the names of the services, without the empty name.
+    /// Returns the names of the services that checks can name, without the empty name of the router as a whole.
     pub fn services(&self) -> &[String] {
         &self.services
     }
@@ -271,7 +271,7 @@
             _ => checkers.begin_drain(now),
         }
         drop(checkers);
-        // Balancers see the new state immediately instead of after the next measurement.
+        // The state is assessed now, so that balancers receive it before the next measurement.
         self.assess(self.signals.get());
         self.drain_phase.send_replace(self.drain.borrow().phase());
         true
@@ -331,7 +331,7 @@
     }
 }
 
-/// Starts the check listeners of the settings and the measurements.
+/// Starts the configured check listeners and the periodic measurements.
 ///
 /// An address that can't be bound is an error: a balancer that can't reach the checks would consider the router down.
 pub async fn start(
--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -166,10 +166,10 @@
     }
 }
 
-fn components(s: &Signals, max_list_silence: Duration) -> Vec<Component> {
-    let replicas = &s.replicas;
+fn components(signals: &Signals, max_list_silence: Duration) -> Vec<Component> {
+    let replicas = &signals.replicas;
     let percent = |share: f64| format!("{:.0}% free", share * 100.0);
-    let ms = s.event_loop_delay.as_secs_f64() * 1e3;
+    let ms = signals.event_loop_delay.as_secs_f64() * 1e3;
     let list =
         replicas.list_silent_for.map_or("followed".into(), |d| format!("silent for {} ms", d.as_millis()));
     vec![
@@ -186,12 +186,16 @@
             healthy: replicas.list_silent_for.is_none_or(|silence| silence <= max_list_silence),
             note: list,
         },
-        Component { name: "clients", healthy: s.clients_free > 0.1, note: percent(s.clients_free) },
-        Component { name: "bodies", healthy: s.bodies_free > 0.1, note: percent(s.bodies_free) },
+        Component {
+            name: "clients",
+            healthy: signals.clients_free > 0.1,
+            note: percent(signals.clients_free),
+        },
+        Component { name: "bodies", healthy: signals.bodies_free > 0.1, note: percent(signals.bodies_free) },
         Component {
             name: "links",
-            healthy: s.replica_connections_free > 0.1,
-            note: percent(s.replica_connections_free),
+            healthy: signals.replica_connections_free > 0.1,
+            note: percent(signals.replica_connections_free),
         },
         Component { name: "thread", healthy: ms < 50.0, note: format!("{ms:.1} ms late") },
     ]
--- a/router/src/connections.rs
+++ b/router/src/connections.rs
@@ -42,7 +42,7 @@
     }
 
     fn send_report(&self, report: &[u8]) {
-        // Other routers must not count on a router that accepts no new requests.
+        // A router whose listeners are closed sends no load report: other routers must not count on it.
         if let Some(peers) = self.peers.as_ref().filter(|_| self.lifecycle.stage() < Stage::Closing) {
             peers.gossip(report);
         }
--- a/router/src/core/instruction.rs
+++ b/router/src/core/instruction.rs
@@ -28,7 +28,7 @@
         /// Reason for the abort.
         reason: AbortReason,
     },
-    /// Give the final answer. For a stream that has begun, the answer says how it ended.
+    /// Give the final answer. For a stream that has begun, the answer states how the stream ended.
     Finish {
         /// The request.
         request: RequestId,
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -93,11 +93,11 @@
     /// this call on. It may not if the request is finished or must not be sent again.
     pub fn may_write(&mut self, now: Nanos, id: RequestId, attempt: u32) -> bool {
         let Some(open) = self.requests.get_mut(&id) else { return false };
-        let may = open.may_write(now, attempt);
-        if let Some(attempt) = open.in_flight_mut(attempt).filter(|_| may) {
+        let may_write = open.may_write(now, attempt);
+        if let Some(attempt) = open.in_flight_mut(attempt).filter(|_| may_write) {
             attempt.written = true;
         }
-        may
+        may_write
     }
 
     /// Reports the first event of an attempt. Returns true if this attempt's events go to the client, and false if they must be
@@ -267,13 +267,13 @@
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.apply(now, action);
+                self.carry_out(now, action);
             }
             self.actions = actions;
         }
     }
 
-    fn apply(&mut self, now: Nanos, action: Action) {
+    fn carry_out(&mut self, now: Nanos, action: Action) {
         match action {
             Action::Send { request, replica, timeout } => self.start_attempt(now, request, replica, timeout),
             Action::Reject { request, retry_after, reason } => {
--- a/router/src/core/request.rs
+++ b/router/src/core/request.rs
@@ -75,7 +75,7 @@
     Canceled,
     /// The request got its final answer without this attempt.
     Answered,
-    /// The router's process is about to be killed.
+    /// The router shuts down, and its process is about to be killed.
     Shutdown,
 }
 
@@ -169,8 +169,8 @@
         self.attempts.iter().any(AttemptRecord::may_have_run)
     }
 
-    /// Returns the answer to give when `answer` is requested. A rejection tells the client that a retry does no harm; where that
-    /// is not certain, the request fails instead.
+    /// Returns `answer`, or a failure instead of a rejection if a replica may have run the request and a repeat could do harm: a
+    /// rejection tells the client that a retry does no harm.
     pub(super) fn allowed_answer(&self, now: Nanos, answer: FinalAnswer) -> FinalAnswer {
         match answer {
             FinalAnswer::Rejected { .. } if !self.effect.may_reject(self.may_have_run()) => {
--- a/router/src/core/timers.rs
+++ b/router/src/core/timers.rs
@@ -8,7 +8,7 @@
 /// Obsolete timers are removed only once there are at least this many, as removal scans all timers.
 const MIN_OBSOLETE_FOR_SWEEP: usize = 256;
 
-/// What a timer triggers. Timers due at the same time run in the order of the variants.
+/// The action that a timer triggers. Timers due at the same time run in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
     /// A wake-up that the decision module requested, with its token.
--- a/router/src/dispatcher.rs
+++ b/router/src/dispatcher.rs
@@ -48,7 +48,7 @@
     pub client_address: Option<SocketAddr>,
 }
 
-/// Everything that an attempt needs to start.
+/// The data for starting an attempt.
 #[derive(Debug)]
 pub struct AttemptStart {
     /// The request.
@@ -84,7 +84,7 @@
 struct WaitingRequest {
     /// The request identifier, for the log.
     id: Bytes,
-    /// What a new attempt needs; `None` once an attempt streams.
+    /// The data for starting further attempts; `None` once an attempt streams.
     pending: Option<PendingStart>,
 }
 
@@ -293,7 +293,7 @@
 fn log_answer(id: RequestId, name: Option<&[u8]>, answer: FinalAnswer, summary: RequestSummary) {
     let RequestSummary { cause, age, attempts, open_attempts, may_have_run, failed_instead_of_rejected } =
         summary;
-    // Formatted only if a line is written.
+    // The name is formatted only if a line is written, as `escape_ascii` is lazy.
     let (name, age_ms) = (name.unwrap_or_default().escape_ascii(), age / 1_000_000);
     if cause == AnswerCause::Shutdown {
         tracing::info!(target: "drain", request = id.0, %name, ?answer, age_ms, attempts, open_attempts,
--- a/router/src/endpoint_list/message.rs
+++ b/router/src/endpoint_list/message.rs
@@ -42,7 +42,7 @@
     pub cell: u32,
     /// The replica's state: `active`, `left`, or another one, in which it accepts no new requests.
     pub state: String,
-    /// When the replica last started, in Unix milliseconds; 0 if long ago.
+    /// When the replica last started, in Unix milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -28,7 +28,7 @@
 use source::{LostWatch, SourceWatch};
 use watch_clock::WatchTimeouts;
 
-/// Awaits a future, or waits forever if there is none.
+/// Awaits the future, or never resolves if it is `None`.
 async fn or_pending<F: Future>(future: Option<F>) -> F::Output {
     match future {
         Some(future) => future.await,
@@ -87,7 +87,7 @@
         let next_source = next.as_ref().map(|next| next.source.clone());
         tokio::select! {
             biased;
-            // Polled first: a source that has answered has superseded the current one.
+            // This branch is polled first: a source that has answered has superseded the current one.
             () = or_pending(next_source.as_ref().map(|source| source.answered.notified())) => {
                 if let Some(answered) = next.take() {
                     tracing::info!(target: "node_list", address = %answered.source.address, "endpoint list source changed");
@@ -98,7 +98,7 @@
             moved = address.changed() => {
                 // Fails only if the sender was dropped, but the context holds it.
                 if moved.is_err() { return };
-                next = Some(create_successor(&context, &current, *address.borrow_and_update(), timeouts.next));
+                next = Some(create_next_source(&context, &current, *address.borrow_and_update(), timeouts.next));
             }
             lost = or_pending(next.as_mut().map(|next| next.run(&context))) => {
                 let address = next_source.as_ref().map(|source| source.address);
@@ -106,8 +106,9 @@
             }
             // A new request means that the previous one has not been answered in time.
             () = context.state.poll_requested() => {
-                tracing::debug!(target: "node_list", moving = next.is_some(), "the decisions request the endpoint list");
-                // Also while a new source is being contacted: until it answers, only the former one may.
+                tracing::debug!(target: "node_list", moving = next.is_some(), "endpoint list requested by the decision module");
+                // The current source is called even while a new source is being contacted: until the new one answers, the
+                // list can come only from the current one.
                 current.source.clock.request_watch(context.clock.now());
             }
             lost = current.run(&context) => {
@@ -129,7 +130,7 @@
 
 /// Creates the source at a new address, which replaces `current` when it answers. It is called immediately, as the former
 /// source may end soon, and is retried if it fails or does not answer in time.
-fn create_successor(
+fn create_next_source(
     context: &EndpointListContext,
     current: &SourceWatch,
     address: SocketAddr,
--- a/router/src/endpoint_list/source.rs
+++ b/router/src/endpoint_list/source.rs
@@ -21,7 +21,7 @@
     pub address: SocketAddr,
     /// The version last applied from this source.
     pub version: Cell<Option<u64>>,
-    /// Whether it has been logged that the source sends older versions.
+    /// Whether older versions sent by this source have been logged. Reset when a message is accepted.
     pub older_reported: Cell<bool>,
     /// The source that this one replaces with its first message.
     pub predecessor: RefCell<Option<Rc<ListSource>>>,
@@ -62,7 +62,7 @@
     pub truncated: bool,
     /// Time since the watch was opened.
     pub open_for: Duration,
-    /// Number of losses since the last message or keep-alive, including this one.
+    /// Number of watches lost since the last message or keep-alive, including this one.
     pub losses: u32,
 }
 
--- a/router/src/endpoint_list/watch.rs
+++ b/router/src/endpoint_list/watch.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// A type without values: a watch ends only with an error.
+/// Result of a watch that ends without an error. The type has no values, as every watch ends with an error.
 enum Never {}
 
 async fn follow_messages(
@@ -194,7 +194,7 @@
         let message: EndpointListMessage =
             serde_json::from_slice(&object).map_err(WatchError::InvalidMessage)?;
         if source.superseded.get() {
-            // `follow` drops this watch once it has seen that the new source answered.
+            // `follow` drops this watch when it handles the answer of the new source.
             return std::future::pending().await;
         }
         if !source.is_applicable(&message) {
--- a/router/src/endpoint_list/watch_clock.rs
+++ b/router/src/endpoint_list/watch_clock.rs
@@ -58,7 +58,7 @@
     established: Cell<bool>,
     /// When the watch was last opened.
     opened_at: Cell<Nanos>,
-    /// Number of losses since the last message or keep-alive.
+    /// Number of watches lost since the last message or keep-alive.
     losses: Cell<u32>,
 }
 
@@ -138,7 +138,7 @@
         matches!(self.state.get(), State::Incomplete(_))
     }
 
-    /// Number of losses since the last message or keep-alive.
+    /// Number of watches lost since the last message or keep-alive.
     pub fn losses(&self) -> u32 {
         self.losses.get()
     }
--- a/router/src/endpoint_list_state.rs
+++ b/router/src/endpoint_list_state.rs
@@ -15,7 +15,7 @@
     pub opened: u64,
     /// Calls that led to an established watch.
     pub established: u64,
-    /// Calls that failed before that: refused, not answered in time, or broken.
+    /// Calls that failed before a watch was established: refused, not answered in time, or broken.
     pub failed: u64,
     /// Established watches that were lost.
     pub lost: u64,
--- a/router/src/replica/attempt.rs
+++ b/router/src/replica/attempt.rs
@@ -87,7 +87,7 @@
         // Encoded after the last await, so that the deadline sent is current.
         let Some(request) = self.encode_request() else { return Outcome::NotSent.into() };
         if !self.dispatcher.with_core(|core, now| core.may_write(now, self.request, self.attempt)) {
-            self.context.pool.give_back(connection);
+            self.context.pool.return_connection(connection);
             return Outcome::NotSent.into();
         }
         if let Err(error) = connection.wire.write(request).await {
@@ -98,7 +98,7 @@
         }
         tracing::debug!(target: "node", request = self.request.0, attempt = self.attempt,
             reused = connection.reused, "attempt written");
-        let _in_flight = self.context.pool.count_in_flight(self.replica);
+        let _in_flight = self.context.pool.begin_in_flight(self.replica);
         match self.receive_head(&mut connection.wire).await {
             Some(head) => self.receive_response(connection, head).await,
             None => Outcome::ConnectionReset.into(),
@@ -172,7 +172,7 @@
             StartLine::Status(200) => {
                 let relayed = Relay::new(self, framing, load_report).run(&mut connection.wire).await;
                 if relayed.at_message_end && head.keeps_alive() && connection.wire.read_buffer.is_empty() {
-                    self.context.pool.give_back(connection);
+                    self.context.pool.return_connection(connection);
                 }
                 relayed.result
             }
@@ -189,7 +189,7 @@
         if head.keeps_alive()
             && discard_body(&mut connection.wire, framing, self.context.limits.max_event_size)
         {
-            self.context.pool.give_back(connection);
+            self.context.pool.return_connection(connection);
         }
     }
 }
--- a/router/src/replica/pool.rs
+++ b/router/src/replica/pool.rs
@@ -36,8 +36,8 @@
     max_connections: usize,
     /// Time after which an idle connection is closed.
     idle_timeout: Duration,
-    /// Minimum idle time before a connection is reused. A replica that sends a second response late would otherwise have it
-    /// taken for the response to the next request.
+    /// Minimum idle time before a connection is reused. A late second response of a faulty
+    /// replica would otherwise be read as the response to the next request.
     reuse_delay: Duration,
     connect_timeout: Duration,
     /// Replicas by the list's `id`, as their addresses may change and may differ between routers.
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Closes the idle connections of a replica, so that its next attempt opens a new one. An unreachable machine cannot be told
-    /// from a slow one on an open connection, but a new connection to it is not established.
+    /// Closes the idle connections of a replica, so that its next attempt opens a new one. On an open
+    /// connection, an unreachable machine looks like a slow one; a new connection to it fails.
     pub fn close_idle(&self, id: ReplicaId) {
         self.idle.borrow_mut().remove(&id);
     }
@@ -143,7 +143,7 @@
     }
 
     /// Counts an attempt as in flight at a replica until the guard is dropped.
-    pub(super) fn count_in_flight(self: &Rc<Self>, id: ReplicaId) -> InFlightGuard {
+    pub(super) fn begin_in_flight(self: &Rc<Self>, id: ReplicaId) -> InFlightGuard {
         *self.in_flight.borrow_mut().entry(id).or_default() += 1;
         InFlightGuard { pool: self.clone(), id }
     }
@@ -164,7 +164,7 @@
     }
 
     /// Returns a connection to the pool, unless its replica was removed, moved or restarted in the meantime.
-    pub(super) fn give_back(&self, mut connection: ReplicaConnection) {
+    pub(super) fn return_connection(&self, mut connection: ReplicaConnection) {
         let id = connection.address.id;
         if self.listed.borrow().get(&id).is_some_and(|replica| replica.address == connection.address) {
             connection.wire.release_buffer();
--- a/router/src/replica/probe.rs
+++ b/router/src/replica/probe.rs
@@ -38,7 +38,7 @@
         if head.start_line == StartLine::Status(200) { Outcome::Completed } else { Outcome::ReplicaError };
     let load_report = dialect::parse_load_report(&String::from_utf8_lossy(&report), names);
     if head.keeps_alive() && connection.wire.read_buffer.is_empty() {
-        context.pool.give_back(connection);
+        context.pool.return_connection(connection);
     }
     Ok(AttemptResult { outcome, cached_tokens: None, load_report })
 }
