--- a/router/src/cli/help.rs
+++ b/router/src/cli/help.rs
@@ -99,14 +99,14 @@
 can't be used. `health` has its own, see `tallypin help health`.
 ";
 
-/// The error of a word that is not a command.
+/// The error of an unknown command or help topic.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownCommand {
     name: String,
 }
 
 impl UnknownCommand {
-    /// The error of this word.
+    /// Creates the error of an unknown command or help topic.
     pub fn new(name: &str) -> UnknownCommand {
         UnknownCommand { name: name.into() }
     }
@@ -128,7 +128,7 @@
 ///
 /// # Errors
 ///
-/// [`UnknownCommand`] if the word is neither a command nor a topic.
+/// [`UnknownCommand`] if `topic` is neither a command nor a topic.
 pub fn help(topic: Option<&str>) -> Result<String, UnknownCommand> {
     let Some(topic) = topic else { return Ok(overview()) };
     if topic == SETTINGS_TOPIC {
--- a/router/src/fleet/agent.rs
+++ b/router/src/fleet/agent.rs
@@ -44,7 +44,7 @@
     KeyFile {
         /// Path of the key file.
         path: PathBuf,
-        /// The error of the read.
+        /// Error of reading the key file.
         source: io::Error,
     },
     /// The content of the key file is invalid.
@@ -60,7 +60,7 @@
     Bind {
         /// This router's fleet address.
         address: SocketAddr,
-        /// The error of the bind.
+        /// Error of binding the address.
         source: io::Error,
     },
     /// An installed file that releases may replace can't be read.
--- a/router/src/fleet/council.rs
+++ b/router/src/fleet/council.rs
@@ -95,7 +95,7 @@
         acceptor.as_ref().and_then(Acceptor::accepted).map(|value| value.state.version)
     }
 
-    /// Joins this member's acceptor if the chosen proposal contains its incarnation.
+    /// Makes this member's acceptor join the council if the chosen proposal contains its incarnation.
     pub fn join(&self, chosen: Proposal<FleetState>) {
         if let Some(acceptor) = self.acceptor.borrow_mut().as_mut() {
             acceptor.join(chosen);
--- a/router/src/fleet/order_execution.rs
+++ b/router/src/fleet/order_execution.rs
@@ -31,7 +31,7 @@
     InvalidWaves(#[from] WaveError),
     #[error("{0}")]
     Rejected(#[from] Rejection),
-    // The order may still take effect: a later round may complete an interrupted one.
+    // An order without an answer of a majority may still take effect: a later round may complete an interrupted one.
     #[error(
         "no majority of the council answered in time; the order may be sent again under this id and runs at most once"
     )]
--- a/router/src/fleet/proposer.rs
+++ b/router/src/fleet/proposer.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Adds the out-of-service vote of a promise to the view, and records a ballot that superseded the own one.
+    /// Adds the out-of-service vote of a promise to the view, and records a ballot that superseded the one of this proposer.
     fn observe_answer(&self, answer: &MemberAnswer, view: &mut CouncilView) {
         match (&answer.reply, &answer.out_of_service) {
             (AcceptorReply::Superseded(ballot), _) => self.observe_ballot(*ballot),
--- a/router/src/fleet/release_files.rs
+++ b/router/src/fleet/release_files.rs
@@ -52,7 +52,7 @@
     /// An I/O operation failed.
     #[error("{}: {source}", path.display())]
     Io {
-        /// Path of the file or its directory.
+        /// Path of the file or directory on which the operation failed.
         path: PathBuf,
         /// The I/O error.
         source: io::Error,
--- a/router/src/fleet/release_plan.rs
+++ b/router/src/fleet/release_plan.rs
@@ -128,7 +128,7 @@
 }
 
 fn request(section: &Checked, path: &Path, problems: &mut Vec<Problem>) -> ReleaseRequest {
-    let digest = digest(section, path, problems);
+    let digest = resolve_digest(section, path, problems);
     let arguments = |entry: &Entry| (0..entry.values.len()).map(|i| entry.text(i).to_string()).collect();
     let waves: Vec<Vec<String>> = section.entries_of("wave").map(arguments).collect();
     if waves.len() > MAX_WAVES {
@@ -154,7 +154,7 @@
 }
 
 /// Returns the digest given in a plan, or the digest of the file given in it.
-fn digest(section: &Checked, path: &Path, problems: &mut Vec<Problem>) -> String {
+fn resolve_digest(section: &Checked, path: &Path, problems: &mut Vec<Problem>) -> String {
     match (section.entry("file"), section.entry("digest")) {
         (Some(entry), None) => {
             let file = path.parent().unwrap_or(Path::new("")).join(entry.text(0));
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -37,7 +37,7 @@
 pub struct FleetRouter {
     /// Name of the router.
     pub name: String,
-    /// Address on which it accepts calls of the other routers.
+    /// Address on which the router accepts calls of the other routers.
     pub address: SocketAddr,
     /// Zone of the router.
     pub zone: String,
@@ -137,7 +137,7 @@
 fn router(entry: &Entry) -> FleetRouter {
     let address = match entry.values.get(1) {
         Some(Value::Address(address)) => *address,
-        // Already reported as a problem of the entry.
+        // An invalid address is already reported as a problem of the entry.
         _ => ([127, 0, 0, 1], 0).into(),
     };
     FleetRouter { name: entry.text(0).into(), address, zone: entry.text(2).into() }
@@ -146,7 +146,7 @@
 fn path(entry: &Entry, index: usize) -> PathBuf {
     match entry.values.get(index) {
         Some(Value::Path(path)) => Path::to_path_buf(path),
-        // Already reported as a problem of the entry.
+        // An invalid path is already reported as a problem of the entry.
         _ => PathBuf::new(),
     }
 }
--- a/router/src/fleet/settings/limits.rs
+++ b/router/src/fleet/settings/limits.rs
@@ -8,9 +8,9 @@
 /// Whether a limit may allow all routers of a group to be out of service at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WholeGroup {
-    /// Allowed: routers outside the group stay in service.
+    /// The whole group may be out of service: routers outside the group still serve.
     MayLeave,
-    /// Not allowed: no router would stay in service.
+    /// The whole group must not be out of service: no router would serve.
     MustNotLeave,
 }
 
--- a/router/src/fleet/wire.rs
+++ b/router/src/fleet/wire.rs
@@ -33,7 +33,7 @@
     /// No key of this fleet signed the message for this direction.
     #[error("the message is not signed by a key of this fleet")]
     NotSigned,
-    /// The signature is valid, and the body is not a message of this version.
+    /// The signature is valid, but the body is not a message of this version.
     #[error("the message is malformed: {0}")]
     Malformed(#[source] serde_json::Error),
     /// The message can't be encoded as JSON.
--- a/router/src/log.rs
+++ b/router/src/log.rs
@@ -42,7 +42,7 @@
     pub targets: Vec<(String, LevelFilter)>,
     /// Whether lines are JSON instead of text.
     pub json: bool,
-    /// Maximum number of lines that wait for the writer; further lines are dropped and counted.
+    /// Maximum number of lines queued for the writer; further lines are dropped and counted.
     pub queue: usize,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// The running log. Dropping it writes the lines that still wait and ends the writer.
+/// The running log. Dropping it writes the queued lines and ends the writer.
 pub struct Log {
     filter: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
--- a/router/src/main.rs
+++ b/router/src/main.rs
@@ -55,7 +55,7 @@
             }
         }
         Command::Serve { settings } => {
-            // Precedes reading the files, as a released file may be the one that keeps the program from starting.
+            // The start is counted before the files are read: a released file may be what keeps the program from starting.
             if let Some(path) = &settings {
                 let configuration = std::env::var_os("PROXY_CONFIG").map(PathBuf::from);
                 for message in [Some(path.clone()), configuration]
@@ -205,7 +205,7 @@
     installation: Option<Installation>,
     log: Rc<Log>,
 ) -> RunResult<()> {
-    // Comes first: until their handlers are installed, these signals end the program at once.
+    // The signal handlers are installed first: without them, these signals end the program immediately.
     let hangup = reload::hangup_signal()?;
     let termination = ShutdownSignals::new()?;
     let (listen, cached_list, startup_configuration) =
@@ -226,7 +226,7 @@
         cached_list.unwrap_or(EndpointListMessage { version: 0, full: true, endpoints: Vec::new() });
     endpoint_list::apply(&components.endpoint_list, &cached_list, tallypin::api::ListUpdate::Cached);
     components.start();
-    // Precedes the health checks, which report to balancers that the router serves.
+    // The list is awaited before the health checks start, as these report to balancers that the router serves.
     wait_for_agent(&components).await;
     let mut health_monitor = None;
     // Dropping the fleet agent or the check listeners ends their tasks: these bindings last until the program ends.
@@ -234,13 +234,13 @@
     if let Some(installation) = &installation {
         components.balancer_interface.set_proxy_protocol_policy(installation.proxy_policy.clone());
         if installation.checks.is_some() || installation.control.is_some() {
-            let new_board = HealthMonitor::new(installation, components.balancer_interface.clone());
+            let new_monitor = HealthMonitor::new(installation, components.balancer_interface.clone());
             let fleet = match installation.fleet.clone() {
                 Some(fleet_settings) => {
                     let settings = settings.clone().unwrap_or_default();
                     let control = ProcessControl {
                         components: components.clone(),
-                        health_monitor: new_board.clone(),
+                        health_monitor: new_monitor.clone(),
                         settings_path: settings,
                     };
                     Some(FleetAgent::start(fleet_settings, Box::new(control)).await?)
@@ -252,17 +252,17 @@
                 let orders = fleet.clone().map(fleet_order_handler);
                 tokio::task::spawn_local(control.serve(
                     components.check_context(),
-                    new_board.clone(),
+                    new_monitor.clone(),
                     orders,
                 ));
             }
-            // Precedes the listeners for balancers and clients.
+            // The fleet state is awaited before the listeners for balancers and clients are started.
             if let Some(fleet) = &fleet {
                 fleet.wait_for_first_state().await;
             }
             _fleet = fleet;
-            _check_listeners = Some(checks::start(&components.check_context(), &new_board).await?);
-            health_monitor = Some(new_board);
+            _check_listeners = Some(checks::start(&components.check_context(), &new_monitor).await?);
+            health_monitor = Some(new_monitor);
         }
         reloader = Some(SettingsReloader::new(installation, health_monitor.clone(), Some(log.clone())));
     }
--- a/router/src/probe.rs
+++ b/router/src/probe.rs
@@ -15,7 +15,7 @@
 /// A router's answer to a check.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProbeReply {
-    /// The state, as far as the protocol reports it.
+    /// The health state. Some protocols distinguish fewer states than the router has.
     pub state: HealthState,
     /// The weight in percent, 1 to 100; 100 if the protocol has no weight.
     pub weight: u8,
--- a/router/src/reload.rs
+++ b/router/src/reload.rs
@@ -37,7 +37,7 @@
 }
 
 impl StartupConfiguration {
-    /// Extracts this part of a configuration.
+    /// Extracts the part of a configuration that only a restart can change.
     pub fn from_config(config: &Config) -> StartupConfiguration {
         let Config { name, listen, peers, deployment, limits, .. } = config.clone();
         StartupConfiguration { name, listen, peers, deployment, limits }
--- a/router/src/request_ids.rs
+++ b/router/src/request_ids.rs
@@ -1,5 +1,5 @@
-//! The identifiers of requests. A second request with the identifier of an open one is rejected, because a replica would take
-//! it for a copy of the first. Requests whose clients give no identifier get a generated one.
+//! The identifiers of requests. A second request with the identifier of an open one is rejected, because a replica would treat
+//! it as a copy of the first. Requests whose clients give no identifier get a generated one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/router/src/router_control.rs
+++ b/router/src/router_control.rs
@@ -29,7 +29,7 @@
     pub components: Rc<Components>,
     /// Health state that load balancers see.
     pub health_monitor: Rc<HealthMonitor>,
-    /// Path of the settings file, which a released one would replace.
+    /// Path of the settings file. A released settings file is validated as if it were at this path.
     pub settings_path: PathBuf,
 }
 
@@ -81,7 +81,7 @@
     fn advertised_status(&self) -> AdvertisedStatus {
         match (self.health_monitor.drain_phase(), self.health_monitor.assessment().state) {
             (DrainPhase::ShuttingDown, _) => AdvertisedStatus::Ending,
-            // No replica is ready, after the start or because all were lost: new requests would be rejected.
+            // No replica is ready, either after the start or because all became unavailable: new requests would be rejected.
             (DrainPhase::Serving, _) if self.components.replicas.ready_count() == 0 => {
                 AdvertisedStatus::Starting
             }
--- a/router/src/shutdown.rs
+++ b/router/src/shutdown.rs
@@ -45,8 +45,7 @@
 }
 
 /// Shuts the router down after a signal, and returns when all requests are finished. With a health monitor, balancers are
-/// notified
-/// first, and an operator's order can start the shutdown as well.
+/// notified first, and an operator's order can start the shutdown as well.
 pub async fn shut_down_on_signal(
     components: Rc<Components>,
     health_monitor: Option<Rc<HealthMonitor>>,
@@ -134,8 +133,8 @@
 fn is_last_router(components: &Components) -> bool {
     let silence_limit = components.limits.peer_silence_timeout;
     let silent = components.peers.as_ref().is_some_and(|peers| !peers.received_within(silence_limit));
-    let only_one = components.deployment.decision_settings.router_count == 1;
-    components.deployment.resumes_streams && (only_one || silent)
+    let is_only_router = components.deployment.decision_settings.router_count == 1;
+    components.deployment.resumes_streams && (is_only_router || silent)
 }
 
 /// Runs the shutdown through all stages, without balancers to notify.
