--- a/router/src/checks/http.rs
+++ b/router/src/checks/http.rs
@@ -33,7 +33,7 @@
         // complete check is read first, because the selection is biased.
         let outcome = tokio::select! {
             biased;
-            outcome = timeout(time_limit, read(&mut conn)) => outcome,
+            outcome = timeout(time_limit, read_check(&mut conn)) => outcome,
             () = idle.close_requested() => return conn.health_monitor.record_invalid_check(),
         };
         drop(idle);
@@ -72,7 +72,7 @@
     Closed,
 }
 
-async fn read(conn: &mut CheckConnection) -> ReadOutcome {
+async fn read_check(conn: &mut CheckConnection) -> ReadOutcome {
     let limits = conn.context.limits.clone();
     let head = loop {
         match MessageHead::parse_request(&mut conn.wire.read_buffer, &limits) {
--- a/router/src/checks/mod.rs
+++ b/router/src/checks/mod.rs
@@ -53,7 +53,7 @@
     has_stopped: watch::Sender<bool>,
     load_report: RefCell<OrcaLoadReport>,
     components: RefCell<Vec<Component>>,
-    balancers: Rc<BalancerInterface>,
+    balancer_interface: Rc<BalancerInterface>,
     /// The names of the services that checks can name. The empty name, of the router as a whole, is not included.
     services: Vec<String>,
     /// The check connections. Their limit is independent of the limit on client connections.
@@ -67,7 +67,7 @@
 
 impl HealthMonitor {
     /// Creates the health of a router that has just started: *degraded* with the cause *slow start* until measured.
-    pub fn new(installation: &Installation, balancers: Rc<BalancerInterface>) -> Rc<HealthMonitor> {
+    pub fn new(installation: &Installation, balancer_interface: Rc<BalancerInterface>) -> Rc<HealthMonitor> {
         let health = installation.health.clone();
         let assessor = HealthAssessor::new(health.assessment_limits);
         let check_settings = installation.checks.clone();
@@ -89,7 +89,7 @@
             shutting_down: Cell::new(false),
             load_report: RefCell::default(),
             components: RefCell::default(),
-            balancers,
+            balancer_interface,
             services,
             // A connection without a check makes room for a new one at any time, so many silent connections can't keep a
             // balancer out.
@@ -189,7 +189,7 @@
             ..signals
         };
         let assessment = self.assessor.borrow_mut().step(self.uptime(), &signals);
-        self.balancers.set_assessment(assessment);
+        self.balancer_interface.set_assessment(assessment);
         // The load report carries the weight of the assessment that is published with it.
         let weight = f64::from(assessment.weight) / 100.0;
         self.load_report.borrow_mut().named_metrics.insert("weight".into(), weight);
@@ -204,7 +204,7 @@
                 c.report_format.map(|form| self.load_report.borrow().header_field(form)).unwrap_or_default();
             format!("{envoy}{load}")
         });
-        self.balancers.set_response_fields(&fields.unwrap_or_default());
+        self.balancer_interface.set_response_fields(&fields.unwrap_or_default());
     }
 
     /// Records an answered check. The balancer has received the current state with the answer.
--- a/router/src/checks/signals.rs
+++ b/router/src/checks/signals.rs
@@ -138,35 +138,36 @@
         (
             signals,
             self.load_report(&signals),
-            components(&signals, health_monitor.health_settings().assessment_limits.max_list_silence),
+            list_components(&signals, health_monitor.health_settings().assessment_limits.max_list_silence),
         )
     }
 
-    fn load_report(&self, s: &Signals) -> OrcaLoadReport {
+    fn load_report(&self, signals: &Signals) -> OrcaLoadReport {
         let round = |x: f64| (x * 1000.0).round() / 1000.0;
-        let usable_capacity = s.capacity as f64 * s.replicas.usable_capacity;
-        let utilization = if usable_capacity > 0.0 { s.in_flight as f64 / usable_capacity } else { 0.0 };
-        let highest = utilization.max(1.0 - s.clients_free).max(1.0 - s.replica_connections_free);
+        let usable_capacity = signals.capacity as f64 * signals.replicas.usable_capacity;
+        let utilization =
+            if usable_capacity > 0.0 { signals.in_flight as f64 / usable_capacity } else { 0.0 };
+        let highest = utilization.max(1.0 - signals.clients_free).max(1.0 - signals.replica_connections_free);
         OrcaLoadReport {
             cpu_utilization: round(self.cpu_utilization),
-            mem_utilization: round(1.0 - s.bodies_free),
+            mem_utilization: round(1.0 - signals.bodies_free),
             application_utilization: round(highest),
             rps_fractional: round(self.rates.0),
             eps: round(self.rates.1),
             utilization: BTreeMap::from([
-                ("clients".into(), round(1.0 - s.clients_free)),
-                ("links".into(), round(1.0 - s.replica_connections_free)),
+                ("clients".into(), round(1.0 - signals.clients_free)),
+                ("links".into(), round(1.0 - signals.replica_connections_free)),
             ]),
             named_metrics: BTreeMap::from([
-                ("open".into(), s.in_flight as f64),
-                ("late_ms".into(), round(s.event_loop_delay.as_secs_f64() * 1e3)),
-                ("usable".into(), round(s.replicas.usable_capacity)),
+                ("open".into(), signals.in_flight as f64),
+                ("late_ms".into(), round(signals.event_loop_delay.as_secs_f64() * 1e3)),
+                ("usable".into(), round(signals.replicas.usable_capacity)),
             ]),
         }
     }
 }
 
-fn components(signals: &Signals, max_list_silence: Duration) -> Vec<Component> {
+fn list_components(signals: &Signals, max_list_silence: Duration) -> Vec<Component> {
     let replicas = &signals.replicas;
     let percent = |share: f64| format!("{:.0}% free", share * 100.0);
     let ms = signals.event_loop_delay.as_secs_f64() * 1e3;
--- a/router/src/cli/help.rs
+++ b/router/src/cli/help.rs
@@ -132,7 +132,7 @@
 pub fn help(topic: Option<&str>) -> Result<String, UnknownCommand> {
     let Some(topic) = topic else { return Ok(overview()) };
     if topic == SETTINGS_TOPIC {
-        return Ok(settings());
+        return Ok(settings_help());
     }
     let command = COMMANDS.iter().find(|command| command.name == topic);
     command.map(|command| command.text.to_string()).ok_or_else(|| UnknownCommand::new(topic))
@@ -147,7 +147,7 @@
     )
 }
 
-fn settings() -> String {
+fn settings_help() -> String {
     format!(
         "What may stand in the settings file (see docs/SETTINGS.md for its form):\n\n{}",
         tallypin_settings_schema::describe(&tallypin_router::installation::SCHEMA)
--- a/router/src/cli/parse.rs
+++ b/router/src/cli/parse.rs
@@ -71,10 +71,10 @@
     }
     match command.as_str() {
         "serve" => Ok(Command::Serve { settings: options.settings }),
-        "check" => options.check(),
-        "health" => options.health(),
-        "ctl" => options.ctl(),
-        "fleet" => options.fleet(),
+        "check" => options.check_command(),
+        "health" => options.health_command(),
+        "ctl" => options.ctl_command(),
+        "fleet" => options.fleet_command(),
         "version" => Ok(Command::Version),
         "help" => Ok(Command::Help(options.arguments.into_iter().next())),
         other => Err(UnknownCommand::new(other).to_string().into()),
@@ -118,14 +118,14 @@
         Ok(options)
     }
 
-    fn check(self) -> Result<Command, lexopt::Error> {
+    fn check_command(self) -> Result<Command, lexopt::Error> {
         if self.print && self.settings.is_none() {
             return Err(missing("check", "--settings FILE with --print"));
         }
         Ok(Command::Check { settings: self.settings, print: self.print })
     }
 
-    fn health(self) -> Result<Command, lexopt::Error> {
+    fn health_command(self) -> Result<Command, lexopt::Error> {
         let at = self.at.ok_or_else(|| missing("health", "--at ADDRESS"))?;
         let Options { protocol, service, path, style, timeout, .. } = self;
         // Both are sent in a line or a request head, which a space or line break would end.
@@ -135,14 +135,14 @@
         Ok(Command::Health { at, protocol, service, path, style, timeout })
     }
 
-    fn ctl(self) -> Result<Command, lexopt::Error> {
+    fn ctl_command(self) -> Result<Command, lexopt::Error> {
         let socket = self.socket.ok_or_else(|| missing("ctl", "--socket PATH"))?;
         let order = self.arguments.join(" ");
         tallypin_router::checks::control::parse(&order)?;
         Ok(Command::Ctl { socket, order })
     }
 
-    fn fleet(self) -> Result<Command, lexopt::Error> {
+    fn fleet_command(self) -> Result<Command, lexopt::Error> {
         let socket = self.socket.ok_or_else(|| missing("fleet", "--socket PATH"))?;
         if self.arguments == ["watch"] {
             return Ok(Command::Watch { socket });
--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -68,10 +68,10 @@
 
     fn add_idle(self: &Rc<Self>, has_requested: bool) -> IdleGuard {
         self.last_number.set(self.last_number.get() + 1);
-        let (number, (close, closed)) = (self.last_number.get(), oneshot::channel());
+        let (number, (close, close_request)) = (self.last_number.get(), oneshot::channel());
         let entry = IdleEntry { since: Instant::now(), close };
         self.idle_connections(has_requested).borrow_mut().insert(number, entry);
-        IdleGuard { clients: self.clone(), has_requested, number, closed }
+        IdleGuard { clients: self.clone(), has_requested, number, close_request }
     }
 
     fn idle_connections(&self, has_requested: bool) -> &IdleConnections {
@@ -135,14 +135,14 @@
     clients: Rc<Clients>,
     has_requested: bool,
     number: u64,
-    closed: oneshot::Receiver<()>,
+    close_request: oneshot::Receiver<()>,
 }
 
 impl IdleGuard {
     /// Waits until the connection is asked to close. Cancel-safe until it has returned.
     pub async fn close_requested(&mut self) {
         // Fails only if the entry was removed, which happens when `self` is dropped or when the close is requested.
-        let _ = (&mut self.closed).await;
+        let _ = (&mut self.close_request).await;
     }
 }
 
--- a/router/src/core/mod.rs
+++ b/router/src/core/mod.rs
@@ -85,7 +85,7 @@
         self.requests.insert(id, open);
         self.counts.accepted += 1;
         self.counts.resumed += u64::from(request.resumes_stream);
-        self.notify(now, Event::Request(request.into_request(id)));
+        self.handle(now, Event::Request(request.into_request(id)));
         id
     }
 
@@ -113,7 +113,7 @@
         let time_to_deadline = open.deadline.saturating_sub(open.accepted_at);
         self.late_streams += u64::from(now.saturating_sub(open.accepted_at) > time_to_deadline / 2);
         let elapsed = now.saturating_sub(started_at);
-        self.notify(now, Event::FirstToken { request: id, attempt, elapsed });
+        self.handle(now, Event::FirstToken { request: id, attempt, elapsed });
         self.abort_attempts(now, id, Some(attempt), AbortReason::OtherAttemptStreams);
         self.process_events(now);
         true
@@ -139,7 +139,7 @@
         let Some(open) = self.requests.get_mut(&id).filter(|o| !o.answered) else { return };
         open.answered = true;
         self.counts.client_disconnects += 1;
-        self.notify(now, Event::ClientLeft(id));
+        self.handle(now, Event::ClientLeft(id));
         self.abort_attempts(now, id, None, AbortReason::ClientDisconnected);
         self.process_events(now);
     }
@@ -163,7 +163,7 @@
                 false => FinalAnswer::Rejected { retry_after: 0, reason: RejectReason::NoCapacity },
             };
             self.finish(now, id, answer, AnswerCause::Shutdown);
-            self.notify(now, Event::ClientLeft(id));
+            self.handle(now, Event::ClientLeft(id));
             self.abort_attempts(now, id, None, AbortReason::Shutdown);
             self.process_events(now);
         }
@@ -172,14 +172,14 @@
     /// Applies a full endpoint list or a change to it.
     pub fn endpoints_changed(&mut self, now: Nanos, kind: ListUpdate, entries: Vec<EndpointEntry>) {
         let entries = self.endpoints.apply_update(kind, entries);
-        self.notify(now, Event::EndpointList { kind, entries });
+        self.handle(now, Event::EndpointList { kind, entries });
     }
 
     /// Replaces the operator overrides of the endpoint list.
     pub fn override_replicas(&mut self, now: Nanos, drained: &[ReplicaId], restored: &[ReplicaRestoration]) {
         let entries = self.endpoints.set_overrides(drained, restored);
         if !entries.is_empty() {
-            self.notify(now, Event::EndpointList { kind: ListUpdate::Override, entries });
+            self.handle(now, Event::EndpointList { kind: ListUpdate::Override, entries });
         }
     }
 
@@ -195,19 +195,19 @@
 
     /// Handles a message of another router: a load report or a drain notice.
     pub fn peer_message_received(&mut self, now: Nanos, from: PeerId, bytes: Vec<u8>) {
-        self.notify(now, Event::PeerMessage { from, bytes });
+        self.handle(now, Event::PeerMessage { from, bytes });
     }
 
     /// Reports the result of a replica's health check.
     pub fn probe_ended(&mut self, now: Nanos, replica: ReplicaId, result: AttemptResult) {
-        self.notify(now, Event::ProbeEnded { replica, outcome: result.outcome, load: result.load_report });
+        self.handle(now, Event::ProbeEnded { replica, outcome: result.outcome, load: result.load_report });
     }
 
     /// Runs the timers that are due.
     pub fn run_timers(&mut self, now: Nanos) {
         while let Some((at, timer)) = self.timers.pop_due(now) {
             match timer {
-                TimerKind::Decision(token) => self.notify(at.max(now), Event::Timer(token)),
+                TimerKind::Decision(token) => self.handle(at.max(now), Event::Timer(token)),
                 TimerKind::AttemptTimeout(id, attempt) => self.attempt_timed_out(now, id, attempt),
                 TimerKind::Deadline(id) => self.deadline_passed(now, id),
             }
@@ -230,7 +230,7 @@
             return;
         }
         self.finish(now, id, FinalAnswer::Failed { past_deadline: true }, AnswerCause::Deadline);
-        self.notify(now, Event::ClientLeft(id));
+        self.handle(now, Event::ClientLeft(id));
         self.abort_attempts(now, id, None, AbortReason::Answered);
         self.process_events(now);
     }
@@ -255,7 +255,7 @@
         self.requests.len()
     }
 
-    fn notify(&mut self, now: Nanos, event: Event) {
+    fn handle(&mut self, now: Nanos, event: Event) {
         self.events.push_back(event);
         self.process_events(now);
     }
--- a/router/src/dispatcher.rs
+++ b/router/src/dispatcher.rs
@@ -167,12 +167,15 @@
 
     /// Calls `use_core` with the core and the current time, and carries out the resulting instructions.
     pub fn with_core<R>(self: &Rc<Self>, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> R {
-        let (result, instructions) = self.call_core(use_core);
+        let (result, instructions) = self.call_and_take_instructions(use_core);
         self.execute(instructions);
         result
     }
 
-    fn call_core<R>(&self, use_core: impl FnOnce(&mut Core, Nanos) -> R) -> (R, Vec<Instruction>) {
+    fn call_and_take_instructions<R>(
+        &self,
+        use_core: impl FnOnce(&mut Core, Nanos) -> R,
+    ) -> (R, Vec<Instruction>) {
         let mut core = self.core.borrow_mut();
         let result = use_core(&mut core, self.clock.now());
         let next = core.next_timer();
@@ -193,7 +196,7 @@
         let id_guard = self.request_ids.reserve(&upstream.id)?;
         let (events, receiver) = mpsc::channel(self.response_queue_length);
         let logged = request.clone();
-        let (id, instructions) = self.call_core(|core, now| core.accept(now, request));
+        let (id, instructions) = self.call_and_take_instructions(|core, now| core.accept(now, request));
         self.log_accepted(id, &logged, &upstream);
         let pending = Some(PendingStart { events, upstream: Rc::new(upstream) });
         self.waiting.borrow_mut().insert(id, WaitingRequest { id: id_guard.bytes(), pending });
--- a/router/src/endpoint_list/source.rs
+++ b/router/src/endpoint_list/source.rs
@@ -72,7 +72,7 @@
 /// A source, and the watch on it if there is one.
 pub(super) struct SourceWatch {
     pub source: Rc<ListSource>,
-    watching: Option<WatchFuture>,
+    watch: Option<WatchFuture>,
 }
 
 impl SourceWatch {
@@ -92,7 +92,7 @@
             timeouts_changed: Notify::new(),
             clock: WatchClock::new(timeouts),
         };
-        SourceWatch { source: Rc::new(source), watching: None }
+        SourceWatch { source: Rc::new(source), watch: None }
     }
 
     /// Opens the watch when its clock requires it and runs it until it is lost. Cancel-safe: the watch is kept in `self`, and the
@@ -105,7 +105,7 @@
                 WatchStep::Abandon => break WatchError::Silent,
                 WatchStep::Wait(until) => tokio::select! {
                     biased;
-                    error = or_pending(self.watching.as_mut()) => break error,
+                    error = or_pending(self.watch.as_mut()) => break error,
                     () = self.source.timeouts_changed.notified() => {}
                     // Data that arrived in the meantime postpones the timeout, so the clock is queried again.
                     () = or_pending(until.map(|at| sleep_until(context.clock.instant(at).into()))) => {}
@@ -117,7 +117,7 @@
 
     /// Opens a watch. A current one is dropped: another watch was requested because it was not answered in time.
     fn open(&mut self, context: &Rc<EndpointListContext>) {
-        if self.watching.take().is_some() {
+        if self.watch.take().is_some() {
             context.state.update_counts(|counts| counts.failed += 1);
             tracing::debug!(target: "node_list", address = %self.source.address,
                 "endpoint list call not answered in time: replaced by a new call");
@@ -126,11 +126,11 @@
         context.state.update_counts(|counts| counts.opened += 1);
         tracing::debug!(target: "node_list", address = %self.source.address, since = self.source.version.get(),
             unheard_ms = context.state.time_since_activity().as_millis() as u64, "endpoint list watch opened");
-        self.watching = Some(Box::pin(watch(context.clone(), self.source.clone())));
+        self.watch = Some(Box::pin(watch(context.clone(), self.source.clone())));
     }
 
     fn close(&mut self, context: &EndpointListContext, error: WatchError) -> LostWatch {
-        self.watching = None;
+        self.watch = None;
         let clock = &self.source.clock;
         let (now, established) = (context.clock.now(), clock.is_established());
         let truncated = !established && clock.is_incomplete();
--- a/router/src/fleet/heartbeat.rs
+++ b/router/src/fleet/heartbeat.rs
@@ -70,7 +70,7 @@
     /// Sends a heartbeat and returns the state version that the member has accepted; `None` if it has accepted none or did
     /// not reply.
     async fn send(&self, member: usize, status: AdvertisedStatus) -> Option<u64> {
-        let report = self.report();
+        let report = self.build_report();
         let Some(connection) = self.council.connection(member) else {
             let (now, index) = (self.local.now(), self.local.index());
             self.peers.record_heartbeat(now, index, self.local.incarnation(), status, report);
@@ -83,10 +83,10 @@
         }
     }
 
-    fn report(&self) -> HeartbeatReport {
+    fn build_report(&self) -> HeartbeatReport {
         self.state.with(|state| HeartbeatReport {
             counts: self.control.answer_counts(),
-            applied: state.map(|state| self.applied(state)).unwrap_or_default(),
+            applied: state.map(|state| self.applied_state(state)).unwrap_or_default(),
             running_digest: state
                 .and_then(|state| state.release.as_ref())
                 .and_then(|release| self.artifacts.running_digest(&release.artifact))
@@ -94,7 +94,7 @@
         })
     }
 
-    fn applied(&self, state: &FleetState) -> AppliedState {
+    fn applied_state(&self, state: &FleetState) -> AppliedState {
         let drained = state.replicas.iter().filter(|(_, r)| matches!(r.stage, ReplicaStage::OutOfService(_)));
         let in_flight = drained.map(|(id, _)| id.clone()).filter(|id| self.control.has_in_flight(id));
         AppliedState { version: state.version, in_flight: in_flight.collect() }
--- a/router/src/fleet/key_reload.rs
+++ b/router/src/fleet/key_reload.rs
@@ -31,7 +31,7 @@
     let mut logged_error = String::new();
     loop {
         sleep(RELOAD_INTERVAL).await;
-        match read(path.clone(), &fleet).await {
+        match read_keys(path.clone(), &fleet).await {
             Ok(new) if new != *keys.borrow() => {
                 tracing::info!(target: "fleet", keys = ?new, "fleet keys replaced");
                 keys.replace(new);
@@ -49,7 +49,7 @@
     }
 }
 
-async fn read(path: PathBuf, fleet: &str) -> Result<Keys, KeyReloadError> {
+async fn read_keys(path: PathBuf, fleet: &str) -> Result<Keys, KeyReloadError> {
     let text = disk::run(move || std::fs::read_to_string(path)).await?;
     Ok(Keys::read(fleet, &text)?)
 }
--- a/router/src/fleet/order_execution.rs
+++ b/router/src/fleet/order_execution.rs
@@ -91,7 +91,7 @@
     }
 
     async fn run_command(&self, id: &str, order: &FleetOrder) -> Result<(), OrderFailure> {
-        let command = self.command(id, order)?;
+        let command = self.build_command(id, order)?;
         let ordered_at = Instant::now();
         let state = self.submitter.submit(&command).await?;
         match order {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn command(&self, id: &str, order: &FleetOrder) -> Result<Command, OrderFailure> {
+    fn build_command(&self, id: &str, order: &FleetOrder) -> Result<Command, OrderFailure> {
         let order_id = id.to_string();
         Ok(match order {
             FleetOrder::Status => Command::Read,
@@ -120,14 +120,14 @@
                 let until = time.map(|time| unix_ms().saturating_add(time.as_millis() as u64));
                 Command::DrainReplicas { order: order_id, replicas: names.clone(), until }
             }
-            FleetOrder::Release(request) => Command::BeginRelease(self.release(order_id, request)?),
+            FleetOrder::Release(request) => Command::BeginRelease(self.build_release(order_id, request)?),
             FleetOrder::RollBack(cause) => Command::RollBack { order: order_id, cause: cause.clone() },
             FleetOrder::Halt(cause) => Command::Halt { order: order_id, cause: cause.clone() },
             FleetOrder::Resume => Command::Resume { order: order_id },
         })
     }
 
-    fn release(&self, order: String, request: &ReleaseRequest) -> Result<ReleaseOrder, WaveError> {
+    fn build_release(&self, order: String, request: &ReleaseRequest) -> Result<ReleaseOrder, WaveError> {
         let ReleaseRequest { artifact, digest, waves, plan } = request.clone();
         let waves = release_plan::resolve_waves(&waves, &self.settings)?;
         Ok(ReleaseOrder { order, artifact, digest, waves, plan })
--- a/router/src/fleet/proposer.rs
+++ b/router/src/fleet/proposer.rs
@@ -145,7 +145,7 @@
                 RoundStep::Wait => {}
                 RoundStep::Superseded(_) => return None,
                 RoundStep::Propose(state) => {
-                    let applied = self.apply(state, commands, &view);
+                    let applied = self.apply_commands(state, commands, &view);
                     results = applied.results;
                     if results.iter().all(Result::is_err) {
                         return Some(outcomes(results, &FleetState::default()));
@@ -187,7 +187,12 @@
         }
     }
 
-    fn apply(&self, mut state: FleetState, commands: &[Command], view: &CouncilView) -> AppliedCommands {
+    fn apply_commands(
+        &self,
+        mut state: FleetState,
+        commands: &[Command],
+        view: &CouncilView,
+    ) -> AppliedCommands {
         let mut results = vec![];
         for command in commands {
             let applied = state.apply(command, &self.settings.limits, view);
--- a/router/src/fleet/release_plan.rs
+++ b/router/src/fleet/release_plan.rs
@@ -120,14 +120,14 @@
 ) -> Result<ReleaseRequest, Problems> {
     let (tree, sources, mut problems) = load(path, LoadLimits::default(), read_file);
     let checked = check(&tree, &FILE, &mut problems);
-    let request = checked.subsection("release").map(|section| request(section, path, &mut problems));
+    let request = checked.subsection("release").map(|section| release_request(section, path, &mut problems));
     match request.filter(|_| problems.is_empty()) {
         Some(request) => Ok(request),
         None => Err(Problems::new(sources, problems)),
     }
 }
 
-fn request(section: &Checked, path: &Path, problems: &mut Vec<Problem>) -> ReleaseRequest {
+fn release_request(section: &Checked, path: &Path, problems: &mut Vec<Problem>) -> ReleaseRequest {
     let digest = resolve_digest(section, path, problems);
     let arguments = |entry: &Entry| (0..entry.values.len()).map(|i| entry.text(i).to_string()).collect();
     let waves: Vec<Vec<String>> = section.entries_of("wave").map(arguments).collect();
--- a/router/src/fleet/settings.rs
+++ b/router/src/fleet/settings.rs
@@ -75,14 +75,17 @@
 impl FleetSettings {
     /// Reads the section. Problems are added to `problems`; the result is valid only if there are none.
     pub fn from_section(section: &Checked, problems: &mut Vec<Problem>) -> FleetSettings {
-        let mut reader =
-            SectionReader { section, routers: section.entries_of("router").map(router).collect(), problems };
+        let mut reader = SectionReader {
+            section,
+            routers: section.entries_of("router").map(read_router).collect(),
+            problems,
+        };
         reader.check_routers();
         let own_index = section.entry("me").map_or(0, |entry| reader.router_index(entry, 0));
-        let council = reader.council();
-        let limits = reader.limits(council.clone());
-        let release_files = reader.release_files();
-        let heartbeat = reader.heartbeat();
+        let council = reader.read_council();
+        let limits = reader.read_limits(council.clone());
+        let release_files = reader.read_release_files();
+        let heartbeat = reader.read_heartbeat();
         FleetSettings {
             name: section.text("name").into(),
             own_index,
@@ -134,7 +137,7 @@
     routers.iter().position(|router| router.name == name).map(|index| index as RouterIndex)
 }
 
-fn router(entry: &Entry) -> FleetRouter {
+fn read_router(entry: &Entry) -> FleetRouter {
     let address = match entry.values.get(1) {
         Some(Value::Address(address)) => *address,
         // An invalid address is already reported as a problem of the entry.
@@ -143,7 +146,7 @@
     FleetRouter { name: entry.text(0).into(), address, zone: entry.text(2).into() }
 }
 
-fn path(entry: &Entry, index: usize) -> PathBuf {
+fn read_path(entry: &Entry, index: usize) -> PathBuf {
     match entry.values.get(index) {
         Some(Value::Path(path)) => Path::to_path_buf(path),
         // An invalid path is already reported as a problem of the entry.
@@ -187,7 +190,7 @@
         })
     }
 
-    fn council(&mut self) -> Vec<RouterIndex> {
+    fn read_council(&mut self) -> Vec<RouterIndex> {
         let entry = self.section.entry("council");
         let council: Vec<RouterIndex> = entry.map_or(vec![], |entry| {
             (0..entry.values.len()).map(|argument| self.router_index(entry, argument)).collect()
@@ -199,7 +202,7 @@
         council
     }
 
-    fn limits(&mut self, council: Vec<RouterIndex>) -> DrainLimits {
+    fn read_limits(&mut self, council: Vec<RouterIndex>) -> DrainLimits {
         let mut zones: Vec<String> = self.routers.iter().map(|router| router.zone.clone()).collect();
         zones.sort_unstable();
         let smallest_zone = zones.chunk_by(|a, b| a == b).map(<[_]>::len).min().unwrap_or(0);
@@ -248,11 +251,11 @@
         }
     }
 
-    fn release_files(&mut self) -> Vec<ReleaseFile> {
+    fn read_release_files(&mut self) -> Vec<ReleaseFile> {
         let file = |entry: &Entry| ReleaseFile {
             artifact: entry.text(0).into(),
-            path: path(entry, 1),
-            store_dir: path(entry, 2),
+            path: read_path(entry, 1),
+            store_dir: read_path(entry, 2),
         };
         let files: Vec<ReleaseFile> = self.section.entries_of("release").map(file).collect();
         let artifacts: BTreeSet<&str> = files.iter().map(|file| file.artifact.as_str()).collect();
@@ -262,7 +265,7 @@
         files
     }
 
-    fn heartbeat(&mut self) -> HeartbeatTiming {
+    fn read_heartbeat(&mut self) -> HeartbeatTiming {
         let (interval, silence) = (self.section.duration("beat"), self.section.duration("silent"));
         if silence < interval * MIN_SILENCE_HEARTBEATS {
             self.add_problem(
--- a/router/src/fleet/status_report.rs
+++ b/router/src/fleet/status_report.rs
@@ -45,19 +45,19 @@
             "id": id,
             "version": state.version,
             "halted": state.halted,
-            "entries": state.drains.iter().map(|(router, drain)| self.drain(*router, drain)).collect::<Vec<_>>(),
+            "entries": state.drains.iter().map(|(router, drain)| self.drain_report(*router, drain)).collect::<Vec<_>>(),
             "bounds": {"all": limits.total, "zone": limits.per_zone},
             "council": self.reachable_members(),
             "spoilt": self.rejected.count(),
-            "nodes": state.replicas.iter().map(|(id, entry)| self.replica(id, entry)).collect::<Vec<_>>(),
+            "nodes": state.replicas.iter().map(|(id, entry)| self.replica_report(id, entry)).collect::<Vec<_>>(),
         });
         if let Some(release) = &state.release {
-            report["release"] = self.release(release);
+            report["release"] = self.release_report(release);
         }
         if self.council.is_member() {
             report["runs"] = json!(self.peers.running_digests());
             let out_of_service = self.peers.out_of_service(self.local.now());
-            report["out_here"] = out_of_service.iter().map(|router| self.name(*router)).collect();
+            report["out_here"] = out_of_service.iter().map(|router| self.router_name(*router)).collect();
         }
         report
     }
@@ -66,28 +66,28 @@
     pub fn reachable_members(&self) -> Vec<&str> {
         let members = self.settings.council.iter().enumerate();
         let reachable = members.filter(|(member, _)| self.council.is_reachable(*member));
-        reachable.map(|(_, router)| self.name(*router)).collect()
+        reachable.map(|(_, router)| self.router_name(*router)).collect()
     }
 
-    fn name(&self, router: RouterIndex) -> &str {
+    fn router_name(&self, router: RouterIndex) -> &str {
         self.settings.routers.get(usize::from(router)).map_or("?", |router| router.name.as_str())
     }
 
-    fn drain(&self, router: RouterIndex, drain: &DrainEntry) -> Value {
+    fn drain_report(&self, router: RouterIndex, drain: &DrainEntry) -> Value {
         let stage = match drain.stage {
             DrainStage::Requested => "wanted",
             DrainStage::Leased(_) => "leave",
             DrainStage::OutOfService(_) => "out",
             DrainStage::Returning(_) => "back",
         };
-        let mut report = json!({"router": self.name(router), "stage": stage, "order": drain.order});
+        let mut report = json!({"router": self.router_name(router), "stage": stage, "order": drain.order});
         if let Some(digest) = &drain.target_digest {
             report["to"] = digest.as_str().into();
         }
         report
     }
 
-    fn replica(&self, id: &str, entry: &ReplicaEntry) -> Value {
+    fn replica_report(&self, id: &str, entry: &ReplicaEntry) -> Value {
         let mut report = json!({"node": id, "order": entry.order, "until_ms": entry.until});
         match entry.stage {
             ReplicaStage::Requested => report["stage"] = "wanted".into(),
@@ -98,7 +98,7 @@
             ReplicaStage::OutOfService(_) => {
                 let remaining_use = self.submitter.remaining_use(id);
                 let names = |routers: &[RouterIndex]| -> Vec<&str> {
-                    routers.iter().map(|router| self.name(*router)).collect()
+                    routers.iter().map(|router| self.router_name(*router)).collect()
                 };
                 report["stage"] = "out".into();
                 report["clear"] = remaining_use.as_ref().is_some_and(|known| known.router_count == 0).into();
@@ -109,7 +109,7 @@
         report
     }
 
-    fn release(&self, release: &Release) -> Value {
+    fn release_report(&self, release: &Release) -> Value {
         let (phase, cause) = match &release.phase {
             ReleasePhase::Running => ("running", None),
             ReleasePhase::Failed(cause) => ("failed", Some(cause)),
