--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -8,14 +8,14 @@
 pub enum Action {
     /// Start the next attempt of a request.
     Send {
-        /// The request to send.
+        /// Request to send.
         request: RequestId,
-        /// The replica to send it to.
+        /// Replica that receives the attempt.
         replica: ReplicaId,
-        /// Timeout of the attempt.
+        /// Time after the send within which the first token must arrive, ns.
         timeout: Nanos,
     },
-    /// Final answer: the request is rejected, and repeating it is safe.
+    /// Final answer: the request is rejected. The client may safely repeat it.
     Reject {
         /// The rejected request.
         request: RequestId,
@@ -24,7 +24,7 @@
         /// Why the request is rejected.
         reason: RejectReason,
     },
-    /// Final answer: the request failed; its effect may have happened.
+    /// Final answer: the request failed. Its effect may have happened, so repeating it may not be safe.
     Fail(RequestId),
     /// Cancel an attempt.
     Cancel {
@@ -41,7 +41,7 @@
     Gossip(Vec<u8>),
     /// Send a message of at most 256 bytes to one peer.
     SendToPeer {
-        /// The receiver.
+        /// Router that receives the message.
         peer: PeerId,
         /// The encoded message.
         bytes: Vec<u8>,
--- a/src/api/endpoint.rs
+++ b/src/api/endpoint.rs
@@ -49,17 +49,17 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointEntry {
-    /// The replica.
+    /// Replica that the entry describes.
     pub replica: ReplicaId,
     /// State of the replica.
     pub state: EndpointState,
-    /// Time of its last start; 0 if that was long ago.
+    /// Time of the replica's last start; 0 if that was long ago.
     pub started_at: Nanos,
     /// Zone of the replica.
     pub zone: ZoneId,
     /// Cell of the replica: a small group of replicas.
     pub cell: u32,
-    /// Kind of machine; machines of one kind perform about alike.
+    /// Kind of machine that runs the replica; machines of one kind have similar performance.
     pub kind: u32,
 }
 
@@ -70,14 +70,14 @@
     Delta,
     /// The full list.
     Full,
-    /// The full list as stored before a restart; it may be outdated.
+    /// The full list that the router stored before a restart; it may be outdated.
     Cached,
-    /// Changed entries only, from an override by this router's operators. It does not show that the list is being
-    /// received.
+    /// Changed entries only, from an override by this router's operators. An override does not show that the router
+    /// receives the list.
     Override,
     /// A poll failed or the watch ended. No entries.
     Failed,
-    /// The answer to a poll broke off after it had begun. Unlike a refusal, it shows that the list service is not
-    /// overloaded. No entries.
+    /// The answer to a poll broke off after it had begun. Unlike a refused poll, a truncated answer shows that the list
+    /// service is not overloaded. No entries.
     Truncated,
 }
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -16,18 +16,19 @@
     },
     /// A request has arrived.
     Request(Request),
-    /// An attempt has had its first token: its stream goes to the client from now on, without a deadline.
+    /// The first token of an attempt has arrived. From now on the attempt's stream is forwarded to the client, without a
+    /// deadline.
     FirstToken {
         /// The request of the attempt.
         request: RequestId,
         /// Index of the attempt, from 0.
         attempt: u32,
-        /// Time since the send.
+        /// Time since the attempt was sent, ns.
         elapsed: Nanos,
     },
     /// An attempt has ended. Each attempt ends exactly once.
     AttemptEnded(AttemptEnded),
-    /// The client has disconnected: no answer is owed.
+    /// The client of a request has disconnected, so the request needs no answer.
     ClientLeft(RequestId),
     /// A timer set by [`Action::WakeAt`](crate::api::Action::WakeAt) has fired.
     Timer(u64),
@@ -37,12 +38,12 @@
         replica: ReplicaId,
         /// Result of the health check.
         outcome: Outcome,
-        /// Load report, as in [`Event::AttemptEnded`].
+        /// The replica's load report, as in [`Event::AttemptEnded`].
         load: Vec<f64>,
     },
     /// A message from a peer has arrived.
     PeerMessage {
-        /// The sender.
+        /// Router that sent the message.
         from: PeerId,
         /// The encoded message.
         bytes: Vec<u8>,
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -11,7 +11,7 @@
     pub class: ClassId,
     /// Tenant of the request; ignored if no tenants are configured.
     pub tenant: TenantId,
-    /// Time until the client gives up.
+    /// Time until the client gives up, ns.
     pub time_left: Nanos,
     /// Number of prompt tokens.
     pub prompt_tokens: u32,
@@ -64,9 +64,9 @@
     pub attempt: u32,
     /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time since the attempt was sent, ns.
     pub elapsed: Nanos,
-    /// Whether the request ended with this attempt or before it, so that no answer is owed.
+    /// Whether the request ended with this attempt or earlier, so that it needs no further answer.
     pub request_over: bool,
     /// Prompt tokens that the replica had cached, if it reported them.
     pub cached_tokens: Option<u32>,
@@ -80,6 +80,6 @@
 pub enum RejectReason {
     /// The tenant has used up its quota.
     QuotaExceeded,
-    /// No replica is likely to give a first token in time, or none did.
+    /// No replica is likely to return a first token in time, or no attempt returned one.
     NoCapacity,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -10,17 +10,17 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Time within which a first token has its full value.
+    /// Time from the arrival of a request within which its first token has full value.
     pub latency_objective: Nanos,
     /// Additional latency objective per 1,000 prompt tokens.
     pub latency_objective_per_1000_tokens: Nanos,
     /// Objective for the time between two tokens; 0 if there is none.
     pub token_interval_objective: Nanos,
-    /// What repeating a request does.
+    /// Effect of repeating a request.
     pub effect: Effect,
     /// Value of a request relative to others, in any unit common to all classes.
     pub priority_weight: f64,
-    /// Share of the value that an answer has after the latency objective, 0 to 1.
+    /// Share of its value that an answer keeps if its first token misses the latency objective, 0 to 1.
     pub late_value_share: f64,
 }
 
@@ -35,7 +35,7 @@
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Quota over all routers together, requests per second. Above zero.
+    /// Maximum rate of the tenant's requests over all routers together, requests per second. Above zero.
     pub quota_per_s: f64,
 }
 
@@ -147,9 +147,9 @@
 pub enum SettingsError {
     /// There is no request class.
     NoClasses,
-    /// A number is missing, zero where it must not be, negative or not finite. Holds the name of the setting.
+    /// The named setting is missing, negative, not finite, or zero although it must be positive.
     InvalidNumber(&'static str),
-    /// The router's index is not below the number of routers.
+    /// The index of this router is not below the number of routers.
     InvalidRouterIndex,
 }
 
--- a/src/decaying_count.rs
+++ b/src/decaying_count.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Nanos, SECOND};
 
-/// An exponentially decaying count. `count` is as of `as_of`. The caller passes the time constant, which must be the
+/// An exponentially decaying count. `count` is its value at time `as_of`. The caller passes the time constant, which must be the
 /// same at each call.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct DecayingCount {
@@ -23,7 +23,7 @@
     }
 
     /// Returns this count as a share of `total`, 0 to 1, shrunk towards `prior`. The prior weighs as much as
-    /// `prior_events` events in the total. Both counts are taken as of their last event.
+    /// `prior_events` events in the total. Each count has its value at the time of its last event.
     pub(crate) fn share_of(&self, total: &DecayingCount, prior: f64, prior_events: f64) -> f64 {
         (self.count + prior * prior_events) / (total.count + prior_events).max(1.0)
     }
--- a/src/decisions/drain_notices.rs
+++ b/src/decisions/drain_notices.rs
@@ -1,7 +1,7 @@
-//! Decides what routers tell each other about drained replicas. A router without a watch on the endpoint list
-//! queries random peers periodically and stops using the replicas that they report as drained. The list
-//! service answers calls one at a time: when many routers restart at once, it cannot reach all of them before
-//! each counts as notified.
+//! Decides what routers report to each other about drained replicas. A router without a watch on the
+//! endpoint list queries random peers periodically and stops using the replicas that they report as
+//! drained. The list service answers calls one at a time: when many routers restart at once, it cannot
+//! reach all of them before each counts as notified.
 //!
 //! A notice can only remove a replica from use; only the router's own list can make one ready. Once the
 //! router receives the list again, the list alone counts.
@@ -17,7 +17,8 @@
 const PEERS_PER_QUERY: usize = 3;
 
 impl Balancer {
-    /// Starts querying peers, unless queries are scheduled already; they continue until the list is watched.
+    /// Starts querying peers, unless queries are scheduled already. The queries continue until the list is
+    /// watched.
     pub(super) fn schedule_drain_queries(&mut self, now: Nanos, out: &mut Vec<Action>) {
         let settings = &self.settings;
         let can_query = settings.has_peers && settings.router_count > 1;
--- a/src/decisions/known_drains.rs
+++ b/src/decisions/known_drains.rs
@@ -17,8 +17,8 @@
     pub(super) drained_by_notice: Vec<(usize, EndpointEntry)>,
     /// Whether a timer for the next queries is set.
     pub(super) query_scheduled: bool,
-    /// Selects the peers to query and the first delay. It is separate so that queries do not change the
-    /// router's other random choices.
+    /// Random generator for the peers to query and the first delay. It is separate so that queries do not
+    /// change the router's other random choices.
     pub(super) rng: Rng,
 }
 
--- a/src/decisions/leaky_bucket.rs
+++ b/src/decisions/leaky_bucket.rs
@@ -26,7 +26,7 @@
 pub(super) const OVERLOAD_LOAD_LEVEL: f64 = 0.35;
 /// Minimum share of the quota that is left when quotas are reduced.
 const MIN_QUOTA_SHARE: f64 = 0.2;
-/// Tolerance for rounding errors: sums of fractional refills may fall this far short of a whole token.
+/// Tolerance for rounding errors: sums of fractional refills may fall short of a full token by this amount.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 /// Rate of a peer, in requests per second, below which it counts as zero.
 const MIN_PEER_RATE_PER_S: f64 = 1e-3;
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -17,7 +17,7 @@
 //! | `outlier_ejection` | which replicas are ejected because they fail |
 //! | `load_reports` | what peers' and replicas' load reports change, and what is reported to peers |
 //! | `endpoint_list` | which replicas exist, and when the list is polled |
-//! | `drain_notices` | what routers tell each other about drained replicas |
+//! | `drain_notices` | what routers report to each other about drained replicas |
 //!
 //! `request_lifecycle` takes a request through them, from its arrival to the end of its last attempt. All of
 //! these modules extend [`Balancer`]. They use types that do not depend on it: `leaky_bucket`,
@@ -86,7 +86,7 @@
     pub(crate) statistics: ReplicaStatistics,
     /// Requests that are unanswered or have attempts in flight.
     requests: FxHashMap<RequestId, RequestState>,
-    /// Leaky buckets by tenant.
+    /// Leaky bucket of each tenant, by tenant index.
     buckets: Vec<LeakyBucket>,
     affinity: AffinityState,
     /// Candidates of the current ranking; kept to avoid an allocation per ranking.
--- a/src/decisions/outlier_ejection.rs
+++ b/src/decisions/outlier_ejection.rs
@@ -49,8 +49,9 @@
         // One error does not show that a replica is unhealthy; several in a row do. A replica that fails fast
         // always appears idle and would attract all traffic.
         replica.consecutive_failures += 1;
-        // Slow is not silent: a time-out counts only if the replica has sent this router no response for long
-        // while requests were waiting. Otherwise it shows only that this prompt was not read yet.
+        // A slow replica is not a silent one: a time-out counts only if the replica has sent this router no
+        // response for long while requests were waiting. Otherwise it shows only that this prompt was not
+        // read yet.
         let silent_for = now.saturating_sub(replica.unanswered_since.max(replica.last_response_at));
         let is_silent = silent_for as f64 >= silence_limit || outcome != Outcome::TimedOut;
         let is_outlier = replica.consecutive_failures >= FAILURES_TO_EJECT && is_silent;
--- a/src/decisions/retry_budget.rs
+++ b/src/decisions/retry_budget.rs
@@ -18,7 +18,7 @@
 }
 
 impl RetryBudget {
-    /// Adds the share of a new request.
+    /// Adds the retries that a new request contributes to the budget.
     pub(super) fn earn(&mut self) {
         self.saved = (self.saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -39,9 +39,9 @@
     /// remaining ones have no more capacity than before.
     pub(super) fn slow_start_credit(&self, now: Nanos, replica: &Replica) -> f64 {
         let window_s = self.settings.overload_window as f64 / SECOND as f64;
-        let since_period = now.saturating_sub(self.report_period.last_end);
-        let own_rate = self.statistics.first_tokens_per_s(now, since_period);
-        let arrivals = self.statistics.arrivals_per_s(since_period).max(own_rate);
+        let since_last_period = now.saturating_sub(self.report_period.last_end);
+        let own_rate = self.statistics.first_tokens_per_s(now, since_last_period);
+        let arrivals = self.statistics.arrivals_per_s(since_last_period).max(own_rate);
         let used_share = (1.0 - (-arrivals * window_s).exp()).max(MIN_CREDIT_USE_SHARE);
         let capacity =
             self.capacity_share(now, replica) * self.statistics.speed_of_kind(replica.entry.kind).min(1.0);
@@ -52,7 +52,7 @@
         let saved = replica.slow_start_credit + elapsed_s * credit_per_s;
         let max_credit = (1.0 + credit_per_s * window_s).min(MAX_CREDIT);
         let excess = (saved - max_credit).max(0.0);
-        // Excess credit is lost in whole credits, unless the window earns enough to reach the maximum: then
+        // Excess credit is lost in full credits, unless the window earns enough to reach the maximum: then
         // only the part above the maximum is lost.
         saved - if max_credit < MAX_CREDIT { excess.ceil() } else { excess }
     }
--- a/src/drain_notice.rs
+++ b/src/drain_notice.rs
@@ -10,7 +10,7 @@
 const FORMAT: &str = "drain notices, form 1";
 /// Digest at the start of each message.
 const DIGEST: [u8; MESSAGE_DIGEST_LENGTH] = message_digest(FORMAT.as_bytes());
-/// Type bytes of the messages.
+/// Type byte of each message.
 const QUERY: u8 = 0;
 const NOTICE: u8 = 1;
 /// Length of an entry in bytes: 8 for the replica, 4 for the digest of its start time.
@@ -23,9 +23,9 @@
 /// One incarnation of a replica, as in messages between routers: a replica that restarts has another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Incarnation {
-    /// The replica.
+    /// Replica of which this is an incarnation.
     pub replica: ReplicaId,
-    /// Digest of the start time.
+    /// Digest of the time at which this incarnation started.
     pub start_digest: u32,
 }
 
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -10,13 +10,13 @@
 /// Effect of repeating a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// None: the request may be repeated and rejected freely.
+    /// Repeating the request does no harm: it may be repeated and rejected freely.
     Idempotent,
     /// Repeats are dropped within `scope`, for `window` from the send of the first attempt that may have run.
     IdempotentByKey {
-        /// The replicas that recognise each other's requests.
+        /// The replicas that recognise repeats of each other's requests.
         scope: DeduplicationScope,
-        /// Time for which they recognise a request.
+        /// Time for which these replicas recognise repeats of a request.
         window: Nanos,
     },
     /// The effect would happen again: the request is repeated or rejected only if no attempt can have run.
@@ -46,9 +46,9 @@
         }
     }
 
-    /// Returns whether a further attempt may be sent at `now` after one that may have run, sent at `sent`. Where there
-    /// is a scope, the replica must be in the same one. The window counts until the last byte has arrived, so time for
-    /// the write is reserved.
+    /// Returns whether a further attempt may be sent at `now` after one that was sent at `sent` and may have run. The
+    /// caller also checks [`Effect::same_deduplication_scope`]. The window counts until the last byte has arrived, so
+    /// time for the write is reserved.
     pub fn may_resend(self, now: Nanos, sent: Nanos) -> bool {
         match self {
             Effect::Idempotent => true,
--- a/src/first_token_wait.rs
+++ b/src/first_token_wait.rs
@@ -15,7 +15,7 @@
 /// and one more request in flight on top of two outweighs a wait that is half as long again. With a weight of 0.5,
 /// traffic herds.
 const SAMPLE_WEIGHT: f64 = 0.25;
-/// Minimum smoothed wait used, ns.
+/// Lower bound on a replica's smoothed wait in the calculation of its expected wait, ns.
 const MIN_SMOOTHED_WAIT: f64 = 1e5;
 
 /// Returns the expected first-token wait of a replica with a smoothed wait of `smoothed`, for a request with latency
--- a/src/prefix_cache.rs
+++ b/src/prefix_cache.rs
@@ -22,11 +22,11 @@
 /// The replica that last answered a session.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SessionReplica {
-    /// The replica.
+    /// Replica that last answered the session.
     pub replica: ReplicaId,
     /// Time of the replica's last start, as listed when it answered.
     pub started_at: Nanos,
-    /// Prompt tokens that it has read.
+    /// Number of prompt tokens that the replica has read.
     pub tokens: u32,
     recorded_at: Nanos,
 }
--- a/src/ready_replicas/tests.rs
+++ b/src/ready_replicas/tests.rs
@@ -9,22 +9,22 @@
 }
 
 fn fleet(n: usize) -> ReadyReplicas {
-    let mut m = ReadyReplicas::default();
-    (0..n).for_each(|i| m.add(i, mix(i as u64, 1), i % 3 != 0));
-    m
+    let mut replicas = ReadyReplicas::default();
+    (0..n).for_each(|i| replicas.add(i, mix(i as u64, 1), i % 3 != 0));
+    replicas
 }
 
 proptest! {
     /// Adding a replica changes at most one other contender of a key, and removing it restores the former contenders.
     #[test]
     fn adding_or_removing_a_replica_moves_few_contenders(n in MAX_SCANNED_REPLICAS + 1..2_000, key in any::<u64>(), other_zone in any::<bool>()) {
-        let mut m = fleet(n);
-        let before: BTreeSet<usize> = contenders(&m, key).into_iter().collect();
-        m.add(n, mix(n as u64, 1), other_zone);
-        let with: BTreeSet<usize> = contenders(&m, key).into_iter().collect();
+        let mut replicas = fleet(n);
+        let before: BTreeSet<usize> = contenders(&replicas, key).into_iter().collect();
+        replicas.add(n, mix(n as u64, 1), other_zone);
+        let with: BTreeSet<usize> = contenders(&replicas, key).into_iter().collect();
         prop_assert!(before.difference(&with).count() <= 1 && with.difference(&before).count() <= 1);
-        m.remove(n, mix(n as u64, 1), other_zone);
-        prop_assert!(contenders(&m, key).into_iter().eq(contenders(&fleet(n), key)));
+        replicas.remove(n, mix(n as u64, 1), other_zone);
+        prop_assert!(contenders(&replicas, key).into_iter().eq(contenders(&fleet(n), key)));
     }
 }
 
@@ -35,9 +35,9 @@
     assert_eq!(large.len(), 2 * REPLICAS_AFTER_KEY);
     let in_own_zone = large.iter().filter(|&&i| i % 3 == 0).count();
     assert_eq!(in_own_zone, REPLICAS_AFTER_KEY, "half of the contenders are of the own zone");
-    let one_zone = (0..1000).fold(ReadyReplicas::default(), |mut m, i| {
-        m.add(i, mix(i as u64, 1), false);
-        m
+    let one_zone = (0..1000).fold(ReadyReplicas::default(), |mut replicas, i| {
+        replicas.add(i, mix(i as u64, 1), false);
+        replicas
     });
     assert_eq!(
         contenders(&one_zone, u64::MAX).len(),
@@ -48,10 +48,10 @@
 
 #[test]
 fn keys_are_spread_evenly_over_a_large_fleet() {
-    let m = fleet(3_000);
+    let replicas = fleet(3_000);
     let mut keys_of: BTreeMap<usize, u32> = BTreeMap::new();
     for key in 0..20_000u64 {
-        contenders(&m, mix(key, 2)).into_iter().for_each(|i| *keys_of.entry(i).or_default() += 1);
+        contenders(&replicas, mix(key, 2)).into_iter().for_each(|i| *keys_of.entry(i).or_default() += 1);
     }
     // A third of the fleet is in the own zone and gives half of the contenders: 960 keys per replica, and 480 for others.
     for (&i, &n) in &keys_of {
--- a/src/replica_snapshot.rs
+++ b/src/replica_snapshot.rs
@@ -9,7 +9,7 @@
 /// State of a ready replica at one time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplicaSnapshot {
-    /// The replica.
+    /// Replica that the snapshot describes.
     pub replica: ReplicaId,
     /// Own attempts in flight.
     pub in_flight: u32,
--- a/src/served_report.rs
+++ b/src/served_report.rs
@@ -56,9 +56,9 @@
 /// Number of served requests of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServedCount {
-    /// The tenant.
+    /// Tenant whose requests are counted.
     pub tenant: TenantId,
-    /// Number of its requests served.
+    /// Number of the tenant's requests that the sender served.
     pub requests: u32,
 }
 
--- a/src/start_time.rs
+++ b/src/start_time.rs
@@ -22,12 +22,12 @@
 }
 
 impl ListCoverage {
-    /// Records that a current list was received and its changes follow.
+    /// Records that the router has an up-to-date endpoint list and receives its changes from now on.
     pub fn watch_began(&mut self) {
         self.is_watched = true;
     }
 
-    /// Records that the watch ended.
+    /// Records that the watch on the endpoint list ended.
     pub fn watch_ended(&mut self, now: Nanos) {
         if std::mem::take(&mut self.is_watched) {
             self.complete_until = now.saturating_sub(MAX_UNDETECTED_SILENCE);
--- a/src/state/replica_statistics.rs
+++ b/src/state/replica_statistics.rs
@@ -186,20 +186,20 @@
     }
 
     /// Returns the requests per second that arrive at this router and may use a warming replica's credit:
-    /// under overload there are more of them than first tokens. `since` is as in
-    /// [`Self::first_tokens_per_s`].
-    pub(crate) fn arrivals_per_s(&self, since: Nanos) -> f64 {
-        self.arrivals.per_second(self.periods, since)
+    /// under overload there are more of them than first tokens. `elapsed` is
+    /// the time since the end of the last period, ns.
+    pub(crate) fn arrivals_per_s(&self, elapsed: Nanos) -> f64 {
+        self.arrivals.per_second(self.periods, elapsed)
     }
 
-    /// Returns the first tokens per second, `since` ns after the end of the last period.
+    /// Returns the first tokens per second, `elapsed` ns after the end of the last period.
     ///
     /// Before the end of the first period it is the mean since the start: otherwise routers that restart
     /// together would leave idle the replicas that start with them. Periods last many seconds, so a burst
     /// counts late. A drop counts at once: otherwise, when traffic moves between routers, their rates would
     /// add up to more than the actual traffic.
-    pub(crate) fn first_tokens_per_s(&self, now: Nanos, since: Nanos) -> f64 {
-        let mean = self.first_tokens.per_second(self.periods, since);
+    pub(crate) fn first_tokens_per_s(&self, now: Nanos, elapsed: Nanos) -> f64 {
+        let mean = self.first_tokens.per_second(self.periods, elapsed);
         if self.periods == 0 {
             return mean;
         }
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -41,7 +41,7 @@
     pub(crate) deadline: Nanos,
     /// Attempts in order. The first is stored inline, as most requests have only one.
     pub(crate) attempts: SmallVec<[Attempt; 1]>,
-    /// Whether no answer is owed any more.
+    /// Whether the request needs no further answer: it was answered, or its client has disconnected.
     pub(crate) answered: bool,
     /// Whether an attempt has had its first token.
     pub(crate) stream_started: bool,
--- a/src/state/smoothing.rs
+++ b/src/state/smoothing.rs
@@ -56,11 +56,11 @@
         move_towards(&mut self.per_s, rate, weight);
     }
 
-    /// Returns the events per second after `periods` periods; before the end of the first one, the mean of
-    /// the `since` ns since the start.
-    pub(crate) fn per_second(&self, periods: u32, since: Nanos) -> f64 {
+    /// Returns the events per second after `periods` periods; before the end of the first one, the mean over
+    /// the `elapsed` ns since the start.
+    pub(crate) fn per_second(&self, periods: u32, elapsed: Nanos) -> f64 {
         match periods {
-            0 => f64::from(self.count) / (since as f64 / SECOND as f64).max(1.0),
+            0 => f64::from(self.count) / (elapsed as f64 / SECOND as f64).max(1.0),
             _ => self.per_s,
         }
     }
