--- a/consensus/src/drain_lease/tests.rs
+++ b/consensus/src/drain_lease/tests.rs
@@ -9,18 +9,18 @@
     LeaseHolder::new(TIMING, THIS_ROUTER.router, THIS_ROUTER.incarnation)
 }
 
-fn with(stage: DrainStage) -> FleetState {
+fn state_with(stage: DrainStage) -> FleetState {
     let mut state = FleetState::default();
     let drain = DrainEntry { stage, order: "d".into(), target_digest: None, attempts: 0 };
     state.drains.insert(THIS_ROUTER.router, drain);
     state
 }
 
-fn serving(holder: &LeaseHolder, now: Nanos, state: &FleetState) -> NextStep {
+fn step_while_serving(holder: &LeaseHolder, now: Nanos, state: &FleetState) -> NextStep {
     holder.next_step(now, state, LocalPhase::Serving, None)
 }
 
-fn out_of_service(holder: &LeaseHolder, now: Nanos, state: &FleetState) -> NextStep {
+fn step_while_out_of_service(holder: &LeaseHolder, now: Nanos, state: &FleetState) -> NextStep {
     holder.next_step(now, state, LocalPhase::OutOfService, None)
 }
 
@@ -28,18 +28,18 @@
 fn a_lease_is_used_before_its_expiry_and_returned_after_it() {
     let mut holder = holder();
     let acquire = Command::AcquireLease(THIS_ROUTER);
-    let requested = with(DrainStage::Requested);
-    assert_eq!(serving(&holder, SECOND, &requested), NextStep::Submit(acquire.clone()));
+    let requested = state_with(DrainStage::Requested);
+    assert_eq!(step_while_serving(&holder, SECOND, &requested), NextStep::Submit(acquire.clone()));
     holder.record_outcome(SECOND, 2 * SECOND, &acquire, SubmitOutcome::Applied);
-    let granted = with(DrainStage::Leased(9));
-    assert_eq!(serving(&holder, 5 * SECOND, &granted), NextStep::BeginDrain);
+    let granted = state_with(DrainStage::Leased(9));
+    assert_eq!(step_while_serving(&holder, 5 * SECOND, &granted), NextStep::BeginDrain);
     assert_eq!(
-        serving(&holder, 6 * SECOND, &granted),
+        step_while_serving(&holder, 6 * SECOND, &granted),
         NextStep::Submit(Command::ReturnLease(THIS_ROUTER)),
         "the process was suspended until the lease had expired"
     );
     assert_eq!(
-        out_of_service(&holder, 6 * SECOND, &granted),
+        step_while_out_of_service(&holder, 6 * SECOND, &granted),
         NextStep::Submit(Command::UseLease(THIS_ROUTER)),
         "the drain began before the lease expired"
     );
@@ -48,7 +48,7 @@
 #[test]
 fn a_lease_of_unknown_age_is_returned() {
     assert_eq!(
-        serving(&holder(), SECOND, &with(DrainStage::Leased(9))),
+        step_while_serving(&holder(), SECOND, &state_with(DrainStage::Leased(9))),
         NextStep::Submit(Command::ReturnLease(THIS_ROUTER)),
         "the time of the request is unknown"
     );
@@ -58,30 +58,33 @@
 fn a_rejected_lease_request_is_repeated_after_a_delay() {
     let mut holder = holder();
     holder.record_outcome(SECOND, SECOND, &Command::AcquireLease(THIS_ROUTER), SubmitOutcome::NotApplied);
-    let requested = with(DrainStage::Requested);
-    assert_eq!(serving(&holder, SECOND + SECOND / 2, &requested), NextStep::Wait);
-    assert!(matches!(serving(&holder, 2 * SECOND, &requested), NextStep::Submit(_)));
+    let requested = state_with(DrainStage::Requested);
+    assert_eq!(step_while_serving(&holder, SECOND + SECOND / 2, &requested), NextStep::Wait);
+    assert!(matches!(step_while_serving(&holder, 2 * SECOND, &requested), NextStep::Submit(_)));
 }
 
 #[test]
 fn no_lease_is_requested_while_halted() {
     let mut holder = holder();
     holder.record_outcome(SECOND, SECOND, &Command::AcquireLease(THIS_ROUTER), SubmitOutcome::NotApplied);
-    let halted = FleetState { halted: Some("x".into()), ..with(DrainStage::Requested) };
-    assert_eq!(serving(&holder, 9 * SECOND, &halted), NextStep::Wait);
+    let halted = FleetState { halted: Some("x".into()), ..state_with(DrainStage::Requested) };
+    assert_eq!(step_while_serving(&holder, 9 * SECOND, &halted), NextStep::Wait);
 }
 
 #[test]
 fn a_router_returns_by_order() {
-    let returning = with(DrainStage::Returning(9));
-    assert_eq!(out_of_service(&holder(), SECOND, &returning), NextStep::ResumeService);
-    assert_eq!(serving(&holder(), SECOND, &returning), NextStep::Submit(Command::ReportServing(THIS_ROUTER)));
+    let returning = state_with(DrainStage::Returning(9));
+    assert_eq!(step_while_out_of_service(&holder(), SECOND, &returning), NextStep::ResumeService);
+    assert_eq!(
+        step_while_serving(&holder(), SECOND, &returning),
+        NextStep::Submit(Command::ReportServing(THIS_ROUTER))
+    );
 }
 
 #[test]
 fn a_router_returns_by_restarting() {
     assert_eq!(
-        serving(&holder(), SECOND, &with(DrainStage::OutOfService(8))),
+        step_while_serving(&holder(), SECOND, &state_with(DrainStage::OutOfService(8))),
         NextStep::Submit(Command::ReportServing(THIS_ROUTER)),
         "an earlier incarnation drained"
     );
@@ -89,17 +92,20 @@
 
 #[test]
 fn a_router_waits_while_it_is_out_and_while_no_order_concerns_it() {
-    assert_eq!(out_of_service(&holder(), SECOND, &with(DrainStage::OutOfService(9))), NextStep::Wait);
-    assert_eq!(serving(&holder(), SECOND, &FleetState::default()), NextStep::Wait);
+    assert_eq!(
+        step_while_out_of_service(&holder(), SECOND, &state_with(DrainStage::OutOfService(9))),
+        NextStep::Wait
+    );
+    assert_eq!(step_while_serving(&holder(), SECOND, &FleetState::default()), NextStep::Wait);
 }
 
 #[test]
 fn a_halt_is_answered_when_no_lease_is_open_or_none_can_be_used() {
-    assert!(halt_is_effective(&TIMING, Duration::ZERO, &with(DrainStage::OutOfService(9))));
-    assert!(!halt_is_effective(&TIMING, Duration::from_secs(5), &with(DrainStage::Leased(9))));
+    assert!(halt_is_effective(&TIMING, Duration::ZERO, &state_with(DrainStage::OutOfService(9))));
+    assert!(!halt_is_effective(&TIMING, Duration::from_secs(5), &state_with(DrainStage::Leased(9))));
     assert!(
-        !halt_is_effective(&TIMING, Duration::from_secs(5), &with(DrainStage::Returning(9))),
+        !halt_is_effective(&TIMING, Duration::from_secs(5), &state_with(DrainStage::Returning(9))),
         "the router may have held its lease until a moment ago"
     );
-    assert!(halt_is_effective(&TIMING, Duration::from_secs(6), &with(DrainStage::Leased(9))));
+    assert!(halt_is_effective(&TIMING, Duration::from_secs(6), &state_with(DrainStage::Leased(9))));
 }
--- a/consensus/src/fleet_state.rs
+++ b/consensus/src/fleet_state.rs
@@ -8,8 +8,8 @@
 //! Invariants, tested in `tests/fleet` and beside this module:
 //!
 //! 1. A drain lease is granted only if the routers out of service, this one included, stay within the limits of the fleet
-//!    and of the router's zone. Routers that are out by order count, and so do those that any member of a majority of the
-//!    council considers out.
+//!    and of the router's zone. Routers that are out of service by order count, and so do those that any member of a
+//!    majority of the council considers out of service.
 //! 2. While the fleet is halted no lease is granted.
 //! 3. An operator's order is executed once, however often and from wherever it is sent.
 //! 4. A rejected command changes nothing.
--- a/consensus/src/fleet_state/command.rs
+++ b/consensus/src/fleet_state/command.rs
@@ -19,101 +19,102 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Command {
-    /// Changes nothing: a round with this command returns the agreed state.
+    /// Changes nothing. A round with this command returns the agreed state.
     #[serde(rename = "look")]
     Read,
-    /// Changes nothing in the fleet state: a restarted member of the council joins with its new incarnation.
+    /// Changes nothing in the fleet state. A restarted member of the council joins with its new incarnation.
     #[serde(rename = "join")]
     JoinCouncil(CouncilMember),
-    /// Operator: drain these routers.
+    /// Sent by an operator: drain these routers.
     Drain {
-        /// The order's id.
+        /// Id of the order.
         order: String,
-        /// The routers.
+        /// The routers to drain.
         routers: Vec<RouterIndex>,
     },
-    /// Operator: return these routers to service.
+    /// Sent by an operator: return these routers to service.
     #[serde(rename = "putback")]
     Restore {
-        /// The order's id.
+        /// Id of the order.
         order: String,
-        /// The routers.
+        /// The routers to return to service.
         routers: Vec<RouterIndex>,
     },
-    /// Operator: no drain may begin until `Resume`.
+    /// Sent by an operator: no drain may begin until `Resume`.
     Halt {
-        /// The order's id.
+        /// Id of the order.
         order: String,
         /// Cause of the halt, reported with each command that it rejects.
         cause: String,
     },
-    /// Operator: drains may begin again.
+    /// Sent by an operator: drains may begin again.
     Resume {
-        /// The order's id.
+        /// Id of the order.
         order: String,
     },
-    /// Operator: take these replicas out of service.
+    /// Sent by an operator: take these replicas out of service.
     #[serde(rename = "takeout")]
     DrainReplicas {
-        /// The order's id.
+        /// Id of the order.
         order: String,
-        /// The replicas' ids.
+        /// Ids of the replicas.
         #[serde(rename = "nodes")]
         replicas: Vec<String>,
-        /// When the replicas return to service without another order; `None` means never.
+        /// Time at which the replicas return to service without another order; `None` if they never do.
         until: Option<UnixMs>,
     },
-    /// Operator: return these replicas to service.
+    /// Sent by an operator: return these replicas to service.
     #[serde(rename = "putbacknodes")]
     RestoreReplicas {
-        /// The order's id.
+        /// Id of the order.
         order: String,
-        /// The replicas' ids.
+        /// Ids of the replicas.
         #[serde(rename = "nodes")]
         replicas: Vec<String>,
     },
-    /// Council: the replica leaves service if the limits allow it, or returns to service at the end of its period.
+    /// Sent by a council member: the replica leaves service if the limits allow it, or returns to service at the end of its
+    /// period.
     #[serde(rename = "node")]
     AdvanceReplica(String),
-    /// Operator: release a file, wave by wave.
+    /// Sent by an operator: release a file, wave by wave.
     #[serde(rename = "release")]
     BeginRelease(ReleaseOrder),
-    /// Operator: roll back the release.
+    /// Sent by an operator: roll back the release.
     #[serde(rename = "undo")]
     RollBack {
-        /// The order's id.
+        /// Id of the order.
         order: String,
         /// Cause of the roll-back, reported with the release.
         cause: String,
     },
-    /// Council: all routers of this wave are back and its checks pass, so the next wave begins.
+    /// Sent by a council member: all routers of this wave are back and its checks pass, so the next wave begins.
     #[serde(rename = "wave")]
     CompleteWave(usize),
-    /// Council: a check of this wave has failed.
+    /// Sent by a council member: a check of this wave has failed.
     #[serde(rename = "fail")]
     FailWave(WaveFailure),
-    /// Router: the sender already runs the released file and need not drain.
+    /// Sent by a router: it already runs the released file and need not drain.
     #[serde(rename = "has")]
     ReportUpToDate(RouterIndex),
-    /// Router: the sender can't run the released file.
+    /// Sent by a router: it can't run the released file.
     #[serde(rename = "unfit")]
     ReportUnfit(UnfitReport),
-    /// Router: the sender has restarted in this incarnation without running the released file.
+    /// Sent by a router: it has restarted in this incarnation without running the released file.
     #[serde(rename = "again")]
     RetryRelease(RouterIncarnation),
-    /// Router: the sender requests the drain lease for a release.
+    /// Sent by a router: it requests the drain lease for a release.
     #[serde(rename = "leavefrom")]
     AcquireReleaseLease(ReleaseLeaseRequest),
-    /// Router: the sender requests the drain lease.
+    /// Sent by a router: it requests the drain lease.
     #[serde(rename = "leave")]
     AcquireLease(RouterIncarnation),
-    /// Router: the sender has begun to drain under its lease.
+    /// Sent by a router: it has begun to drain under its lease.
     #[serde(rename = "going")]
     UseLease(RouterIncarnation),
-    /// Router: the sender has not used its lease before the expiry.
+    /// Sent by a router: it has not used its lease before the expiry.
     #[serde(rename = "giveup")]
     ReturnLease(RouterIncarnation),
-    /// Router: the sender was out of service and serves again.
+    /// Sent by a router: it was out of service and serves again.
     #[serde(rename = "serves")]
     ReportServing(RouterIncarnation),
 }
@@ -121,7 +122,7 @@
 /// An operator's order to release a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseOrder {
-    /// The order's id.
+    /// Id of the order.
     pub order: String,
     /// The name of the file of each router that is replaced.
     #[serde(rename = "what")]
@@ -134,7 +135,7 @@
     pub plan: ReleasePlan,
 }
 
-/// A router in one of its incarnations; a JSON array of the two on the wire.
+/// A router in one of its incarnations. On the wire, a JSON array of its two fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(RouterIndex, Incarnation)", into = "(RouterIndex, Incarnation)")]
 pub struct RouterIncarnation {
@@ -146,7 +147,7 @@
 
 json_array!(RouterIncarnation { router: RouterIndex, incarnation: Incarnation });
 
-/// A router's request for the drain lease in a release; a JSON array of the three on the wire.
+/// A router's request for the drain lease in a release. On the wire, a JSON array of its three fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(RouterIndex, Incarnation, String)", into = "(RouterIndex, Incarnation, String)")]
 pub struct ReleaseLeaseRequest {
@@ -160,19 +161,19 @@
 
 json_array!(ReleaseLeaseRequest { router: RouterIndex, incarnation: Incarnation, running_digest: String });
 
-/// A failed check of a release; a JSON array of the two on the wire.
+/// A failed check of a release. On the wire, a JSON array of its two fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(usize, String)", into = "(usize, String)")]
 pub struct WaveFailure {
     /// The wave, from 0.
     pub wave: usize,
-    /// The failed check. The fleet state stores up to [`super::MAX_CAUSE_CHARS`] characters of it.
+    /// Description of the failed check. The fleet state stores up to [`super::MAX_CAUSE_CHARS`] characters of it.
     pub cause: String,
 }
 
 json_array!(WaveFailure { wave: usize, cause: String });
 
-/// A router's report that it can't run the released file; a JSON array of the two on the wire.
+/// A router's report that it can't run the released file. On the wire, a JSON array of its two fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(RouterIndex, String)", into = "(RouterIndex, String)")]
 pub struct UnfitReport {
--- a/consensus/src/fleet_state/limits.rs
+++ b/consensus/src/fleet_state/limits.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Maximum number of council members out at once: a minority, but at least one, so that members can be restarted.
+    /// Maximum number of council members out of service at once: a minority, but at least one, so that members can be restarted.
     fn council_limit(&self) -> usize {
         (self.council.len().saturating_sub(1) / 2).max(1)
     }
@@ -72,7 +72,7 @@
 impl FleetState {
     /// Returns the routers that count as out of service: by order, or in the council's view.
     pub fn out_of_service(&self, view: &CouncilView) -> BTreeSet<RouterIndex> {
-        let ordered = self.drains.iter().filter(|(_, drain)| drain.stage.counts_as_out());
+        let ordered = self.drains.iter().filter(|(_, drain)| drain.stage.counts_as_out_of_service());
         ordered.map(|(&router, _)| router).chain(view.out_of_service.iter().copied()).collect()
     }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Checks that this router may leave service in addition to those that are out.
+    /// Checks that this router may leave service in addition to those that are out of service.
     ///
     /// Failures count like planned drains: no drain begins while failures fill a limit.
     pub(super) fn check_limits(
@@ -103,7 +103,7 @@
         if others.iter().filter(|&&other| zone(other) == zone(router)).count() >= limits.per_zone {
             return Err(Rejection::ZoneLimitReached(limits.per_zone));
         }
-        // A restarted member has lost its memory and counts as out until it has joined again.
+        // A restarted member has lost its memory and counts as out of service until it has joined again.
         let council_limit = limits.council_limit();
         let is_member = |of: &RouterIndex| limits.council.contains(of);
         if is_member(&router) && others.iter().filter(|&other| is_member(other)).count() >= council_limit {
--- a/consensus/src/fleet_state/rejection.rs
+++ b/consensus/src/fleet_state/rejection.rs
@@ -14,24 +14,24 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rejection {
-    /// Drains are halted, for this cause.
+    /// Drains are halted, for the given cause.
     #[error("halted: {0}")]
     Halted(String),
-    /// The fleet's limit, this number of routers, is reached.
+    /// The maximum number of routers out of service in the fleet, which is given, is reached.
     #[serde(rename = "full")]
     #[error("the limit of {0} routers that may be out at once is reached")]
     FleetLimitReached(usize),
-    /// The zone's limit, this number of routers, is reached.
+    /// The maximum number of routers out of service in a zone, which is given, is reached.
     #[serde(rename = "zone-full")]
     #[error("the limit of {0} routers of a zone that may be out at once is reached")]
     ZoneLimitReached(usize),
-    /// The council's limit, this number of members, is reached.
+    /// The maximum number of council members out of service, which is given, is reached.
     #[serde(rename = "council-full")]
     #[error("the limit of {0} council members that may be out at once is reached")]
     CouncilLimitReached(usize),
     /// Too few members of the council have listened for long enough to know which routers are silent.
     #[serde(rename = "unseen")]
-    #[error("too few members of the council know yet which routers are out")]
+    #[error("too few members of the council know yet which routers are out of service")]
     ViewIncomplete,
     /// The fleet has no router of this index.
     #[serde(rename = "unknown")]
@@ -39,7 +39,7 @@
     UnknownRouter(RouterIndex),
     /// The command matches no entry, or one of another incarnation or stage.
     #[serde(rename = "nothing")]
-    #[error("there is nothing to change")]
+    #[error("the command does not apply to the current fleet state")]
     NothingToChange,
     /// An id or a cause is empty, or longer than [`MAX_TEXT_BYTES`].
     #[serde(rename = "words")]
@@ -57,13 +57,13 @@
     #[serde(rename = "no-list")]
     #[error("this router has no recent node list")]
     EndpointListStale,
-    /// The endpoint list has no replica of this id, or no order has taken the replica out.
+    /// The endpoint list has no replica of this id, or no order has taken the replica out of service.
     #[serde(rename = "unknown-node")]
-    #[error("no model node `{0}` is listed, or out by order")]
+    #[error("no model node `{0}` is in the node list or out of service by order")]
     UnknownReplica(String),
     /// The fleet state would have more than [`MAX_REPLICA_DRAINS`] replica entries.
     #[serde(rename = "too-many")]
-    #[error("at most {MAX_REPLICA_DRAINS} model nodes may be out by order")]
+    #[error("at most {MAX_REPLICA_DRAINS} model nodes may be out of service by order")]
     TooManyReplicas,
     /// The release of this order is in progress.
     #[serde(rename = "busy")]
@@ -71,7 +71,7 @@
     ReleaseInProgress(String),
     /// A router is out of service, or about to leave service, by another order.
     #[serde(rename = "taken")]
-    #[error("router {} is out, or about to leave, by order {}", .0.router, .0.order)]
+    #[error("router {} is out of service, or about to leave service, by order {}", .0.router, .0.order)]
     ConflictingOrder(ConflictingDrain),
     /// The waves name a router twice, one of them is empty, or there is none or more than [`MAX_WAVES`].
     #[serde(rename = "waves")]
@@ -83,7 +83,7 @@
     NotSeenServing,
 }
 
-/// A router that is drained by another order; a JSON array of the two on the wire.
+/// A router that is drained by another order. On the wire, a JSON array of its two fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String)", into = "(String, String)")]
 pub struct ConflictingDrain {
--- a/consensus/src/fleet_state/release_orders.rs
+++ b/consensus/src/fleet_state/release_orders.rs
@@ -49,9 +49,9 @@
     pub(super) fn request_wave(&mut self, limits: &DrainLimits) {
         let Some(release) = self.release.as_mut().filter(|release| release.is_active()) else { return };
         let wave = release.waves.get(release.wave).map_or(&[][..], Vec::as_slice);
-        let most = (2 * limits.total).max(MIN_REQUESTED_AT_ONCE);
+        let max_requested = (2 * limits.total).max(MIN_REQUESTED_AT_ONCE);
         let mut open = self.drains.values().filter(|drain| drain.order == release.order).count();
-        while let Some(router) = wave.get(release.started).filter(|_| open < most) {
+        while let Some(router) = wave.get(release.started).filter(|_| open < max_requested) {
             release.started += 1;
             let target = match release.phase {
                 ReleasePhase::RollingBack(_) => release.previous_digests.get(router),
@@ -174,7 +174,7 @@
         release.phase = ReleasePhase::Failed(cause.clone());
         let order = release.order.clone();
         self.halted = Some(cause);
-        self.cancel_requested(&order);
+        self.cancel_requested_drains(&order);
     }
 
     /// Cancels drains that have not begun and returns drained routers to service as they are. Then all routers that ran the
@@ -183,7 +183,7 @@
         let Some(release) = self.release.as_mut() else { return };
         (release.phase, release.started) = (ReleasePhase::RollingBack(cause.into()), 0);
         let order = release.order.clone();
-        self.cancel_requested(&order);
+        self.cancel_requested_drains(&order);
         for drain in self.drains.values_mut().filter(|drain| drain.order == order) {
             if let DrainStage::Leased(incarnation) | DrainStage::OutOfService(incarnation) = drain.stage {
                 drain.stage = DrainStage::Returning(incarnation);
@@ -192,7 +192,7 @@
     }
 
     /// Removes the drains of an order that have not begun.
-    fn cancel_requested(&mut self, order: &str) {
+    fn cancel_requested_drains(&mut self, order: &str) {
         self.drains.retain(|_, drain| drain.order != order || drain.stage != DrainStage::Requested);
     }
 }
--- a/consensus/src/fleet_state/replica_orders.rs
+++ b/consensus/src/fleet_state/replica_orders.rs
@@ -22,7 +22,7 @@
                 return Err(Rejection::UnknownReplica(id.chars().take(MAX_REPLICA_ID_BYTES).collect()));
             }
             match self.replicas.get_mut(id) {
-                // A replica that is already out stays out, until the end of the period that was ordered last.
+                // A replica that is already out of service stays so until the end of the period that was ordered last.
                 Some(drain) if !matches!(drain.stage, ReplicaStage::Restored(_)) => drain.until = until,
                 _ => {
                     let requested =
--- a/consensus/src/fleet_state/router_drains.rs
+++ b/consensus/src/fleet_state/router_drains.rs
@@ -25,8 +25,8 @@
 }
 
 impl DrainStage {
-    /// Whether a router in this stage counts towards the limits.
-    pub(super) fn counts_as_out(self) -> bool {
+    /// Whether a router in this stage counts as out of service for the limits.
+    pub(super) fn counts_as_out_of_service(self) -> bool {
         self != DrainStage::Requested
     }
 }
@@ -36,12 +36,12 @@
 pub struct DrainEntry {
     /// The stage of the drain.
     pub stage: DrainStage,
-    /// The id of the order behind the drain.
+    /// Id of the order that requested the drain.
     pub order: String,
     /// In a release, the digest of the file that the router is to run when it returns.
     #[serde(default, rename = "to", skip_serializing_if = "Option::is_none")]
     pub target_digest: Option<String>,
-    /// Number of times that the router returned without running that file.
+    /// Number of times that the router returned without running the file of `target_digest`.
     #[serde(default, rename = "tries")]
     pub attempts: u8,
 }
--- a/consensus/src/register/messages.rs
+++ b/consensus/src/register/messages.rs
@@ -15,7 +15,7 @@
 /// Maximum number of members of a council.
 pub const MAX_MEMBERS: usize = 7;
 
-/// A member of the council in one of its incarnations; a JSON array of the two on the wire.
+/// A member of the council in one of its incarnations. On the wire, a JSON array of its two fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(MemberIndex, Incarnation)", into = "(MemberIndex, Incarnation)")]
 pub struct CouncilMember {
@@ -38,7 +38,7 @@
     pub state: D,
 }
 
-/// A value with the ballot under which it was proposed; a JSON array of the two on the wire.
+/// A value with the ballot under which it was proposed. On the wire, a JSON array of its two fields.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Deserialize)]
 #[serde(from = "(Ballot, RegisterValue<D>)")]
 pub struct Proposal<D> {
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AcceptorReply<D> {
-    /// To `Read`: the last accepted proposal.
+    /// Reply to `Read`: the last accepted proposal.
     #[serde(rename = "has")]
     Current {
         /// The acceptor's incarnation.
@@ -92,7 +92,7 @@
         #[serde(rename = "taken")]
         accepted: Option<Proposal<D>>,
     },
-    /// To `Prepare`: promised.
+    /// Reply to `Prepare`: the acceptor accepts nothing under a lower ballot from now on.
     Promised {
         /// The incarnation that promises. The promise is void for any other incarnation.
         #[serde(rename = "life")]
@@ -101,14 +101,14 @@
         #[serde(rename = "taken")]
         accepted: Option<Proposal<D>>,
     },
-    /// To `Accept` or `Bootstrap`: accepted.
+    /// Reply to `Accept` or `Bootstrap`: the proposal is accepted.
     #[serde(rename = "taken")]
     Accepted {
         /// The incarnation that has accepted.
         #[serde(rename = "life")]
         incarnation: Incarnation,
     },
-    /// Rejected: the acceptor has promised this higher ballot.
+    /// The request is rejected, because the acceptor has promised this higher ballot.
     #[serde(rename = "newer")]
     Superseded(Ballot),
     /// The acceptor has restarted, has no memory and takes no part yet.
--- a/consensus/src/register/proposer.rs
+++ b/consensus/src/register/proposer.rs
@@ -10,9 +10,9 @@
 /// The next step of a round.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RoundStep<D> {
-    /// Wait for more replies.
+    /// The caller waits for more replies.
     Wait,
-    /// Change this state and continue with [`Proposer::propose`].
+    /// The first phase is over: the caller changes this state and passes it to [`Proposer::propose`].
     Propose(D),
     /// The round is over: this value has been chosen.
     Chosen(RegisterValue<D>),
@@ -110,7 +110,7 @@
 
     /// Begins the second phase with this changed state, after [`RoundStep::Propose`]. An earlier call has no effect.
     pub fn propose(&mut self, state: D) {
-        let Some(newest) = self.newest() else { return };
+        let Some(newest) = self.newest_proposal() else { return };
         let mut incarnations = newest.value.incarnations.clone();
         for joining in &self.joining {
             if let Some(current) = incarnations.get_mut(usize::from(joining.member)) {
@@ -130,7 +130,7 @@
     }
 
     fn after_promise(&self) -> RoundStep<D> {
-        match self.newest() {
+        match self.newest_proposal() {
             Some(newest) if self.has_majority(&newest.value.incarnations) => {
                 RoundStep::Propose(newest.value.state.clone())
             }
@@ -147,7 +147,7 @@
 
     /// Returns the newest proposal that any member has reported, whether or not its incarnation counts: every reported
     /// proposal was accepted by an acceptor.
-    fn newest(&self) -> Option<&Proposal<D>> {
+    fn newest_proposal(&self) -> Option<&Proposal<D>> {
         let accepted = self.reports.iter().flatten().filter_map(|report| report.accepted.as_ref());
         match defect!(self, BuildsOnOldest) {
             true => accepted.min_by_key(|proposal| proposal.ballot),
--- a/consensus/src/release_monitor.rs
+++ b/consensus/src/release_monitor.rs
@@ -22,7 +22,7 @@
 pub struct RouterReport {
     /// The router's incarnation.
     pub incarnation: Incarnation,
-    /// The answers of that incarnation.
+    /// Counts of the answers of that incarnation.
     pub counts: AnswerCounts,
 }
 
@@ -31,9 +31,9 @@
 pub struct ReleaseMonitor {
     /// The observed wave. The other fields are reset with each wave.
     wave: Option<ObservedWave>,
-    /// When each router of the wave went out of service.
+    /// Time at which each router of the wave went out of service.
     out_since: BTreeMap<RouterIndex, Nanos>,
-    /// Set while all routers of the wave are back.
+    /// Reports from the time when all routers of the wave were back; set while they are.
     baseline: Option<Baseline>,
 }
 
--- a/consensus/src/replica_drains.rs
+++ b/consensus/src/replica_drains.rs
@@ -46,9 +46,9 @@
 pub struct ReplicaEntry {
     /// The stage of the drain.
     pub stage: ReplicaStage,
-    /// The id of the order behind the drain.
+    /// Id of the order that requested the drain.
     pub order: String,
-    /// When the replica returns to service without another order; `None` means never.
+    /// Time at which the replica returns to service without another order; `None` if it never does.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub until: Option<UnixMs>,
 }
--- a/consensus/src/replica_drains/clearing.rs
+++ b/consensus/src/replica_drains/clearing.rs
@@ -3,17 +3,17 @@
 use serde::{Deserialize, Serialize};
 use tallypin_membership::RouterIndex;
 
-/// One router's report on the replicas that are out by order.
+/// One router's report on the replicas that are out of service by order.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct AppliedState {
-    /// The version of the fleet state that the router applies.
+    /// Version of the fleet state that the router applies.
     pub version: u64,
-    /// The replicas out by that state at which the router has requests in flight.
+    /// Ids of the replicas that are out of service by that state and at which the router has requests in flight.
     #[serde(rename = "open")]
     pub in_flight: Vec<String>,
 }
 
-/// One router's use of the replicas that are out by order, as far as it is known.
+/// One router's use of the replicas that are out of service by order, as far as this use is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaUse<'a> {
     /// The last report of the router's current incarnation; `None` if there is none yet.
@@ -33,8 +33,12 @@
 
 /// Returns the routers that prevent a replica from being clear.
 ///
-/// The replica is out since version `since` of the fleet state. A router is clear once it has reported that it applies that
-/// version and has no request in flight at the replica. `uses` is by [`RouterIndex`].
+/// The replica is out of service since version `since` of the fleet state. A router is clear once it has reported that it applies
+/// that version and has no request in flight at the replica. `uses` is by [`RouterIndex`].
 pub fn routers_still_using(replica: &str, since: u64, uses: &[ReplicaUse<'_>]) -> Vec<RouterIndex> {
-    (0..).zip(uses).filter(|(_, of)| of.may_use(replica, since)).map(|(router, _)| router).collect()
+    (0..)
+        .zip(uses)
+        .filter(|(_, router_use)| router_use.may_use(replica, since))
+        .map(|(router, _)| router)
+        .collect()
 }
--- a/consensus/src/replica_drains/limits.rs
+++ b/consensus/src/replica_drains/limits.rs
@@ -44,24 +44,26 @@
     pub zone: String,
     /// The replica's kind of machine.
     pub kind: String,
-    /// Whether the replica counts as out for a reason other than an order: it drains, is ejected as an outlier, or warms up.
+    /// Whether the replica counts as out of service for a reason other than an order: it drains, is ejected as an outlier, or
+    /// warms up.
     #[serde(rename = "out")]
     pub out_of_service: bool,
 }
 
-/// A replica may not leave service, because too many of its group would be out.
+/// A replica may not leave service, because too many of its group would be out of service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaLimitExceeded {
-    /// The group whose limit is reached: all, a zone or a kind; or the list, for a replica that is not listed.
+    /// Name of the group whose limit is reached: all replicas, a zone or a kind. For a replica that is not listed, the text
+    /// names the list instead.
     #[serde(rename = "of")]
     pub group: String,
-    /// Maximum number of replicas of the group that may be out.
+    /// Maximum number of replicas of the group that may be out of service.
     #[serde(rename = "most")]
     pub limit: usize,
     /// Number of replicas in the group.
     #[serde(rename = "all")]
     pub total: usize,
-    /// The ids of the replicas of the group that are out.
+    /// Ids of the replicas of the group that are out of service.
     #[serde(rename = "out")]
     pub out_of_service: Vec<String>,
 }
@@ -79,7 +81,7 @@
 
 impl std::error::Error for ReplicaLimitExceeded {}
 
-/// Checks that another replica may leave service, given those that are out by order or for another reason.
+/// Checks that another replica may leave service, given those that are out of service by order or for another reason.
 ///
 /// # Errors
 ///
--- a/consensus/src/replica_drains/tests.rs
+++ b/consensus/src/replica_drains/tests.rs
@@ -46,7 +46,7 @@
     assert_eq!((full.group.as_str(), full.limit, full.total), ("kind new", 2, 5));
 }
 
-/// A replica that is out for two reasons counts once. The replica to drain and unlisted replicas do not count.
+/// A replica that is out of service for two reasons counts once. The replica to drain and unlisted replicas do not count.
 #[test]
 fn each_other_listed_replica_counts_once() {
     let ordered = ordered_out(&["n1", "gone", "n0"]);
--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -49,16 +49,16 @@
 pub struct FailureDetector {
     timing: HeartbeatTiming,
     /// Last heartbeats by [`RouterIndex`].
-    last: Vec<Option<LastHeartbeat>>,
+    last_heartbeats: Vec<Option<LastHeartbeat>>,
     /// Time since which this member has listened without being paused.
     listening_since: Nanos,
-    last_clock: Nanos,
+    clock: Nanos,
 }
 
 impl FailureDetector {
     /// Creates a detector for a fleet of `routers` routers that starts to listen at `now`.
     pub fn new(timing: HeartbeatTiming, routers: usize, now: Nanos) -> FailureDetector {
-        FailureDetector { timing, last: vec![None; routers], listening_since: now, last_clock: now }
+        FailureDetector { timing, last_heartbeats: vec![None; routers], listening_since: now, clock: now }
     }
 
     /// Advances the detector's clock to `now`. Must be called at least once per heartbeat interval and before each
@@ -67,10 +67,10 @@
     /// A member that was itself paused has received nothing in the meantime. So after a pause all routers get a full
     /// silence limit again.
     pub fn advance_clock(&mut self, now: Nanos) {
-        if elapsed(now, self.last_clock) > self.timing.silence_limit / 2 {
+        if elapsed(now, self.clock) > self.timing.silence_limit / 2 {
             self.listening_since = now;
         }
-        self.last_clock = self.last_clock.max(now);
+        self.clock = self.clock.max(now);
     }
 
     /// Records a router's heartbeat.
@@ -87,7 +87,8 @@
         advertised: AdvertisedStatus,
     ) -> Result<(), HeartbeatError> {
         self.advance_clock(now);
-        let last = self.last.get_mut(usize::from(from)).ok_or(HeartbeatError::UnknownRouter(from))?;
+        let last =
+            self.last_heartbeats.get_mut(usize::from(from)).ok_or(HeartbeatError::UnknownRouter(from))?;
         match last {
             Some(known) if known.incarnation > incarnation => {
                 Err(HeartbeatError::StaleIncarnation(known.incarnation))
@@ -101,7 +102,7 @@
 
     /// Returns the status of a router at `now`.
     pub fn status(&self, now: Nanos, router: RouterIndex) -> PeerStatus {
-        let last = self.last(router);
+        let last = self.last_heartbeat(router);
         let since = last.map_or(self.listening_since, |last| last.received_at.max(self.listening_since));
         match last {
             // A router that announced its end is out of service whether it is silent or not.
@@ -116,14 +117,14 @@
 
     /// Returns whether a router announced its end and has been silent since: its process no longer runs.
     pub fn has_left(&self, now: Nanos, router: RouterIndex) -> bool {
-        self.last(router).is_some_and(|last| {
+        self.last_heartbeat(router).is_some_and(|last| {
             last.advertised == AdvertisedStatus::Ending && self.exceeds_silence_limit(now, last.received_at)
         })
     }
 
-    /// Returns a router's latest incarnation, if it is alive.
+    /// Returns the latest incarnation of a router and whether it serves; `None` if the router is not alive.
     pub fn live_peer(&self, now: Nanos, router: RouterIndex) -> Option<LivePeer> {
-        let incarnation = self.last(router)?.incarnation;
+        let incarnation = self.last_heartbeat(router)?.incarnation;
         match self.status(now, router) {
             PeerStatus::Alive(advertised) => {
                 Some(LivePeer { incarnation, serving: advertised == AdvertisedStatus::Serving })
@@ -135,7 +136,7 @@
     /// Returns all routers that count as out of service.
     pub fn out_of_service(&mut self, now: Nanos) -> Vec<RouterIndex> {
         self.advance_clock(now);
-        let all = 0..self.last.len() as RouterIndex;
+        let all = 0..self.last_heartbeats.len() as RouterIndex;
         all.filter(|&router| self.status(now, router).is_out_of_service()).collect()
     }
 
@@ -144,8 +145,8 @@
         self.exceeds_silence_limit(now, self.listening_since)
     }
 
-    fn last(&self, router: RouterIndex) -> Option<LastHeartbeat> {
-        self.last.get(usize::from(router)).copied().flatten()
+    fn last_heartbeat(&self, router: RouterIndex) -> Option<LastHeartbeat> {
+        self.last_heartbeats.get(usize::from(router)).copied().flatten()
     }
 
     fn exceeds_silence_limit(&self, now: Nanos, since: Nanos) -> bool {
