--- a/health/src/agent_check.rs
+++ b/health/src/agent_check.rs
@@ -36,9 +36,9 @@
     pub percent: Option<u16>,
     /// Maximum number of connections.
     pub maxconn: Option<u32>,
-    /// The administrative state.
+    /// Administrative state that the line requests.
     pub admin: Option<AdminState>,
-    /// The operational state.
+    /// Operational state that the line reports.
     pub operation: Option<OperationalState>,
     /// Reason of the operational state, only with `down`, `failed` and `stopped`.
     pub reason: Option<String>,
--- a/health/src/assessment.rs
+++ b/health/src/assessment.rs
@@ -48,7 +48,7 @@
     pub max_weight: u8,
     /// Whether the program is shutting down.
     pub shutting_down: bool,
-    /// The replicas.
+    /// The replicas as this router sees them.
     pub replicas: ReplicaSummary,
     /// Requests in flight.
     pub in_flight: usize,
@@ -238,7 +238,7 @@
     }
 
     /// Returns the weight that the router's scarcest resource allows, with its cause.
-    fn target(&mut self, s: &Signals, elapsed_s: f64) -> (f64, HealthCause) {
+    fn target(&mut self, signals: &Signals, elapsed_s: f64) -> (f64, HealthCause) {
         let limits = &self.limits;
         let resource_factor = |free: f64| {
             if limits.ample_free_share > 0.0 {
@@ -247,29 +247,30 @@
                 1.0
             }
         };
-        let delay_factor = match (s.event_loop_delay, limits.max_event_loop_delay) {
+        let delay_factor = match (signals.event_loop_delay, limits.max_event_loop_delay) {
             (delay, max_delay) if delay <= max_delay => 1.0,
             (delay, max_delay) => (max_delay.as_secs_f64() / delay.as_secs_f64()).clamp(0.0, 1.0),
         };
         // Requests over a tenant's quota are left out, as every router would reject them.
-        let within_quota = s.accepted.saturating_sub(s.rejected_quota);
+        let within_quota = signals.accepted.saturating_sub(signals.rejected_quota);
         if within_quota > 0 {
-            let share = (s.rejected_no_capacity as f64 / within_quota as f64).min(1.0);
+            let share = (signals.rejected_no_capacity as f64 / within_quota as f64).min(1.0);
             self.rejected_share += (share - self.rejected_share) * (elapsed_s / 2.0).min(1.0);
         } else {
             self.rejected_share *= 1.0 - (elapsed_s / 4.0).min(1.0);
         }
-        let usable_capacity = s.capacity as f64 * s.replicas.usable_capacity.clamp(0.0, 1.0);
-        let utilization = if usable_capacity > 0.0 { s.in_flight as f64 / usable_capacity } else { 0.0 };
-        let not_ejected = match s.replicas.ready {
+        let usable_capacity = signals.capacity as f64 * signals.replicas.usable_capacity.clamp(0.0, 1.0);
+        let utilization =
+            if usable_capacity > 0.0 { signals.in_flight as f64 / usable_capacity } else { 0.0 };
+        let not_ejected = match signals.replicas.ready {
             0 => 1.0,
-            ready => 1.0 - s.replicas.ejected.min(ready) as f64 / ready as f64,
+            ready => 1.0 - signals.replicas.ejected.min(ready) as f64 / ready as f64,
         };
         let factors = [
             (delay_factor, HealthCause::EventLoopLate),
-            (resource_factor(s.clients_free), HealthCause::ClientSlotsExhausted),
-            (resource_factor(s.bodies_free), HealthCause::BodyBudgetExhausted),
-            (resource_factor(s.replica_connections_free), HealthCause::ReplicaConnectionsExhausted),
+            (resource_factor(signals.clients_free), HealthCause::ClientSlotsExhausted),
+            (resource_factor(signals.bodies_free), HealthCause::BodyBudgetExhausted),
+            (resource_factor(signals.replica_connections_free), HealthCause::ReplicaConnectionsExhausted),
             (not_ejected, HealthCause::ReplicasEjected),
             (1.0 - self.rejected_share / 2.0, HealthCause::SheddingLoad),
             // The factor falls from 1 at a utilization of 0.75 to its minimum of 0.25 at 1.5.
@@ -278,8 +279,8 @@
         let lowest =
             factors.into_iter().fold((1.0, HealthCause::Healthy), |a, b| if b.0 < a.0 { b } else { a });
         // A condition that is common to all routers is reported as the cause, but does not reduce the weight.
-        let list_late = s.replicas.list_silent_for.is_some_and(|d| d > limits.max_list_silence);
-        let common_cause = match s.replicas {
+        let list_late = signals.replicas.list_silent_for.is_some_and(|d| d > limits.max_list_silence);
+        let common_cause = match signals.replicas {
             ReplicaSummary { ready: 0, .. } => Some(HealthCause::NoReadyReplica),
             _ if list_late => Some(HealthCause::EndpointListLate),
             ReplicaSummary { ready, warming_up: cold, .. } if cold >= ready => {
@@ -312,18 +313,18 @@
     }
 
     /// Counts consecutive unanswered attempts; true if the replicas count as unresponsive.
-    fn count_unanswered(&mut self, now: Uptime, s: &Signals) -> bool {
-        if s.answered > 0 {
+    fn count_unanswered(&mut self, now: Uptime, signals: &Signals) -> bool {
+        if signals.answered > 0 {
             (self.unanswered, self.last_answered) = (0, now);
         } else {
-            self.unanswered = self.unanswered.saturating_add(s.unanswered);
+            self.unanswered = self.unanswered.saturating_add(signals.unanswered);
         }
         self.unanswered >= self.limits.max_unanswered
     }
 
-    fn state(&mut self, now: Uptime, s: &Signals, cause: HealthCause) -> HealthState {
+    fn state(&mut self, now: Uptime, signals: &Signals, cause: HealthCause) -> HealthState {
         let limits = &self.limits;
-        let peer_serves = s.peer_serving_at.is_some_and(|at| {
+        let peer_serves = signals.peer_serving_at.is_some_and(|at| {
             at >= self.last_answered.saturating_add(limits.peer_serving_after)
                 && now.saturating_sub(at) <= limits.peer_report_max_age
         });
@@ -334,7 +335,9 @@
             }
             // Without a recent report of a peer, this router may be the only one left.
             Some(_)
-                if s.peer_serving_at.is_none_or(|at| now.saturating_sub(at) > limits.peer_report_max_age) =>
+                if signals
+                    .peer_serving_at
+                    .is_none_or(|at| now.saturating_sub(at) > limits.peer_report_max_age) =>
             {
                 self.down_since = None;
             }
--- a/health/src/checkers.rs
+++ b/health/src/checkers.rs
@@ -9,7 +9,7 @@
 /// The protocol of a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CheckProtocol {
-    /// The agent check.
+    /// HAProxy's agent check.
     Agent,
     /// A check over HTTP.
     Http,
@@ -52,7 +52,7 @@
     /// Maximum interval. A drain does not wait for balancers that check less often.
     pub max_interval: Duration,
     /// Number of answers after which an HTTP or gRPC checker counts as notified of a drain. Balancers require a number of
-    /// failed checks before they take a server out.
+    /// failed checks before they take a server out of service.
     pub notifications: u32,
 }
 
@@ -75,7 +75,7 @@
     /// The check interval. It follows longer intervals immediately and shorter ones slowly, so that another check can be
     /// expected within it.
     interval: Option<Duration>,
-    /// Number of answers since the drain began.
+    /// Number of answers that the checker has received since the drain began.
     notified: u32,
 }
 
@@ -178,7 +178,7 @@
 
     fn is_notified(&self, checker: &Checker) -> bool {
         let required = match checker.id.protocol {
-            // Balancers apply the state from these protocols immediately.
+            // A balancer applies the state in an agent check's or a watch's answer immediately, so one answer is enough.
             CheckProtocol::Agent | CheckProtocol::Watch => 1,
             CheckProtocol::Http | CheckProtocol::Grpc => self.limits.notifications.max(1),
         };
--- a/health/src/drain_sequence.rs
+++ b/health/src/drain_sequence.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The goal of a drain.
+/// What a drain is to end in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainGoal {
     /// Serve requests.
@@ -76,9 +76,9 @@
 pub struct DrainSequence {
     timing: DrainTiming,
     phase: DrainPhase,
-    /// When the phase began.
+    /// Time at which the current phase began.
     since: Uptime,
-    /// When all active balancers had been notified.
+    /// Time at which all active balancers had been notified of the drain; `None` before.
     notified_at: Option<Uptime>,
     goal: DrainGoal,
     /// Whether the notification was ended by its maximum duration, with balancers not notified.
@@ -97,12 +97,12 @@
         self.timing = timing;
     }
 
-    /// Returns the phase.
+    /// Returns the current phase of the drain.
     pub fn phase(&self) -> DrainPhase {
         self.phase
     }
 
-    /// Returns the goal.
+    /// Returns what the drain is to end in, as last set by [`Self::set_goal`].
     pub fn goal(&self) -> DrainGoal {
         self.goal
     }
--- a/health/src/grpc_health.rs
+++ b/health/src/grpc_health.rs
@@ -25,7 +25,7 @@
     InvalidArgument = 3,
     /// The service is unknown.
     NotFound = 5,
-    /// The limit of streams is reached.
+    /// The router has no free stream: the limit of concurrent streams is reached.
     ResourceExhausted = 8,
     /// The method is unknown.
     Unimplemented = 12,
@@ -143,7 +143,7 @@
 }
 
 impl WatchState {
-    /// Whether this status differs from the one sent last.
+    /// Whether status `now` differs from the one sent last.
     pub fn would_notify(&self, now: ServingStatus) -> bool {
         self.notified != Some(now)
     }
--- a/health/src/http_check.rs
+++ b/health/src/http_check.rs
@@ -92,7 +92,7 @@
 
 /// Returns Envoy's health header field for any response, with its line end; empty if the router is up.
 ///
-/// With `x-envoy-immediate-health-check-fail` a proxy takes the router out without waiting for its next check. With
+/// With `x-envoy-immediate-health-check-fail` a proxy takes the router out of service without waiting for its next check. With
 /// `x-envoy-degraded` it prefers other routers.
 pub fn envoy_fields(state: HealthState) -> &'static str {
     match state {
--- a/health/src/state.rs
+++ b/health/src/state.rs
@@ -52,7 +52,7 @@
     OperatorWeight,
     /// The operator drains the router.
     OperatorDrain,
-    /// The operator has taken the router out for maintenance.
+    /// The operator has taken the router out of service for maintenance.
     OperatorMaintenance,
     /// The program is shutting down.
     ShuttingDown,
--- a/settings-schema/src/checked.rs
+++ b/settings-schema/src/checked.rs
@@ -11,14 +11,14 @@
 use crate::schema::{Directive, Presence, Repeat, Section, TakesEffect};
 use crate::value::{Kind, Value};
 
-/// A directive that was given, or that has its default.
+/// A directive that is given in a file, or that has its default arguments.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// Its declaration.
+    /// Declaration of the directive in the schema.
     pub directive: &'static Directive,
-    /// The values of its arguments.
+    /// Parsed values of the directive's arguments.
     pub values: Vec<Value>,
-    /// The line that gives it; `None` for a default.
+    /// Line of the file that contains the directive; `None` for a default.
     pub line: Option<Line>,
 }
 
@@ -28,7 +28,7 @@
         self.line.as_ref().map_or(SourceSpan::default(), |l| l.span_of(token))
     }
 
-    /// The argument at an index, from 0, if it is a text; empty otherwise.
+    /// Returns the argument at an index, from 0, if it is a text; an empty text otherwise.
     pub fn text(&self, argument: usize) -> &str {
         match self.values.get(argument) {
             Some(Value::Text(t)) => t,
@@ -40,28 +40,28 @@
 /// A checked section.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Checked {
-    /// Its declaration.
+    /// Declaration of the section in the schema.
     pub section: &'static Section,
-    /// The position of the line that opens it.
+    /// Position of the line that opens the section.
     pub span: SourceSpan,
-    /// Its directives in the order of the schema; repeated ones in the order of the file.
+    /// The section's directives in the order of the schema; repeated directives in the order of the file.
     pub entries: Vec<Entry>,
-    /// The sections in it, in the order of the schema.
+    /// The sections nested in this section, in the order of the schema.
     pub sections: Vec<Checked>,
 }
 
 impl Checked {
-    /// The section of this name in it, if there is one.
+    /// Returns the nested section of this name, if there is one.
     pub fn subsection(&self, name: &str) -> Option<&Checked> {
         self.sections.iter().find(|s| s.section.name == name)
     }
 
-    /// All entries of a directive.
+    /// Returns all entries of the directive of this name.
     pub fn entries_of<'a, 'n>(&'a self, name: &'n str) -> impl Iterator<Item = &'a Entry> + use<'a, 'n> {
         self.entries.iter().filter(move |e| e.directive.name == name)
     }
 
-    /// The first entry of a directive.
+    /// Returns the first entry of the directive of this name.
     pub fn entry(&self, name: &str) -> Option<&Entry> {
         self.entries_of(name).next()
     }
@@ -70,7 +70,7 @@
         self.entry(name)?.values.first()
     }
 
-    /// The value of a directive that takes a duration; zero if it has none.
+    /// Returns the value of a directive that takes a duration; zero if it has none.
     pub fn duration(&self, name: &str) -> Duration {
         match self.value(name) {
             Some(Value::Duration(d)) => *d,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The value of a directive that takes a percentage, as a fraction from 0 to 1; 0 if it has none.
+    /// Returns the value of a directive that takes a percentage, as a fraction from 0 to 1; 0 if it has none.
     pub fn share(&self, name: &str) -> f64 {
         match self.value(name) {
             Some(Value::Percent(p)) => p / 100.0,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The value of a directive that takes a number, a size or a file mode; 0 if it has none.
+    /// Returns the value of a directive that takes a number, a size or a file mode; 0 if it has none.
     pub fn number(&self, name: &str) -> u64 {
         match self.value(name) {
             Some(Value::Count(n) | Value::Size(n)) => *n,
@@ -100,7 +100,7 @@
         matches!(self.value(name), Some(Value::Switch(true)))
     }
 
-    /// The value of a directive that takes an address.
+    /// Returns the value of a directive that takes an address.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         match self.value(name) {
             Some(Value::Address(a)) => Some(*a),
@@ -108,12 +108,12 @@
         }
     }
 
-    /// The value of a directive that takes a text; empty if it has none.
+    /// Returns the value of a directive that takes a text; empty if it has none.
     pub fn text(&self, name: &str) -> &str {
         self.entry(name).map_or("", |e| e.text(0))
     }
 
-    /// The value of a directive that takes a path.
+    /// Returns the value of a directive that takes a path.
     pub fn path(&self, name: &str) -> Option<&Path> {
         match self.value(name) {
             Some(Value::Path(p)) => Some(p),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The networks of all entries of a directive.
+    /// Returns the networks of all entries of a directive.
     pub fn networks(&self, name: &str) -> Vec<IpNet> {
         let values = self.entries_of(name).flat_map(|e| &e.values);
         values.filter_map(|v| if let Value::Network(n) = v { Some(*n) } else { None }).collect()
@@ -142,7 +142,7 @@
     Checked { section, span, entries, sections }
 }
 
-/// The directives that the file gives in a section.
+/// Returns the directives that the file contains in a section.
 fn given_entries(tree: &SectionTree, section: &'static Section, problems: &mut Vec<Problem>) -> Vec<Entry> {
     let mut entries: Vec<Entry> = Vec::new();
     for line in &tree.lines {
@@ -166,7 +166,7 @@
     entries
 }
 
-/// The defaults of the directives that the file does not give in a section; reports required ones.
+/// Returns the defaults of the directives that the file does not contain in a section; reports missing required ones.
 fn defaults(
     tree: &SectionTree,
     section: &'static Section,
@@ -194,7 +194,7 @@
     entries
 }
 
-/// The sections in a section, in the order of the schema: those that the file gives, and those that always apply.
+/// Returns the sections nested in a section, in the order of the schema: those in the file, and those that always apply.
 fn inner_sections(
     tree: &SectionTree,
     section: &'static Section,
@@ -221,7 +221,7 @@
     sections
 }
 
-/// The problem of a name that the schema does not have in a section.
+/// Returns the problem for a name that the schema does not have in a section.
 fn unknown_name(line: &Line, section: &Section) -> Problem {
     let name = line.name();
     let known: Vec<&str> = section.directives.iter().map(|d| d.name).collect();
@@ -242,13 +242,13 @@
     problem.suggest_closest(name, known.into_iter().chain(inner).chain(["include"]))
 }
 
-/// The kind of the argument at an index, from 0.
+/// Returns the kind of the argument at an index, from 0.
 fn argument_kind(directive: &Directive, argument: usize) -> Option<Kind> {
     let repeated = directive.arguments.last().copied().filter(|_| directive.repeats_last);
     directive.arguments.get(argument).copied().or(repeated)
 }
 
-/// The values of default arguments.
+/// Parses the default arguments of a directive.
 fn default_values(directive: &Directive, arguments: &[&str]) -> Option<Vec<Value>> {
     arguments.iter().enumerate().map(|(i, text)| argument_kind(directive, i)?.parse(text)).collect()
 }
@@ -289,13 +289,13 @@
 /// A directive or section that differs between two files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The path of the directive or section, as `checks.agent`.
+    /// The path of the directive or section, such as `checks.agent`.
     pub path: String,
     /// When the change takes effect.
     pub takes_effect: TakesEffect,
 }
 
-/// The directives and sections that differ between an old and a new file.
+/// Returns the directives and sections that differ between an old and a new file.
 pub fn changes(old: &Checked, new: &Checked) -> Vec<Change> {
     let mut changes = Vec::new();
     compare("", old, new, &mut changes);
--- a/settings-schema/src/describe.rs
+++ b/settings-schema/src/describe.rs
@@ -4,7 +4,7 @@
 
 use crate::schema::{Directive, Presence, Repeat, Section, TakesEffect};
 
-/// Describes all sections and directives of a file.
+/// Returns the help text for all sections and directives of a file.
 pub fn describe(section: &Section) -> String {
     let mut text = String::new();
     write_section(section, 0, &mut text);
--- a/settings-schema/src/lines.rs
+++ b/settings-schema/src/lines.rs
@@ -10,7 +10,7 @@
     pub start: usize,
     /// Offset behind the last byte in the line.
     pub end: usize,
-    /// Whether it has no quotes or escapes: only such a brace opens or closes a section.
+    /// Whether the token has no quotes or escapes. Only an unquoted brace opens or closes a section.
     pub unquoted: bool,
 }
 
--- a/settings-schema/src/load.rs
+++ b/settings-schema/src/load.rs
@@ -6,7 +6,7 @@
 use crate::lines::{tokenize, LineError, Token};
 use crate::problem::{Problem, Source, SourceSpan};
 
-/// Limits on the input; a file beyond them is a mistake.
+/// Limits on the input. A file that exceeds one of them is not a plausible settings file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadLimits {
     /// Maximum size of all files together, bytes.
@@ -56,9 +56,9 @@
 pub struct SectionTree {
     /// The line that opens the section, without the brace; `None` for the file.
     pub line: Option<Line>,
-    /// The directives in it.
+    /// The directives of the section.
     pub lines: Vec<Line>,
-    /// The sections in it.
+    /// The sections nested in the section.
     pub sections: Vec<SectionTree>,
 }
 
@@ -70,7 +70,8 @@
     problems: Vec<Problem>,
 }
 
-/// Reads a file and its includes, with `read` as the file system. Reading continues after a problem.
+/// Reads a file and its includes, with `read` as the file system. Reading continues after a problem, so that all problems are
+/// reported.
 pub fn load(
     path: &Path,
     bounds: LoadLimits,
--- a/settings-schema/src/print.rs
+++ b/settings-schema/src/print.rs
@@ -4,7 +4,7 @@
 
 use crate::checked::Checked;
 
-/// Writes settings as the text of an equivalent file.
+/// Returns settings as the text of an equivalent file.
 pub fn print(checked: &Checked) -> String {
     let mut text = String::new();
     write_section(checked, 0, &mut text);
--- a/settings-schema/src/problem.rs
+++ b/settings-schema/src/problem.rs
@@ -21,7 +21,7 @@
 /// A problem in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The position.
+    /// Position of the problem.
     pub span: SourceSpan,
     /// The error message.
     pub message: String,
@@ -30,7 +30,7 @@
 }
 
 impl Problem {
-    /// A problem without a suggestion.
+    /// Creates a problem without a suggestion.
     pub fn new(span: SourceSpan, message: impl Into<String>) -> Problem {
         Problem { span, message: message.into(), help: None }
     }
@@ -53,9 +53,9 @@
 /// A file that was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Source {
-    /// Its path.
+    /// Path of the file.
     pub path: PathBuf,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
@@ -86,7 +86,7 @@
         format!("{path}:{}:{column}", span.line)
     }
 
-    /// The problems as one line each, for a log.
+    /// Returns each problem as one line, for a log.
     pub fn short(&self) -> impl Iterator<Item = String> + '_ {
         self.problems.iter().map(|p| {
             let help = p.help.as_ref().map_or(String::new(), |h| format!(" ({h})"));
--- a/settings-schema/src/schema.rs
+++ b/settings-schema/src/schema.rs
@@ -14,11 +14,11 @@
 /// Whether a directive has to be given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It must be given.
+    /// The directive must be given.
     Required,
-    /// It may be left out, and then has no value.
+    /// The directive may be left out, and then has no value.
     Optional,
-    /// It may be left out, and then has these arguments.
+    /// The directive may be left out, and then has these arguments.
     Default(&'static [&'static str]),
 }
 
@@ -34,35 +34,35 @@
 /// A directive: a name followed by arguments.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Directive {
-    /// Its name.
+    /// Name of the directive.
     pub name: &'static str,
-    /// The kinds of its arguments.
+    /// Kinds of the directive's arguments.
     pub arguments: &'static [Kind],
     /// Whether the last argument may be repeated.
     pub repeats_last: bool,
-    /// Whether it has to be given.
+    /// Whether the directive has to be given.
     pub presence: Presence,
-    /// How often it may be given.
+    /// How often the directive may be given.
     pub repeat: Repeat,
-    /// When a change of it takes effect.
+    /// When a change of the directive takes effect.
     pub takes_effect: TakesEffect,
-    /// Its help text, one line.
+    /// Help text, one line.
     pub about: &'static str,
 }
 
 impl Directive {
-    /// A directive that must be given exactly once; changes take effect after a restart.
+    /// Declares a directive that must be given exactly once; changes take effect after a restart.
     pub const fn required(name: &'static str, arguments: &'static [Kind], about: &'static str) -> Directive {
         let (presence, repeat, takes_effect) = (Presence::Required, Repeat::Once, TakesEffect::OnRestart);
         Directive { name, arguments, repeats_last: false, presence, repeat, takes_effect, about }
     }
 
-    /// A directive that may be left out, without a default.
+    /// Declares a directive that may be left out, without a default.
     pub const fn optional(name: &'static str, arguments: &'static [Kind], about: &'static str) -> Directive {
         Directive { presence: Presence::Optional, ..Directive::required(name, arguments, about) }
     }
 
-    /// A directive that may be left out, with default arguments.
+    /// Declares a directive that may be left out, with default arguments.
     pub const fn with(
         name: &'static str,
         arguments: &'static [Kind],
@@ -91,14 +91,14 @@
 /// A section, or the file outside of all sections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Section {
-    /// Its name.
+    /// Name of the section.
     pub name: &'static str,
-    /// Whether it applies with its defaults when it is not given; other sections are disabled then.
+    /// Whether the section applies with its defaults if the file does not contain it; other sections are then disabled.
     pub always_present: bool,
-    /// Its help text, one line.
+    /// Help text, one line.
     pub about: &'static str,
-    /// The directives in it.
+    /// The directives of the section.
     pub directives: &'static [Directive],
-    /// The sections in it.
+    /// The sections nested in the section.
     pub sections: &'static [Section],
 }
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -18,6 +18,7 @@
     names: ReplicaNames,
 }
 
+/// All simulated routers, and the reply to the current batch.
 #[derive(Default)]
 struct Instances {
     now: Nanos,
@@ -62,7 +63,7 @@
             _ => {
                 let Some(instance) = self.instances.get_mut(&router) else { return Ok(()) };
                 if let Some(event) = wire::parse_event(fields, &mut instance.names)? {
-                    self.handle(router, event);
+                    self.handle_event(router, event);
                 }
             }
         }
@@ -84,17 +85,17 @@
         let names = instance.map_or(&mut names, |instance| &mut instance.names);
         let mut entries = Vec::new();
         for _ in 0..count {
-            let Some(line) = lines.next()? else { break };
+            let Some(line) = lines.next_line()? else { break };
             match wire::parse_row(line, names) {
                 Ok(row) => entries.push(row),
                 Err(error) => return Ok(Err(MalformedLine { router: Some(router), ..error })),
             }
         }
-        self.handle(router, Event::EndpointList { kind, entries });
+        self.handle_event(router, Event::EndpointList { kind, entries });
         Ok(Ok(()))
     }
 
-    fn handle(&mut self, router: u32, event: Event) {
+    fn handle_event(&mut self, router: u32, event: Event) {
         let Some(instance) = self.instances.get_mut(&router) else { return };
         let (now, actions) = (self.now, &mut self.actions);
         let result = catch_unwind(AssertUnwindSafe(|| instance.balancer.handle(now, event, actions)));
@@ -104,11 +105,11 @@
         if let Err(panic) = result {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            self.write_broken(router, text);
+            self.write_broken_message(router, text);
         }
     }
 
-    fn write_broken(&mut self, router: u32, text: &str) {
+    fn write_broken_message(&mut self, router: u32, text: &str) {
         self.reply.push_str(&format!("BROKEN Who=gateway-{router} NoteText={}\n", text.replace('\n', " ")));
     }
 }
@@ -121,7 +122,7 @@
 }
 
 impl InputLines {
-    fn next(&mut self) -> io::Result<Option<&str>> {
+    fn next_line(&mut self) -> io::Result<Option<&str>> {
         self.buffer.clear();
         self.number += 1;
         let read = self.input.read_line(&mut self.buffer)?;
@@ -149,7 +150,7 @@
     let mut instances = Instances::default();
     let mut output = io::stdout().lock();
     let mut line = String::new();
-    while let Some(next) = lines.next()? {
+    while let Some(next) = lines.next_line()? {
         line.clear();
         line.push_str(next);
         let number = lines.number;
@@ -167,7 +168,7 @@
         if let Err(error) = result {
             let text = format!("line {number}: {error}");
             match error.router {
-                Some(router) => instances.write_broken(router, &text),
+                Some(router) => instances.write_broken_message(router, &text),
                 None => {
                     eprintln!("tallypin-simhost: {text}");
                     return Ok(ExitCode::from(2));
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -38,7 +38,7 @@
         Fields { message, rest }
     }
 
-    /// Name of the message.
+    /// Returns the name of the message.
     pub fn message(&self) -> &'a str {
         self.message
     }
@@ -72,12 +72,12 @@
         }
     }
 
-    fn tokens(&self, name: &str) -> Result<u32, MalformedLine> {
-        let x: f64 = self.number_or(name, 0.0)?;
-        if !x.is_finite() || x < 0.0 {
+    fn token_count(&self, name: &str) -> Result<u32, MalformedLine> {
+        let count: f64 = self.number_or(name, 0.0)?;
+        if !count.is_finite() || count < 0.0 {
             return Err(self.error(name, "not a number in range"));
         }
-        Ok(x as u32)
+        Ok(count as u32)
     }
 
     fn flag(&self, name: &str) -> Result<bool, MalformedLine> {
@@ -93,7 +93,7 @@
         if list.is_empty() || list == "-" {
             return Ok(Vec::new());
         }
-        // An empty value or `-` is unknown; the balancer skips it.
+        // An empty value or `-` stands for an unknown value, which the balancer skips.
         let number =
             |value: &str| if value.is_empty() || value == "-" { Ok(f64::NAN) } else { value.parse::<f64>() };
         list.split(',')
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    /// Number of the router in the field `Who`.
+    /// Parses the number of the router in the field `Who`.
     pub fn router(&self) -> Result<u32, MalformedLine> {
         let message = || self.message.to_string();
         let error = |reason: &str| MalformedLine {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Replica names by id, as received for one router.
+/// Names of replicas by id, as one router received them.
 #[derive(Default)]
 pub struct ReplicaNames {
     by_id: FxHashMap<ReplicaId, String>,
@@ -184,7 +184,7 @@
     Ok((kind, fields.number_or("RowsIn", 0)?))
 }
 
-/// Parses any other event. Returns `None` for an unknown message or timer.
+/// Parses a line with an event other than a list event. Returns `None` for an unknown message or timer.
 pub fn parse_event(fields: &Fields, names: &mut ReplicaNames) -> Result<Option<Event>, MalformedLine> {
     Ok(Some(match fields.message() {
         "DEMAND" => Event::Request(Request {
@@ -192,8 +192,8 @@
             class: ClassId(fields.number("Kind")?),
             tenant: TenantId(fields.number_or("UserGroup", 0)?),
             time_left: fields.number("LeftNs")?,
-            prompt_tokens: fields.tokens("NPrompt")?,
-            prefix_tokens: fields.tokens("NPrefix")?,
+            prompt_tokens: fields.token_count("NPrompt")?,
+            prefix_tokens: fields.token_count("NPrefix")?,
             session: fields.get("Resource").map(|value| name_hash::session_key(value.as_bytes())),
             prefix: fields.get("PrefixId").map(|value| name_hash::prefix_key(value.as_bytes())),
             resumes_stream: fields.flag("Returned")?,
@@ -211,7 +211,7 @@
             elapsed: fields.number_or("DurationNs", 0)?,
             request_over: fields.flag("DoneFlag")?,
             // The simulator omits a zero, so a completed attempt without `Note` had no cached tokens.
-            cached_tokens: Some(fields.tokens("Note")?).filter(|_| fields.get("How") == Some("done")),
+            cached_tokens: Some(fields.token_count("Note")?).filter(|_| fields.get("How") == Some("done")),
             load: fields.numbers("Telemetry")?,
         }),
         "VANISHED" => Event::ClientLeft(RequestId(fields.number("Ref")?)),
