--- a/consensus/src/fleet_state/rejection.rs
+++ b/consensus/src/fleet_state/rejection.rs
@@ -59,7 +59,7 @@
     EndpointListStale,
     /// The endpoint list has no replica of this id, or no order has taken the replica out of service.
     #[serde(rename = "unknown-node")]
-    #[error("no model node `{0}` is in the node list or out of service by order")]
+    #[error("model node `{0}` is neither in the node list nor out of service by order")]
     UnknownReplica(String),
     /// The fleet state would have more than [`MAX_REPLICA_DRAINS`] replica entries.
     #[serde(rename = "too-many")]
--- a/health/src/proxy_protocol.rs
+++ b/health/src/proxy_protocol.rs
@@ -31,8 +31,8 @@
 /// Parses the start of a connection.
 pub fn parse(bytes: &[u8]) -> ProxyHeader {
     let may_start_with = |prefix: &[u8]| {
-        let n = prefix.len().min(bytes.len());
-        bytes[..n] == prefix[..n]
+        let length = prefix.len().min(bytes.len());
+        bytes[..length] == prefix[..length]
     };
     if may_start_with(SIGNATURE) {
         parse_v2(bytes)
