--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -5,11 +5,11 @@
 
 #[path = "../tests/common/mod.rs"]
 mod common;
-#[path = "../tests/common/sized.rs"]
-mod sized;
+#[path = "../tests/common/sized_fleet.rs"]
+mod sized_fleet;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use sized::SizedFleet;
+use sized_fleet::SizedFleet;
 
 fn balancer_work(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("module");
--- a/router/benches/checks.rs
+++ b/router/benches/checks.rs
@@ -19,7 +19,7 @@
 use tallypin_router::dialect::Dialect;
 use tallypin_router::probe;
 use tallypin_test_support::balancer::{Balancer, Check};
-use tallypin_test_support::checkers::agent_line;
+use tallypin_test_support::health_checks::agent_line;
 
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port is free")
--- a/router/src/fleet/file_faults.rs
+++ b/router/src/fleet/file_faults.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, ExitStatus};
 
 use tallypin_consensus::fleet_state::FleetState;
-use tallypin_test_support::shim::Library;
+use tallypin_test_support::fault_injection::Library;
 
 use super::release_files::{self, ReleaseFile};
 use super::stored_state;
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -25,7 +25,7 @@
 use tallypin_router::reload::SettingsReloader;
 use tallypin_router::{config, probe, shutdown};
 use tallypin_test_support::balancer::{Balancer, Check, Event, Held};
-use tallypin_test_support::checkers::{agent_line, watch_once};
+use tallypin_test_support::health_checks::{agent_line, watch_once};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::{spawn_local, AbortHandle, JoinHandle};
--- a/router/tests/discovery_trials.rs
+++ b/router/tests/discovery_trials.rs
@@ -5,12 +5,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use tallypin_test_support::list_trial::{self, Report, Scenario};
+use tallypin_test_support::discovery_runs::{self, Report, Scenario};
+use tallypin_test_support::fault_injection::{Library, SocketFaults};
 use tallypin_test_support::seeds;
-use tallypin_test_support::shim::{Library, SocketFaults};
 
 fn run(ip: &str, scenario: &Scenario) -> Report {
-    list_trial::run_scenario(&seeds::program(env!("CARGO_BIN_EXE_tallypin")), ip, scenario)
+    discovery_runs::run_scenario(&seeds::program(env!("CARGO_BIN_EXE_tallypin")), ip, scenario)
         .expect("the scenario can be run")
 }
 
--- a/router/tests/fleet/council_restarts.rs
+++ b/router/tests/fleet/council_restarts.rs
@@ -1,10 +1,10 @@
 //! Council members that restart without their state, or with the state that they have stored.
 
 use serde_json::Value;
-use tallypin_test_support::park::{List, Node};
+use tallypin_test_support::mock_services::{List, Node};
 
-use crate::fleet_rig::{endpoint_entry, FleetProcesses, ONE_OUT};
-use crate::release_rig::{
+use crate::fleet_processes::{endpoint_entry, FleetProcesses, ONE_OUT};
+use crate::release_setup::{
     installed_digest, prepare_release, release_phase, start_counts, supervised_fleet, with_other_seed,
     TWO_WAVES,
 };
--- a/router/tests/fleet/drains.rs
+++ b/router/tests/fleet/drains.rs
@@ -1,6 +1,6 @@
 //! Router drains within the limits, halts, and commands that are sent twice.
 
-use crate::fleet_rig::{FleetProcesses, ONE_OUT, THREE_OUT};
+use crate::fleet_processes::{FleetProcesses, ONE_OUT, THREE_OUT};
 use serde_json::Value;
 
 /// Two operators order drains of two routers in different zones at once. The drains run one after the other.
--- a/router/tests/fleet/failed_releases.rs
+++ b/router/tests/fleet/failed_releases.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use tallypin_test_support::park::{Does, List, Node};
+use tallypin_test_support::mock_services::{Does, List, Node};
 
-use crate::fleet_rig::{endpoint_entry, read_response, send_request};
-use crate::release_rig::{
+use crate::fleet_processes::{endpoint_entry, read_response, send_request};
+use crate::release_setup::{
     installed_digest, prepare_release, release_phase, start_counts, supervised_fleet, with_other_seed,
     TWO_WAVES,
 };
--- a/router/tests/fleet/main.rs
+++ b/router/tests/fleet/main.rs
@@ -5,10 +5,10 @@
 mod council_restarts;
 mod drains;
 mod failed_releases;
-#[path = "../fleet_rig/mod.rs"]
-mod fleet_rig;
+#[path = "../fleet_processes/mod.rs"]
+mod fleet_processes;
 mod messages;
 mod network_faults;
-mod release_rig;
+mod release_setup;
 mod releases;
 mod replica_drains;
--- a/router/tests/fleet/messages.rs
+++ b/router/tests/fleet/messages.rs
@@ -3,7 +3,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-use crate::fleet_rig::{FleetProcesses, ONE_OUT};
+use crate::fleet_processes::{FleetProcesses, ONE_OUT};
 
 /// Foreign protocols, truncated or unsigned messages and invalid lengths are counted and get no answer.
 #[test]
--- a/router/tests/fleet/network_faults.rs
+++ b/router/tests/fleet/network_faults.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use crate::fleet_rig::{FleetProcesses, ONE_OUT, THREE_OUT};
+use crate::fleet_processes::{FleetProcesses, ONE_OUT, THREE_OUT};
 use serde_json::Value;
+use tallypin_test_support::fault_injection::Library;
 use tallypin_test_support::relay::Link;
-use tallypin_test_support::shim::Library;
 
 /// A minority of the council that is cut off rejects drains and continues to serve, while the majority still orders drains.
 /// After the links are restored, all routers report the same drains.
--- a/router/tests/fleet/release_rig.rs
+++ b/router/tests/fleet/release_setup.rs
@@ -1,8 +1,8 @@
 //! Sets up a fleet with a configuration to release.
 
-use tallypin_test_support::park::List;
+use tallypin_test_support::mock_services::List;
 
-use crate::fleet_rig::{config, FleetProcesses};
+use crate::fleet_processes::{config, FleetProcesses};
 
 /// Puts the file to be released in each router's store under its digest and writes the release plan. Returns the command
 /// that starts the release, and the digest.
--- a/router/tests/fleet/releases.rs
+++ b/router/tests/fleet/releases.rs
@@ -1,9 +1,9 @@
 //! Releases in waves, roll-backs, and a change of the fleet's keys during a release.
 
-use tallypin_test_support::park::{List, Node};
+use tallypin_test_support::mock_services::{List, Node};
 
-use crate::fleet_rig::{endpoint_entry, read_response, send_request};
-use crate::release_rig::{
+use crate::fleet_processes::{endpoint_entry, read_response, send_request};
+use crate::release_setup::{
     installed_digest, prepare_release, release_phase, start_counts, supervised_fleet, with_other_seed,
     TWO_WAVES,
 };
--- a/router/tests/fleet/replica_drains.rs
+++ b/router/tests/fleet/replica_drains.rs
@@ -1,9 +1,9 @@
 //! Drains of replicas that operators order and end.
 
 use serde_json::Value;
-use tallypin_test_support::park::{Does, List, Node};
+use tallypin_test_support::mock_services::{Does, List, Node};
 
-use crate::fleet_rig::{config, endpoint_entry, read_response, send_request, FleetProcesses};
+use crate::fleet_processes::{config, endpoint_entry, read_response, send_request, FleetProcesses};
 
 const LIMITS: &str = " out-most 2\n out-zone 1\n nodes-out-most 1";
 
--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -4,13 +4,13 @@
 //! the fleet is halted; then it is rolled back. The tests print measurements.
 #![allow(missing_docs)]
 
-mod fleet_rig;
+mod fleet_processes;
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use fleet_rig::{config, endpoint_entry, read_response, send_request, FleetProcesses};
-use tallypin_test_support::park::{List, Node};
+use fleet_processes::{config, endpoint_entry, read_response, send_request, FleetProcesses};
+use tallypin_test_support::mock_services::{List, Node};
 use tallypin_test_support::relay::Link;
 
 const COUNCIL: usize = 5;
@@ -22,7 +22,7 @@
 
 /// Returns the user and system time that all routers have used so far, in seconds.
 fn cpu_seconds(fleet: &FleetProcesses) -> f64 {
-    let router_seconds = |r: &fleet_rig::RouterProcess| -> Option<f64> {
+    let router_seconds = |r: &fleet_processes::RouterProcess| -> Option<f64> {
         let id = r.child.lock().unwrap().as_ref()?.id();
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
--- a/router/tests/fleet_rig/mod.rs
+++ b/router/tests/fleet_processes/mod.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use tallypin_test_support::park::{List, Node, Reserved};
+use tallypin_test_support::mock_services::{List, Node, Reserved};
 use tallypin_test_support::relay::{Link, Relay};
 
 /// Maximum wait for a condition in a small fleet, well above what any condition takes.
--- a/router/tests/growth.rs
+++ b/router/tests/growth.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use tallypin_test_support::growth::{self, Fleet, Usage};
+use tallypin_test_support::resource_usage::{self, Fleet, Usage};
 use tallypin_test_support::seeds;
 
 /// Size of the usual fleet.
@@ -20,7 +20,7 @@
     let program = seeds::program(env!("CARGO_BIN_EXE_tallypin"));
     let fleet =
         Fleet { replicas, routers, requests_per_s: 35.0, span, change_every: Duration::from_millis(200) };
-    let usage = growth::measure(&program, "127.2.11.1", fleet).expect("the fleet can be run");
+    let usage = resource_usage::measure(&program, "127.2.11.1", fleet).expect("the fleet can be run");
     println!("{replicas} replicas, {routers} routers: {usage:?}");
     usage
 }
--- a/router/tests/program.rs
+++ b/router/tests/program.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use tallypin_test_support::park::{Node, Reserved};
-use tallypin_test_support::shim::Library;
+use tallypin_test_support::fault_injection::Library;
+use tallypin_test_support::mock_services::{Node, Reserved};
 
 fn tallypin() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tallypin"));
--- a/router/tests/recorded_fleet/command_line.rs
+++ b/router/tests/recorded_fleet/command_line.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use crate::fleet_rig::FleetProcesses;
+use crate::fleet_processes::FleetProcesses;
 
 /// Masks directories, random ids, digests, times and counters, which differ between runs.
 pub fn mask_varying_parts(fleet: &FleetProcesses, text: &str) -> String {
--- a/router/tests/recorded_fleet/orders.rs
+++ b/router/tests/recorded_fleet/commands.rs
@@ -4,8 +4,8 @@
 use std::process::{Command, Stdio};
 
 use crate::command_line::{fleet_command, mask_varying_parts};
-use crate::data::assert_as_recorded;
-use crate::fleet_rig::{read_response, send_request, FleetProcesses};
+use crate::fleet_processes::{read_response, send_request, FleetProcesses};
+use crate::recorded_files::assert_as_recorded;
 
 /// Version after the first state and the `resume` command, if one round bootstraps the fleet.
 const FIRST_VERSION: u64 = 1_000_001;
--- a/router/tests/recorded_fleet/files.rs
+++ b/router/tests/recorded_fleet/files.rs
@@ -5,7 +5,7 @@
 
 use tallypin_router::fleet::release_files::{self, FileError, ReleaseFile};
 
-use crate::data::assert_as_recorded;
+use crate::recorded_files::assert_as_recorded;
 
 /// Lists the files of a directory and its store: each name with its content, and the target of each link.
 fn listing(dir: &Path) -> String {
--- a/router/tests/recorded_fleet/invalid_input.rs
+++ b/router/tests/recorded_fleet/invalid_input.rs
@@ -5,8 +5,8 @@
 use tallypin_router::fleet::release_plan;
 
 use crate::command_line::tallypin;
-use crate::data::assert_as_recorded;
-use crate::fleet_rig::CONFIG;
+use crate::fleet_processes::CONFIG;
+use crate::recorded_files::assert_as_recorded;
 
 const VALID_SETTINGS: &str = "control {\n socket s\n}\nfleet {\n name nord\n me r0\n key key\n router r0 127.0.0.1:7001 a\n router r1 127.0.0.1:7002 b\n router r2 127.0.0.1:7003 a\n council r0 r1 r2\n out-most 1\n out-zone 1\n}\n";
 
--- a/router/tests/recorded_fleet/main.rs
+++ b/router/tests/recorded_fleet/main.rs
@@ -3,11 +3,11 @@
 #![allow(missing_docs)]
 
 mod command_line;
-mod data;
+mod commands;
 mod files;
-#[path = "../fleet_rig/mod.rs"]
-mod fleet_rig;
+#[path = "../fleet_processes/mod.rs"]
+mod fleet_processes;
 mod invalid_input;
 mod messages;
-mod orders;
-mod stored_folder;
+mod recorded_files;
+mod stored_files;
--- a/router/tests/recorded_fleet/messages.rs
+++ b/router/tests/recorded_fleet/messages.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use tallypin_router::fleet::wire::{self, Call, Direction, Keys, Reply};
 
-use crate::data::{assert_as_recorded, hex, read_recorded, HEADER_BYTES, KEY};
-use crate::fleet_rig::{self, FleetProcesses};
+use crate::fleet_processes::{self, FleetProcesses};
+use crate::recorded_files::{assert_as_recorded, hex, read_recorded, HEADER_BYTES, KEY};
 
 /// Seals and opens the messages of a recorded file. Each line has the header of a sealed message in hex and its JSON. Sealing
 /// is deterministic, so the bytes can be compared.
@@ -100,7 +100,7 @@
 /// router and no call of a later version.
 #[test]
 fn a_running_router_answers_a_sealed_call_as_recorded() {
-    let fleet = FleetProcesses::resumed("recorded-calls", 73, 1, 1, fleet_rig::ONE_OUT);
+    let fleet = FleetProcesses::resumed("recorded-calls", 73, 1, 1, fleet_processes::ONE_OUT);
     let keys = Keys::read("test", "the key of this fleet of tests").unwrap();
     let mut got = String::new();
     for (case, body) in [
--- a/router/tests/recorded_fleet/stored_folder.rs
+++ b/router/tests/recorded_fleet/stored_files.rs
@@ -3,14 +3,14 @@
 use tallypin_router::fleet::release_files;
 
 use crate::command_line::{fleet_command, mask_varying_parts};
-use crate::data::{assert_as_recorded, read_recorded};
-use crate::fleet_rig::{self, read_response, send_request, FleetProcesses, CONFIG};
+use crate::fleet_processes::{self, read_response, send_request, FleetProcesses, CONFIG};
+use crate::recorded_files::{assert_as_recorded, read_recorded};
 
 /// Guards the formats of stored files: council members start from the files recorded in `folder` and serve. One of them
 /// has a release on trial that never reached service, and rolls it back.
 #[test]
 fn routers_start_from_recorded_files_and_serve() {
-    let fleet = FleetProcesses::new("recorded-folder", 71, 3, 3, fleet_rig::ONE_OUT, CONFIG);
+    let fleet = FleetProcesses::new("recorded-folder", 71, 3, 3, fleet_processes::ONE_OUT, CONFIG);
     let nobody = serde_json::json!([]);
     fleet.wait_until("the council is bootstrapped", || fleet.run_command(0, "status")["halted"].is_string());
     (0..3).for_each(|r| fleet.kill(r));
--- a/router/tests/recorded_operations.rs
+++ b/router/tests/recorded_operations.rs
@@ -12,7 +12,7 @@
 
 use bytes::{Bytes, BytesMut};
 use recorded::{hex, mask_number, Recording};
-use tallypin_test_support::park::Reserved;
+use tallypin_test_support::mock_services::Reserved;
 
 const CONFIG: &str = include_str!("../../examples/config.json");
 const TWO_ZONES: &str = include_str!("../../examples/two-zones.json");
--- a/router/tests/soak.rs
+++ b/router/tests/soak.rs
@@ -7,12 +7,12 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
+use tallypin_test_support::fault_injection::{Library, SocketFaults};
 use tallypin_test_support::seeds;
-use tallypin_test_support::shim::{Library, SocketFaults};
-use tallypin_test_support::trial::{self, Report, Scenario};
+use tallypin_test_support::shutdown_runs::{self, Report, Scenario};
 
 fn run(ip: &str, scenario: &Scenario) -> Report {
-    trial::run_scenario(&seeds::program(env!("CARGO_BIN_EXE_tallypin")), ip, scenario)
+    shutdown_runs::run_scenario(&seeds::program(env!("CARGO_BIN_EXE_tallypin")), ip, scenario)
         .expect("the scenario can be run")
 }
 
--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
 
-use crate::checkers;
+use crate::health_checks;
 
 /// How the balancer checks a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -149,12 +149,12 @@
             let task = match check {
                 Check::None => continue,
                 Check::Agent(at, interval, line) => {
-                    tokio::task::spawn_local(checkers::run_agent_check(reporter, at, interval, line))
+                    tokio::task::spawn_local(health_checks::run_agent_check(reporter, at, interval, line))
                 }
                 Check::Http(at, interval, path, rise, fall) => tokio::task::spawn_local(
-                    checkers::run_http_check(reporter, at, interval, path, rise, fall),
+                    health_checks::run_http_check(reporter, at, interval, path, rise, fall),
                 ),
-                Check::Watch(at) => tokio::task::spawn_local(checkers::run_grpc_watch(reporter, at)),
+                Check::Watch(at) => tokio::task::spawn_local(health_checks::run_grpc_watch(reporter, at)),
             };
             balancer.checks.push(task.abort_handle());
         }
--- a/test-support/src/list_trial/discovery.rs
+++ b/test-support/src/discovery_runs/discovery.rs
@@ -13,8 +13,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::plan::{Change, ChangeKind, Fault, Scenario};
-use crate::wire::HttpConnection;
+use super::scenario::{Change, ChangeKind, Fault, Scenario};
+use crate::http_connection::HttpConnection;
 
 /// Calls that would wait longer than this are refused.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
--- a/test-support/src/list_trial/mod.rs
+++ b/test-support/src/discovery_runs/mod.rs
@@ -5,8 +5,8 @@
 //! Discovery, the replicas and the clients run on one thread.
 
 mod discovery;
-mod plan;
 mod routers;
+mod scenario;
 mod traffic;
 
 use std::cell::{Cell, RefCell};
@@ -19,13 +19,13 @@
 use std::time::Duration;
 
 pub use discovery::{Call, CallOutcome};
-pub use plan::{Change, ChangeKind, DiscoveryMove, Fault, Restart, Scenario, Stop};
+pub use scenario::{Change, ChangeKind, DiscoveryMove, Fault, Restart, Scenario, Stop};
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, Instant};
 
-use crate::lateness::record_max_delay;
+use crate::harness_delay::record_max_delay;
 use discovery::Discovery;
 use routers::Routers;
 
--- a/test-support/src/list_trial/routers.rs
+++ b/test-support/src/discovery_runs/routers.rs
@@ -12,9 +12,9 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use super::discovery::Address;
-use super::plan::{DiscoveryMove, Restart, Stop, CLIENT_DEADLINE};
+use super::scenario::{DiscoveryMove, Restart, Stop, CLIENT_DEADLINE};
 use super::{traffic, Run};
-use crate::park::Reserved;
+use crate::mock_services::Reserved;
 use crate::router_process::{signal_all, RouterProcess};
 
 /// Time within which each router has to be ready.
--- a/test-support/src/list_trial/plan.rs
+++ b/test-support/src/discovery_runs/scenario.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{json, Value};
 
-use crate::shim::SocketFaults;
+use crate::fault_injection::SocketFaults;
 
 /// A router counts as notified of a change at most this long after discovery had the change and could be reached.
 const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
--- a/test-support/src/list_trial/traffic.rs
+++ b/test-support/src/discovery_runs/traffic.rs
@@ -9,9 +9,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::plan::CLIENT_DEADLINE;
+use super::scenario::CLIENT_DEADLINE;
 use super::{Run, EXTRA_RUN_TIME};
-use crate::wire::HttpConnection;
+use crate::http_connection::HttpConnection;
 
 /// Pause between two requests of a client.
 const REQUEST_PAUSE: Duration = Duration::from_millis(80);
--- a/test-support/src/lib.rs
+++ b/test-support/src/lib.rs
@@ -2,14 +2,14 @@
 //! measurements. They share no code with the router, because an error common to both sides would go unnoticed.
 
 pub mod balancer;
-pub mod checkers;
-pub mod growth;
-mod lateness;
-pub mod list_trial;
-pub mod park;
+pub mod discovery_runs;
+pub mod fault_injection;
+mod harness_delay;
+pub mod health_checks;
+mod http_connection;
+pub mod mock_services;
 pub mod relay;
+pub mod resource_usage;
 pub mod router_process;
 pub mod seeds;
-pub mod shim;
-pub mod trial;
-mod wire;
+pub mod shutdown_runs;
--- a/test-support/src/growth.rs
+++ b/test-support/src/resource_usage.rs
@@ -17,9 +17,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout, Instant};
 
-use crate::park::Reserved;
+use crate::http_connection::{Head, HttpConnection};
+use crate::mock_services::Reserved;
 use crate::router_process::RouterProcess;
-use crate::wire::{Head, HttpConnection};
 
 /// A fleet around one router, and its load.
 #[derive(Debug, Clone, Copy)]
--- a/test-support/src/router_process.rs
+++ b/test-support/src/router_process.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::wire::HttpConnection;
+use crate::http_connection::HttpConnection;
 
 /// Interval between checks whether the process is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(2);
--- a/test-support/src/trial/client.rs
+++ b/test-support/src/shutdown_runs/client.rs
@@ -8,10 +8,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-use super::plan::Class;
-use super::verdict::MAX_RESPONSE_DELAY;
+use super::rules::MAX_RESPONSE_DELAY;
+use super::scenario::Class;
 use super::Run;
-use crate::wire::HttpConnection;
+use crate::http_connection::HttpConnection;
 
 /// A client gives up on a response this long after the request's deadline, far past what any rule allows.
 const RESPONSE_GRACE: Duration = Duration::from_secs(2);
--- a/test-support/src/trial/mod.rs
+++ b/test-support/src/shutdown_runs/mod.rs
@@ -5,10 +5,10 @@
 
 mod client;
 mod pauses;
-mod plan;
 mod process;
 mod replica;
-mod verdict;
+mod rules;
+mod scenario;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,16 +18,16 @@
 use std::time::Duration;
 
 pub use client::{Exchange, Outcome};
-pub use plan::{
+pub use replica::{ReplicaAttempt, ReplicaOutcome};
+pub use rules::{Rule, Violation};
+pub use scenario::{
     Change, ChangeKind, Class, Effect, Group, ReplicaBehaviour, ReplicaScenario, Scenario, Signal,
 };
-pub use replica::{ReplicaAttempt, ReplicaOutcome};
 use tokio::sync::watch;
 use tokio::time::Instant;
-pub use verdict::{Rule, Violation};
 
-use crate::lateness::record_max_delay;
-use crate::park::{List, Reserved};
+use crate::harness_delay::record_max_delay;
+use crate::mock_services::{List, Reserved};
 use pauses::{Pause, Pauses};
 use process::Router;
 
@@ -188,7 +188,7 @@
         *statuses.entry(status).or_default() += 1;
     }
     let log_text = std::fs::read_to_string(&log).unwrap_or_default();
-    let observations = verdict::Observations {
+    let observations = rules::Observations {
         scenario,
         exchanges: &exchanges,
         attempts: &attempts,
@@ -200,12 +200,12 @@
         log: &log_text,
         timing_checked,
     };
-    let last_part_from = observations.sigterm_at + verdict::ANSWER_REQUIRED_AFTER;
+    let last_part_from = observations.sigterm_at + rules::ANSWER_REQUIRED_AFTER;
     let cancelled_late =
         |r: &&ReplicaAttempt| r.head_at > last_part_from && r.outcome == ReplicaOutcome::ClosedByRouter;
     Ok(Report {
         cancelled_late: attempts.iter().filter(cancelled_late).count(),
-        violations: verdict::find_violations(&observations),
+        violations: rules::find_violations(&observations),
         requests: exchanges.len(),
         attempts_received: attempts.iter().filter(|r| r.complete_at.is_some()).count(),
         statuses,
--- a/test-support/src/trial/replica.rs
+++ b/test-support/src/shutdown_runs/replica.rs
@@ -10,9 +10,9 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-use super::plan::ReplicaBehaviour;
+use super::scenario::ReplicaBehaviour;
 use super::Run;
-use crate::wire::HttpConnection;
+use crate::http_connection::HttpConnection;
 
 /// The outcome of an attempt at a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/test-support/src/trial/verdict.rs
+++ b/test-support/src/shutdown_runs/rules.rs
@@ -6,9 +6,9 @@
 
 use super::client::{Exchange, Outcome};
 use super::pauses::{Pause, Pauses};
-use super::plan::{Effect, Group, Scenario};
 use super::process::Exit;
 use super::replica::{ReplicaAttempt, ReplicaOutcome};
+use super::scenario::{Effect, Group, Scenario};
 
 /// Time after a drain appears in the node list during which attempts may still go to the replica. Includes the
 /// time to notify the router.
--- a/test-support/src/trial/plan.rs
+++ b/test-support/src/shutdown_runs/scenario.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{json, Value};
 
-use crate::shim::SocketFaults;
+use crate::fault_injection::SocketFaults;
 
 /// The effect of running a request of a class twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/test-support/tests/shim.rs
+++ b/test-support/tests/shim.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use tallypin_test_support::shim::Library;
+use tallypin_test_support::fault_injection::Library;
 
 /// Number of connections that the child process opens one after the other; small enough for the backlog of the
 /// listener.
--- a/tests/recorded_trace.rs
+++ b/tests/recorded_trace.rs
@@ -3,8 +3,8 @@
 #![allow(missing_docs)]
 
 mod common;
-#[path = "common/played.rs"]
-mod played;
+#[path = "common/simulated_deployment.rs"]
+mod simulated_deployment;
 #[path = "common/trace_text.rs"]
 mod trace_text;
 
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 
 use common::{test_settings, MS};
-use played::{Scenario, Simulation};
+use simulated_deployment::{Scenario, Simulation};
 use tallypin::api::*;
 
 /// Names of the deployments and of the files with their traces.
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -2,13 +2,13 @@
 #![allow(missing_docs)]
 
 mod common;
-#[path = "common/sized.rs"]
-mod sized;
+#[path = "common/sized_fleet.rs"]
+mod sized_fleet;
 
 use std::time::{Duration, Instant};
 
 use common::{ready_entry, test_settings, MS};
-use sized::SizedFleet;
+use sized_fleet::SizedFleet;
 use tallypin::api::*;
 use tallypin::Balancer;
 
