--- a/router/benches/checks.rs
+++ b/router/benches/checks.rs
@@ -14,12 +14,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::{platform, Node};
+use common::{platform_request, MockReplica};
 use hdrhistogram::Histogram;
 use tallypin_router::dialect::Dialect;
 use tallypin_router::probe;
 use tallypin_test_support::balancer::{Balancer, Check};
-use tallypin_test_support::health_checks::agent_line;
+use tallypin_test_support::health_checks::agent_check_line;
 
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port is free")
@@ -78,7 +78,7 @@
 
     async fn until_up(&self) {
         let deadline = Instant::now() + Duration::from_secs(10);
-        while !agent_line(self.agent, "").await.is_some_and(|l| l.starts_with("up ready 100%")) {
+        while !agent_check_line(self.agent, "").await.is_some_and(|l| l.starts_with("up ready 100%")) {
             assert!(Instant::now() < deadline, "the router is not up within 10 s");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -121,7 +121,7 @@
     let (sender, receiver) = std::sync::mpsc::channel();
     on_thread(move || {
         block_on_local(async move {
-            let replica = Node::new(Dialect::Chat).await;
+            let replica = MockReplica::new(Dialect::Chat).await;
             let _ = sender.send(replica.addr);
             std::future::pending::<()>().await;
             drop(replica);
@@ -134,7 +134,7 @@
     let (mut agent, mut http, mut grpc) = (histogram(), histogram(), histogram());
     for _ in 0..rounds {
         let started = Instant::now();
-        agent_line(router.agent, "\n").await.expect("the agent check is answered");
+        agent_check_line(router.agent, "\n").await.expect("the agent check is answered");
         agent += started.elapsed().as_micros() as u64;
         let started = Instant::now();
         probe::check_http(router.http, "/healthz").await.expect("the HTTP check is answered");
@@ -159,7 +159,7 @@
             tokio::task::spawn_local(async move {
                 while Instant::now() < end {
                     let started = Instant::now();
-                    let outcome = balancer.ask(&platform("", "{}")).await;
+                    let outcome = balancer.send(&platform_request("", "{}")).await;
                     totals.0.set(totals.0.get() + u64::from(outcome.status == 200));
                     *totals.1.borrow_mut() += started.elapsed().as_micros() as u64;
                     // Clients pause between requests, so that the latency shows the wait behind other clients.
@@ -201,9 +201,9 @@
             // Only the second half is measured, after the weights have adapted.
             let warm_up = run_clients(balancer.clone(), 24, end - Duration::from_secs(4)).await;
             drop(warm_up);
-            let before: Vec<u64> = (0..3).map(|n| balancer.sent(n)).collect();
+            let before: Vec<u64> = (0..3).map(|n| balancer.requests_sent(n)).collect();
             let (_, latencies) = run_clients(balancer.clone(), 24, end).await;
-            let sent: Vec<u64> = (0..3).map(|n| balancer.sent(n) - before[n]).collect();
+            let sent: Vec<u64> = (0..3).map(|n| balancer.requests_sent(n) - before[n]).collect();
             (sent[0] as f64 / sent.iter().sum::<u64>().max(1) as f64, latencies)
         })
     });
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -24,8 +24,8 @@
 use tallypin_router::peers::Peers;
 use tallypin_router::reload::SettingsReloader;
 use tallypin_router::{config, probe, shutdown};
-use tallypin_test_support::balancer::{Balancer, Check, Event, Held};
-use tallypin_test_support::health_checks::{agent_line, watch_once};
+use tallypin_test_support::balancer::{Balancer, Check, Event, ServerState};
+use tallypin_test_support::health_checks::{agent_check_line, run_grpc_watch_once};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::{spawn_local, AbortHandle, JoinHandle};
@@ -118,9 +118,16 @@
     }
 }
 
-async fn start(replicas: &[&Node], addresses: &[SocketAddr; 4], replacements: &[(&str, &str)]) -> TestRouter {
-    let endpoints =
-        replicas.iter().enumerate().map(|(i, n)| row(&format!("s-{i}"), n.addr, "active")).collect();
+async fn start(
+    replicas: &[&MockReplica],
+    addresses: &[SocketAddr; 4],
+    replacements: &[(&str, &str)],
+) -> TestRouter {
+    let endpoints = replicas
+        .iter()
+        .enumerate()
+        .map(|(i, n)| endpoint_record(&format!("s-{i}"), n.addr, "active"))
+        .collect();
     let router = start_with(config(), endpoints, addresses, replacements, None).await;
     router.until(|s| s == HealthState::Up).await;
     router
@@ -148,7 +155,7 @@
     }
 
     async fn agent_check(&self) -> String {
-        agent_line(self.agent(), "").await.expect("the agent check answers")
+        agent_check_line(self.agent(), "").await.expect("the agent check answers")
     }
 
     fn addresses(&self) -> [SocketAddr; 4] {
@@ -158,7 +165,7 @@
     /// Stops the check listeners and waits until the fronts have closed. Its addresses are free after that.
     async fn stop(mut self) {
         self.check_listeners.take().unwrap().stop().await;
-        until(|| self.front_tasks.iter().all(|f| f.is_finished())).await;
+        wait_until(|| self.front_tasks.iter().all(|f| f.is_finished())).await;
     }
 
     /// Begins a drain that ends with the router's shutdown, as SIGTERM does.
@@ -171,20 +178,20 @@
 
 async fn get(client: &mut Client, target: &str) -> (u16, String, String) {
     client.send(&format!("GET {target} HTTP/1.1\r\nHost: r\r\n\r\n")).await;
-    let (status, head, body, _) = client.answer().await;
+    let (status, head, body, _) = client.read_answer().await;
     (status, head, body)
 }
 
 #[test]
 fn every_protocol_reports_a_drain_before_connections_close_and_a_drain_can_be_cancelled() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let router = start(&[&replica], &ANY_PORTS, &[("most 3s", "most 10m")]).await;
         // These connections are opened before the drain and kept open.
-        let mut checker = Client::to(router.http()).await;
+        let mut checker = Client::connect(router.http()).await;
         assert_eq!(get(&mut checker, "/healthz").await.0, 200);
-        let mut client = Client::to(router.front).await;
-        assert_eq!(client.ask("").await.0, 200);
+        let mut client = Client::connect(router.front).await;
+        assert_eq!(client.send_platform_request("").await.0, 200);
         let statuses: Rc<RefCell<Vec<u8>>> = Rc::default();
         let (grpc, received) = (router.grpc(), statuses.clone());
         let watch = spawn_local(async move {
@@ -192,9 +199,9 @@
                 received.borrow_mut().push(status);
                 std::future::ready(())
             };
-            watch_once(grpc, "messages", 64 << 10, on_status).await
+            run_grpc_watch_once(grpc, "messages", 64 << 10, on_status).await
         });
-        until(|| !statuses.borrow().is_empty()).await;
+        wait_until(|| !statuses.borrow().is_empty()).await;
         assert_eq!(router.agent_check().await, "up ready 100%");
         execute(Command::Drain { end: false }, &router.components.check_context(), &router.health_monitor);
         // Checks are answered with the drain at once, on old and on new connections.
@@ -205,14 +212,14 @@
             DrainPhase::Notifying,
             "the HTTP checker has not been notified yet"
         );
-        let (code, head, _, complete) = client.ask("").await;
-        assert!(code == 200 && complete && field(&head, "connection").is_none(), "{head}");
+        let (code, head, _, complete) = client.send_platform_request("").await;
+        assert!(code == 200 && complete && header_value(&head, "connection").is_none(), "{head}");
         assert_eq!(get(&mut checker, "/healthz").await.0, 404);
         assert_eq!(get(&mut checker, "/livez").await.0, 200);
-        until(|| *statuses.borrow() == [1, 2]).await;
+        wait_until(|| *statuses.borrow() == [1, 2]).await;
         router.until_phase(DrainPhase::ClosingConnections).await;
-        let (code, head, _, complete) = client.ask("").await;
-        assert!(code == 200 && complete && field(&head, "connection") == Some("close"), "{head}");
+        let (code, head, _, complete) = client.send_platform_request("").await;
+        assert!(code == 200 && complete && header_value(&head, "connection") == Some("close"), "{head}");
         // The drain is cancelled while connections close.
         assert_eq!(
             execute(Command::Ready, &router.components.check_context(), &router.health_monitor)["done"],
@@ -220,10 +227,10 @@
         );
         assert_eq!(router.agent_check().await, "up ready 100%");
         assert_eq!(get(&mut checker, "/healthz").await.0, 200);
-        until(|| *statuses.borrow() == [1, 2, 1]).await;
-        let mut client = Client::to(router.front).await;
-        let (code, head, ..) = client.ask("").await;
-        assert!(code == 200 && field(&head, "connection").is_none());
+        wait_until(|| *statuses.borrow() == [1, 2, 1]).await;
+        let mut client = Client::connect(router.front).await;
+        let (code, head, ..) = client.send_platform_request("").await;
+        assert!(code == 200 && header_value(&head, "connection").is_none());
         // A second drain completes: idle connections close, and new ones are served until the router shuts down.
         assert_eq!(
             execute(
@@ -238,7 +245,7 @@
         get(&mut checker, "/healthz").await;
         router.until_phase(DrainPhase::Drained).await;
         assert_eq!(client.stream.read(&mut [0; 8]).await.unwrap(), 0, "the router closes an idle connection");
-        assert_eq!(Client::to(router.front).await.ask("").await.0, 200);
+        assert_eq!(Client::connect(router.front).await.send_platform_request("").await.0, 200);
         let shutdown = router.begin_shutdown();
         assert_eq!(
             execute(Command::Ready, &router.components.check_context(), &router.health_monitor)["done"],
@@ -246,7 +253,7 @@
             "a shutdown cannot be cancelled"
         );
         shutdown.await.unwrap();
-        until(|| !router.front_tasks.iter().any(|f| !f.is_finished())).await;
+        wait_until(|| !router.front_tasks.iter().any(|f| !f.is_finished())).await;
         assert!(TcpStream::connect(router.front).await.is_err());
         watch.abort();
     });
@@ -255,21 +262,27 @@
 /// Guards against a router that shuts down while requests wait: their connections would close without an answer.
 #[test]
 fn requests_that_still_wait_at_the_drain_timeout_are_answered_before_shutdown() {
-    run(async {
+    run_test(async {
         for (effect, status) in [(Effect::Idempotent, 503), (Effect::NotIdempotent, 500)] {
-            let replica = Node::new(Chat).await;
-            replica.plan(&[Fault::Mute]);
+            let replica = MockReplica::new(Chat).await;
+            replica.add_faults(&[ReplicaFault::NoAnswer]);
             let mut config = config();
             config.limits.drain_time = 30 * MS;
             config.deployment.decision_settings.classes.iter_mut().for_each(|c| c.effect = effect);
-            let router =
-                start_with(config, vec![row("s-0", replica.addr, "active")], &ANY_PORTS, &[], None).await;
+            let router = start_with(
+                config,
+                vec![endpoint_record("s-0", replica.addr, "active")],
+                &ANY_PORTS,
+                &[],
+                None,
+            )
+            .await;
             router.until(|s| s == HealthState::Up).await;
-            let mut client = Client::to(router.front).await;
-            client.send(&platform("", "{}")).await;
+            let mut client = Client::connect(router.front).await;
+            client.send(&platform_request("", "{}")).await;
             replica.next_request().await;
             router.begin_shutdown().await.unwrap();
-            assert_eq!(client.answer().await.0, status, "{effect:?}");
+            assert_eq!(client.read_answer().await.0, status, "{effect:?}");
         }
     });
 }
@@ -277,11 +290,11 @@
 /// A cause that all routers share is reported as degraded, never as down.
 #[test]
 fn a_fleet_without_warm_replicas_makes_the_router_degraded() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let router = start(&[&replica], &ANY_PORTS, &[]).await;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-        let warming_up = EndpointRecord { started_ms: now, ..row("s-9", replica.addr, "active") };
+        let warming_up = EndpointRecord { started_ms: now, ..endpoint_record("s-9", replica.addr, "active") };
         let set_endpoints = |endpoints| {
             endpoint_list::apply(
                 &router.components.endpoint_list,
@@ -291,15 +304,16 @@
         };
         set_endpoints(vec![warming_up]);
         router.until(|s| s == HealthState::Degraded).await;
-        let mut client = Client::to(router.http()).await;
+        let mut client = Client::connect(router.http()).await;
         let (code, _, body) = get(&mut client, "/healthz").await;
         assert!(code == 200 && body.contains("every model node is cold"), "{body}");
         set_endpoints(vec![]);
-        until(|| router.health_monitor.assessment().cause.description() == "no model node takes work").await;
+        wait_until(|| router.health_monitor.assessment().cause.description() == "no model node takes work")
+            .await;
         assert!(router.agent_check().await.starts_with("up ready "));
         let (code, _, body) = get(&mut client, "/readyz?verbose").await;
         assert!(code == 200 && body.contains("[-]nodes not well: 0 ready"), "{body}");
-        set_endpoints(vec![row("s-0", replica.addr, "active")]);
+        set_endpoints(vec![endpoint_record("s-0", replica.addr, "active")]);
         router.until(|s| s == HealthState::Up).await;
     });
 }
@@ -307,7 +321,7 @@
 /// No replica answers this router. A peer's report that it serves shows that the failure is this router's own.
 #[test]
 fn a_router_that_no_replica_answers_is_down_while_a_peer_serves() {
-    run(async {
+    run_test(async {
         let peer = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let own_address = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let mut config = config();
@@ -318,17 +332,19 @@
         let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
         let refusing = ReservedPort::new();
         // Several replicas, because a router waits before it uses one again that refused a connection.
-        let endpoints = (0..6).map(|i| row(&format!("s-{i}"), refusing.addr(), "active")).collect();
+        let endpoints =
+            (0..6).map(|i| endpoint_record(&format!("s-{i}"), refusing.addr(), "active")).collect();
         let timing = "failures 3\n witness-after 200ms\n witness-fresh 1s\n retry 10m\n slow-start 10s";
         let replacements = [("slow-start 0ms", &*timing.replace("10s", "0ms"))];
         let router = start_with(config, endpoints, &ANY_PORTS, &replacements, Some(peers)).await;
-        let mut client = Client::to(router.front).await;
+        let mut client = Client::connect(router.front).await;
         for _ in 0..4 {
-            client.ask("").await;
+            client.send_platform_request("").await;
         }
-        until(|| router.health_monitor.assessment().cause.description() == "no model node answers").await;
+        wait_until(|| router.health_monitor.assessment().cause.description() == "no model node answers")
+            .await;
         assert!(router.agent_check().await.starts_with("up ready "), "no peer is known to serve");
-        let report = tallypin::served_report::encode(digest, 500, &[served(7, 0)]);
+        let report = tallypin::served_report::encode(digest, 500, &[served_count(7, 0)]);
         let mut interval = tokio::time::interval(20 * MS);
         while router.health_monitor.assessment().state != HealthState::Down {
             interval.tick().await;
@@ -346,17 +362,17 @@
 
 #[test]
 fn checks_are_answered_with_all_client_slots_in_use_and_500_silent_check_connections() {
-    run(async {
-        let replica = Node::new(Chat).await;
-        replica.plan(&[Fault::Mute; 40]);
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::NoAnswer; 40]);
         let mut config = config();
         config.limits.max_clients = 44;
-        let endpoints = vec![row("s-0", replica.addr, "active")];
+        let endpoints = vec![endpoint_record("s-0", replica.addr, "active")];
         let router = start_with(config, endpoints, &ANY_PORTS, &[("budget 500ms", "budget 5s")], None).await;
         let mut clients = Vec::new();
         for _ in 0..6 {
-            let mut client = Client::to(router.front).await;
-            client.send(&platform("", "{}")).await;
+            let mut client = Client::connect(router.front).await;
+            client.send(&platform_request("", "{}")).await;
             clients.push(client);
         }
         let mut silent = Vec::new();
@@ -383,8 +399,8 @@
 
 #[test]
 fn invalid_checks_get_an_error_or_a_closed_connection() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let replacements = [("checks {", "checks {\n budget 150ms\n idle 150ms")];
         let router = start(&[&replica], &ANY_PORTS, &replacements).await;
         let oversized = format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(17 << 10));
@@ -398,9 +414,14 @@
             ("GET /healthz HTTP/1.1\r\nHo", 408),
             (&*oversized, 431),
         ] {
-            let mut client = Client::to(router.http()).await;
+            let mut client = Client::connect(router.http()).await;
             client.stream.write_all(request.as_bytes()).await.unwrap();
-            assert_eq!(client.answer().await.0, expected, "{}", request.chars().take(40).collect::<String>());
+            assert_eq!(
+                client.read_answer().await.0,
+                expected,
+                "{}",
+                request.chars().take(40).collect::<String>()
+            );
         }
         // Nothing, a truncated request or another protocol: the connection is closed.
         for (address, bytes) in
@@ -419,7 +440,7 @@
             ("letters\n", "failed #no service letters"),
             ("GET / HTTP/1.1\r\n\r\n", "failed #no service of that name"),
         ] {
-            assert_eq!(agent_line(router.agent(), line).await.as_deref(), Some(expected), "{line:?}");
+            assert_eq!(agent_check_line(router.agent(), line).await.as_deref(), Some(expected), "{line:?}");
         }
         assert!(probe::check_grpc(router.grpc(), "letters")
             .await
@@ -427,20 +448,24 @@
             .to_string()
             .contains("grpc-status 5"));
         // The answer to a HEAD request has no body, and the connection stays usable.
-        let mut client = Client::to(router.http()).await;
+        let mut client = Client::connect(router.http()).await;
         client.send("HEAD /healthz HTTP/1.1\r\n\r\n").await;
         let mut head = [0; 512];
         let n = client.stream.read(&mut head).await.unwrap();
         assert!(head[..n].ends_with(b"\r\n\r\n"), "{}", String::from_utf8_lossy(&head[..n]));
         assert_eq!(get(&mut client, "/livez").await.0, 200);
-        assert_eq!(Client::to(router.front).await.ask("").await.0, 200, "clients are not affected");
+        assert_eq!(
+            Client::connect(router.front).await.send_platform_request("").await.0,
+            200,
+            "clients are not affected"
+        );
     });
 }
 
 #[test]
 fn a_slow_watcher_gets_only_the_latest_state_and_excess_watchers_get_an_error() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let replacements = [("listen 127.0.0.1:0\n    }\n}", "listen 127.0.0.1:0\n watches 1\n    }\n}")];
         let router = start(&[&replica], &ANY_PORTS, &replacements).await;
         let (statuses, proceed): (Rc<RefCell<Vec<u8>>>, Rc<tokio::sync::Notify>) = Default::default();
@@ -452,11 +477,11 @@
                 let wait = wait.clone();
                 async move { wait.notified().await }
             };
-            watch_once(grpc, "", 7, on_status).await
+            run_grpc_watch_once(grpc, "", 7, on_status).await
         });
-        until(|| statuses.borrow().len() == 1).await;
+        wait_until(|| statuses.borrow().len() == 1).await;
         assert!(
-            watch_once(grpc, "", 64 << 10, |_| std::future::ready(())).await.is_some(),
+            run_grpc_watch_once(grpc, "", 64 << 10, |_| std::future::ready(())).await.is_some(),
             "a second watch is rejected"
         );
         for order in [OperatorOrder::Drain, OperatorOrder::Ready, OperatorOrder::Maintenance] {
@@ -465,7 +490,7 @@
             tokio::time::sleep(5 * MS).await;
         }
         proceed.notify_one();
-        until(|| statuses.borrow().len() == 2).await;
+        wait_until(|| statuses.borrow().len() == 2).await;
         proceed.notify_one();
         tokio::time::sleep(20 * MS).await;
         assert_eq!(*statuses.borrow(), [1, 2], "three changes give one message with the latest state");
@@ -475,13 +500,13 @@
 
 #[test]
 fn a_reload_moves_the_check_listener_and_applies_new_check_settings() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let (old, new) = (ReservedPort::new(), ReservedPort::new());
         let mut addresses = ANY_PORTS;
         addresses[2] = old.addr();
         let router = start(&[&replica], &addresses, &[]).await;
-        let mut old_connection = Client::to(router.http()).await;
+        let mut old_connection = Client::connect(router.http()).await;
         assert_eq!(get(&mut old_connection, "/healthz").await.0, 200);
         let mut reloader =
             SettingsReloader::new(&router.installation, Some(router.health_monitor.clone()), None);
@@ -503,8 +528,8 @@
             "an old connection stays open and uses the new settings"
         );
         assert_eq!(get(&mut new_connection, "/healthz").await.0, 418);
-        let (_, head, ..) = Client::to(router.front).await.ask("").await;
-        assert_eq!(field(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
+        let (_, head, ..) = Client::connect(router.front).await.send_platform_request("").await;
+        assert_eq!(header_value(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
         // An address in use is not taken over, but the other settings apply.
         let occupied = TcpListener::bind("127.0.0.1:0").await.unwrap();
         addresses[2] = occupied.local_addr().unwrap();
@@ -513,16 +538,16 @@
             &installation(&config(), &fast_settings(&addresses, &[])),
         );
         assert_eq!(get(&mut old_connection, "/healthz").await.0, 404);
-        assert_eq!(get(&mut Client::to(new.addr()).await, "/healthz").await.0, 404);
+        assert_eq!(get(&mut Client::connect(new.addr()).await, "/healthz").await.0, 404);
     });
 }
 
 #[test]
 fn answers_to_clients_carry_health_fields_only_if_enabled() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let default_router = start(&[&replica], &ANY_PORTS, &[]).await;
-        let (_, head, ..) = Client::to(default_router.front).await.ask("").await;
+        let (_, head, ..) = Client::connect(default_router.front).await.send_platform_request("").await;
         let expected_head =
             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         assert_eq!(head, expected_head);
@@ -531,26 +556,27 @@
             ("listen 127.0.0.1:0\n    }\n}", "listen 127.0.0.1:0\n reports on\n }\n}"),
         ];
         let router = start(&[&replica], &ANY_PORTS, &replacements).await;
-        until(|| router.components.balancer_interface.response_fields().contains("weight=1")).await;
+        wait_until(|| router.components.balancer_interface.response_fields().contains("weight=1")).await;
         for (head, body) in [
             {
-                let (_, h, b, _) = Client::to(router.front).await.ask("").await;
+                let (_, h, b, _) = Client::connect(router.front).await.send_platform_request("").await;
                 (h, b)
             },
             {
-                let (_, h, b, _) = Client::to(router.front).await.ask("Req-Kind: x\r\n").await;
+                let (_, h, b, _) =
+                    Client::connect(router.front).await.send_platform_request("Req-Kind: x\r\n").await;
                 (h, b)
             },
         ] {
             assert!(
-                field(&head, "endpoint-load-metrics").is_some_and(|v| v.starts_with("TEXT ")),
+                header_value(&head, "endpoint-load-metrics").is_some_and(|v| v.starts_with("TEXT ")),
                 "{head}{body}"
             );
-            assert_eq!(field(&head, "x-envoy-degraded"), None);
+            assert_eq!(header_value(&head, "x-envoy-degraded"), None);
         }
         execute(Command::Maint, &router.components.check_context(), &router.health_monitor);
-        let (_, head, ..) = Client::to(router.front).await.ask("").await;
-        assert_eq!(field(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
+        let (_, head, ..) = Client::connect(router.front).await.send_platform_request("").await;
+        assert_eq!(header_value(&head, "x-envoy-immediate-health-check-fail"), Some("true"));
         let report = router.health_monitor.load_report();
         assert!(report.named_metrics.contains_key("open") && report.utilization.contains_key("clients"));
     });
@@ -574,8 +600,8 @@
 /// Load reports are streamed at the requested interval if the settings enable them.
 #[test]
 fn load_reports_are_streamed_only_if_enabled() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let reports_on = "listen 127.0.0.1:0\n reports on\n report-least 10ms\n    }\n}";
         let router = start(&[&replica], &ANY_PORTS, &[("listen 127.0.0.1:0\n    }\n}", reports_on)]).await;
         let interval = load_report::ProtoDuration { seconds: 0, nanos: 20_000_000 };
@@ -608,12 +634,12 @@
 
 #[test]
 fn proxy_headers_are_accepted_only_from_trusted_balancers() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let section = "proxy-protocol {\n from 127.0.0.1\n platform on\n messages on\n checks on\n within 100ms\n}\nhealth {";
         let router = start_with(
             config(),
-            vec![row("s-0", replica.addr, "active")],
+            vec![endpoint_record("s-0", replica.addr, "active")],
             &ANY_PORTS,
             &[("health {", section)],
             None,
@@ -624,17 +650,17 @@
             [&b"\r\n\r\n\0\r\nQUIT\n\x21\x11\0\x0c"[..], &[192, 0, 2, 8, 127, 0, 0, 1, 1, 1, 0, 80]].concat();
         let local = b"\r\n\r\n\0\r\nQUIT\n\x20\0\0\0".to_vec();
         for header in [&v1, &v2, &local] {
-            let mut client = Client::to(router.front).await;
+            let mut client = Client::connect(router.front).await;
             // The header arrives in two parts, the second together with the request.
             client.stream.write_all(&header[..7]).await.unwrap();
             tokio::task::yield_now().await;
             client.stream.write_all(&header[7..]).await.unwrap();
-            assert_eq!(client.ask("").await.0, 200);
-            assert_eq!(client.ask("").await.0, 200, "a connection has one header");
-            let mut check = Client::to(router.http()).await;
+            assert_eq!(client.send_platform_request("").await.0, 200);
+            assert_eq!(client.send_platform_request("").await.0, 200, "a connection has one header");
+            let mut check = Client::connect(router.http()).await;
             check.stream.write_all(header).await.unwrap();
             assert_eq!(get(&mut check, "/healthz").await.0, 200);
-            let mut messages = Client::to(router.messages_front).await;
+            let mut messages = Client::connect(router.messages_front).await;
             messages.stream.write_all(header).await.unwrap();
             assert_eq!(get(&mut messages, "/healthz").await.0, 200);
         }
@@ -659,18 +685,18 @@
         let section = section.replace("from 127.0.0.1", "from 10.0.0.0/8");
         let changed = installation(&config(), &fast_settings(&ANY_PORTS, &[("health {", &section)]));
         router.components.balancer_interface.set_proxy_protocol_policy(changed.proxy_policy);
-        let mut client = Client::to(router.front).await;
+        let mut client = Client::connect(router.front).await;
         client.stream.write_all(&v1).await.unwrap();
-        assert_eq!(client.ask("").await.0, 400);
-        assert_eq!(Client::to(router.front).await.ask("").await.0, 200);
+        assert_eq!(client.send_platform_request("").await.0, 400);
+        assert_eq!(Client::connect(router.front).await.send_platform_request("").await.0, 200);
     });
 }
 
 #[test]
 fn the_control_socket_takes_operator_orders_and_has_the_configured_mode() {
     use std::os::unix::fs::PermissionsExt;
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let router = start(&[&replica], &ANY_PORTS, &[]).await;
         let socket = std::env::temp_dir().join(format!("tallypin-ctl-{}", std::process::id()));
         // A killed router leaves its socket file behind.
@@ -694,7 +720,7 @@
             (&"up".into(), &100.into(), &"serving".into())
         );
         assert_eq!(send("weight 30%").await["done"], true);
-        until(|| router.health_monitor.assessment().weight == 30).await;
+        wait_until(|| router.health_monitor.assessment().weight == 30).await;
         assert_eq!(router.agent_check().await, "up ready 30%");
         assert_eq!(send("maint").await["state"], "maint");
         assert_eq!(router.agent_check().await, "stopped maint #in maintenance");
@@ -708,13 +734,13 @@
         let answer = send(&"x".repeat(300)).await;
         assert_eq!(answer["why"], "the order is not one complete line of text");
         serving.abort();
-        until(|| !socket.exists()).await;
+        wait_until(|| !socket.exists()).await;
     });
 }
 
 /// Starts three routers behind a balancer that checks all of them in the same way.
 async fn routers_behind_balancer(
-    replicas: &[&Node],
+    replicas: &[&MockReplica],
     addresses: &[SocketAddr; 4],
     check: impl Fn(&TestRouter) -> Check,
 ) -> (Vec<TestRouter>, Rc<Balancer>) {
@@ -725,7 +751,7 @@
     let servers: Vec<_> = routers.iter().map(|r| (r.front, check(r))).collect();
     let balancer = Rc::new(Balancer::new(servers));
     for number in 0..3 {
-        balancer.until(number, |h| h.up && h.ready).await;
+        balancer.wait_until(number, |h| h.up && h.ready).await;
     }
     (routers, balancer)
 }
@@ -742,7 +768,7 @@
         spawn_local(async move {
             let (mut served, mut other) = (0, Vec::new());
             while !stop.get() {
-                let outcome = balancer.ask(&platform("", "{}")).await;
+                let outcome = balancer.send(&platform_request("", "{}")).await;
                 match (outcome.status, outcome.body == CHAT.concat().as_bytes()) {
                     (200, true) => served += 1,
                     (status, _) => other.push(status),
@@ -768,19 +794,19 @@
         ("watch", |r, _| Check::Watch(r.grpc())),
     ];
     for (name, check) in checks {
-        run(async {
-            let replica = Node::new(Chat).await;
+        run_test(async {
+            let replica = MockReplica::new(Chat).await;
             let (routers, balancer) =
                 routers_behind_balancer(&[&replica], &ANY_PORTS, |r| check(r, interval)).await;
             let stop = Rc::new(std::cell::Cell::new(false));
             let clients = start_load(&balancer, 6, &stop);
-            until(|| (0..3).all(|n| balancer.sent(n) > 20)).await;
-            balancer.mark(1);
+            wait_until(|| (0..3).all(|n| balancer.requests_sent(n) > 20)).await;
+            balancer.add_mark(1);
             let shutdown = routers[1].begin_shutdown();
             shutdown.await.unwrap();
-            balancer.mark(2);
-            let sent_before = balancer.sent(0);
-            until(|| balancer.sent(0) > sent_before + 20).await;
+            balancer.add_mark(2);
+            let sent_before = balancer.requests_sent(0);
+            wait_until(|| balancer.requests_sent(0) > sent_before + 20).await;
             stop.set(true);
             for client in clients {
                 let (served, other) = client.await.unwrap();
@@ -790,14 +816,14 @@
             let mark = events.iter().position(|e| *e == Event::Mark(1)).unwrap();
             let is_check = |e: &&Event| matches!(e, Event::Checked(1, _));
             let reports_drain =
-                |e: &Event| matches!(e, Event::Checked(1, Held { ready, up, .. }) if !ready || !up);
+                |e: &Event| matches!(e, Event::Checked(1, ServerState { ready, up, .. }) if !ready || !up);
             let first = events[mark..].iter().position(reports_drain).expect(name) + mark;
             // One check may have been in progress when the drain began.
             let before = events[mark..first].iter().filter(is_check).count();
             assert!(before <= 1, "{name}: {before} checks did not report the drain");
             let after = events[first..].iter().filter(|e| **e == Event::Sent(1)).count();
             assert_eq!(after, 0, "{name}: no requests are sent after the drain was reported");
-            assert_eq!(balancer.again(), (0, 0), "{name}");
+            assert_eq!(balancer.resend_counts(), (0, 0), "{name}");
         });
     }
 }
@@ -805,8 +831,8 @@
 /// Of three balancers, one checks often, one seldom, and one stops. A drain waits for the first two.
 #[test]
 fn a_drain_waits_for_a_balancer_with_infrequent_checks_but_not_for_a_stopped_one() {
-    run(async {
-        let replica = Node::new(Chat).await;
+    run_test(async {
+        let replica = MockReplica::new(Chat).await;
         let replacements = [("most 3s", "most 10m"), ("unknown-interval 300ms", "unknown-interval 100ms")];
         let router = start(&[&replica], &ANY_PORTS, &replacements).await;
         let frequent = Balancer::new([(router.front, Check::Agent(router.agent(), 5 * MS, ""))]);
@@ -814,20 +840,20 @@
             Balancer::new([(router.front, Check::Http(router.http(), 400 * MS, "/healthz", 1, 1))]);
         // The third balancer uses a watch, which counts as a checker until its connection closes with the balancer.
         let stopped = Balancer::new([(router.front, Check::Watch(router.grpc()))]);
-        frequent.until(0, |h| h.up).await;
-        stopped.until(0, |h| h.up).await;
+        frequent.wait_until(0, |h| h.up).await;
+        stopped.wait_until(0, |h| h.up).await;
         for _ in 0..3 {
             let seen = infrequent.events().len();
-            until(|| infrequent.events().len() > seen).await;
+            wait_until(|| infrequent.events().len() > seen).await;
         }
         drop(stopped);
         let shutdown = router.begin_shutdown();
-        infrequent.until(0, |h| !h.ready || !h.up).await;
+        infrequent.wait_until(0, |h| !h.ready || !h.up).await;
         assert!(
             router.health_monitor.drain_phase() <= DrainPhase::ClosingConnections,
             "the router still serves when the infrequent check reports the drain"
         );
-        assert!(!frequent.held(0).ready);
+        assert!(!frequent.server_state(0).ready);
         shutdown.await.unwrap();
         assert!(!router.health_monitor.notification_timed_out());
     });
@@ -836,9 +862,9 @@
 /// Restarts three routers under load one after the other, in a random order and at random times of the seed. Every request
 /// gets its complete answer.
 fn rolling_restarts(seed: u64) {
-    run(async {
+    run_test(async {
         let mut random = fastrand::Rng::with_seed(seed);
-        let replica = Node::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let interval = Duration::from_millis(random.u64(4..25));
         // Each seed has an IP address of its own, so that nothing else takes a router's port during its restart.
         let addresses = [SocketAddr::from(([127, 1, (seed >> 8) as u8, seed as u8], 0)); 4];
@@ -853,8 +879,8 @@
         let mut order = [0, 1, 2];
         random.shuffle(&mut order);
         for number in order {
-            let target = balancer.sent(number) + random.u64(1..30);
-            until(|| balancer.sent(number) > target).await;
+            let target = balancer.requests_sent(number) + random.u64(1..30);
+            wait_until(|| balancer.requests_sent(number) > target).await;
             let addresses = routers[number].addresses();
             if random.u8(..4) == 0 {
                 // An operator orders a drain and cancels it before its end.
@@ -869,13 +895,13 @@
                     &routers[number].components.check_context(),
                     &routers[number].health_monitor,
                 );
-                balancer.until(number, |h| h.up && h.ready).await;
+                balancer.wait_until(number, |h| h.up && h.ready).await;
             }
             routers[number].begin_shutdown().await.unwrap();
             routers.remove(number).stop().await;
             // A restarted router has the same addresses.
             routers.insert(number, start(&[&replica], &addresses, &[]).await);
-            balancer.until(number, |h| h.up && h.ready).await;
+            balancer.wait_until(number, |h| h.up && h.ready).await;
         }
         stop.set(true);
         for client in clients {
--- a/router/tests/closing.rs
+++ b/router/tests/closing.rs
@@ -16,7 +16,7 @@
 async fn read_answers(client: &mut Client) -> (Vec<u16>, String) {
     let (mut statuses, mut last_head) = (Vec::new(), String::new());
     loop {
-        let (status, head, _, complete) = client.answer().await;
+        let (status, head, _, complete) = client.read_answer().await;
         if status == 0 {
             return (statuses, last_head);
         }
@@ -27,22 +27,25 @@
 }
 
 /// Starts the router's closing stage and waits `delay` times 100 µs.
-async fn close_and_wait(router: &Router, delay: u32) {
+async fn close_and_wait(router: &TestRouter, delay: u32) {
     router.components.lifecycle.enter(Stage::Closing);
     let start = Instant::now();
-    until(|| start.elapsed() >= Duration::from_micros(100) * delay).await;
+    wait_until(|| start.elapsed() >= Duration::from_micros(100) * delay).await;
 }
 
 /// Runs a scenario at both fronts with requests sent 0 to 5.9 ms after the closing stage begins. The scenario returns the
 /// statuses that its client received. Each forwarded request, and each sent at delay 0, has to be answered.
-async fn run_around_the_close(scenario: impl AsyncFn(u32, &Node, &Router, At) -> Vec<u16>) {
+async fn run_around_the_close(
+    scenario: impl AsyncFn(u32, &MockReplica, &TestRouter, FrontUnderTest) -> Vec<u16>,
+) {
     let (mut served, mut closed) = (0, 0);
     for (delay, front) in (0..60).flat_map(|delay| [(delay, 0), (delay, 1)]) {
-        let node = Node::new(Chat).await;
+        let node = MockReplica::new(Chat).await;
         let router =
-            Router::new(Chat, &[&node], |limits| limits.final_read_duration = Duration::from_millis(2)).await;
+            TestRouter::new(Chat, &[&node], |limits| limits.final_read_duration = Duration::from_millis(2))
+                .await;
         let statuses = scenario(delay, &node, &router, fronts(&router)[front]).await;
-        let requests = node.so_far().1;
+        let requests = node.take_counts().1;
         assert_eq!(statuses, vec![200; requests], "front {front}, delay {delay}: {requests} forwarded");
         assert!(
             requests <= 1 && (requests == 1 || delay > 0),
@@ -58,11 +61,11 @@
 /// Guards against forwarding requests that are read after the write side is shut down, and dropping ones read before.
 #[test]
 fn a_request_sent_during_the_close_is_answered_or_not_forwarded() {
-    run(run_around_the_close(async |delay, node, router, (addr, request)| {
-        let mut client = Client::to(addr).await;
+    run_test(run_around_the_close(async |delay, node, router, (addr, request)| {
+        let mut client = Client::connect(addr).await;
         client.send(&request()).await;
-        assert_eq!(client.answer().await.0, 200);
-        node.so_far();
+        assert_eq!(client.read_answer().await.0, 200);
+        node.take_counts();
         close_and_wait(router, delay).await;
         // Every second run pipelines two more requests, which must not be forwarded after the last answer.
         let pipelined = delay as usize % 2 * 2;
@@ -71,7 +74,7 @@
         let _ = client.stream.try_write(requests.as_bytes());
         let (statuses, last_head) = read_answers(&mut client).await;
         if !statuses.is_empty() {
-            assert_eq!(field(&last_head, "connection"), Some("close"), "delay {delay}");
+            assert_eq!(header_value(&last_head, "connection"), Some("close"), "delay {delay}");
         }
         statuses
     }));
@@ -81,7 +84,7 @@
 /// unread. The first run of each front connects before the close.
 #[test]
 fn a_client_that_connects_during_the_close_is_answered_or_not_forwarded() {
-    run(run_around_the_close(async |delay, _, router, (addr, request)| {
+    run_test(run_around_the_close(async |delay, _, router, (addr, request)| {
         let connected_before = (delay == 0).then(|| std::net::TcpStream::connect(addr).unwrap());
         close_and_wait(router, delay).await;
         // The connection is established before the router's tasks run again.
@@ -99,10 +102,10 @@
 /// client loses the part of the answer that it has not read.
 #[test]
 fn a_closed_idle_connection_accepts_further_input_without_a_reset() {
-    run(async {
+    run_test(async {
         for (shutdown, front) in [(true, 0), (true, 1), (false, 0), (false, 1)] {
-            let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node], |limits| {
+            let node = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&node], |limits| {
                 limits.final_read_duration = Duration::from_millis(1);
                 if !shutdown {
                     limits.client_idle_timeout = Duration::from_millis(5);
@@ -110,9 +113,9 @@
             })
             .await;
             let (addr, request) = fronts(&router)[front];
-            let mut client = Client::to(addr).await;
+            let mut client = Client::connect(addr).await;
             client.send(&request()).await;
-            assert_eq!(client.answer().await.0, 200);
+            assert_eq!(client.read_answer().await.0, 200);
             if shutdown {
                 router.components.lifecycle.enter(Stage::Closing);
             }
@@ -123,13 +126,13 @@
             );
             for _ in 0..3 {
                 client.send(&request()).await;
-                turns(200).await;
+                yield_times(200).await;
                 let error = client.stream.take_error().unwrap();
                 assert!(error.is_none(), "shutdown {shutdown}: {error:?}");
             }
-            assert_eq!(node.so_far().1, 1, "a request read after the shutdown was forwarded");
+            assert_eq!(node.take_counts().1, 1, "a request read after the shutdown was forwarded");
             drop(client);
-            until(|| router.components.clients.open() == 0).await;
+            wait_until(|| router.components.clients.open() == 0).await;
         }
     });
 }
@@ -138,21 +141,22 @@
 /// another request.
 #[test]
 fn half_a_line_from_an_abandoned_replica_connection_reaches_no_client() {
-    run(async {
-        let (router, listener): (Router, TcpListener) =
-            by_hand(|limits| limits.response_head_timeout = Duration::from_secs(3600)).await;
-        let mut client = Client::to(router.addr).await;
-        client.send(&platform("", "{}")).await;
-        let mut first_node = asked(&listener).await;
+    run_test(async {
+        let (router, listener): (TestRouter, TcpListener) =
+            router_with_manual_replica(|limits| limits.response_head_timeout = Duration::from_secs(3600))
+                .await;
+        let mut client = Client::connect(router.addr).await;
+        client.send(&platform_request("", "{}")).await;
+        let mut first_node = accept_request(&listener).await;
         // The client disconnects, and half a line arrives before the router has noticed.
         drop(client);
-        first_node.send(&HEAD[..20]).await;
-        until(|| router.tallies().client_disconnects == 1 && router.open() == 0).await;
-        let mut second_client = Client::to(router.addr).await;
-        second_client.send(&platform("", "{}")).await;
-        let mut second_node = asked(&listener).await;
-        second_node.send(&answer("second")).await;
-        assert!(second_client.answer().await.2.contains("second"));
-        assert!(first_node.message().await.is_none(), "the first connection is closed");
+        first_node.send(&STREAM_HEAD[..20]).await;
+        wait_until(|| router.request_counts().client_disconnects == 1 && router.open_requests() == 0).await;
+        let mut second_client = Client::connect(router.addr).await;
+        second_client.send(&platform_request("", "{}")).await;
+        let mut second_node = accept_request(&listener).await;
+        second_node.send(&streamed_answer("second")).await;
+        assert!(second_client.read_answer().await.2.contains("second"));
+        assert!(first_node.read_message().await.is_none(), "the first connection is closed");
     });
 }
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -60,12 +60,12 @@
 }
 
 /// Number of requests that a router has served for a tenant.
-pub fn served(requests: u32, tenant: u32) -> tallypin::served_report::ServedCount {
+pub fn served_count(requests: u32, tenant: u32) -> tallypin::served_report::ServedCount {
     tallypin::served_report::ServedCount { tenant: tallypin::api::TenantId(tenant), requests }
 }
 
 /// Runs a test on a single-threaded runtime. Panics if it takes longer than 20 s.
-pub fn run<F: Future<Output = ()>>(test: F) {
+pub fn run_test<F: Future<Output = ()>>(test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let tasks = tokio::task::LocalSet::new();
     tasks.block_on(&runtime, async {
@@ -77,49 +77,49 @@
 
 /// How a fake replica handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub enum ReplicaFault {
     None,
     /// Sends an event of an unknown type in the middle of the stream.
     UnknownEvent,
     /// Closes the connection right after the first text.
-    Break,
+    CloseAfterFirstText,
     /// Sends nothing after the first text and keeps the connection open.
-    Silence,
+    SilentAfterFirstText,
     /// Declines the request without processing it.
     Decline,
     /// Answers with status 500.
     Error,
     /// Closes the connection before the answer.
-    Reset,
+    CloseBeforeAnswer,
     /// Sends the first event after 40 ms.
-    Slow,
+    SlowFirstEvent,
     /// Never answers.
-    Mute,
+    NoAnswer,
     /// Sends text events without end.
     EndlessText,
 }
 
 /// What a fake replica observed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
+pub enum ReplicaEvent {
     Connected,
     Request(String, Vec<u8>),
     /// The router closed the connection before the answer was complete.
-    GivenUp,
+    ClosedByRouter,
 }
 
 /// Faults of the next requests, in order. Several replicas may share one script.
-pub type Script = Rc<RefCell<VecDeque<Fault>>>;
+pub type FaultScript = Rc<RefCell<VecDeque<ReplicaFault>>>;
 
 /// A fake replica.
-pub struct Node {
+pub struct MockReplica {
     pub addr: SocketAddr,
-    pub script: Script,
-    pub seen: tokio::sync::Mutex<mpsc::UnboundedReceiver<Seen>>,
+    pub script: FaultScript,
+    pub events: tokio::sync::Mutex<mpsc::UnboundedReceiver<ReplicaEvent>>,
     /// Number of bytes sent by [`Fault::EndlessText`].
     pub endless_text_bytes: Rc<Cell<usize>>,
     /// Whether a connection is closed as soon as an answer is complete.
-    pub hasty: Rc<Cell<bool>>,
+    pub close_after_answer: Rc<Cell<bool>>,
 }
 
 pub const CHAT: &[&str] = &[
@@ -145,7 +145,7 @@
     "event: message_stop\ndata: {\"type\":\"message_stop\"}\n\n",
 ];
 const UNKNOWN_EVENT: &str = "event: novelty\ndata: {\"type\":\"novelty\",\"n\":1}\n\n";
-pub const HEAD: &str =
+pub const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub fn events(dialect: Dialect) -> &'static [&'static str] {
@@ -155,39 +155,39 @@
     }
 }
 
-impl Node {
-    pub async fn new(dialect: Dialect) -> Node {
-        Node::sharing(dialect, &Script::default()).await
+impl MockReplica {
+    pub async fn new(dialect: Dialect) -> MockReplica {
+        MockReplica::with_script(dialect, &FaultScript::default()).await
     }
 
-    pub async fn sharing(dialect: Dialect, script: &Script) -> Node {
+    pub async fn with_script(dialect: Dialect, script: &FaultScript) -> MockReplica {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (observed, seen) = mpsc::unbounded_channel();
-        let node = Node {
+        let node = MockReplica {
             addr: listener.local_addr().unwrap(),
             script: script.clone(),
-            seen: tokio::sync::Mutex::new(seen),
+            events: tokio::sync::Mutex::new(seen),
             endless_text_bytes: Rc::default(),
-            hasty: Rc::default(),
+            close_after_answer: Rc::default(),
         };
         let (script, endless_text_bytes, hasty) =
-            (node.script.clone(), node.endless_text_bytes.clone(), node.hasty.clone());
+            (node.script.clone(), node.endless_text_bytes.clone(), node.close_after_answer.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 // Sends small writes at once, as replicas do; otherwise each waits 40 ms for an acknowledgement.
                 let _ = stream.set_nodelay(true);
-                let _ = observed.send(Seen::Connected);
+                let _ = observed.send(ReplicaEvent::Connected);
                 let (script, endless_text_bytes, hasty) =
                     (script.clone(), endless_text_bytes.clone(), hasty.clone());
                 let observed = observed.clone();
                 spawn_local(async move {
                     let mut client = Client { stream, buf: Vec::new() };
-                    while let Some((head, body)) = client.message().await {
-                        let _ = observed.send(Seen::Request(head, body));
-                        let fault = script.borrow_mut().pop_front().unwrap_or(Fault::None);
+                    while let Some((head, body)) = client.read_message().await {
+                        let _ = observed.send(ReplicaEvent::Request(head, body));
+                        let fault = script.borrow_mut().pop_front().unwrap_or(ReplicaFault::None);
                         let answered = client.serve(dialect, fault, &endless_text_bytes).await;
                         if answered.is_none() {
-                            let _ = observed.send(Seen::GivenUp);
+                            let _ = observed.send(ReplicaEvent::ClosedByRouter);
                         }
                         if answered != Some(true) || hasty.get() {
                             return;
@@ -199,28 +199,28 @@
         node
     }
 
-    pub fn plan(&self, faults: &[Fault]) {
+    pub fn add_faults(&self, faults: &[ReplicaFault]) {
         self.script.borrow_mut().extend(faults);
     }
 
-    pub async fn next(&self) -> Seen {
-        self.seen.lock().await.recv().await.expect("the fake replica runs")
+    pub async fn next_event(&self) -> ReplicaEvent {
+        self.events.lock().await.recv().await.expect("the fake replica runs")
     }
 
     pub async fn next_request(&self) -> (String, Vec<u8>) {
         loop {
-            if let Seen::Request(head, body) = self.next().await {
+            if let ReplicaEvent::Request(head, body) = self.next_event().await {
                 return (head, body);
             }
         }
     }
 
     /// Returns the numbers of connections and requests since the previous call, and discards what was observed.
-    pub fn so_far(&self) -> (usize, usize) {
-        let mut seen = self.seen.try_lock().expect("no other task reads what the replica observed");
-        let all: Vec<Seen> = std::iter::from_fn(|| seen.try_recv().ok()).collect();
-        let requests = all.iter().filter(|s| matches!(s, Seen::Request(..))).count();
-        (all.iter().filter(|s| **s == Seen::Connected).count(), requests)
+    pub fn take_counts(&self) -> (usize, usize) {
+        let mut seen = self.events.try_lock().expect("no other task reads what the replica observed");
+        let all: Vec<ReplicaEvent> = std::iter::from_fn(|| seen.try_recv().ok()).collect();
+        let requests = all.iter().filter(|s| matches!(s, ReplicaEvent::Request(..))).count();
+        (all.iter().filter(|s| **s == ReplicaEvent::Connected).count(), requests)
     }
 }
 
@@ -230,7 +230,7 @@
 }
 
 impl Client {
-    pub async fn to(addr: SocketAddr) -> Client {
+    pub async fn connect(addr: SocketAddr) -> Client {
         Client { stream: TcpStream::connect(addr).await.unwrap(), buf: Vec::new() }
     }
 
@@ -243,9 +243,9 @@
     }
 
     /// Reads one message whose body length is given by Content-Length. Returns `None` if the connection ends first.
-    pub async fn message(&mut self) -> Option<(String, Vec<u8>)> {
+    pub async fn read_message(&mut self) -> Option<(String, Vec<u8>)> {
         let (head, rest) = self.head().await?;
-        let length = field(&head, "content-length").map_or(0, |l| l.parse().unwrap());
+        let length = header_value(&head, "content-length").map_or(0, |l| l.parse().unwrap());
         self.buf = rest;
         while self.buf.len() < length {
             if !self.read_more().await {
@@ -271,12 +271,12 @@
 
     /// Reads an answer. Returns its status, head and body, and whether it is complete; the status is 0 if the connection ended
     /// before the head.
-    pub async fn answer(&mut self) -> (u16, String, String, bool) {
+    pub async fn read_answer(&mut self) -> (u16, String, String, bool) {
         let Some((head, rest)) = self.head().await else { return (0, String::new(), String::new(), false) };
         let status = head[9..12].parse().unwrap();
         self.buf = rest;
         let (mut body, mut complete) = (Vec::new(), true);
-        if field(&head, "transfer-encoding").is_some() {
+        if header_value(&head, "transfer-encoding").is_some() {
             loop {
                 while !self.buf.windows(2).any(|w| w == b"\r\n") && complete {
                     complete = self.read_more().await;
@@ -293,7 +293,7 @@
                 }
             }
         } else {
-            let length = field(&head, "content-length").map_or(0, |l| l.parse().unwrap());
+            let length = header_value(&head, "content-length").map_or(0, |l| l.parse().unwrap());
             while self.buf.len() < length && complete {
                 complete = self.read_more().await;
             }
@@ -303,49 +303,51 @@
     }
 
     /// Sends one request to the platform front and returns the answer.
-    pub async fn ask(&mut self, fields: &str) -> (u16, String, String, bool) {
-        self.send(&platform(fields, "{}")).await;
-        self.answer().await
+    pub async fn send_platform_request(&mut self, fields: &str) -> (u16, String, String, bool) {
+        self.send(&platform_request(fields, "{}")).await;
+        self.read_answer().await
     }
 
     /// Serves one request. Returns `None` if the router closed the connection first, and false if the connection is to close.
     async fn serve(
         &mut self,
         dialect: Dialect,
-        fault: Fault,
+        fault: ReplicaFault,
         endless_text_bytes: &Cell<usize>,
     ) -> Option<bool> {
         let events = events(dialect);
         match fault {
-            Fault::Decline => {
+            ReplicaFault::Decline => {
                 let text = "HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
                 return self.stream.write_all(text.as_bytes()).await.ok().map(|()| true);
             }
-            Fault::Error => {
+            ReplicaFault::Error => {
                 let text = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
                 return self.stream.write_all(text.as_bytes()).await.ok().map(|()| true);
             }
-            Fault::Reset => return Some(false),
-            Fault::Mute => {
+            ReplicaFault::CloseBeforeAnswer => return Some(false),
+            ReplicaFault::NoAnswer => {
                 while self.read_more().await {}
                 return None;
             }
-            Fault::Slow => tokio::time::sleep(Duration::from_millis(40)).await,
+            ReplicaFault::SlowFirstEvent => tokio::time::sleep(Duration::from_millis(40)).await,
             _ => {}
         }
-        self.stream.write_all((HEAD.to_string() + &chunk(events[0])).as_bytes()).await.ok()?;
+        self.stream.write_all((STREAM_HEAD.to_string() + &chunk(events[0])).as_bytes()).await.ok()?;
         match fault {
-            Fault::Break => return Some(false),
-            Fault::Silence => {
+            ReplicaFault::CloseAfterFirstText => return Some(false),
+            ReplicaFault::SilentAfterFirstText => {
                 while self.read_more().await {}
                 return None;
             }
-            Fault::EndlessText => loop {
+            ReplicaFault::EndlessText => loop {
                 let text = chunk(&events[1].repeat(20));
                 self.stream.write_all(text.as_bytes()).await.ok()?;
                 endless_text_bytes.set(endless_text_bytes.get() + text.len());
             },
-            Fault::UnknownEvent => self.stream.write_all(chunk(UNKNOWN_EVENT).as_bytes()).await.ok()?,
+            ReplicaFault::UnknownEvent => {
+                self.stream.write_all(chunk(UNKNOWN_EVENT).as_bytes()).await.ok()?
+            }
             _ => {}
         }
         for event in &events[1..] {
@@ -357,13 +359,13 @@
 }
 
 /// Returns the value of a header field.
-pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+pub fn header_value<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let lines = head.split("\r\n").filter_map(|l| l.split_once(": "));
     lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v).next()
 }
 
 /// Returns a request to the platform front.
-pub fn platform(fields: &str, body: &str) -> String {
+pub fn platform_request(fields: &str, body: &str) -> String {
     static LAST: AtomicU64 = AtomicU64::new(0);
     let (length, id) = (body.len(), LAST.fetch_add(1, Ordering::Relaxed));
     format!(
@@ -372,11 +374,11 @@
     )
 }
 
-pub const MESSAGE: &str = r#"{"model":"refund-chat","max_tokens":64,"stream":true,"system":"You help travellers.",
+pub const MESSAGES_BODY: &str = r#"{"model":"refund-chat","max_tokens":64,"stream":true,"system":"You help travellers.",
 "messages":[{"role":"user","content":[{"type":"text","text":"Where is my refund?"}]}]}"#;
 
 /// Returns a request to the messages API.
-pub fn messages(fields: &str, body: &str) -> String {
+pub fn messages_request(fields: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "POST /v1/messages HTTP/1.1\r\nHost: m\r\nx-partner: haendlerbund\r\n{fields}\
@@ -385,11 +387,14 @@
 }
 
 /// Address of a front of the router, and a function that returns a request to that front.
-pub type At = (SocketAddr, fn() -> String);
+pub type FrontUnderTest = (SocketAddr, fn() -> String);
 
 /// Returns the platform front and the messages API of a router.
-pub fn fronts(router: &Router) -> [At; 2] {
-    [(router.addr, || platform("", "{}")), (router.messages, || messages("", MESSAGE))]
+pub fn fronts(router: &TestRouter) -> [FrontUnderTest; 2] {
+    [
+        (router.addr, || platform_request("", "{}")),
+        (router.messages_addr, || messages_request("", MESSAGES_BODY)),
+    ]
 }
 
 /// A local port that is bound but not listened on, so that it stays reserved for this test until the value is dropped.
@@ -415,21 +420,30 @@
 }
 
 /// A router in the test process.
-pub struct Router {
+pub struct TestRouter {
     pub components: Rc<Components>,
     pub addr: SocketAddr,
-    pub messages: SocketAddr,
+    pub messages_addr: SocketAddr,
     _ports: [ReservedPort; 2],
 }
 
-impl Router {
-    pub async fn new(dialect: Dialect, nodes: &[&Node], change: impl FnOnce(&mut Limits)) -> Router {
+impl TestRouter {
+    pub async fn new(
+        dialect: Dialect,
+        nodes: &[&MockReplica],
+        change: impl FnOnce(&mut Limits),
+    ) -> TestRouter {
         let mut config = config();
         change(&mut config.limits);
-        Router::by(config, dialect, nodes, None).await
+        TestRouter::with_config(config, dialect, nodes, None).await
     }
 
-    pub async fn by(config: Config, dialect: Dialect, nodes: &[&Node], peers: Option<Peers>) -> Router {
+    pub async fn with_config(
+        config: Config,
+        dialect: Dialect,
+        nodes: &[&MockReplica],
+        peers: Option<Peers>,
+    ) -> TestRouter {
         let front = installation(&config, &settings("")).messages.expect("the settings have a messages API");
         let components = Components::new(config, dialect, peers).unwrap();
         components.start();
@@ -438,9 +452,9 @@
         let (addr, messages) = (ports[0].addr(), ports[1].addr());
         spawn_local(front::serve(components.front_context(), listener, Front::Platform));
         spawn_local(front::serve(components.front_context(), second, Front::Messages(Box::new(front))));
-        let router = Router { components, addr, messages, _ports: ports };
+        let router = TestRouter { components, addr, messages_addr: messages, _ports: ports };
         let servers = nodes.iter().enumerate();
-        let servers = servers.map(|(i, n)| row(&format!("s-{i}"), n.addr, "active")).collect();
+        let servers = servers.map(|(i, n)| endpoint_record(&format!("s-{i}"), n.addr, "active")).collect();
         endpoint_list::apply(
             &router.components.endpoint_list,
             &EndpointListMessage { version: 1, full: true, endpoints: servers },
@@ -450,33 +464,33 @@
     }
 
     /// Applies a complete endpoint list.
-    pub fn list(&self, rows: impl IntoIterator<Item = EndpointRecord>) {
+    pub fn set_endpoint_list(&self, rows: impl IntoIterator<Item = EndpointRecord>) {
         let page = EndpointListMessage { version: 1, full: true, endpoints: rows.into_iter().collect() };
         endpoint_list::apply(&self.components.endpoint_list, &page, ListUpdate::Full);
     }
 
-    pub fn tallies(&self) -> RequestCounts {
+    pub fn request_counts(&self) -> RequestCounts {
         self.components.with_core(|core, _| core.counts().clone())
     }
 
     /// Number of open requests.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.components.with_core(|core, _| core.open_requests())
     }
 }
 
 /// Starts a router with one replica whose connections the test accepts and serves itself.
-pub async fn by_hand(limits: impl FnOnce(&mut Limits)) -> (Router, TcpListener) {
+pub async fn router_with_manual_replica(limits: impl FnOnce(&mut Limits)) -> (TestRouter, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let router = Router::new(Dialect::Chat, &[], limits).await;
-    router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
+    let router = TestRouter::new(Dialect::Chat, &[], limits).await;
+    router.set_endpoint_list([endpoint_record("s-1", listener.local_addr().unwrap(), "active")]);
     (router, listener)
 }
 
 /// Accepts the next connection to that replica and reads its first request.
-pub async fn asked(listener: &TcpListener) -> Client {
+pub async fn accept_request(listener: &TcpListener) -> Client {
     let mut connection = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
-    connection.message().await.expect("a request");
+    connection.read_message().await.expect("a request");
     connection
 }
 
@@ -486,36 +500,36 @@
 }
 
 /// Returns a complete streamed answer that contains this text.
-pub fn answer(text: &str) -> String {
+pub fn streamed_answer(text: &str) -> String {
     let events = CHAT.iter().map(|e| chunk(&e.replace("Gott", text))).collect::<String>();
-    HEAD.to_string() + &events + "0\r\n\r\n"
+    STREAM_HEAD.to_string() + &events + "0\r\n\r\n"
 }
 
 /// Returns an endpoint record.
-pub fn row(id: &str, addr: SocketAddr, state: &str) -> EndpointRecord {
+pub fn endpoint_record(id: &str, addr: SocketAddr, state: &str) -> EndpointRecord {
     let text = format!(r#"{{"id": "{id}", "addr": "{addr}", "state": "{state}"}}"#);
     serde_json::from_str(&text).unwrap()
 }
 
 /// Accepts the next call to a discovery service that the test serves itself. Returns the connection and the request head.
-pub async fn next_call(list: &TcpListener) -> (Client, String) {
+pub async fn accept_list_call(list: &TcpListener) -> (Client, String) {
     let (stream, _) = list.accept().await.unwrap();
     let mut call = Client { stream, buf: Vec::new() };
-    let (head, _) = call.message().await.unwrap();
+    let (head, _) = call.read_message().await.unwrap();
     (call, head)
 }
 
 /// The response head of a watch.
-pub const WATCH: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Returns an endpoint list message with one replica, as one chunk.
-pub fn page(version: u64, full: bool, id: &str, node: &Node, state: &str) -> String {
+pub fn list_message_chunk(version: u64, full: bool, id: &str, node: &MockReplica, state: &str) -> String {
     let server = format!(r#"{{"id":"{id}","addr":"{}","state":"{state}"}}"#, node.addr);
     chunk(&format!("{{\"version\":{version},\"full\":{full},\"servers\":[{server}]}}\n"))
 }
 
 /// Yields to the other tasks `n` times without a poll of the sockets in between.
-pub async fn turns(mut n: usize) {
+pub async fn yield_times(mut n: usize) {
     poll_fn(|cx| {
         if n == 0 {
             return Poll::Ready(());
@@ -528,7 +542,7 @@
 }
 
 /// Yields to the other tasks until the condition holds.
-pub async fn until(condition: impl Fn() -> bool) {
+pub async fn wait_until(condition: impl Fn() -> bool) {
     while !condition() {
         tokio::task::yield_now().await;
     }
@@ -589,7 +603,7 @@
 }
 
 /// Closes the clients' connections. Returns when the ends of stream have arrived, before any task of the router runs.
-pub fn leave(clients: impl IntoIterator<Item = Client>) {
+pub fn disconnect(clients: impl IntoIterator<Item = Client>) {
     let streams: Vec<_> = clients.into_iter().map(into_blocking).collect();
     streams.iter().for_each(|s| s.shutdown(std::net::Shutdown::Write).unwrap());
     wait_for_arrival(&streams.iter().collect::<Vec<_>>(), Arrival::End);
--- a/router/tests/ending.rs
+++ b/router/tests/ending.rs
@@ -22,24 +22,24 @@
 /// Guards against forwarding a request that is read completely after the final answers: the process is killed soon after.
 #[test]
 fn a_request_read_after_the_final_answers_is_rejected_and_not_forwarded() {
-    run(async {
+    run_test(async {
         for (front, status) in [(0, 503), (1, 529)] {
-            let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node], |limits| {
+            let node = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&node], |limits| {
                 (limits.shutdown_grace, limits.forwarding_end_after_stop) = (5 * MS, 60 * MS)
             })
             .await;
             let (addr, request) = fronts(&router)[front];
             let request = request();
             let (head, rest) = request.split_at(request.len() / 2);
-            let mut client = Client::to(addr).await;
+            let mut client = Client::connect(addr).await;
             client.send(head).await;
             let components = router.components.clone();
             let drain_task = spawn_local(async move { shutdown::drain(&components).await });
             router.components.lifecycle.wait_for(Stage::Rejecting).await;
             client.send(rest).await;
-            assert_eq!(client.answer().await.0, status, "front {front}");
-            assert_eq!(node.so_far(), (0, 0), "front {front}: no request reaches the replica");
+            assert_eq!(client.read_answer().await.0, status, "front {front}");
+            assert_eq!(node.take_counts(), (0, 0), "front {front}: no request reaches the replica");
             drop(client);
             drain_task.await.unwrap();
         }
@@ -49,9 +49,9 @@
 /// Guards against a listener that stays open while clients keep connecting: requests would be accepted until the kill.
 #[test]
 fn clients_that_keep_connecting_do_not_keep_the_listener_open() {
-    run(async {
-        let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |limits| {
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&node], |limits| {
             (limits.max_clients, limits.max_rejected_clients) = (20, 4);
             (limits.shutdown_grace, limits.close_linger) = (50 * MS, 20 * MS);
         })
@@ -69,7 +69,7 @@
                 }
             }
         });
-        until(|| clients_connected.load(Ordering::SeqCst)).await;
+        wait_until(|| clients_connected.load(Ordering::SeqCst)).await;
         let components = router.components.clone();
         let drain_task = spawn_local(async move { shutdown::drain(&components).await });
         router.components.lifecycle.wait_for(Stage::Closing).await;
@@ -88,7 +88,7 @@
 /// Guards against cutting a stream whose client cannot resume it: the stream may end before the process is killed.
 #[test]
 fn a_late_stream_continues_past_the_final_answers_unless_clients_resume_streams() {
-    run(async {
+    run_test(async {
         for resume in [false, true] {
             let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
             let mut config = config();
@@ -100,16 +100,16 @@
                 limits.late_arrival_after_stop,
                 limits.forwarding_end_after_stop,
             ) = (100 * MS, 100 * MS, Duration::ZERO, 150 * MS);
-            let router = Router::by(config, Chat, &[], None).await;
-            router.list([row("s-1", listener.local_addr().unwrap(), "active")]);
-            let mut client = Client::to(router.addr).await;
+            let router = TestRouter::with_config(config, Chat, &[], None).await;
+            router.set_endpoint_list([endpoint_record("s-1", listener.local_addr().unwrap(), "active")]);
+            let mut client = Client::connect(router.addr).await;
             let components = router.components.clone();
             let drain_task = spawn_local(async move { shutdown::drain(&components).await });
             router.components.lifecycle.wait_for(Stage::Grace).await;
             tokio::time::sleep(MS).await;
-            client.send(&platform("", "{}")).await;
-            let mut node = asked(&listener).await;
-            node.send(&(HEAD.to_string() + &chunk(CHAT[0]))).await;
+            client.send(&platform_request("", "{}")).await;
+            let mut node = accept_request(&listener).await;
+            node.send(&(STREAM_HEAD.to_string() + &chunk(CHAT[0]))).await;
             router.components.lifecycle.wait_for(Stage::Rejecting).await;
             tokio::time::sleep(5 * MS).await;
             let rest: String = CHAT[1..].iter().map(|event| chunk(event)).collect();
@@ -126,10 +126,10 @@
 /// Guards against a `Retry-After` for a request that is not idempotent and may have run.
 #[test]
 fn a_late_request_that_may_have_run_fails_without_retry_after() {
-    run(async {
+    run_test(async {
         for (front, deadline_field) in [(0, "Req-Deadline-Ms: 40\r\n"), (1, "x-deadline-ms: 40\r\n")] {
-            let node = Node::new(Chat).await;
-            node.plan(&[Fault::Mute]);
+            let node = MockReplica::new(Chat).await;
+            node.add_faults(&[ReplicaFault::NoAnswer]);
             let mut config = config();
             config
                 .deployment
@@ -137,13 +137,16 @@
                 .classes
                 .iter_mut()
                 .for_each(|class| class.effect = Effect::NotIdempotent);
-            let router = Router::by(config, Chat, &[&node], None).await;
-            let mut client = Client::to(fronts(&router)[front].0).await;
-            let request =
-                if front == 0 { platform(deadline_field, "{}") } else { messages(deadline_field, MESSAGE) };
+            let router = TestRouter::with_config(config, Chat, &[&node], None).await;
+            let mut client = Client::connect(fronts(&router)[front].0).await;
+            let request = if front == 0 {
+                platform_request(deadline_field, "{}")
+            } else {
+                messages_request(deadline_field, MESSAGES_BODY)
+            };
             client.send(&request).await;
-            let (status, head, ..) = client.answer().await;
-            assert_eq!((status, field(&head, "retry-after")), (504, None), "front {front}: {head}");
+            let (status, head, ..) = client.read_answer().await;
+            assert_eq!((status, header_value(&head, "retry-after")), (504, None), "front {front}: {head}");
         }
     });
 }
@@ -152,19 +155,19 @@
 /// and send it again.
 #[test]
 fn a_stream_cut_before_its_first_forwarded_event_gives_an_error() {
-    run(async {
+    run_test(async {
         for (front, expected) in [(0, 500), (1, 200)] {
-            let node = Node::new(Chat).await;
-            node.plan(&[Fault::Mute]);
-            let router = Router::new(Chat, &[&node], |_| {}).await;
+            let node = MockReplica::new(Chat).await;
+            node.add_faults(&[ReplicaFault::NoAnswer]);
+            let router = TestRouter::new(Chat, &[&node], |_| {}).await;
             let (addr, request) = fronts(&router)[front];
-            let mut client = Client::to(addr).await;
+            let mut client = Client::connect(addr).await;
             client.send(&request()).await;
             node.next_request().await;
             // The attempt has reported its first event to the core, but not yet to the client's front.
             router.components.with_core(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
             router.components.with_core(|core, now| core.answer_for_shutdown(now, Some(0)));
-            let (actual, _, body, _) = client.answer().await;
+            let (actual, _, body, _) = client.read_answer().await;
             assert_eq!(actual, expected, "front {front}");
             assert!(front == 0 || body.contains("event: error"), "front {front}: {body}");
         }
--- a/router/tests/fleet/failed_releases.rs
+++ b/router/tests/fleet/failed_releases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tallypin_test_support::mock_services::{Does, List, Node};
+use tallypin_test_support::mock_services::{MockEndpointList, MockReplica, ReplicaBehaviour};
 
 use crate::fleet_processes::{endpoint_entry, read_response, send_request};
 use crate::release_setup::{
@@ -13,8 +13,8 @@
 /// A router that cannot start on the release returns to its former configuration by itself, and the release is rolled back.
 #[test]
 fn a_release_that_does_not_start_is_rolled_back_after_the_first_router() {
-    let node = Node::start("127.53.9.1");
-    let list = List::start("127.53.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let node = MockReplica::start("127.53.9.1");
+    let list = MockEndpointList::start("127.53.9.1", &[endpoint_entry("n0", &node, 1)]);
     let fleet = supervised_fleet("crash", 53, &list);
     let old = installed_digest(&fleet, 0);
     // The configuration is valid, but the program exits at once: its address for peers is in use.
@@ -43,23 +43,24 @@
 /// A release that starts but answers 500 is halted by a comparison with the answers of the other routers.
 #[test]
 fn a_release_with_failing_answers_is_halted_after_the_first_router() {
-    release_is_halted_by_its_answers("bad", 54, Does::Fails);
+    release_is_halted_by_its_answers("bad", 54, ReplicaBehaviour::RespondWith500);
 }
 
 /// A release that passes its health checks but is slow under load is halted in the same way.
 #[test]
 fn a_release_that_is_slow_under_load_is_halted_after_the_first_router() {
-    release_is_halted_by_its_answers("slow", 59, Does::Waits(Duration::from_millis(2500)));
+    release_is_halted_by_its_answers("slow", 59, ReplicaBehaviour::RespondAfter(Duration::from_millis(2500)));
 }
 
-fn release_is_halted_by_its_answers(test: &str, net: u8, behavior: Does) {
+fn release_is_halted_by_its_answers(test: &str, net: u8, behavior: ReplicaBehaviour) {
     let ip = format!("127.{net}.9.1");
-    let (good, bad) = (Node::start(&ip), Node::start(&ip));
-    bad.does(behavior);
-    let list = List::start(&ip, &[endpoint_entry("n0", &good, 1)]);
-    let bad_list = List::start(&ip, &[endpoint_entry("n0", &bad, 1)]);
+    let (good, bad) = (MockReplica::start(&ip), MockReplica::start(&ip));
+    bad.set_behaviour(behavior);
+    let list = MockEndpointList::start(&ip, &[endpoint_entry("n0", &good, 1)]);
+    let bad_list = MockEndpointList::start(&ip, &[endpoint_entry("n0", &bad, 1)]);
     let fleet = supervised_fleet(test, net, &list);
-    let with_bad_list = |_: usize, text: &str| text.replace(&list.at.to_string(), &bad_list.at.to_string());
+    let with_bad_list =
+        |_: usize, text: &str| text.replace(&list.addr.to_string(), &bad_list.addr.to_string());
     let plan = " wave r3\n wave rest\n watch 300ms\n ready 20s\n enough 20";
     let (release_command, digest) = prepare_release(&fleet, "configuration", with_bad_list, plan);
     assert_eq!(fleet.run_command(2, &release_command)["code"], 0);
@@ -104,8 +105,8 @@
 /// installed, the router returns to service unchanged.
 #[test]
 fn a_release_that_is_missing_or_damaged_on_disk_is_not_installed() {
-    let node = Node::start("127.55.9.1");
-    let list = List::start("127.55.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let node = MockReplica::start("127.55.9.1");
+    let list = MockEndpointList::start("127.55.9.1", &[endpoint_entry("n0", &node, 1)]);
     let fleet = supervised_fleet("disk", 55, &list);
     let old = installed_digest(&fleet, 0);
     let (release_command, digest) = prepare_release(&fleet, "configuration", with_other_seed, TWO_WAVES);
--- a/router/tests/fleet/network_faults.rs
+++ b/router/tests/fleet/network_faults.rs
@@ -29,7 +29,7 @@
         (Some(false), Some(false)),
         "the minority stays in service"
     );
-    fleet.set_links(&[0, 1], &[2, 3, 4, 5], Link::Whole);
+    fleet.set_links(&[0, 1], &[2, 3, 4, 5], Link::Open);
     fleet.wait_until("all routers report the same drains", || {
         let statuses: Vec<Value> = (0..6).map(|r| fleet.run_command(r, "status")).collect();
         statuses.iter().all(|s| s["code"] == 0 && s["entries"] == statuses[3]["entries"])
@@ -46,7 +46,7 @@
     assert_eq!(fleet.run_command(3, "halt")["code"], 0);
     assert!(sent_at.elapsed() < Duration::from_secs(10));
     assert_eq!(fleet.run_command(2, "status")["halted"], "ordered");
-    fleet.set_links(&[0], &[1, 2, 3, 4], Link::Whole);
+    fleet.set_links(&[0], &[1, 2, 3, 4], Link::Open);
     fleet.wait_until("r0 knows of the halt", || fleet.run_command(0, "status")["halted"] == "ordered");
 }
 
--- a/router/tests/fleet/release_setup.rs
+++ b/router/tests/fleet/release_setup.rs
@@ -1,6 +1,6 @@
 //! Sets up a fleet with a configuration to release.
 
-use tallypin_test_support::mock_services::List;
+use tallypin_test_support::mock_services::MockEndpointList;
 
 use crate::fleet_processes::{config, FleetProcesses};
 
@@ -43,7 +43,7 @@
 }
 
 /// Starts a fleet of five routers with a council of three. Routers that end are restarted.
-pub fn supervised_fleet(test: &str, net: u8, list: &List) -> FleetProcesses {
+pub fn supervised_fleet(test: &str, net: u8, list: &MockEndpointList) -> FleetProcesses {
     let fleet =
         FleetProcesses::resumed_with_config(test, net, 5, 3, " out-most 2\n out-zone 1", &config(list));
     fleet.supervised.store(true, std::sync::atomic::Ordering::SeqCst);
--- a/router/tests/fleet/replica_drains.rs
+++ b/router/tests/fleet/replica_drains.rs
@@ -1,7 +1,7 @@
 //! Drains of replicas that operators order and end.
 
 use serde_json::Value;
-use tallypin_test_support::mock_services::{Does, List, Node};
+use tallypin_test_support::mock_services::{MockEndpointList, MockReplica, ReplicaBehaviour};
 
 use crate::fleet_processes::{config, endpoint_entry, read_response, send_request, FleetProcesses};
 
@@ -30,28 +30,28 @@
 /// up, and the next drain waits until then.
 #[test]
 fn a_drained_replica_receives_no_new_requests_until_the_drain_is_ended() {
-    let replicas: Vec<Node> = (0..3).map(|_| Node::start("127.49.9.1")).collect();
-    let entries = |first: &Node, started_ms: u64| {
+    let replicas: Vec<MockReplica> = (0..3).map(|_| MockReplica::start("127.49.9.1")).collect();
+    let entries = |first: &MockReplica, started_ms: u64| {
         vec![
             endpoint_entry("n0", first, started_ms),
             endpoint_entry("n1", &replicas[1], 1),
             endpoint_entry("n2", &replicas[2], 1),
         ]
     };
-    let list = List::start("127.49.9.1", &entries(&replicas[0], 1));
+    let list = MockEndpointList::start("127.49.9.1", &entries(&replicas[0], 1));
     let fleet = FleetProcesses::resumed_with_config("nodes", 49, 3, 3, LIMITS, &config(&list));
     fleet.wait_until("all routers serve requests", || {
         (0..3).all(|r| read_response(send_request(fleet.routers[r].front_addr)) == (200, true))
     });
-    replicas[0].does(Does::Holds);
+    replicas[0].set_behaviour(ReplicaBehaviour::PauseMidStream);
     // Sends requests one after the other until n0 holds one.
     let held_request = loop {
-        let before: Vec<usize> = replicas.iter().map(Node::served).collect();
+        let before: Vec<usize> = replicas.iter().map(MockReplica::requests_received).collect();
         let stream = send_request(fleet.routers[1].front_addr);
         fleet.wait_until("a replica has received the request", || {
-            replicas.iter().zip(&before).any(|(n, b)| n.served() > *b)
+            replicas.iter().zip(&before).any(|(n, b)| n.requests_received() > *b)
         });
-        match replicas[0].served() > before[0] {
+        match replicas[0].requests_received() > before[0] {
             true => break stream,
             false => drop(read_response(stream)),
         }
@@ -62,16 +62,16 @@
     fleet.wait_until("only r1, which has an open stream, still uses n0", || {
         replica_status(&fleet, 0, "n0") == ("out".into(), false, serde_json::json!(["r1"]))
     });
-    let before = replicas[0].served();
+    let before = replicas[0].requests_received();
     check_requests(&fleet, 10);
     // Only one replica may be out, so the drain of n1 waits.
     assert_eq!(fleet.run_command(0, "take-out n1")["code"], 0);
-    replicas[0].does(Does::Answers);
+    replicas[0].set_behaviour(ReplicaBehaviour::RespondAtOnce);
     assert_eq!(read_response(held_request), (200, true), "the open stream completes");
     fleet.wait_until("n0 is clear", || replica_status(&fleet, 1, "n0").1);
     // n0 stays drained after it restarts at another address, a router restarts and the list changes.
-    let restarted_replica = Node::start("127.49.9.1");
-    list.set(&entries(&restarted_replica, 2));
+    let restarted_replica = MockReplica::start("127.49.9.1");
+    list.publish(&entries(&restarted_replica, 2));
     fleet.kill(0);
     fleet.start(0);
     fleet.wait_until("r0 serves requests again", || {
@@ -79,7 +79,7 @@
     });
     check_requests(&fleet, 10);
     assert_eq!(
-        (replicas[0].served(), restarted_replica.served()),
+        (replicas[0].requests_received(), restarted_replica.requests_received()),
         (before, 0),
         "n0 receives no new requests"
     );
@@ -91,7 +91,7 @@
     assert_eq!(fleet.run_command(1, "put-back n0")["code"], 0);
     fleet.wait_until("n0 receives requests again", || {
         check_requests(&fleet, 1);
-        restarted_replica.served() > 0
+        restarted_replica.requests_received() > 0
     });
     fleet.wait_until("n0 has warmed up and n1 is drained", || {
         check_requests(&fleet, 1);
@@ -103,9 +103,9 @@
 /// A drain with a duration ends by itself, also while a council member is dead.
 #[test]
 fn a_replica_drain_with_a_duration_ends_without_a_command() {
-    let replicas: Vec<Node> = (0..2).map(|_| Node::start("127.50.9.1")).collect();
+    let replicas: Vec<MockReplica> = (0..2).map(|_| MockReplica::start("127.50.9.1")).collect();
     let entries = [endpoint_entry("n0", &replicas[0], 1), endpoint_entry("n1", &replicas[1], 1)];
-    let list = List::start("127.50.9.1", &entries);
+    let list = MockEndpointList::start("127.50.9.1", &entries);
     let fleet = FleetProcesses::resumed_with_config("time", 50, 3, 3, LIMITS, &config(&list));
     fleet.wait_until("r1 has received the endpoint list", || {
         read_response(send_request(fleet.routers[1].front_addr)) == (200, true)
--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use fleet_processes::{config, endpoint_entry, read_response, send_request, FleetProcesses};
-use tallypin_test_support::mock_services::{List, Node};
+use tallypin_test_support::mock_services::{MockEndpointList, MockReplica};
 use tallypin_test_support::relay::Link;
 
 const COUNCIL: usize = 5;
@@ -50,10 +50,10 @@
 /// Runs a release with faults that the seed picks in a fleet of `n` routers.
 fn run_release(n: usize, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let nodes: Vec<Node> = (0..4).map(|_| Node::start("127.60.9.3")).collect();
+    let nodes: Vec<MockReplica> = (0..4).map(|_| MockReplica::start("127.60.9.3")).collect();
     let entries: Vec<String> =
         nodes.iter().enumerate().map(|(i, node)| endpoint_entry(&format!("n{i}"), node, 1)).collect();
-    let list = List::start("127.60.9.3", &entries);
+    let list = MockEndpointList::start("127.60.9.3", &entries);
     let (max_out, max_out_in_zone) = ((n / 10).max(2), (n / 15).max(1));
     let started_at = Instant::now();
     let limits = format!(" out-most {max_out}\n out-zone {max_out_in_zone}");
@@ -159,7 +159,7 @@
                 halt_sent_at.elapsed().as_secs_f64(),
                 reply["code"]
             );
-            fleet.set_links(&[3, 4], &[0, 1, 2], Link::Whole);
+            fleet.set_links(&[3, 4], &[0, 1, 2], Link::Open);
             assert_eq!(fleet.run_command(0, "resume")["code"], 0);
             fleet.wait_until("the release is complete", || release(1)["phase"] == "done");
             println!("  release complete after {:.1} s in all", release_started_at.elapsed().as_secs_f64());
@@ -189,8 +189,8 @@
 #[ignore = "full size: minutes, hundreds of processes"]
 fn measures_request_latency_with_and_without_a_fleet_section() {
     let n = env_number("FLEET", 300);
-    let node = Node::start("127.60.9.3");
-    let list = List::start("127.60.9.3", &[endpoint_entry("n0", &node, 1)]);
+    let node = MockReplica::start("127.60.9.3");
+    let list = MockEndpointList::start("127.60.9.3", &[endpoint_entry("n0", &node, 1)]);
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
     let fleet = FleetProcesses::resumed_with_config(
         "cost",
--- a/router/tests/fleet_processes/mod.rs
+++ b/router/tests/fleet_processes/mod.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use tallypin_test_support::mock_services::{List, Node, Reserved};
+use tallypin_test_support::mock_services::{MockEndpointList, MockReplica, ReservedAddress};
 use tallypin_test_support::relay::{Link, Relay};
 
 /// Maximum wait for a condition in a small fleet, well above what any condition takes.
@@ -31,15 +31,15 @@
 pub const CONFIG: &str = include_str!("../../../examples/config.json");
 
 /// Returns the example configuration with this endpoint list service, a warm-up of 1 s and large tenant quotas.
-pub fn config(list: &List) -> String {
-    let config = CONFIG.replace("127.0.0.1:8500", &list.at.to_string());
+pub fn config(list: &MockEndpointList) -> String {
+    let config = CONFIG.replace("127.0.0.1:8500", &list.addr.to_string());
     let config = config.replace("\"ColdNs\": 23000000000", "\"ColdNs\": 1000000000");
     config.replace("\"QuotaPerS\": 19.0", "\"QuotaPerS\": 1900.0")
 }
 
 /// Returns an active entry of the endpoint list as JSON.
-pub fn endpoint_entry(id: &str, node: &Node, started_ms: u64) -> String {
-    let at = node.at;
+pub fn endpoint_entry(id: &str, node: &MockReplica, started_ms: u64) -> String {
+    let at = node.addr;
     format!(
         r#"{{"id":"{id}","addr":"{at}","zone":"rz-garching","kind":"gpu-neu","state":"active","started_ms":{started_ms}}}"#
     )
@@ -83,10 +83,10 @@
 
 impl RouterProcess {
     /// Reserves the addresses of a router and creates its directory, without starting the process.
-    fn new(r: usize, ip: &str, dir: PathBuf, reserved: &mut Vec<Reserved>) -> RouterProcess {
+    fn new(r: usize, ip: &str, dir: PathBuf, reserved: &mut Vec<ReservedAddress>) -> RouterProcess {
         let [agent_addr, fleet_addr, front_addr] = [(); 3].map(|()| {
-            reserved.push(Reserved::on(ip).unwrap());
-            reserved[reserved.len() - 1].at
+            reserved.push(ReservedAddress::on(ip).unwrap());
+            reserved[reserved.len() - 1].addr
         });
         std::fs::create_dir_all(&dir).unwrap();
         let (child, starts) = (Mutex::default(), AtomicUsize::new(0));
@@ -99,11 +99,11 @@
     /// Whether waiting for a condition restarts routers that have ended, as a supervisor does.
     pub supervised: AtomicBool,
     /// Endpoint list service and replica for tests that provide none.
-    pub default_endpoints: (List, Node),
+    pub default_endpoints: (MockEndpointList, MockReplica),
     /// By the index of the calling router, then of the called one.
     relays: Vec<Vec<Option<Relay>>>,
     /// Keeps other processes from being given the addresses of the routers.
-    _reserved: Vec<Reserved>,
+    _reserved: Vec<ReservedAddress>,
 }
 
 /// Returns the loopback address of the router with index `r`; `net` separates concurrent tests.
@@ -146,7 +146,7 @@
     );
     (0..council).for_each(|r| text += &format!(" r{r}"));
     for (r, other) in routers.iter().enumerate() {
-        let addr = relays[r].as_ref().map_or(other.fleet_addr, |relay| relay.at);
+        let addr = relays[r].as_ref().map_or(other.fleet_addr, |relay| relay.addr);
         text += &format!("\n router r{r} {addr} zone-{}", r % 2);
     }
     text + "\n}\n"
@@ -164,8 +164,8 @@
         config: &str,
     ) -> FleetProcesses {
         // Routers without replicas do not become ready.
-        let node = Node::start(&format!("127.{net}.9.2"));
-        let list = List::start(&format!("127.{net}.9.2"), &[endpoint_entry("n0", &node, 1)]);
+        let node = MockReplica::start(&format!("127.{net}.9.2"));
+        let list = MockEndpointList::start(&format!("127.{net}.9.2"), &[endpoint_entry("n0", &node, 1)]);
         let config = if config == CONFIG { &self::config(&list) } else { config };
         let base = std::env::temp_dir().join(format!("tallypin-fleet-{test}-{}", std::process::id()));
         let mut reserved = Vec::new();
@@ -365,7 +365,7 @@
     /// Sets the links between two groups of routers, in both directions.
     pub fn set_links(&self, one: &[usize], other: &[usize], link: Link) {
         let pairs = one.iter().flat_map(|&a| other.iter().flat_map(move |&b| [(a, b), (b, a)]));
-        pairs.filter_map(|(from, to)| self.relays[from][to].as_ref()).for_each(|relay| relay.set(link));
+        pairs.filter_map(|(from, to)| self.relays[from][to].as_ref()).for_each(|relay| relay.set_link(link));
     }
 }
 
--- a/router/tests/floods.rs
+++ b/router/tests/floods.rs
@@ -78,22 +78,22 @@
 fn an_event_is_not_delayed_by_floods_of_answers_and_requests() {
     /// Flood bytes that a router passes on in about 20 ms of one processor.
     const MAX_BYTES_PER_EVENT: usize = 1 << 20;
-    run(async {
+    run_test(async {
         let floods = Floods::new();
-        let (router, listener) = by_hand(|_| {}).await;
-        let mut quiet_client = Client::to(router.addr).await;
-        quiet_client.send(&platform("", "{}")).await;
-        let mut node = asked(&listener).await;
+        let (router, listener) = router_with_manual_replica(|_| {}).await;
+        let mut quiet_client = Client::connect(router.addr).await;
+        quiet_client.send(&platform_request("", "{}")).await;
+        let mut node = accept_request(&listener).await;
         node.stream.set_nodelay(true).unwrap();
-        node.send(&(HEAD.to_string() + &chunk(CHAT[0]))).await;
+        node.send(&(STREAM_HEAD.to_string() + &chunk(CHAT[0]))).await;
         for _ in 0..4 {
-            let mut client = Client::to(router.addr).await;
-            client.send(&platform("", "{}")).await;
-            let mut flooding_node = asked(&listener).await;
-            flooding_node.send(HEAD).await;
+            let mut client = Client::connect(router.addr).await;
+            client.send(&platform_request("", "{}")).await;
+            let mut flooding_node = accept_request(&listener).await;
+            flooding_node.send(STREAM_HEAD).await;
             floods.write_repeatedly(into_blocking(flooding_node), chunk(&CHAT[1].repeat(20)).repeat(20));
             floods.discard_input(into_blocking(client));
-            let flooding_client = Client::to(router.addr).await;
+            let flooding_client = Client::connect(router.addr).await;
             floods.write_repeatedly(
                 into_blocking(flooding_client),
                 "GET /up HTTP/1.1\r\nHost: b\r\n\r\n".repeat(200),
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -18,16 +18,16 @@
 /// Guards against writing an attempt whose connection is established at the moment when its client disconnects.
 #[test]
 fn an_attempt_that_connects_as_its_client_disconnects_is_not_sent() {
-    run(async {
+    run_test(async {
         let (mut cancelled, mut written) = (0, 0);
         for (wait_turns, front) in (0..40).flat_map(|wait_turns| [(wait_turns, 0), (wait_turns, 1)]) {
-            let node = Node::new(Chat).await;
-            node.plan(&[Fault::Mute; 8]);
-            let router = Router::new(Chat, &[&node], |_| {}).await;
+            let node = MockReplica::new(Chat).await;
+            node.add_faults(&[ReplicaFault::NoAnswer; 8]);
+            let router = TestRouter::new(Chat, &[&node], |_| {}).await;
             let mut clients = Vec::new();
             for _ in 0..8 {
                 let (addr, request) = fronts(&router)[front];
-                let mut client = Client::to(addr).await;
+                let mut client = Client::connect(addr).await;
                 client.send(&request()).await;
                 clients.push(client);
             }
@@ -35,16 +35,16 @@
             let components = router.components.clone();
             let disconnect_task = spawn_local(async move {
                 while components.with_core(|core, _| core.open_requests()) < clients.len() {
-                    turns(1).await;
+                    yield_times(1).await;
                 }
-                turns(wait_turns).await;
+                yield_times(wait_turns).await;
                 drop(clients);
                 components.replicas.in_flight(name_hash::replica_id("s-0"))
             });
             let in_flight = disconnect_task.await.unwrap();
-            until(|| router.tallies().client_disconnects == 8).await;
+            wait_until(|| router.request_counts().client_disconnects == 8).await;
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
-            let (_, requests) = node.so_far();
+            let (_, requests) = node.take_counts();
             assert_eq!(
                 requests, in_flight as usize,
                 "front {front}, {wait_turns} turns later: forwarded after the client had disconnected"
@@ -60,29 +60,29 @@
 /// Guards against writing a hedged request whose connection is established at the moment when its client disconnects.
 #[test]
 fn a_hedged_request_that_connects_as_its_client_disconnects_is_not_sent() {
-    run(async {
+    run_test(async {
         let (mut cancelled, mut written) = (0, 0);
         let mut remaining_waits: Vec<usize> = (0..200).step_by(10).collect();
         while let Some(wait_turns) = remaining_waits.pop() {
-            let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
+            let (first, second) = (MockReplica::new(Chat).await, MockReplica::new(Chat).await);
             let short_objective = CONFIG.replace("\"GoalTimeNs\": 1200000000", "\"GoalTimeNs\": 200000000");
             let mut config = Config::parse(&short_objective).unwrap();
             config.limits.replica_idle_timeout = Duration::from_millis(1);
-            let router = Router::by(config, Chat, &[&first, &second], None).await;
+            let router = TestRouter::with_config(config, Chat, &[&first, &second], None).await;
             // The router sends hedged requests only where it has measured fast first tokens.
-            assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
-            until(|| router.components.replicas.connection_counts().0 == 0).await;
-            first.plan(&[Fault::Mute]);
-            second.plan(&[Fault::Mute]);
-            assert_eq!(first.so_far().1 + second.so_far().1, 1);
+            assert_eq!(Client::connect(router.addr).await.send_platform_request("").await.0, 200);
+            wait_until(|| router.components.replicas.connection_counts().0 == 0).await;
+            first.add_faults(&[ReplicaFault::NoAnswer]);
+            second.add_faults(&[ReplicaFault::NoAnswer]);
+            assert_eq!(first.take_counts().1 + second.take_counts().1, 1);
             let (addr, request) = fronts(&router)[wait_turns / 10 % 2];
-            let mut client = Client::to(addr).await;
+            let mut client = Client::connect(addr).await;
             client.send(&request()).await;
             let components = router.components.clone();
             let disconnect_task = spawn_local(async move {
                 let open_requests = || components.with_core(|core, _| core.open_requests());
                 while open_requests() == 0 {
-                    turns(1).await;
+                    yield_times(1).await;
                 }
                 // A counted connection is established or being established.
                 let start = Instant::now();
@@ -90,11 +90,11 @@
                     && open_requests() > 0
                     && start.elapsed() < MAX_HEDGE_WAIT
                 {
-                    turns(1).await;
+                    yield_times(1).await;
                 }
                 let hedged = components.replicas.connection_counts().0 == 2;
-                turns(wait_turns).await;
-                leave([client]);
+                yield_times(wait_turns).await;
+                disconnect([client]);
                 let in_flight = components.replicas.in_flight(name_hash::replica_id("s-0"))
                     + components.replicas.in_flight(name_hash::replica_id("s-1"));
                 hedged.then_some(in_flight)
@@ -104,9 +104,10 @@
                 remaining_waits.push(wait_turns);
                 continue;
             };
-            until(|| router.tallies().client_disconnects == 1 && router.open() == 0).await;
+            wait_until(|| router.request_counts().client_disconnects == 1 && router.open_requests() == 0)
+                .await;
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
-            let requests = first.so_far().1 + second.so_far().1;
+            let requests = first.take_counts().1 + second.take_counts().1;
             assert_eq!(
                 requests, in_flight as usize,
                 "{wait_turns} turns later: forwarded after the client had disconnected"
@@ -125,17 +126,17 @@
 /// Guards against missing a disconnect because the input in front of it is not read.
 #[test]
 fn a_disconnect_behind_much_unread_input_is_noticed() {
-    run(async {
-        let node = Node::new(Chat).await;
-        node.plan(&[Fault::Mute]);
-        let router = Router::new(Chat, &[&node], |_| {}).await;
-        let mut client = Client::to(router.addr).await;
-        client.send(&platform("", "{}")).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        node.add_faults(&[ReplicaFault::NoAnswer]);
+        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let mut client = Client::connect(router.addr).await;
+        client.send(&platform_request("", "{}")).await;
         node.next_request().await;
         client.send(&"POST /v1/chat/completions HTTP/1.1\r\n".repeat(2_000)).await;
         drop(client);
-        until(|| router.tallies().client_disconnects == 1).await;
-        assert_eq!(node.next().await, Seen::GivenUp);
+        wait_until(|| router.request_counts().client_disconnects == 1).await;
+        assert_eq!(node.next_event().await, ReplicaEvent::ClosedByRouter);
     });
 }
 
@@ -143,25 +144,25 @@
 /// each request would be retried.
 #[test]
 fn requests_of_clients_that_disconnect_together_are_not_retried() {
-    run(async {
-        let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
-        first.plan(&[Fault::Mute; 100]);
-        second.plan(&[Fault::Mute; 100]);
-        let router = Router::new(Chat, &[&first, &second], |_| {}).await;
+    run_test(async {
+        let (first, second) = (MockReplica::new(Chat).await, MockReplica::new(Chat).await);
+        first.add_faults(&[ReplicaFault::NoAnswer; 100]);
+        second.add_faults(&[ReplicaFault::NoAnswer; 100]);
+        let router = TestRouter::new(Chat, &[&first, &second], |_| {}).await;
         let mut clients = Vec::new();
         for _ in 0..50 {
-            let mut client = Client::to(router.addr).await;
-            client.send(&platform("", "{}")).await;
+            let mut client = Client::connect(router.addr).await;
+            client.send(&platform_request("", "{}")).await;
             clients.push(client);
         }
-        let new_requests = || first.so_far().1 + second.so_far().1;
+        let new_requests = || first.take_counts().1 + second.take_counts().1;
         let mut forwarded = 0;
         while forwarded < 50 {
             tokio::task::yield_now().await;
             forwarded += new_requests();
         }
         clients.clear();
-        until(|| router.tallies().client_disconnects == 50 && router.open() == 0).await;
+        wait_until(|| router.request_counts().client_disconnects == 50 && router.open_requests() == 0).await;
         let before_wait = new_requests();
         tokio::time::sleep(router.components.limits.connect_timeout * 4).await;
         assert_eq!(
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -22,11 +22,12 @@
 /// Guards against work that is quadratic in the number of entries and blocks the router for seconds.
 #[test]
 fn a_list_with_thousands_of_entries_is_applied_without_blocking() {
-    run(async {
-        let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[], |_| {}).await;
-        let records: Vec<EndpointRecord> =
-            (0..LARGE_LIST_ENTRIES).map(|n| row(&format!("s-{n}"), node.addr, "active")).collect();
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[], |_| {}).await;
+        let records: Vec<EndpointRecord> = (0..LARGE_LIST_ENTRIES)
+            .map(|n| endpoint_record(&format!("s-{n}"), node.addr, "active"))
+            .collect();
         let started_at = Instant::now();
         endpoint_list::apply(
             &router.components.endpoint_list,
@@ -38,7 +39,7 @@
             &list_message(ListUpdate::Full, records),
             ListUpdate::Full,
         );
-        let changed = vec![row("s-7", node.addr, "left")];
+        let changed = vec![endpoint_record("s-7", node.addr, "left")];
         endpoint_list::apply(
             &router.components.endpoint_list,
             &list_message(ListUpdate::Delta, changed),
@@ -50,19 +51,19 @@
             "two full lists of {LARGE_LIST_ENTRIES} entries took {duration:?}"
         );
         assert_eq!(router.components.replicas.ready_count(), LARGE_LIST_ENTRIES - 1);
-        assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
+        assert_eq!(Client::connect(router.addr).await.send_platform_request("").await.0, 200);
     });
 }
 
 /// Guards against a replica that one part of the router takes for ready while another part does not know it.
 #[test]
 fn the_last_of_several_entries_of_a_replica_in_one_message_counts_everywhere() {
-    run(async {
+    run_test(async {
         for update in [ListUpdate::Delta, ListUpdate::Full] {
             for (states, ready) in [(["left", "active"], true), (["active", "left"], false)] {
-                let node = Node::new(Chat).await;
-                let router = Router::new(Chat, &[&node], |_| {}).await;
-                let records = states.iter().map(|state| row("s-0", node.addr, state)).collect();
+                let node = MockReplica::new(Chat).await;
+                let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+                let records = states.iter().map(|state| endpoint_record("s-0", node.addr, state)).collect();
                 endpoint_list::apply(
                     &router.components.endpoint_list,
                     &list_message(update, records),
@@ -78,14 +79,18 @@
                     "{case}"
                 );
                 let expected = if ready { 200 } else { 503 };
-                assert_eq!(Client::to(router.addr).await.ask("").await.0, expected, "{case}");
+                assert_eq!(
+                    Client::connect(router.addr).await.send_platform_request("").await.0,
+                    expected,
+                    "{case}"
+                );
             }
         }
     });
 }
 
 /// Returns a list message with the active entry of a replica and `count` leaving entries whose ids start with `name`.
-fn long_list(version: u64, count: usize, name: &str, node: &Node) -> String {
+fn long_list(version: u64, count: usize, name: &str, node: &MockReplica) -> String {
     let addr = node.addr;
     let leaving_entry = |n: usize| {
         format!(r#"{{"id":"{name}-{n}","addr":"{addr}","zone":"z-{n}","kind":"k-{n}","state":"leaving"}}"#)
@@ -99,23 +104,23 @@
 /// exceeds the limit: the router gives up the watch and keeps its last list.
 #[test]
 fn a_list_above_the_size_limit_is_rejected_and_a_long_entry_is_accepted() {
-    run(async {
-        let node = Node::new(Chat).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
         config.endpoint_list_agent = list.local_addr().unwrap();
-        let router = Router::by(config, Chat, &[], None).await;
-        let (mut call, _) = next_call(&list).await;
-        call.send(&(WATCH.to_string() + &long_list(41, 1, &"n".repeat(60_000), &node))).await;
-        until(|| router.components.replicas.ready_count() == 1).await;
+        let router = TestRouter::with_config(config, Chat, &[], None).await;
+        let (mut call, _) = accept_list_call(&list).await;
+        call.send(&(WATCH_HEAD.to_string() + &long_list(41, 1, &"n".repeat(60_000), &node))).await;
+        wait_until(|| router.components.replicas.ready_count() == 1).await;
         call.send(&long_list(42, 5_000, "u", &node)).await;
-        until(|| router.components.with_core(|core, _| core.listed_replicas().count()) == 5_001).await;
+        wait_until(|| router.components.with_core(|core, _| core.listed_replicas().count()) == 5_001).await;
         let too_long = long_list(43, 100_000, "t", &node);
         // The router closes the connection before it has read the whole list, so the write may fail.
         let _ = tokio::io::AsyncWriteExt::write_all(&mut call.stream, too_long.as_bytes()).await;
-        let (_second_call, head) = next_call(&list).await;
+        let (_second_call, head) = accept_list_call(&list).await;
         assert!(head.contains("since=42"), "{head}");
         assert_eq!(router.components.with_core(|core, _| core.listed_replicas().count()), 5_001);
-        assert_eq!(Client::to(router.addr).await.ask("").await.0, 200);
+        assert_eq!(Client::connect(router.addr).await.send_platform_request("").await.0, 200);
     });
 }
--- a/router/tests/list_watch.rs
+++ b/router/tests/list_watch.rs
@@ -22,7 +22,7 @@
 }
 
 /// Returns the number of replicas that the router may send requests to.
-fn usable_replicas(router: &Router) -> usize {
+fn usable_replicas(router: &TestRouter) -> usize {
     router.components.with_core(|core, now| core.replica_snapshots(now).len())
 }
 
@@ -30,25 +30,25 @@
 /// ever.
 #[test]
 fn a_watch_with_an_incomplete_message_is_abandoned_despite_blank_lines() {
-    run(async {
-        let node = Node::new(Chat).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
         let list = listener().await;
         let mut config = config();
         config.endpoint_list_agent = list.local_addr().unwrap();
         config.limits.list_message_stall_timeout = 100 * MS;
-        let router = Router::by(config, Chat, &[], None).await;
-        let complete = page(41, true, "s-1", &node, "active");
-        let (mut call, _) = next_call(&list).await;
+        let router = TestRouter::with_config(config, Chat, &[], None).await;
+        let complete = list_message_chunk(41, true, "s-1", &node, "active");
+        let (mut call, _) = accept_list_call(&list).await;
         // A message in pieces is accepted if each piece arrives within `list_message_gap`.
         let message = complete.split("\r\n").nth(1).unwrap();
-        call.send(WATCH).await;
+        call.send(WATCH_HEAD).await;
         for piece in message.as_bytes().chunks(30) {
             tokio::time::sleep(40 * MS).await;
             call.send(&chunk(std::str::from_utf8(piece).unwrap())).await;
         }
-        until(|| router.components.replicas.ready_count() == 1).await;
+        wait_until(|| router.components.replicas.ready_count() == 1).await;
         // Sends half of the next message, then only blank lines.
-        let change = page(42, false, "s-1", &node, "leaving");
+        let change = list_message_chunk(42, false, "s-1", &node, "leaving");
         let change = change.split("\r\n").nth(1).unwrap();
         call.send(&chunk(&change[..change.len() / 2])).await;
         let blank_lines = async {
@@ -58,12 +58,14 @@
             }
         };
         let (mut second_call, head) = tokio::select! {
-            second_call = next_call(&list) => second_call,
+            second_call = accept_list_call(&list) => second_call,
             () = blank_lines => unreachable!(),
         };
         assert!(head.contains("since=41"), "{head}");
-        second_call.send(&(WATCH.to_string() + &page(42, false, "s-1", &node, "leaving"))).await;
-        until(|| router.components.replicas.ready_count() == 0).await;
+        second_call
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &node, "leaving")))
+            .await;
+        wait_until(|| router.components.replicas.ready_count() == 0).await;
         let counts = router.components.endpoint_list.state.counts();
         assert_eq!(counts, WatchCounts { opened: 2, established: 2, failed: 0, lost: 1 });
     });
@@ -72,15 +74,15 @@
 /// Guards against a response head that alone counts as a sign of life.
 #[test]
 fn a_response_without_a_message_after_its_head_does_not_establish_a_watch() {
-    run(async {
+    run_test(async {
         let list = listener().await;
         let mut config = config();
         config.endpoint_list_agent = list.local_addr().unwrap();
         config.limits.list_message_stall_timeout = 100 * MS;
-        let router = Router::by(config, Chat, &[], None).await;
-        let (mut call, _) = next_call(&list).await;
-        call.send(WATCH).await;
-        let (_second_call, _) = next_call(&list).await;
+        let router = TestRouter::with_config(config, Chat, &[], None).await;
+        let (mut call, _) = accept_list_call(&list).await;
+        call.send(WATCH_HEAD).await;
+        let (_second_call, _) = accept_list_call(&list).await;
         let counts = router.components.endpoint_list.state.counts();
         assert_eq!(counts, WatchCounts { opened: 2, established: 0, failed: 1, lost: 0 });
         assert!(!router.components.endpoint_list.state.is_active());
@@ -90,25 +92,29 @@
 /// Guards against a new address of the list service that does not answer and keeps the router from calling the former one.
 #[test]
 fn the_former_address_is_called_again_while_the_new_one_does_not_answer() {
-    run(async {
-        let node = Node::new(Chat).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
         let (former, new) = (listener().await, listener().await);
         let mut config = config();
         config.endpoint_list_agent = former.local_addr().unwrap();
         let mut new_config = config.clone();
         new_config.endpoint_list_agent = new.local_addr().unwrap();
         let startup = StartupConfiguration::from_config(&config);
-        let router = Router::by(config, Chat, &[], None).await;
-        let (mut first_call, _) = next_call(&former).await;
-        first_call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
-        until(|| router.components.replicas.ready_count() == 1).await;
+        let router = TestRouter::with_config(config, Chat, &[], None).await;
+        let (mut first_call, _) = accept_list_call(&former).await;
+        first_call
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &node, "active")))
+            .await;
+        wait_until(|| router.components.replicas.ready_count() == 1).await;
         reload::apply(&router.components.endpoint_list.state, &startup, &new_config);
-        let (_unanswered_call, _) = next_call(&new).await;
+        let (_unanswered_call, _) = accept_list_call(&new).await;
         drop(first_call);
-        let (mut second_call, head) = next_call(&former).await;
+        let (mut second_call, head) = accept_list_call(&former).await;
         assert!(head.contains("since=41"), "{head}");
-        second_call.send(&(WATCH.to_string() + &page(42, false, "s-1", &node, "leaving"))).await;
-        until(|| router.components.replicas.ready_count() == 0).await;
+        second_call
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &node, "leaving")))
+            .await;
+        wait_until(|| router.components.replicas.ready_count() == 0).await;
     });
 }
 
@@ -116,8 +122,8 @@
 /// router which replicas take no new requests.
 #[test]
 fn a_router_without_the_list_excludes_replicas_reported_by_a_peer() {
-    run(async {
-        let nodes = [Node::new(Chat).await, Node::new(Chat).await];
+    run_test(async {
+        let nodes = [MockReplica::new(Chat).await, MockReplica::new(Chat).await];
         let lists = [listener().await, listener().await];
         let peer_addrs: Vec<_> = ["127.2.14.1", "127.2.14.2"].map(free_udp_address).to_vec();
         let mut routers = Vec::new();
@@ -133,24 +139,28 @@
             let addresses =
                 PeerAddresses { listen: peer_addrs[index], routers: peer_addrs.clone(), broadcast: None };
             let peers = Peers::new(addresses, PeerId(index as u32), digest).await.unwrap();
-            routers.push(Router::by(config, Chat, &[&nodes[0], &nodes[1]], Some(peers)).await);
+            routers.push(TestRouter::with_config(config, Chat, &[&nodes[0], &nodes[1]], Some(peers)).await);
         }
-        let (mut first_call, _) = next_call(&lists[0]).await;
-        first_call.send(&(WATCH.to_string() + &page(41, true, "s-1", &nodes[1], "active"))).await;
+        let (mut first_call, _) = accept_list_call(&lists[0]).await;
+        first_call
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &nodes[1], "active")))
+            .await;
         // The second router gets no answer. The list of the first lacks s-0, which is in the configuration, so s-0 is gone.
-        until(|| usable_replicas(&routers[0]) == 1).await;
-        until(|| usable_replicas(&routers[1]) == 1).await;
+        wait_until(|| usable_replicas(&routers[0]) == 1).await;
+        wait_until(|| usable_replicas(&routers[1]) == 1).await;
         assert_eq!(
             routers[1].components.with_core(|core, _| core.listed_replicas().count()),
             2,
             "the second router keeps its own list"
         );
-        first_call.send(&page(42, false, "s-1", &nodes[1], "leaving")).await;
-        until(|| usable_replicas(&routers[1]) == 0).await;
+        first_call.send(&list_message_chunk(42, false, "s-1", &nodes[1], "leaving")).await;
+        wait_until(|| usable_replicas(&routers[1]) == 0).await;
         // Once the second router has a list of its own, that list alone decides.
-        let (mut second_call, _) = next_call(&lists[1]).await;
-        second_call.send(&(WATCH.to_string() + &page(40, true, "s-1", &nodes[1], "active"))).await;
-        until(|| usable_replicas(&routers[1]) == 1).await;
+        let (mut second_call, _) = accept_list_call(&lists[1]).await;
+        second_call
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(40, true, "s-1", &nodes[1], "active")))
+            .await;
+        wait_until(|| usable_replicas(&routers[1]) == 1).await;
         let listed =
             routers[1].components.with_core(|core, _| core.listed_replicas().cloned().collect::<Vec<_>>());
         assert_eq!((listed.len(), listed[0].state), (1, EndpointState::Ready));
--- a/router/tests/parsers.rs
+++ b/router/tests/parsers.rs
@@ -193,7 +193,7 @@
     let limits = common::config().limits;
     let list = r#"{"version":1,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"active"}]}"#;
     let valid_inputs: Vec<Vec<u8>> = [
-        common::platform("Req-Extra: prefix=a,prompt_len=5\r\n", "{}"),
+        common::platform_request("Req-Extra: prefix=a,prompt_len=5\r\n", "{}"),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n".into(),
         "5\r\nabcde\r\n0\r\n\r\n".into(),
         common::CHAT.concat(),
--- a/router/tests/program.rs
+++ b/router/tests/program.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use tallypin_test_support::fault_injection::Library;
-use tallypin_test_support::mock_services::{Node, Reserved};
+use tallypin_test_support::mock_services::{MockReplica, ReservedAddress};
 
 fn tallypin() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tallypin"));
@@ -95,11 +95,11 @@
 fn a_sigterm_before_the_listener_is_bound_shuts_down_gracefully() {
     let dir = tempfile::tempdir().unwrap();
     let library = Library::Sockets.compile(dir.path()).expect("a C compiler");
-    let reserved = Reserved::on("127.2.2.7").unwrap();
+    let reserved = ReservedAddress::on("127.2.2.7").unwrap();
     let path = dir.path().join("config.json");
     std::fs::write(&path, include_str!("../../examples/config.json")).unwrap();
     let mut serve = tallypin();
-    serve.arg("serve").env("PROXY_CONFIG", &path).env("PROXY_LISTEN", reserved.at.to_string());
+    serve.arg("serve").env("PROXY_CONFIG", &path).env("PROXY_LISTEN", reserved.addr.to_string());
     serve.env("PROXY_DISCOVERY", "127.0.0.1:9").env("LD_PRELOAD", &library).env("FAULT_FIRST", "60");
     let mut child = serve.spawn().unwrap();
     let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -116,8 +116,8 @@
 #[test]
 fn sighup_reloads_the_configuration_and_sigterm_exits_with_code_0() {
     // The port is reserved by the test because the program does not report a port that the system chose.
-    let reserved = Reserved::on("127.2.2.1").unwrap();
-    let listen = reserved.at;
+    let reserved = ReservedAddress::on("127.2.2.1").unwrap();
+    let listen = reserved.addr;
     let path = std::env::temp_dir().join(format!("tallypin-term-{}.json", std::process::id()));
     let valid = include_str!("../../examples/config.json");
     std::fs::write(&path, valid).unwrap();
@@ -160,7 +160,7 @@
     dir: std::path::PathBuf,
     front: std::net::SocketAddr,
     agent: std::net::SocketAddr,
-    _reserved: [Reserved; 2],
+    _reserved: [ReservedAddress; 2],
 }
 
 impl Drop for RunningRouter {
@@ -175,8 +175,8 @@
     fn start(name: &str, ip: &str, extra_settings: &str) -> RunningRouter {
         let dir = std::env::temp_dir().join(format!("tallypin-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).unwrap();
-        let reserved = [Reserved::on(ip).unwrap(), Reserved::on(ip).unwrap()];
-        let [front, agent] = [reserved[0].at, reserved[1].at];
+        let reserved = [ReservedAddress::on(ip).unwrap(), ReservedAddress::on(ip).unwrap()];
+        let [front, agent] = [reserved[0].addr, reserved[1].addr];
         let (config, settings) = (dir.join("config.json"), dir.join("t.conf"));
         std::fs::write(&config, include_str!("../../examples/config.json")).unwrap();
         std::fs::write(&settings, RunningRouter::settings(agent, &dir, extra_settings)).unwrap();
@@ -230,8 +230,8 @@
     router.signal("-HUP");
     assert!(wait_for_line("unknown directive or section `agant` in section `checks`")
         .contains("configuration rejected"));
-    let reserved = Reserved::on("127.2.0.2").unwrap();
-    let new_agent = reserved.at;
+    let reserved = ReservedAddress::on("127.2.0.2").unwrap();
+    let new_agent = reserved.addr;
     let extra_settings = "log {\n level debug\n queue 99\n}\n";
     write(&RunningRouter::settings(new_agent, &router.dir, extra_settings));
     router.signal("-HUP");
@@ -273,7 +273,7 @@
             client = connect(router.front);
             answers = BufReader::new(client.try_clone().unwrap());
         }
-        client.write_all(common::platform("", "{}").as_bytes()).unwrap();
+        client.write_all(common::platform_request("", "{}").as_bytes()).unwrap();
         let mut status = String::new();
         answers.read_line(&mut status).unwrap();
         assert_eq!(status, "HTTP/1.1 503 Service Unavailable\r\n");
@@ -311,17 +311,17 @@
 #[test]
 fn idle_clients_leave_descriptors_for_the_endpoint_list_and_replicas() {
     let ip = "127.2.3.1";
-    let node = Node::start(ip);
+    let node = MockReplica::start(ip);
     // The service accepts connections but does not answer at first.
     let list_service = TcpListener::bind((ip, 0)).unwrap();
-    let front = Reserved::on(ip).unwrap();
+    let front = ReservedAddress::on(ip).unwrap();
     let path = std::env::temp_dir().join(format!("tallypin-crowd-{}.json", std::process::id()));
     let config = include_str!("../../examples/config.json").replace("\"sockets\": 1024", "\"sockets\": 128");
     std::fs::write(&path, config.replace("\"MustAskInNs\": 10000000000", "\"MustAskInNs\": 1000000000"))
         .unwrap();
     let mut serve = Command::new("/bin/sh");
     serve.args(["-c", "ulimit -n 128; exec \"$0\" serve", env!("CARGO_BIN_EXE_tallypin")]).env_clear();
-    serve.env("PROXY_CONFIG", &path).env("PROXY_LISTEN", front.at.to_string());
+    serve.env("PROXY_CONFIG", &path).env("PROXY_LISTEN", front.addr.to_string());
     serve.env("PROXY_DISCOVERY", list_service.local_addr().unwrap().to_string()).stderr(Stdio::null());
     let (stop, replaced_clients) = (AtomicBool::new(false), AtomicUsize::new(0));
     std::thread::scope(|s| {
@@ -330,7 +330,7 @@
         s.spawn(|| {
             let mut idle_clients = std::collections::VecDeque::new();
             while !stop.load(Ordering::SeqCst) {
-                idle_clients.extend(TcpStream::connect(front.at).ok());
+                idle_clients.extend(TcpStream::connect(front.addr).ok());
                 if idle_clients.len() > 400 {
                     idle_clients.pop_front();
                     replaced_clients.fetch_add(1, Ordering::SeqCst);
@@ -338,7 +338,7 @@
             }
         });
         let status_of = |request: &str| {
-            let mut client = TcpStream::connect(front.at).ok()?;
+            let mut client = TcpStream::connect(front.addr).ok()?;
             client.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
             client.write_all(request.as_bytes()).ok()?;
             let mut status = [0; 12];
@@ -360,7 +360,7 @@
         s.spawn(|| {
             let message = format!(
                 r#"{{"version":1,"full":true,"servers":[{{"id":"n0","addr":"{}","state":"active"}}]}}"#,
-                node.at
+                node.addr
             );
             let mut open_watches = Vec::new();
             list_service.set_nonblocking(true).unwrap();
@@ -373,7 +373,7 @@
             }
         });
         wait_until("the router has the list and answers 200", &|| ready().as_deref() == Some("HTTP/1.1 200"));
-        let request = || status_of(&common::platform("", "{}"));
+        let request = || status_of(&common::platform_request("", "{}"));
         wait_until("the router serves requests", &|| request().as_deref() == Some("HTTP/1.1 200"));
     });
     std::fs::remove_file(&path).unwrap();
@@ -411,11 +411,11 @@
     let (mut processes, mut waiting) = (Processes(Vec::new()), Vec::new());
     let start = Instant::now();
     for n in 0..ROUTERS {
-        let front = Reserved::on(ip).unwrap();
+        let front = ReservedAddress::on(ip).unwrap();
         let has_list = n % 10 != 0;
         let mut command = tallypin();
         command.arg("serve").env("PROXY_CONFIG", &paths[usize::from(!has_list)]).stderr(Stdio::null());
-        command.env("PROXY_LISTEN", front.at.to_string()).env("PROXY_DISCOVERY", &list_service);
+        command.env("PROXY_LISTEN", front.addr.to_string()).env("PROXY_DISCOVERY", &list_service);
         processes.0.push(command.spawn().unwrap());
         waiting.push((front, has_list));
     }
@@ -429,7 +429,7 @@
     let mut ready_after = Vec::new();
     while waiting.iter().any(|(_, has_list)| *has_list) {
         waiting.retain(|(front, has_list)| {
-            let ready = ready(front.at) == Some(true);
+            let ready = ready(front.addr) == Some(true);
             assert!(*has_list || !ready, "ready without a known replica");
             ready.then(|| ready_after.push(start.elapsed()));
             !ready
@@ -440,9 +440,9 @@
     println!("90% of routers ready after {percentile_90:?}, all after {last:?}");
     assert!(percentile_90 < Duration::from_secs(10), "{percentile_90:?}");
     for (front, _) in &waiting {
-        while ready(front.at).is_none() {
+        while ready(front.addr).is_none() {
             assert!(start.elapsed() < Duration::from_secs(30), "a router does not answer");
         }
-        assert_eq!(ready(front.at), Some(false), "a router without a known replica is not ready");
+        assert_eq!(ready(front.addr), Some(false), "a router without a known replica is not ready");
     }
 }
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -20,16 +20,17 @@
 /// connection reset, after which the request may have run.
 #[test]
 fn a_pooled_connection_that_closes_as_it_is_reused_is_replaced() {
-    run(async {
+    run_test(async {
         for front in [0, 1] {
-            let (router, listener) = by_hand(|l| l.replica_reuse_delay = Duration::ZERO).await;
+            let (router, listener) =
+                router_with_manual_replica(|l| l.replica_reuse_delay = Duration::ZERO).await;
             let (addr, request) = fronts(&router)[front];
-            let mut client = Client::to(addr).await;
+            let mut client = Client::connect(addr).await;
             client.send(&request()).await;
-            let mut node = asked(&listener).await;
-            node.send(&answer("first")).await;
-            assert_eq!(client.answer().await.0, 200);
-            until(|| router.components.replicas.connection_counts() == (1, 1)).await;
+            let mut node = accept_request(&listener).await;
+            node.send(&streamed_answer("first")).await;
+            assert_eq!(client.read_answer().await.0, 200);
+            wait_until(|| router.components.replicas.connection_counts() == (1, 1)).await;
             // Polls the idle connection, so that the router depends on a readiness event from here on.
             router.components.replicas.close_expired();
             let (mut client, node) = (into_blocking(client), into_blocking(node));
@@ -39,17 +40,17 @@
             let components = router.components.clone();
             let closing = tokio::task::spawn_local(async move {
                 while components.with_core(|core, _| core.open_requests()) == 0 {
-                    turns(1).await;
+                    yield_times(1).await;
                 }
                 node.shutdown(std::net::Shutdown::Write).unwrap();
                 wait_for_arrival(&[&node], Arrival::End);
             });
             closing.await.unwrap();
-            let mut second = asked(&listener).await;
-            second.send(&answer("second")).await;
+            let mut second = accept_request(&listener).await;
+            second.send(&streamed_answer("second")).await;
             let mut client = into_client(client);
-            assert!(client.answer().await.2.contains("second"), "front {front}");
-            assert_eq!(router.tallies().unanswered(), 0, "front {front}: no attempt was reset");
+            assert!(client.read_answer().await.2.contains("second"), "front {front}");
+            assert_eq!(router.request_counts().unanswered(), 0, "front {front}: no attempt was reset");
         }
     });
 }
@@ -57,39 +58,48 @@
 /// Guards against an attempt that is written to a replica that drained, moved, restarted or left after it was chosen.
 #[test]
 fn a_replica_that_drains_moves_or_restarts_after_the_choice_receives_no_attempt() {
-    run(async {
+    run_test(async {
         for front in [0, 1] {
             for change in ["drains", "moves", "restarts", "is gone"] {
-                let (first, second) = (Node::new(Chat).await, Node::new(Chat).await);
-                let router = Router::new(Chat, &[&first], |l| l.replica_reuse_delay = Duration::ZERO).await;
+                let (first, second) = (MockReplica::new(Chat).await, MockReplica::new(Chat).await);
+                let router =
+                    TestRouter::new(Chat, &[&first], |l| l.replica_reuse_delay = Duration::ZERO).await;
                 let (addr, request) = fronts(&router)[front];
-                let mut client = Client::to(addr).await;
+                let mut client = Client::connect(addr).await;
                 client.send(&request()).await;
-                assert_eq!(client.answer().await.0, 200);
-                until(|| router.components.replicas.connection_counts() == (1, 1)).await;
-                assert_eq!(first.so_far().1, 1);
+                assert_eq!(client.read_answer().await.0, 200);
+                wait_until(|| router.components.replicas.connection_counts() == (1, 1)).await;
+                assert_eq!(first.take_counts().1, 1);
                 client.send(&request()).await;
-                while router.open() == 0 {
-                    turns(1).await;
+                while router.open_requests() == 0 {
+                    yield_times(1).await;
                 }
-                let former = row("s-0", first.addr, "active");
+                let former = endpoint_record("s-0", first.addr, "active");
                 let listed = match change {
-                    "drains" => Some(row("s-0", first.addr, "leaving")),
-                    "moves" => Some(row("s-0", second.addr, "active")),
+                    "drains" => Some(endpoint_record("s-0", first.addr, "leaving")),
+                    "moves" => Some(endpoint_record("s-0", second.addr, "active")),
                     "restarts" => {
                         Some(tallypin_router::endpoint_list::EndpointRecord { started_ms: 1, ..former })
                     }
                     _ => None,
                 };
-                router.list(listed.into_iter().chain([row("s-1", second.addr, "active")]));
-                assert_eq!(client.answer().await.0, 200, "front {front}, {change}: another attempt succeeds");
+                router.set_endpoint_list(listed.into_iter().chain([endpoint_record(
+                    "s-1",
+                    second.addr,
+                    "active",
+                )]));
                 assert_eq!(
-                    first.so_far().1,
+                    client.read_answer().await.0,
+                    200,
+                    "front {front}, {change}: another attempt succeeds"
+                );
+                assert_eq!(
+                    first.take_counts().1,
                     0,
                     "front {front}: nothing is written to a replica that {change}"
                 );
-                assert_eq!(second.so_far().1, 1, "front {front}, {change}");
-                assert_eq!(router.tallies().unanswered(), 0, "front {front}, {change}");
+                assert_eq!(second.take_counts().1, 1, "front {front}, {change}");
+                assert_eq!(router.request_counts().unanswered(), 0, "front {front}, {change}");
             }
         }
     });
@@ -99,21 +109,21 @@
 /// arrived on it would be lost unread.
 #[test]
 fn a_request_that_arrives_as_its_idle_connection_closes_to_make_room_is_answered() {
-    run(async {
+    run_test(async {
         for front in [0, 1] {
-            let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node], |l| l.max_clients = 1).await;
+            let node = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&node], |l| l.max_clients = 1).await;
             let (addr, request) = fronts(&router)[front];
-            let mut idle = Client::to(addr).await;
+            let mut idle = Client::connect(addr).await;
             idle.send(&request()).await;
-            assert_eq!(idle.answer().await.0, 200);
+            assert_eq!(idle.read_answer().await.0, 200);
             let mut idle = into_blocking(idle);
-            until(|| router.components.clients.request_idle_close()).await;
+            wait_until(|| router.components.clients.request_idle_close()).await;
             // The connection's task was asked to close and has not run; it knows the readiness of the last poll only.
             idle.write_all(request().as_bytes()).unwrap();
             wait_for_arrival(&[&idle], Arrival::Data);
             let mut idle = into_client(idle);
-            let (status, _, _, complete) = idle.answer().await;
+            let (status, _, _, complete) = idle.read_answer().await;
             assert!(status == 200 && complete, "front {front}: {status}");
         }
     });
@@ -122,16 +132,17 @@
 /// Guards against a reset of a client that writes on an idle connection just as it is closed to make room.
 #[test]
 fn an_idle_connection_that_closes_to_make_room_is_not_reset() {
-    run(async {
+    run_test(async {
         for front in [0, 1] {
-            let node = Node::new(Chat).await;
+            let node = MockReplica::new(Chat).await;
             let router =
-                Router::new(Chat, &[&node], |l| (l.max_clients, l.final_read_duration) = (1, 200 * MS)).await;
+                TestRouter::new(Chat, &[&node], |l| (l.max_clients, l.final_read_duration) = (1, 200 * MS))
+                    .await;
             let (addr, request) = fronts(&router)[front];
-            let mut idle = Client::to(addr).await;
+            let mut idle = Client::connect(addr).await;
             idle.send(&request()).await;
-            assert_eq!(idle.answer().await.0, 200);
-            let mut next = Client::to(addr).await;
+            assert_eq!(idle.read_answer().await.0, 200);
+            let mut next = Client::connect(addr).await;
             let mut idle = into_blocking(idle);
             idle.set_nonblocking(true).unwrap();
             let mut buffer = [0; 8];
@@ -143,11 +154,15 @@
             };
             assert_eq!(closed.unwrap(), 0, "front {front}: the connection is shut down");
             idle.write_all(request().as_bytes()).unwrap();
-            turns(200).await;
+            yield_times(200).await;
             assert!(idle.take_error().unwrap().is_none(), "front {front}: the connection is not reset");
             next.send(&request()).await;
-            assert_eq!(next.answer().await.0, 200, "front {front}");
-            assert_eq!(node.so_far().1, 2, "front {front}: a request read after the shutdown is forwarded");
+            assert_eq!(next.read_answer().await.0, 200, "front {front}");
+            assert_eq!(
+                node.take_counts().1,
+                2,
+                "front {front}: a request read after the shutdown is forwarded"
+            );
         }
     });
 }
@@ -156,18 +171,18 @@
 /// byte.
 #[test]
 fn the_deadline_of_a_pipelined_request_runs_from_its_first_byte() {
-    run(async {
-        let node = Node::new(Chat).await;
-        node.plan(&[Fault::Slow]);
-        let router = Router::new(Chat, &[&node], |_| {}).await;
-        let mut client = Client::to(router.addr).await;
-        let pipelined =
-            platform("Req-Deadline-Ms: 900\r\n", "{}") + &platform("Req-Deadline-Ms: 900\r\n", "{}");
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        node.add_faults(&[ReplicaFault::SlowFirstEvent]);
+        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let mut client = Client::connect(router.addr).await;
+        let pipelined = platform_request("Req-Deadline-Ms: 900\r\n", "{}")
+            + &platform_request("Req-Deadline-Ms: 900\r\n", "{}");
         client.send(&pipelined).await;
         let (first, _) = node.next_request().await;
         let started_at = std::time::Instant::now();
-        let deadline_ms = |head: &str| field(head, "req-deadline-ms").unwrap().parse::<u64>().unwrap();
-        assert_eq!(client.answer().await.0, 200);
+        let deadline_ms = |head: &str| header_value(head, "req-deadline-ms").unwrap().parse::<u64>().unwrap();
+        assert_eq!(client.read_answer().await.0, 200);
         let (second, _) = node.next_request().await;
         assert!(started_at.elapsed() >= 40 * MS, "the first answer takes 40 ms");
         assert!(deadline_ms(&second) + 40 <= deadline_ms(&first), "{first}{second}");
@@ -176,14 +191,14 @@
 
 /// Accepts a watch of the endpoint list and sends the response head.
 async fn accept_watch(list: &TcpListener) -> TcpStream {
-    let mut watch = into_blocking(next_call(list).await.0);
+    let mut watch = into_blocking(accept_list_call(list).await.0);
     watch.set_nodelay(true).unwrap();
-    watch.write_all(WATCH.as_bytes()).unwrap();
+    watch.write_all(WATCH_HEAD.as_bytes()).unwrap();
     watch
 }
 
 /// Returns a router that watches one address of the endpoint list and has called another one after a reload, with both watches.
-async fn router_with_two_watches(node: &Node) -> (Router, TcpStream, TcpStream) {
+async fn router_with_two_watches(node: &MockReplica) -> (TestRouter, TcpStream, TcpStream) {
     let bind = || TcpListener::bind("127.0.0.1:0");
     let (former, new) = (bind().await.unwrap(), bind().await.unwrap());
     let mut config = Config::parse(CONFIG).unwrap();
@@ -191,10 +206,10 @@
     let mut moved = config.clone();
     moved.endpoint_list_agent = new.local_addr().unwrap();
     let running = StartupConfiguration::from_config(&config);
-    let router = Router::by(config, Chat, &[], None).await;
+    let router = TestRouter::with_config(config, Chat, &[], None).await;
     let mut old_watch = accept_watch(&former).await;
-    old_watch.write_all(page(41, true, "s-1", node, "active").as_bytes()).unwrap();
-    until(|| router.components.replicas.ready_count() == 1).await;
+    old_watch.write_all(list_message_chunk(41, true, "s-1", node, "active").as_bytes()).unwrap();
+    wait_until(|| router.components.replicas.ready_count() == 1).await;
     reload::apply(&router.components.endpoint_list.state, &running, &moved);
     let new_watch = accept_watch(&new).await;
     (router, old_watch, new_watch)
@@ -203,15 +218,15 @@
 /// Guards against a change from the former address that is applied after the list of the new address. Both are read in one poll.
 #[test]
 fn a_change_from_the_former_list_address_does_not_undo_the_new_list() {
-    run(async {
-        let node = Node::new(Chat).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
         let (router, mut old_watch, mut new_watch) = router_with_two_watches(&node).await;
-        turns(200).await;
-        new_watch.write_all(page(7, true, "s-1", &node, "leaving").as_bytes()).unwrap();
-        old_watch.write_all(page(42, false, "s-1", &node, "active").as_bytes()).unwrap();
+        yield_times(200).await;
+        new_watch.write_all(list_message_chunk(7, true, "s-1", &node, "leaving").as_bytes()).unwrap();
+        old_watch.write_all(list_message_chunk(42, false, "s-1", &node, "active").as_bytes()).unwrap();
         wait_for_arrival(&[&new_watch, &old_watch], Arrival::Data);
         let state = || router.components.with_core(|core, _| core.listed_replicas().map(|r| r.state).next());
-        until(|| state() != Some(tallypin::api::EndpointState::Ready)).await;
+        wait_until(|| state() != Some(tallypin::api::EndpointState::Ready)).await;
         for _ in 0..50 {
             tokio::task::yield_now().await;
             assert_eq!(
@@ -221,20 +236,20 @@
             );
         }
         // The router watches the new address from now on.
-        new_watch.write_all(page(8, false, "s-1", &node, "active").as_bytes()).unwrap();
-        until(|| state() == Some(tallypin::api::EndpointState::Ready)).await;
+        new_watch.write_all(list_message_chunk(8, false, "s-1", &node, "active").as_bytes()).unwrap();
+        wait_until(|| state() == Some(tallypin::api::EndpointState::Ready)).await;
     });
 }
 
 /// Guards against changes older than the known list: they would bring back a replica that is draining.
 #[test]
 fn an_older_version_of_the_list_is_ignored_unless_it_is_complete() {
-    run(async {
-        let node = Node::new(Chat).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = Config::parse(CONFIG).unwrap();
         config.endpoint_list_agent = list.local_addr().unwrap();
-        let router = Router::by(config, Chat, &[], None).await;
+        let router = TestRouter::with_config(config, Chat, &[], None).await;
         let mut watch = accept_watch(&list).await;
         let mut send = |page: String| watch.write_all(page.as_bytes()).unwrap();
         let state_of = |id: &str| {
@@ -243,16 +258,16 @@
                 core.listed_replicas().filter(|r| r.replica == id).map(|r| r.state).next()
             })
         };
-        send(page(41, true, "s-1", &node, "active"));
-        send(page(43, false, "s-1", &node, "leaving"));
-        send(page(42, false, "s-1", &node, "active"));
-        send(page(44, false, "s-2", &node, "active"));
-        until(|| state_of("s-2").is_some()).await;
+        send(list_message_chunk(41, true, "s-1", &node, "active"));
+        send(list_message_chunk(43, false, "s-1", &node, "leaving"));
+        send(list_message_chunk(42, false, "s-1", &node, "active"));
+        send(list_message_chunk(44, false, "s-2", &node, "active"));
+        wait_until(|| state_of("s-2").is_some()).await;
         assert_eq!(state_of("s-1"), Some(tallypin::api::EndpointState::Draining));
         // A restarted service numbers its versions from the beginning.
-        send(page(1, true, "s-3", &node, "active"));
-        until(|| state_of("s-3").is_some()).await;
-        send(page(2, false, "s-4", &node, "active"));
-        until(|| state_of("s-4").is_some()).await;
+        send(list_message_chunk(1, true, "s-3", &node, "active"));
+        wait_until(|| state_of("s-3").is_some()).await;
+        send(list_message_chunk(2, false, "s-4", &node, "active"));
+        wait_until(|| state_of("s-4").is_some()).await;
     });
 }
--- a/router/tests/recorded_operations.rs
+++ b/router/tests/recorded_operations.rs
@@ -12,7 +12,7 @@
 
 use bytes::{Bytes, BytesMut};
 use recorded::{hex, mask_number, Recording};
-use tallypin_test_support::mock_services::Reserved;
+use tallypin_test_support::mock_services::ReservedAddress;
 
 const CONFIG: &str = include_str!("../../examples/config.json");
 const TWO_ZONES: &str = include_str!("../../examples/two-zones.json");
@@ -345,7 +345,7 @@
     agent: SocketAddr,
     http: SocketAddr,
     grpc: SocketAddr,
-    _reserved: [Reserved; 5],
+    _reserved: [ReservedAddress; 5],
 }
 
 impl Drop for RunningRouter {
@@ -359,8 +359,8 @@
     /// Starts a router at an address used by this test alone. Its health settings make weight and state change at once.
     fn start(ip: &str, has_replica: bool, extra_checks: &str) -> RunningRouter {
         let directory = TestDirectory::new();
-        let reserved = [(); 5].map(|()| Reserved::on(ip).unwrap());
-        let [front, agent, http, grpc, replica] = [0, 1, 2, 3, 4].map(|index: usize| reserved[index].at);
+        let reserved = [(); 5].map(|()| ReservedAddress::on(ip).unwrap());
+        let [front, agent, http, grpc, replica] = [0, 1, 2, 3, 4].map(|index: usize| reserved[index].addr);
         let endpoint = format!(r#"{{"id": "s-0", "addr": "{replica}", "state": "active"}}"#);
         let known_list = format!(
             r#""known": {{"version": 1, "full": true, "servers": [{}]}},"#,
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -39,14 +39,14 @@
 
 /// Sends a request and returns its raw answer, with a mark that says whether the connection accepts another request.
 async fn exchange(addr: std::net::SocketAddr, request: &str) -> Vec<u8> {
-    let mut client = Client::to(addr).await;
+    let mut client = Client::connect(addr).await;
     client.send(request).await;
     let mut raw = raw_answer(&mut client).await;
     if raw.ends_with(b"<closed>") {
         return raw;
     }
     client.send("GET /up HTTP/1.1\r\nHost: b\r\n\r\n").await;
-    raw.extend_from_slice(match client.answer().await.0 {
+    raw.extend_from_slice(match client.read_answer().await.0 {
         0 => b"<then closed>",
         _ => b"<stays open>",
     });
@@ -54,18 +54,22 @@
 }
 
 /// Starts a router with one replica that meets these faults.
-async fn router(dialect: Dialect, faults: &[Fault], change: impl FnOnce(&mut Limits)) -> (Router, Node) {
-    let node = Node::new(dialect).await;
-    node.plan(faults);
-    let router = Router::new(dialect, &[&node], change).await;
+async fn router(
+    dialect: Dialect,
+    faults: &[ReplicaFault],
+    change: impl FnOnce(&mut Limits),
+) -> (TestRouter, MockReplica) {
+    let node = MockReplica::new(dialect).await;
+    node.add_faults(faults);
+    let router = TestRouter::new(dialect, &[&node], change).await;
     (router, node)
 }
 
 /// Starts a router whose settings forbid a retry of a request that may have run.
-async fn router_with_side_effects(node: &Node) -> Router {
+async fn router_with_side_effects(node: &MockReplica) -> TestRouter {
     let mut config = config();
     config.deployment.decision_settings.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
-    Router::by(config, Chat, &[node], None).await
+    TestRouter::with_config(config, Chat, &[node], None).await
 }
 
 const CHAT_BODY: &str = r#"{"model":"m","stream":true,"temperature":0.5,"stop":["x"],"messages":[
@@ -82,18 +86,18 @@
 
 /// Returns the body of a request without streaming.
 fn message_without_streaming() -> String {
-    MESSAGE.replace("\"stream\":true,", "")
+    MESSAGES_BODY.replace("\"stream\":true,", "")
 }
 
 #[test]
 fn streams_of_the_platform_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("platform-streams");
         for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
             for (title, fault) in [
-                ("served", Fault::None),
-                ("with an unknown event", Fault::UnknownEvent),
-                ("broken", Fault::Break),
+                ("served", ReplicaFault::None),
+                ("with an unknown event", ReplicaFault::UnknownEvent),
+                ("broken", ReplicaFault::CloseAfterFirstText),
             ] {
                 let (router, _node) = router(dialect, &[fault], |_| {}).await;
                 recording.case(
@@ -111,32 +115,33 @@
 
 #[test]
 fn streams_and_complete_answers_of_the_messages_api_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("messages-streams");
         for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
             for (title, fault) in [
-                ("served", Fault::None),
-                ("with an unknown event", Fault::UnknownEvent),
-                ("broken", Fault::Break),
+                ("served", ReplicaFault::None),
+                ("with an unknown event", ReplicaFault::UnknownEvent),
+                ("broken", ReplicaFault::CloseAfterFirstText),
             ] {
-                for (form, body) in [("stream", MESSAGE.to_string()), ("whole", message_without_streaming())]
+                for (form, body) in
+                    [("stream", MESSAGES_BODY.to_string()), ("whole", message_without_streaming())]
                 {
                     let (router, _node) = router(dialect, &[fault], |_| {}).await;
-                    let raw = exchange(router.messages, &messages("", &body)).await;
+                    let raw = exchange(router.messages_addr, &messages_request("", &body)).await;
                     recording.case(&format!("{nodes}, {form}, {title}"), raw);
                 }
             }
             let (router, _node) = router(dialect, &[], |_| {}).await;
-            let last = messages("Connection: close\r\n", MESSAGE);
-            recording.case(&format!("{nodes}, asked to close"), exchange(router.messages, &last).await);
-            let mut client = Client::to(router.messages).await;
+            let last = messages_request("Connection: close\r\n", MESSAGES_BODY);
+            recording.case(&format!("{nodes}, asked to close"), exchange(router.messages_addr, &last).await);
+            let mut client = Client::connect(router.messages_addr).await;
             for title in ["second", "third"] {
-                client.send(&messages("", &message_without_streaming())).await;
+                client.send(&messages_request("", &message_without_streaming())).await;
                 recording.case(&format!("{nodes}, {title} answer"), raw_answer(&mut client).await);
             }
         }
         let (router, _node) = router(Chat, &[], |l| l.max_collected_answer_size = 4).await;
-        let raw = exchange(router.messages, &messages("", &message_without_streaming())).await;
+        let raw = exchange(router.messages_addr, &messages_request("", &message_without_streaming())).await;
         recording.case("too long to be given whole", raw);
         recording.check();
     });
@@ -144,29 +149,33 @@
 
 /// Records the answers that both fronts give, each in its own form.
 async fn record_common_answers(recording: &mut Recording, front: usize) {
-    let addr_of = |router: &Router| if front == 0 { router.addr } else { router.messages };
+    let addr_of = |router: &TestRouter| if front == 0 { router.addr } else { router.messages_addr };
     let request = |fields: &str| match front {
         0 => platform_with_id("a", fields, "{}"),
-        _ => messages(fields, MESSAGE),
+        _ => messages_request(fields, MESSAGES_BODY),
     };
     let deadline = ["Req-Deadline-Ms: 40\r\n", "x-deadline-ms: 40\r\n"][front];
-    let (no_replicas, _node) = (Router::new(Chat, &[], |_| {}).await, ());
+    let (no_replicas, _node) = (TestRouter::new(Chat, &[], |_| {}).await, ());
     recording.case("no capacity", exchange(addr_of(&no_replicas), &request("")).await);
-    let faults = [("error", Fault::Error), ("reset", Fault::Reset), ("declined", Fault::Decline)];
+    let faults = [
+        ("error", ReplicaFault::Error),
+        ("reset", ReplicaFault::CloseBeforeAnswer),
+        ("declined", ReplicaFault::Decline),
+    ];
     for (title, fault) in faults {
         let (router, _node) = router(Chat, &[fault; 8], |_| {}).await;
         recording.masked(title, Mask::RetryAfterDigits, exchange(addr_of(&router), &request(deadline)).await);
     }
-    let (idempotent, _node) = router(Chat, &[Fault::Mute; 8], |_| {}).await;
+    let (idempotent, _node) = router(Chat, &[ReplicaFault::NoAnswer; 8], |_| {}).await;
     let raw = exchange(addr_of(&idempotent), &request(deadline)).await;
     recording.masked("late, may be repeated", Mask::RetryAfterDigits, raw);
-    let node = Node::new(Chat).await;
-    node.plan(&[Fault::Mute; 8]);
+    let node = MockReplica::new(Chat).await;
+    node.add_faults(&[ReplicaFault::NoAnswer; 8]);
     let not_idempotent = router_with_side_effects(&node).await;
     recording
         .case("late, must not be repeated", exchange(addr_of(&not_idempotent), &request(deadline)).await);
-    let node = Node::new(Chat).await;
-    node.plan(&[Fault::Reset; 8]);
+    let node = MockReplica::new(Chat).await;
+    node.add_faults(&[ReplicaFault::CloseBeforeAnswer; 8]);
     let not_idempotent = router_with_side_effects(&node).await;
     recording.case("failed, must not be repeated", exchange(addr_of(&not_idempotent), &request("")).await);
     let (shared, _node) = router(Chat, &[], |_| {}).await;
@@ -182,15 +191,15 @@
     recording.case("too many open requests", exchange(addr_of(&full), &request("")).await);
     let (small, _node) = router(Chat, &[], |l| l.body_budget = 1).await;
     recording.case("no room for the body", exchange(addr_of(&small), &request("")).await);
-    let (crowded, _node) = router(Chat, &[Fault::Mute; 2], |l| l.max_clients = 1).await;
-    let mut first = Client::to(addr_of(&crowded)).await;
+    let (crowded, _node) = router(Chat, &[ReplicaFault::NoAnswer; 2], |l| l.max_clients = 1).await;
+    let mut first = Client::connect(addr_of(&crowded)).await;
     first
         .send(&match front {
             0 => platform_with_id("first", "", "{}"),
-            _ => messages("", MESSAGE),
+            _ => messages_request("", MESSAGES_BODY),
         })
         .await;
-    until(|| crowded.open() == 1).await;
+    wait_until(|| crowded.open_requests() == 1).await;
     let up = "GET /up HTTP/1.1\r\nHost: b\r\n\r\n";
     recording.case("too many connections", exchange(addr_of(&crowded), &request("")).await);
     recording.case("too many connections, asks for the state", exchange(addr_of(&crowded), up).await);
@@ -198,20 +207,20 @@
 
 #[test]
 fn answers_of_the_platform_other_than_streams_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("platform-answers");
         record_common_answers(&mut recording, 0).await;
-        let (router, node) = router(Chat, &[Fault::Mute], |_| {}).await;
-        let mut first = Client::to(router.addr).await;
+        let (router, node) = router(Chat, &[ReplicaFault::NoAnswer], |_| {}).await;
+        let mut first = Client::connect(router.addr).await;
         first.send(&platform_with_id("twice", "", "{}")).await;
         node.next_request().await;
         recording
             .case("the name of another", exchange(router.addr, &platform_with_id("twice", "", "{}")).await);
         drop(first);
         // The stream to the platform front is interrupted before its first byte was relayed.
-        until(|| router.open() == 0).await;
-        let (cut, node) = self::router(Chat, &[Fault::Mute], |_| {}).await;
-        let mut client = Client::to(cut.addr).await;
+        wait_until(|| router.open_requests() == 0).await;
+        let (cut, node) = self::router(Chat, &[ReplicaFault::NoAnswer], |_| {}).await;
+        let mut client = Client::connect(cut.addr).await;
         client.send(&platform_with_id("cut", "", "{}")).await;
         node.next_request().await;
         cut.components.with_core(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
@@ -223,7 +232,7 @@
 
 #[test]
 fn answers_of_the_messages_api_other_than_streams_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("messages-answers");
         record_common_answers(&mut recording, 1).await;
         recording.check();
@@ -234,7 +243,7 @@
 async fn record_bad_input(recording: &mut Recording, front: usize, good: &str) {
     let (router, _node) =
         router(Chat, &[], |l| (l.max_body_size, l.max_head_size, l.max_fields) = (1024, 2048, 16)).await;
-    let addr = if front == 0 { router.addr } else { router.messages };
+    let addr = if front == 0 { router.addr } else { router.messages_addr };
     let (head, _) = good.split_once("\r\n\r\n").unwrap();
     let unframed = head[..head.rfind("\r\n").unwrap()].to_string();
     let (first_line, rest) = good.split_once("\r\n").unwrap();
@@ -266,12 +275,12 @@
         recording.case(title, exchange(addr, &text).await);
     }
     let (slow, _node) = self::router(Chat, &[], |l| l.request_read_timeout = 30 * MS).await;
-    let addr = if front == 0 { slow.addr } else { slow.messages };
+    let addr = if front == 0 { slow.addr } else { slow.messages_addr };
     recording.case("half a request", exchange(addr, &good[..good.len() - 1]).await);
     let (body, length) = (good.split_once("\r\n\r\n").unwrap().1, good.len() - head.len() - 4);
     let (router, _node) = self::router(Chat, &[], |_| {}).await;
-    let addr = if front == 0 { router.addr } else { router.messages };
-    let mut client = Client::to(addr).await;
+    let addr = if front == 0 { router.addr } else { router.messages_addr };
+    let mut client = Client::connect(addr).await;
     client.send(&format!("{head}\r\nExpect: 100-continue\r\n\r\n")).await;
     let mut raw = raw_answer(&mut client).await;
     client.send(body).await;
@@ -283,7 +292,7 @@
 
 #[test]
 fn answers_of_the_platform_to_bad_input_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("platform-bad-input");
         let good = platform_with_id("a", "", "{}");
         record_bad_input(&mut recording, 0, &good).await;
@@ -315,28 +324,28 @@
 
 #[test]
 fn answers_of_the_messages_api_to_bad_input_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("messages-bad-input");
-        record_bad_input(&mut recording, 1, &messages("", MESSAGE)).await;
+        record_bad_input(&mut recording, 1, &messages_request("", MESSAGES_BODY)).await;
         let (router, _node) = router(Chat, &[], |_| {}).await;
-        let picture = MESSAGE.replace("\"type\":\"text\"", "\"type\":\"image\"");
+        let picture = MESSAGES_BODY.replace("\"type\":\"text\"", "\"type\":\"image\"");
         for (title, text) in [
-            ("no JSON", messages("", "{")),
-            ("no body", messages("", "")),
-            ("no bound", messages("", &MESSAGE.replace("\"max_tokens\":64,", ""))),
-            ("a bound of none", messages("", &MESSAGE.replace("64", "0"))),
-            ("a picture", messages("", &picture)),
-            ("another role", messages("", &MESSAGE.replace("\"user\"", "\"system\""))),
-            ("a field of another type", messages("", &MESSAGE.replace("64", "\"64\""))),
-            ("no message", messages("", r#"{"model":"refund-chat","max_tokens":1,"messages":[]}"#)),
-            ("an unknown model", messages("", &MESSAGE.replace("refund-chat", "poet"))),
-            ("an unknown partner", messages("", MESSAGE).replace("haendlerbund", "nobody")),
-            ("no partner", messages("", MESSAGE).replace("x-partner", "x-other")),
-            ("a bad wait", messages("x-deadline-ms: soon\r\n", MESSAGE)),
-            ("no wait", messages("x-deadline-ms: 0\r\n", MESSAGE)),
-            ("two keys", messages("Idempotency-Key: a\r\nIdempotency-Key: b\r\n", MESSAGE)),
+            ("no JSON", messages_request("", "{")),
+            ("no body", messages_request("", "")),
+            ("no bound", messages_request("", &MESSAGES_BODY.replace("\"max_tokens\":64,", ""))),
+            ("a bound of none", messages_request("", &MESSAGES_BODY.replace("64", "0"))),
+            ("a picture", messages_request("", &picture)),
+            ("another role", messages_request("", &MESSAGES_BODY.replace("\"user\"", "\"system\""))),
+            ("a field of another type", messages_request("", &MESSAGES_BODY.replace("64", "\"64\""))),
+            ("no message", messages_request("", r#"{"model":"refund-chat","max_tokens":1,"messages":[]}"#)),
+            ("an unknown model", messages_request("", &MESSAGES_BODY.replace("refund-chat", "poet"))),
+            ("an unknown partner", messages_request("", MESSAGES_BODY).replace("haendlerbund", "nobody")),
+            ("no partner", messages_request("", MESSAGES_BODY).replace("x-partner", "x-other")),
+            ("a bad wait", messages_request("x-deadline-ms: soon\r\n", MESSAGES_BODY)),
+            ("no wait", messages_request("x-deadline-ms: 0\r\n", MESSAGES_BODY)),
+            ("two keys", messages_request("Idempotency-Key: a\r\nIdempotency-Key: b\r\n", MESSAGES_BODY)),
         ] {
-            recording.case(title, exchange(router.messages, &text).await);
+            recording.case(title, exchange(router.messages_addr, &text).await);
         }
         recording.check();
     });
@@ -344,20 +353,20 @@
 
 #[test]
 fn health_check_answers_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("health");
         for (stage, nodes) in [(Stage::Serving, 1), (Stage::Serving, 0), (Stage::Grace, 1)] {
-            let node = Node::new(Chat).await;
-            let router = Router::new(Chat, &[&node][..nodes], |_| {}).await;
+            let node = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&node][..nodes], |_| {}).await;
             router.components.lifecycle.enter(stage);
-            for (front, addr) in [("platform", router.addr), ("messages", router.messages)] {
+            for (front, addr) in [("platform", router.addr), ("messages", router.messages_addr)] {
                 for path in ["/up", "/healthz", "/up?query"] {
                     for method in ["GET", "HEAD", "POST"] {
                         let title = format!(
                             "{front}, drain {}, {nodes} nodes, {method} {path}",
                             stage != Stage::Serving
                         );
-                        let mut client = Client::to(addr).await;
+                        let mut client = Client::connect(addr).await;
                         client
                             .send(&format!(
                                 "{method} {path} HTTP/1.1\r\nHost: b\r\nConnection: close\r\n\r\n"
@@ -367,7 +376,7 @@
                         client.stream.read_to_end(&mut raw).await.unwrap();
                         recording.case(&title, raw);
                         drop(client);
-                        until(|| router.components.clients.open() == 0).await;
+                        wait_until(|| router.components.clients.open() == 0).await;
                     }
                 }
             }
@@ -378,7 +387,7 @@
 
 #[test]
 fn answers_during_shutdown_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("shutdown");
         for (title, stage) in
             [("grace", Stage::Grace), ("parting", Stage::AnnouncingClose), ("refusing", Stage::Rejecting)]
@@ -387,12 +396,12 @@
                 let (router, _node) = router(Chat, &[], |l| l.final_read_duration = 300 * MS).await;
                 let (addr, request) = match front {
                     0 => (router.addr, platform_with_id("a", "", "{}")),
-                    _ => (router.messages, messages("", MESSAGE)),
+                    _ => (router.messages_addr, messages_request("", MESSAGES_BODY)),
                 };
-                let mut client = Client::to(addr).await;
+                let mut client = Client::connect(addr).await;
                 let (first, rest) = request.split_at(20);
                 client.send(first).await;
-                until(|| router.components.clients.open() == 1).await;
+                wait_until(|| router.components.clients.open() == 1).await;
                 router.components.lifecycle.enter(stage);
                 client.send(rest).await;
                 let mut raw = raw_answer(&mut client).await;
@@ -402,7 +411,7 @@
                 recording.case(&format!("{title}, front {front}"), raw);
                 drop(client);
                 let bad = request.replacen("POST", "PUT", 1);
-                let mut client = Client::to(addr).await;
+                let mut client = Client::connect(addr).await;
                 client.send(&bad).await;
                 recording.case(&format!("{title}, front {front}, bad input"), raw_answer(&mut client).await);
             }
@@ -413,11 +422,12 @@
 
 #[test]
 fn requests_to_replicas_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("node-requests");
         for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
             let (router, node) = router(dialect, &[], |_| {}).await;
-            let resumed = MESSAGE.replace("}]}]}", "}]},{\"role\":\"assistant\",\"content\":\"Your\"}]}");
+            let resumed =
+                MESSAGES_BODY.replace("}]}]}", "}]},{\"role\":\"assistant\",\"content\":\"Your\"}]}");
             for (title, addr, request) in [
                 ("platform", router.addr, platform_with_id("a", "", CHAT_BODY)),
                 (
@@ -432,10 +442,18 @@
                     router.addr,
                     platform_with_id("e", "Idempotency-Key: k-1\r\n", CHAT_BODY),
                 ),
-                ("messages", router.messages, messages("", MESSAGE)),
-                ("messages, whole", router.messages, messages("", &message_without_streaming())),
-                ("messages, resumed", router.messages, messages("x-resume-of: msg_1\r\n", &resumed)),
-                ("messages, with a key", router.messages, messages("Idempotency-Key: k-1\r\n", MESSAGE)),
+                ("messages", router.messages_addr, messages_request("", MESSAGES_BODY)),
+                ("messages, whole", router.messages_addr, messages_request("", &message_without_streaming())),
+                (
+                    "messages, resumed",
+                    router.messages_addr,
+                    messages_request("x-resume-of: msg_1\r\n", &resumed),
+                ),
+                (
+                    "messages, with a key",
+                    router.messages_addr,
+                    messages_request("Idempotency-Key: k-1\r\n", MESSAGES_BODY),
+                ),
             ] {
                 let raw = exchange(addr, &request).await;
                 assert!(raw.starts_with(b"HTTP/1.1 200"), "{title}: {}", String::from_utf8_lossy(&raw));
@@ -449,8 +467,8 @@
             if !names {
                 config.deployment.report_field_names.clear();
             }
-            let node = Node::new(Chat).await;
-            let router = Router::by(config, Chat, &[&node], None).await;
+            let node = MockReplica::new(Chat).await;
+            let router = TestRouter::with_config(config, Chat, &[&node], None).await;
             tokio::task::spawn_local(replica::probe(
                 router.components.replica_context.clone(),
                 router.components.dispatcher.clone(),
@@ -464,12 +482,12 @@
 
 #[test]
 fn endpoint_list_calls_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("node-list-calls");
         for (title, mode) in
             [("asked", config().deployment.decision_settings.list_mode), ("pushed", EndpointListMode::Pushed)]
         {
-            let node = Node::new(Chat).await;
+            let node = MockReplica::new(Chat).await;
             let ports = [(); 2].map(|()| ReservedPort::new());
             let (old, new) = (ports[0].listen().await, ports[1].listen().await);
             let mut config = config();
@@ -477,17 +495,18 @@
                 (mode, ports[0].addr());
             config.limits.list_call_interval = 10 * MS;
             let (running, mut moved) = (StartupConfiguration::from_config(&config), config.clone());
-            let router = Router::by(config, Chat, &[], None).await;
-            let (mut call, head) = next_call(&old).await;
+            let router = TestRouter::with_config(config, Chat, &[], None).await;
+            let (mut call, head) = accept_list_call(&old).await;
             recording.case(&format!("{title}, the first call"), head);
-            call.send(&(WATCH.to_string() + &page(41, true, "s-1", &node, "active"))).await;
-            until(|| router.components.replicas.ready_count() == 1).await;
+            call.send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &node, "active")))
+                .await;
+            wait_until(|| router.components.replicas.ready_count() == 1).await;
             drop(call);
-            let (_call, head) = next_call(&old).await;
+            let (_call, head) = accept_list_call(&old).await;
             recording.case(&format!("{title}, after a loss"), head);
             moved.endpoint_list_agent = ports[1].addr();
             reload::apply(&router.components.endpoint_list.state, &running, &moved);
-            let (_call, head) = next_call(&new).await;
+            let (_call, head) = accept_list_call(&new).await;
             recording.case(&format!("{title}, at a new place"), head);
         }
         recording.check();
@@ -500,7 +519,7 @@
 
 #[test]
 fn datagrams_to_other_routers_match_the_recording() {
-    run(async {
+    run_test(async {
         let mut recording = Recording::new("datagrams");
         let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
         let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
@@ -512,7 +531,8 @@
         let peers = Peers::new(addresses, PeerId(0), digest).await.unwrap();
         let mut buf = [0; 512];
         for counts in [&[(3, 0), (200, 1), (70_000, 130)][..], &[(1, 0)], &[]] {
-            let typed: Vec<_> = counts.iter().map(|&(requests, tenant)| served(requests, tenant)).collect();
+            let typed: Vec<_> =
+                counts.iter().map(|&(requests, tenant)| served_count(requests, tenant)).collect();
             for message in tallypin::served_report::encode(digest, 500, &typed) {
                 peers.gossip(&message);
                 let (length, from) = other.recv_from(&mut buf).await.unwrap();
@@ -521,10 +541,10 @@
             }
         }
         // A report of a running router: the time span that it covers depends on the clock.
-        let node = Node::new(Chat).await;
-        let router = Router::by(config, Chat, &[&node], Some(peers)).await;
-        let mut client = Client::to(router.addr).await;
-        assert_eq!(client.ask("").await.0, 200);
+        let node = MockReplica::new(Chat).await;
+        let router = TestRouter::with_config(config, Chat, &[&node], Some(peers)).await;
+        let mut client = Client::connect(router.addr).await;
+        assert_eq!(client.send_platform_request("").await.0, 200);
         let (length, _) = other.recv_from(&mut buf).await.unwrap();
         let message = &buf[..length];
         let span = message[3..].iter().position(|b| *b < 0x80).unwrap() + 1;
--- a/router/tests/recording/mod.rs
+++ b/router/tests/recording/mod.rs
@@ -4,7 +4,7 @@
 
 use tokio::io::AsyncReadExt;
 
-use crate::common::{field, Client};
+use crate::common::{header_value, Client};
 
 /// Path of a recording.
 pub fn path(name: &str) -> PathBuf {
@@ -113,8 +113,8 @@
     if head.starts_with("HTTP/1.1 100") {
         return Some(head_length);
     }
-    if field(head, "transfer-encoding").is_none() {
-        let length: usize = field(head, "content-length").map_or(0, |l| l.parse().unwrap());
+    if header_value(head, "transfer-encoding").is_none() {
+        let length: usize = header_value(head, "content-length").map_or(0, |l| l.parse().unwrap());
         return (buf.len() >= head_length + length).then_some(head_length + length);
     }
     let mut at = head_length;
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -16,22 +16,22 @@
 /// Guards against two requests with one id: model nodes would take them for copies of one request.
 #[test]
 fn a_request_id_in_use_is_rejected_and_its_first_request_is_served() {
-    run(async {
-        let node = Node::new(Chat).await;
-        node.plan(&[Fault::Slow]);
-        let router = Router::new(Chat, &[&node], |l| l.max_remembered_requests = 1).await;
-        let (mut owner, mut other) = (Client::to(router.addr).await, Client::to(router.addr).await);
-        let request = platform("", "{}");
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        node.add_faults(&[ReplicaFault::SlowFirstEvent]);
+        let router = TestRouter::new(Chat, &[&node], |l| l.max_remembered_requests = 1).await;
+        let (mut owner, mut other) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
+        let request = platform_request("", "{}");
         owner.send(&request).await;
         node.next_request().await;
         other.send(&request).await;
-        assert_eq!(other.answer().await.0, 409);
-        assert_eq!((owner.answer().await.0, node.so_far().1), (200, 0));
+        assert_eq!(other.read_answer().await.0, 409);
+        assert_eq!((owner.read_answer().await.0, node.take_counts().1), (200, 0));
         // A late copy is still rejected; after further requests, the id is forgotten.
         other.send(&request).await;
-        assert_eq!(other.answer().await.0, 409);
+        assert_eq!(other.read_answer().await.0, 409);
         for _ in 0..2 {
-            assert_eq!(owner.ask("").await.0, 200);
+            assert_eq!(owner.send_platform_request("").await.0, 200);
         }
         assert_eq!(router.components.request_ids.len(), 1);
     });
@@ -40,51 +40,52 @@
 /// Guards against idle connections that take up the limit at the expense of active ones.
 #[test]
 fn idle_connections_are_closed_before_those_with_a_partial_request() {
-    run(async {
-        let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| {
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&node], |l| {
             (l.max_clients, l.client_eviction_idle_time) = (3, Duration::ZERO)
         })
         .await;
-        let mut active = Client::to(router.addr).await;
-        assert_eq!(active.ask("").await.0, 200);
-        let mut partial = Client::to(router.addr).await;
-        let request = platform("", "{}");
+        let mut active = Client::connect(router.addr).await;
+        assert_eq!(active.send_platform_request("").await.0, 200);
+        let mut partial = Client::connect(router.addr).await;
+        let request = platform_request("", "{}");
         partial.send(&request[..20]).await;
         let mut silent = Vec::new();
         for _ in 0..40 {
-            silent.push(Client::to(router.addr).await);
+            silent.push(Client::connect(router.addr).await);
         }
         for client in &mut silent[..39] {
-            assert_eq!(client.answer().await.0, 0, "closed because the limit is exceeded");
+            assert_eq!(client.read_answer().await.0, 0, "closed because the limit is exceeded");
         }
         partial.send(&request[20..]).await;
-        assert_eq!((partial.answer().await.0, active.ask("").await.0), (200, 200));
+        assert_eq!((partial.read_answer().await.0, active.send_platform_request("").await.0), (200, 200));
         // Connections told to close are still read for a moment. The limit is no longer exceeded, so no other
         // connection is closed.
-        until(|| router.components.clients.open() <= 3).await;
+        wait_until(|| router.components.clients.open() <= 3).await;
         assert_eq!(
             (router.components.clients.open(), router.components.clients.has_closing_connection()),
             (3, false)
         );
-        silent[39].send(&platform("", "{}")).await;
-        assert_eq!(silent[39].answer().await.0, 200);
+        silent[39].send(&platform_request("", "{}")).await;
+        assert_eq!(silent[39].read_answer().await.0, 200);
     });
 }
 
 /// Guards against clients that hold a connection without sending a request, or never complete one.
 #[test]
 fn the_first_request_must_arrive_completely_within_its_timeout() {
-    run(async {
-        let router = Router::new(Chat, &[], |l| {
+    run_test(async {
+        let router = TestRouter::new(Chat, &[], |l| {
             (l.first_request_timeout, l.request_read_timeout) = (60 * MS, 90 * MS)
         })
         .await;
-        let (mut silent, mut partial) = (Client::to(router.addr).await, Client::to(router.addr).await);
+        let (mut silent, mut partial) =
+            (Client::connect(router.addr).await, Client::connect(router.addr).await);
         tokio::time::sleep(30 * MS).await; // the timeout runs from the connection, not from the first byte
         partial.send("POST /v1/chat").await;
         let started = Instant::now();
-        assert_eq!((silent.answer().await.0, partial.answer().await.0), (0, 408));
+        assert_eq!((silent.read_answer().await.0, partial.read_answer().await.0), (0, 408));
         assert!(started.elapsed() < 85 * MS, "{:?}", started.elapsed());
     });
 }
@@ -92,42 +93,42 @@
 /// Guards against bodies that are announced and never sent, which would use up the budget of other requests.
 #[test]
 fn a_body_counts_against_the_budget_as_it_arrives() {
-    run(async {
-        let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| l.body_budget = 1000).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&node], |l| l.body_budget = 1000).await;
         let mut announced = Vec::new();
         for fields in ["Transfer-Encoding: chunked\r\n", "Content-Length: 900\r\n"].repeat(4) {
-            let mut client = Client::to(router.addr).await;
-            client.send(&platform(fields, "").replace("Content-Length: 0\r\n", "")).await;
+            let mut client = Client::connect(router.addr).await;
+            client.send(&platform_request(fields, "").replace("Content-Length: 0\r\n", "")).await;
             announced.push(client);
         }
-        until(|| router.components.clients.open() == 8).await;
-        let mut active = Client::to(router.addr).await;
-        active.send(&platform("", &"x".repeat(900))).await;
-        assert_eq!(active.answer().await.0, 200);
-        let mut large = Client::to(router.addr).await;
-        large.send(&platform("", &"x".repeat(1001))).await;
-        assert_eq!(large.answer().await.0, 503);
+        wait_until(|| router.components.clients.open() == 8).await;
+        let mut active = Client::connect(router.addr).await;
+        active.send(&platform_request("", &"x".repeat(900))).await;
+        assert_eq!(active.read_answer().await.0, 200);
+        let mut large = Client::connect(router.addr).await;
+        large.send(&platform_request("", &"x".repeat(1001))).await;
+        assert_eq!(large.read_answer().await.0, 503);
     });
 }
 
 /// Guards against a client that takes up the processor because it retries at once whenever it is rejected.
 #[test]
 fn a_client_that_keeps_retrying_at_once_is_not_read_for_a_while() {
-    run(async {
+    run_test(async {
         let router =
-            Router::new(Chat, &[], |l| (l.max_immediate_retries, l.immediate_retry_pause) = (2, 50 * MS))
+            TestRouter::new(Chat, &[], |l| (l.max_immediate_retries, l.immediate_retry_pause) = (2, 50 * MS))
                 .await;
-        let mut hasty = Client::to(router.addr).await;
+        let mut hasty = Client::connect(router.addr).await;
         let started = Instant::now();
-        hasty.send(&(0..6).map(|_| platform("", "{}")).collect::<String>()).await;
+        hasty.send(&(0..6).map(|_| platform_request("", "{}")).collect::<String>()).await;
         for _ in 0..6 {
-            assert_eq!(hasty.answer().await.0, 503);
+            assert_eq!(hasty.read_answer().await.0, 503);
         }
         assert!(started.elapsed() >= 150 * MS, "{:?}", started.elapsed());
-        let (mut calm, started) = (Client::to(router.addr).await, Instant::now());
+        let (mut calm, started) = (Client::connect(router.addr).await, Instant::now());
         for _ in 0..6 {
-            assert_eq!(calm.ask("").await.0, 503);
+            assert_eq!(calm.send_platform_request("").await.0, 503);
             tokio::time::sleep(25 * MS).await;
         }
         assert!(started.elapsed() < 250 * MS, "{:?}", started.elapsed());
@@ -138,12 +139,12 @@
 /// only after the complete response, and the connection must not be reused.
 #[test]
 fn a_corrupted_stream_fails_and_its_connection_is_not_reused() {
-    run(async {
+    run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let router = Router::new(Chat, &[], |l| l.response_head_timeout = 80 * MS).await;
-        let first = HEAD.to_string() + &chunk(CHAT[0]);
+        let router = TestRouter::new(Chat, &[], |l| l.response_head_timeout = 80 * MS).await;
+        let first = STREAM_HEAD.to_string() + &chunk(CHAT[0]);
         let valid_response =
-            HEAD.to_string() + &CHAT.iter().map(|e| chunk(e)).collect::<String>() + "0\r\n\r\n";
+            STREAM_HEAD.to_string() + &CHAT.iter().map(|e| chunk(e)).collect::<String>() + "0\r\n\r\n";
         let interim = "HTTP/1.1 100 Continue\r\n\r\n";
         let invalid_load =
             valid_response.replacen("\r\n", "\r\nSrv-Load: TEXT q=nan, eps=-1, latency_ms=1e999\r\n", 1);
@@ -153,7 +154,7 @@
             ("invalid bytes", "\0\u{1}garbage\r\n\r\n".to_string(), refused.clone()),
             (
                 "a head that is too long",
-                HEAD.replace("\r\n\r\n", &"\r\nX-A: b".repeat(3000)),
+                STREAM_HEAD.replace("\r\n\r\n", &"\r\nX-A: b".repeat(3000)),
                 refused.clone(),
             ),
             ("a head that is incomplete", "HTTP/1.1 200 O".to_string(), refused.clone()),
@@ -187,23 +188,27 @@
         .enumerate()
         {
             // Each case uses a new replica id, so that failures of one do not affect the next.
-            router.list([row(&format!("s-{n}"), listener.local_addr().unwrap(), "active")]);
+            router.set_endpoint_list([endpoint_record(
+                &format!("s-{n}"),
+                listener.local_addr().unwrap(),
+                "active",
+            )]);
             let started = Instant::now();
-            let mut client = Client::to(router.addr).await;
-            client.send(&platform("Req-Deadline-Ms: 700\r\n", "{}")).await;
+            let mut client = Client::connect(router.addr).await;
+            client.send(&platform_request("Req-Deadline-Ms: 700\r\n", "{}")).await;
             let (stream, _) = listener.accept().await.unwrap();
             let mut node = Client { stream, buf: Vec::new() };
-            node.message().await.unwrap();
+            node.read_message().await.unwrap();
             let reused = spawn_local(async move {
                 let _ = node.stream.write_all(text.as_bytes()).await;
-                node.message().await.is_some()
+                node.read_message().await.is_some()
             });
-            let (status, _, body, whole) = client.answer().await;
+            let (status, _, body, whole) = client.read_answer().await;
             assert_eq!((status, body, whole), expected, "{case}");
             assert!(started.elapsed() < 600 * MS, "{case}: {:?}", started.elapsed());
             // Intact connections are retained and closed when their node is removed; none carries a second
             // request.
-            router.list([]);
+            router.set_endpoint_list([]);
             assert!(!reused.await.unwrap(), "{case}");
         }
         assert_eq!(router.components.replicas.connection_counts(), (0, 0));
@@ -214,14 +219,14 @@
 /// the part of its broken stream that it has not read yet.
 #[test]
 fn a_broken_stream_ends_without_a_reset_although_requests_are_unread() {
-    run(async {
-        let node = Node::new(Chat).await;
-        node.plan(&[Fault::Silence]);
-        let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 200 * MS).await;
-        let mut client = Client::to(router.addr).await;
-        client.send(&platform("", "{}")).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        node.add_faults(&[ReplicaFault::SilentAfterFirstText]);
+        let router = TestRouter::new(Chat, &[&node], |l| l.stream_silence_timeout = 200 * MS).await;
+        let mut client = Client::connect(router.addr).await;
+        client.send(&platform_request("", "{}")).await;
         node.next_request().await;
-        client.send(&platform("", "{}").repeat(300)).await;
+        client.send(&platform_request("", "{}").repeat(300)).await;
         let mut all = String::new();
         client.stream.read_to_string(&mut all).await.expect("no reset");
         assert!(all.contains(CHAT[0]) && !all.ends_with("0\r\n\r\n"), "{all}");
@@ -233,44 +238,44 @@
 /// reused, however slow the machine is.
 #[test]
 fn a_late_second_response_is_not_forwarded() {
-    run(async {
-        let (router, listener) = by_hand(|l| l.replica_reuse_delay = Duration::MAX).await;
-        let (mut one, mut other) = (Client::to(router.addr).await, Client::to(router.addr).await);
-        one.send(&platform("", "{}")).await;
-        let mut first = asked(&listener).await;
-        first.send(&answer("first")).await;
-        assert!(one.answer().await.2.contains("first"));
+    run_test(async {
+        let (router, listener) = router_with_manual_replica(|l| l.replica_reuse_delay = Duration::MAX).await;
+        let (mut one, mut other) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
+        one.send(&platform_request("", "{}")).await;
+        let mut first = accept_request(&listener).await;
+        first.send(&streamed_answer("first")).await;
+        assert!(one.read_answer().await.2.contains("first"));
         // The second request is sent at once; then the second response to the first request arrives.
-        other.send(&platform("", "{}")).await;
-        let mut second = asked(&listener).await;
-        first.send(&answer("late")).await;
-        second.send(&answer("second")).await;
-        assert!(other.answer().await.2.contains("second"));
+        other.send(&platform_request("", "{}")).await;
+        let mut second = accept_request(&listener).await;
+        first.send(&streamed_answer("late")).await;
+        second.send(&streamed_answer("second")).await;
+        assert!(other.read_answer().await.2.contains("second"));
     });
 }
 
 /// Guards against reusing a corrupted connection after the reuse delay, and against never reusing an intact one.
 #[test]
 fn after_the_reuse_delay_a_corrupted_connection_is_closed_and_an_intact_one_reused() {
-    run(async {
-        let (router, listener) = by_hand(|_| {}).await;
-        let (mut one, mut other) = (Client::to(router.addr).await, Client::to(router.addr).await);
-        one.send(&platform("", "{}")).await;
-        let mut first = asked(&listener).await;
-        other.send(&platform("", "{}")).await;
-        let mut second = asked(&listener).await;
-        second.send(&answer("second")).await;
-        assert!(other.answer().await.2.contains("second"));
+    run_test(async {
+        let (router, listener) = router_with_manual_replica(|_| {}).await;
+        let (mut one, mut other) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
+        one.send(&platform_request("", "{}")).await;
+        let mut first = accept_request(&listener).await;
+        other.send(&platform_request("", "{}")).await;
+        let mut second = accept_request(&listener).await;
+        second.send(&streamed_answer("second")).await;
+        assert!(other.read_answer().await.2.contains("second"));
         // The most recently used connection, which would be reused first.
-        first.send(&answer("first")).await;
-        assert!(one.answer().await.2.contains("first"));
-        first.send(&answer("late")).await;
+        first.send(&streamed_answer("first")).await;
+        assert!(one.read_answer().await.2.contains("first"));
+        first.send(&streamed_answer("late")).await;
         tokio::time::sleep(router.components.limits.replica_reuse_delay * 2).await;
-        one.send(&platform("", "{}")).await;
-        second.message().await.expect("request on the intact connection");
-        second.send(&answer("third")).await;
-        assert!(one.answer().await.2.contains("third"));
-        assert!(first.message().await.is_none(), "the corrupted connection is closed");
+        one.send(&platform_request("", "{}")).await;
+        second.read_message().await.expect("request on the intact connection");
+        second.send(&streamed_answer("third")).await;
+        assert!(one.read_answer().await.2.contains("third"));
+        assert!(first.read_message().await.is_none(), "the corrupted connection is closed");
     });
 }
 
@@ -278,33 +283,36 @@
 /// removed one.
 #[test]
 fn a_new_node_at_an_old_address_gets_no_old_connection() {
-    run(async {
-        let node = Node::new(Chat).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
         let mut config = config();
         // Disables the warm-up, so that a node accepts requests as soon as it has started.
         config.deployment.decision_settings.warm_up_time = 0;
-        let router = Router::by(config, Chat, &[&node], None).await;
-        let mut client = Client::to(router.addr).await;
-        assert_eq!(client.ask("").await.0, 200);
-        let mut restarted = row("s-1", node.addr, "active");
+        let router = TestRouter::with_config(config, Chat, &[&node], None).await;
+        let mut client = Client::connect(router.addr).await;
+        assert_eq!(client.send_platform_request("").await.0, 200);
+        let mut restarted = endpoint_record("s-1", node.addr, "active");
         for (id, rows) in [
-            ("s-1", [row("s-1", node.addr, "active")]),
+            ("s-1", [endpoint_record("s-1", node.addr, "active")]),
             ("s-1, restarted", {
                 restarted.started_ms = 5;
                 [restarted]
             }),
         ] {
-            router.list(rows);
+            router.set_endpoint_list(rows);
             assert_eq!(router.components.replicas.connection_counts(), (0, 0), "{id}");
-            node.so_far();
-            assert_eq!((client.ask("").await.0, node.so_far()), (200, (1, 1)), "{id}");
+            node.take_counts();
+            assert_eq!((client.send_platform_request("").await.0, node.take_counts()), (200, (1, 1)), "{id}");
         }
         // A connection that was in use when its node was removed is not retained.
-        node.plan(&[Fault::Slow]);
-        client.send(&platform("", "{}")).await;
+        node.add_faults(&[ReplicaFault::SlowFirstEvent]);
+        client.send(&platform_request("", "{}")).await;
         node.next_request().await;
-        router.list([row("s-2", node.addr, "active")]);
-        assert_eq!((client.answer().await.0, router.components.replicas.connection_counts().1), (200, 0));
+        router.set_endpoint_list([endpoint_record("s-2", node.addr, "active")]);
+        assert_eq!(
+            (client.read_answer().await.0, router.components.replicas.connection_counts().1),
+            (200, 0)
+        );
     });
 }
 
@@ -312,32 +320,36 @@
 /// request without a response the next request has to open a new connection, which detects the failure.
 #[test]
 fn idle_connections_of_an_unresponsive_node_are_closed() {
-    run(async {
-        let node = Node::new(Chat).await;
-        node.plan(&[Fault::Slow, Fault::Slow, Fault::Mute]);
-        let router = Router::new(Chat, &[&node], |_| {}).await;
-        let (mut a, mut b) = (Client::to(router.addr).await, Client::to(router.addr).await);
-        a.send(&platform("", "{}")).await;
-        b.send(&platform("", "{}")).await;
-        assert_eq!((a.answer().await.0, b.answer().await.0), (200, 200));
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        node.add_faults(&[
+            ReplicaFault::SlowFirstEvent,
+            ReplicaFault::SlowFirstEvent,
+            ReplicaFault::NoAnswer,
+        ]);
+        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let (mut a, mut b) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
+        a.send(&platform_request("", "{}")).await;
+        b.send(&platform_request("", "{}")).await;
+        assert_eq!((a.read_answer().await.0, b.read_answer().await.0), (200, 200));
         assert_eq!(router.components.replicas.connection_counts(), (2, 2));
-        assert_eq!(a.ask("Req-Deadline-Ms: 60\r\n").await.0, 503);
-        until(|| router.components.replicas.connection_counts() == (0, 0)).await;
+        assert_eq!(a.send_platform_request("Req-Deadline-Ms: 60\r\n").await.0, 503);
+        wait_until(|| router.components.replicas.connection_counts() == (0, 0)).await;
     });
 }
 
 /// Guards against request smuggling: a body in which one side sees a second request.
 #[test]
 fn a_request_hidden_in_a_body_is_not_served() {
-    run(async {
-        let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |_| {}).await;
-        let hidden = platform("", "{}");
-        let mut client = Client::to(router.addr).await;
-        client.send(&platform("Transfer-Encoding: chunked\r\n", &format!("0\r\n\r\n{hidden}"))).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let hidden = platform_request("", "{}");
+        let mut client = Client::connect(router.addr).await;
+        client.send(&platform_request("Transfer-Encoding: chunked\r\n", &format!("0\r\n\r\n{hidden}"))).await;
         let mut all = String::new();
         client.stream.read_to_string(&mut all).await.unwrap();
         assert!(all.starts_with("HTTP/1.1 400 ") && all.matches("HTTP/1.1").count() == 1, "{all}");
-        assert_eq!((node.so_far(), router.tallies().accepted), ((0, 0), 0));
+        assert_eq!((node.take_counts(), router.request_counts().accepted), ((0, 0), 0));
     });
 }
