--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -16,7 +16,7 @@
 
 /// Returns the decision module's snapshot of the first node, and the number of attempts in flight on its
 /// connections.
-fn snapshot_and_in_flight(router: &Router) -> (ReplicaSnapshot, u32) {
+fn snapshot_and_in_flight(router: &TestRouter) -> (ReplicaSnapshot, u32) {
     let id = name_hash::replica_id("s-0");
     let snapshot = router.components.with_core(|core, now| core.replica_snapshots(now));
     let snapshot = snapshot.into_iter().find(|s| s.replica == id).expect("listed as active");
@@ -25,41 +25,45 @@
 
 #[test]
 fn the_decision_module_receives_each_attempt_end_once() {
-    run(async {
-        let node = Node::new(Chat).await;
-        let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
         // Outcomes in order: completed, error, busy, timed out, refused, reset, cancelled, skipped.
         let faults = [
-            (Fault::None, 200, [1, 0, 0, 0, 0, 0, 0, 0]),
-            (Fault::UnknownEvent, 200, [2, 0, 0, 0, 0, 0, 0, 0]),
-            (Fault::Slow, 200, [3, 0, 0, 0, 0, 0, 0, 0]),
-            (Fault::Break, 200, [3, 0, 0, 0, 0, 1, 0, 0]),
-            (Fault::None, 200, [4, 0, 0, 0, 0, 1, 0, 0]),
-            (Fault::Decline, 503, [4, 0, 1, 0, 0, 1, 0, 0]),
-            (Fault::Error, 503, [4, 1, 1, 0, 0, 1, 0, 0]),
-            (Fault::None, 200, [5, 1, 1, 0, 0, 1, 0, 0]),
+            (ReplicaFault::None, 200, [1, 0, 0, 0, 0, 0, 0, 0]),
+            (ReplicaFault::UnknownEvent, 200, [2, 0, 0, 0, 0, 0, 0, 0]),
+            (ReplicaFault::SlowFirstEvent, 200, [3, 0, 0, 0, 0, 0, 0, 0]),
+            (ReplicaFault::CloseAfterFirstText, 200, [3, 0, 0, 0, 0, 1, 0, 0]),
+            (ReplicaFault::None, 200, [4, 0, 0, 0, 0, 1, 0, 0]),
+            (ReplicaFault::Decline, 503, [4, 0, 1, 0, 0, 1, 0, 0]),
+            (ReplicaFault::Error, 503, [4, 1, 1, 0, 0, 1, 0, 0]),
+            (ReplicaFault::None, 200, [5, 1, 1, 0, 0, 1, 0, 0]),
         ];
         let mut streams = 0;
         for (fault, status, outcomes) in faults {
-            node.plan(&[fault]);
+            node.add_faults(&[fault]);
             let std_dev_before = snapshot_and_in_flight(&router).0.decode_rate.log_std_dev;
-            assert_eq!(Client::to(router.addr).await.ask("").await.0, status, "{fault:?}");
-            until(|| router.open() == 0).await;
-            assert_eq!(router.tallies().outcomes, outcomes, "{fault:?}");
+            assert_eq!(
+                Client::connect(router.addr).await.send_platform_request("").await.0,
+                status,
+                "{fault:?}"
+            );
+            wait_until(|| router.open_requests() == 0).await;
+            assert_eq!(router.request_counts().outcomes, outcomes, "{fault:?}");
             let (snapshot, in_flight) = snapshot_and_in_flight(&router);
             assert_eq!(
                 (snapshot.in_flight, snapshot.awaiting_first_token, in_flight),
                 (0, 0, 0),
                 "after {fault:?} no attempt is in flight on either side"
             );
-            let complete = status == 200 && fault != Fault::Break;
+            let complete = status == 200 && fault != ReplicaFault::CloseAfterFirstText;
             assert_eq!(
                 snapshot.decode_rate.log_std_dev < std_dev_before,
                 complete,
                 "{fault:?}: only a complete stream gives a decode rate sample"
             );
             streams += u64::from(status == 200);
-            assert_eq!(router.tallies().streams_started, streams, "{fault:?}");
+            assert_eq!(router.request_counts().streams_started, streams, "{fault:?}");
         }
         let last = snapshot_and_in_flight(&router).0;
         assert!(
@@ -76,16 +80,16 @@
 
 #[test]
 fn the_decision_module_and_the_connections_agree_on_attempts_in_flight() {
-    run(async {
-        let node = Node::new(Chat).await;
-        node.plan(&[Fault::Mute, Fault::Silence]);
-        let router = Router::new(Chat, &[&node], |_| {}).await;
-        let (mut mute, mut silent) = (Client::to(router.addr).await, Client::to(router.addr).await);
-        mute.send(&platform("", "{}")).await;
+    run_test(async {
+        let node = MockReplica::new(Chat).await;
+        node.add_faults(&[ReplicaFault::NoAnswer, ReplicaFault::SilentAfterFirstText]);
+        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let (mut mute, mut silent) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
+        mute.send(&platform_request("", "{}")).await;
         node.next_request().await;
-        silent.send(&platform("", "{}")).await;
+        silent.send(&platform_request("", "{}")).await;
         node.next_request().await;
-        until(|| router.tallies().streams_started == 1).await;
+        wait_until(|| router.request_counts().streams_started == 1).await;
         let (snapshot, in_flight) = snapshot_and_in_flight(&router);
         assert_eq!(
             (snapshot.in_flight, snapshot.awaiting_first_token, in_flight),
@@ -93,8 +97,8 @@
             "one attempt streams, one awaits its first token"
         );
         drop((mute, silent));
-        until(|| router.open() == 0).await;
-        until(|| snapshot_and_in_flight(&router).1 == 0).await;
+        wait_until(|| router.open_requests() == 0).await;
+        wait_until(|| snapshot_and_in_flight(&router).1 == 0).await;
         assert_eq!(
             (
                 snapshot_and_in_flight(&router).0.in_flight,
@@ -108,22 +112,22 @@
 /// Breaks three streams of a node, with `restarted` after the list showed that the node has restarted. Returns
 /// whether the node is then ejected.
 async fn is_ejected_after_broken_streams(restarted: bool) -> bool {
-    let node = Node::new(Chat).await;
-    node.plan(&[Fault::Silence; 3]);
-    let router = Router::new(Chat, &[&node], |l| l.stream_silence_timeout = 300 * MS).await;
+    let node = MockReplica::new(Chat).await;
+    node.add_faults(&[ReplicaFault::SilentAfterFirstText; 3]);
+    let router = TestRouter::new(Chat, &[&node], |l| l.stream_silence_timeout = 300 * MS).await;
     let mut clients = Vec::new();
     for _ in 0..3 {
-        let mut client = Client::to(router.addr).await;
-        client.send(&platform("", "{}")).await;
+        let mut client = Client::connect(router.addr).await;
+        client.send(&platform_request("", "{}")).await;
         clients.push(client);
     }
-    until(|| router.tallies().streams_started == 3).await;
-    let mut listed = row("s-0", node.addr, "active");
+    wait_until(|| router.request_counts().streams_started == 3).await;
+    let mut listed = endpoint_record("s-0", node.addr, "active");
     if restarted {
         listed.started_ms = router.components.with_core(|_, now| now) / 1_000_000;
     }
-    router.list([listed]);
-    until(|| router.tallies().interrupted == 3).await;
+    router.set_endpoint_list([listed]);
+    wait_until(|| router.request_counts().interrupted == 3).await;
     let snapshot = snapshot_and_in_flight(&router).0;
     assert_eq!(
         (snapshot.in_flight, snapshot.is_warming_up, snapshot.wait_sample_age.is_none()),
@@ -134,7 +138,7 @@
 
 #[test]
 fn streams_that_break_when_a_node_restarts_do_not_eject_its_new_process() {
-    run(async {
+    run_test(async {
         assert!(
             is_ejected_after_broken_streams(false).await,
             "three broken streams of the current process eject the node"
--- a/test-support/src/balancer.rs
+++ b/test-support/src/balancer.rs
@@ -30,7 +30,7 @@
 
 /// The state of a server in the balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct ServerState {
     /// Whether the server is up.
     pub up: bool,
     /// Whether the server may get new requests.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
     /// A check of this server ended and left it in this state.
-    Checked(usize, Held),
+    Checked(usize, ServerState),
     /// A request was sent to this server.
     Sent(usize),
     /// A mark that the test set.
@@ -63,7 +63,7 @@
 
 struct Server {
     front: SocketAddr,
-    state: Cell<Held>,
+    state: Cell<ServerState>,
     current_weight: Cell<i64>,
     idle: RefCell<Vec<TcpStream>>,
     sent: Cell<u64>,
@@ -101,7 +101,7 @@
 impl CheckReporter {
     /// Applies `change` to the state of the server and records the result as an event, even if nothing changed.
     /// Idle connections are closed if the server may get no new requests.
-    pub fn update(&self, change: impl FnOnce(&mut Held)) {
+    pub fn update(&self, change: impl FnOnce(&mut ServerState)) {
         let mut state = self.server.state.get();
         change(&mut state);
         self.server.state.set(state);
@@ -112,7 +112,7 @@
     }
 
     /// Returns the state of the server.
-    pub fn state(&self) -> Held {
+    pub fn state(&self) -> ServerState {
         self.server.state.get()
     }
 }
@@ -136,7 +136,7 @@
             redispatched: Cell::default(),
         };
         for (number, (front, check)) in servers.into_iter().enumerate() {
-            let initial = Held { up: check == Check::None, ready: true, weight: 100 };
+            let initial = ServerState { up: check == Check::None, ready: true, weight: 100 };
             let server = Rc::new(Server {
                 front,
                 state: Cell::new(initial),
@@ -167,23 +167,23 @@
     }
 
     /// Returns the state of a server.
-    pub fn held(&self, number: usize) -> Held {
+    pub fn server_state(&self, number: usize) -> ServerState {
         self.servers[number].state.get()
     }
 
     /// Returns the number of requests sent to a server.
-    pub fn sent(&self, number: usize) -> u64 {
+    pub fn requests_sent(&self, number: usize) -> u64 {
         self.servers[number].sent.get()
     }
 
     /// Returns two counts: requests sent again because the idle connection they were sent on had been closed
     /// meanwhile, and requests sent to another server because no connection could be opened.
-    pub fn again(&self) -> (u64, u64) {
+    pub fn resend_counts(&self) -> (u64, u64) {
         (self.closed_before_read.get(), self.redispatched.get())
     }
 
     /// Adds a mark to the events.
-    pub fn mark(&self, mark: u32) {
+    pub fn add_mark(&self, mark: u32) {
         self.shared.record(Event::Mark(mark));
     }
 
@@ -193,8 +193,8 @@
     }
 
     /// Waits until the state of a server satisfies `condition`.
-    pub async fn until(&self, number: usize, condition: impl Fn(Held) -> bool) {
-        while !condition(self.held(number)) {
+    pub async fn wait_until(&self, number: usize, condition: impl Fn(ServerState) -> bool) {
+        while !condition(self.server_state(number)) {
             self.shared.changed.notified().await;
         }
     }
@@ -224,7 +224,7 @@
     }
 
     /// Sends a request and reads the response. Without an available server, the balancer itself responds with 503.
-    pub async fn ask(&self, request: &str) -> Outcome {
+    pub async fn send(&self, request: &str) -> Outcome {
         let mut excluded = None;
         for _ in 0..self.servers.len() + 1 {
             let Some(number) = self.pick(excluded) else { break };
--- a/test-support/src/discovery_runs/routers.rs
+++ b/test-support/src/discovery_runs/routers.rs
@@ -14,7 +14,7 @@
 use super::discovery::Address;
 use super::scenario::{DiscoveryMove, Restart, Stop, CLIENT_DEADLINE};
 use super::{traffic, Run};
-use crate::mock_services::Reserved;
+use crate::mock_services::ReservedAddress;
 use crate::router_process::{signal_all, RouterProcess};
 
 /// Time within which each router has to be ready.
@@ -38,7 +38,7 @@
     config: PathBuf,
     settings: PathBuf,
     log: PathBuf,
-    _reserved: Reserved,
+    _reserved: ReservedAddress,
 }
 
 /// All routers of a run.
@@ -76,16 +76,16 @@
     }
 
     async fn start_router(&self, ip: &str, dir: &Path, run: &Run, number: usize) -> io::Result<Router> {
-        let reserved = Reserved::on(ip)?;
+        let reserved = ReservedAddress::on(ip)?;
         let discovery = run.discovery.listen(ip, number, Address::Former).await?;
         let later_discovery = run.discovery.listen(ip, number, Address::Later).await?;
         let path = |kind: &str| dir.join(format!("n{number}.{kind}"));
         let (config, settings, log) = (path("json"), path("conf"), path("log"));
-        let text = run.scenario.configuration(number, reserved.at, discovery, &self.peers, &self.rows);
+        let text = run.scenario.configuration(number, reserved.addr, discovery, &self.peers, &self.rows);
         std::fs::write(&config, text.to_string())?;
         std::fs::write(&settings, SETTINGS)?;
-        let process = start_process(&self.program, run, number, [&config, &settings, &log], reserved.at)?;
-        let (starts, front) = (vec![run.started.elapsed()], reserved.at);
+        let process = start_process(&self.program, run, number, [&config, &settings, &log], reserved.addr)?;
+        let (starts, front) = (vec![run.started.elapsed()], reserved.addr);
         Ok(Router {
             number,
             process,
--- a/test-support/src/health_checks.rs
+++ b/test-support/src/health_checks.rs
@@ -18,7 +18,7 @@
     let mut ticks = interval(period);
     loop {
         ticks.tick().await;
-        let Ok(Some(answer)) = timeout(period * 10, agent_line(at, line)).await else { continue };
+        let Ok(Some(answer)) = timeout(period * 10, agent_check_line(at, line)).await else { continue };
         reporter.update(|state| {
             for token in answer.split('#').next().unwrap_or("").split([' ', '\t', ',']) {
                 match token {
@@ -37,7 +37,7 @@
 }
 
 /// Runs one agent check and returns the line, or `None` if it is not complete.
-pub async fn agent_line(at: SocketAddr, line: &str) -> Option<String> {
+pub async fn agent_check_line(at: SocketAddr, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect(at).await.ok()?;
     stream.write_all(line.as_bytes()).await.ok()?;
     let mut text = String::new();
@@ -111,7 +111,7 @@
 /// Runs a gRPC health watch. When the watch ends, the server counts as down and the watch is started again.
 pub async fn run_grpc_watch(reporter: CheckReporter, at: SocketAddr) {
     loop {
-        let _ = watch_once(at, "", 64 << 10, |status| {
+        let _ = run_grpc_watch_once(at, "", 64 << 10, |status| {
             reporter.update(|state| (state.up, state.ready) = (true, status == 1));
             std::future::ready(())
         })
@@ -123,7 +123,7 @@
 
 /// Runs one health watch and passes each status to `on_status`, until the watch ends. `window` is the number of
 /// bytes that the server may send before this side has read them.
-pub async fn watch_once<F: std::future::Future<Output = ()>>(
+pub async fn run_grpc_watch_once<F: std::future::Future<Output = ()>>(
     at: SocketAddr,
     service: &str,
     window: u32,
--- a/test-support/src/mock_services.rs
+++ b/test-support/src/mock_services.rs
@@ -17,46 +17,46 @@
 /// listens, so a process can still listen there. Reserving with a listener that is then closed would not be
 /// reliable: a child process that another thread is just starting keeps the listener open until it runs its
 /// program.
-pub struct Reserved {
+pub struct ReservedAddress {
     /// The reserved address.
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
     _bound: TcpSocket,
 }
 
-impl Reserved {
+impl ReservedAddress {
     /// Reserves an address on the given IP.
-    pub fn on(ip: &str) -> std::io::Result<Reserved> {
+    pub fn on(ip: &str) -> std::io::Result<ReservedAddress> {
         let bound = TcpSocket::new_v4()?;
         bound.set_reuseaddr(true)?;
         bound.bind(SocketAddr::new(ip.parse().map_err(std::io::Error::other)?, 0))?;
-        Ok(Reserved { at: bound.local_addr()?, _bound: bound })
+        Ok(ReservedAddress { addr: bound.local_addr()?, _bound: bound })
     }
 }
 
 /// How a model node handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Does {
+pub enum ReplicaBehaviour {
     /// The node responds at once.
-    Answers,
+    RespondAtOnce,
     /// The node responds after this time.
-    Waits(Duration),
+    RespondAfter(Duration),
     /// The node responds with status 500.
-    Fails,
+    RespondWith500,
     /// The node starts its response and finishes it once it has another behaviour.
-    Holds,
+    PauseMidStream,
 }
 
 struct NodeState {
-    behaviour: Mutex<Does>,
+    behaviour: Mutex<ReplicaBehaviour>,
     changed: Condvar,
     served: AtomicUsize,
     stopped: AtomicBool,
 }
 
 /// A mock model node.
-pub struct Node {
+pub struct MockReplica {
     /// The address of the node.
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
     shared: Arc<NodeState>,
 }
 
@@ -100,37 +100,37 @@
     Some(head)
 }
 
-impl Node {
+impl MockReplica {
     /// Starts a node that responds at once.
-    pub fn start(ip: &str) -> Node {
+    pub fn start(ip: &str) -> MockReplica {
         let shared = Arc::new(NodeState {
-            behaviour: Mutex::new(Does::Answers),
+            behaviour: Mutex::new(ReplicaBehaviour::RespondAtOnce),
             changed: Condvar::new(),
             served: AtomicUsize::new(0),
             stopped: AtomicBool::new(false),
         });
         let (for_connections, for_listener) = (shared.clone(), shared.clone());
         let serve = move |stream| drop(serve_node(stream, &for_connections));
-        Node { at: listen(ip, serve, move || for_listener.stopped.load(Ordering::SeqCst)), shared }
+        MockReplica { addr: listen(ip, serve, move || for_listener.stopped.load(Ordering::SeqCst)), shared }
     }
 
     /// Sets the behaviour of the node.
-    pub fn does(&self, behaviour: Does) {
+    pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
         *self.shared.behaviour.lock().expect("no thread panics while it holds the lock") = behaviour;
         self.shared.changed.notify_all();
     }
 
     /// Returns the number of requests received so far.
-    pub fn served(&self) -> usize {
+    pub fn requests_received(&self) -> usize {
         self.shared.served.load(Ordering::SeqCst)
     }
 }
 
-impl Drop for Node {
+impl Drop for MockReplica {
     fn drop(&mut self) {
         self.shared.stopped.store(true, Ordering::SeqCst);
-        self.does(Does::Answers);
-        let _ = TcpStream::connect(self.at);
+        self.set_behaviour(ReplicaBehaviour::RespondAtOnce);
+        let _ = TcpStream::connect(self.addr);
     }
 }
 
@@ -141,19 +141,19 @@
         shared.served.fetch_add(1, Ordering::SeqCst);
         let behaviour = *shared.behaviour.lock().expect("no thread panics while it holds the lock");
         match behaviour {
-            Does::Fails => {
+            ReplicaBehaviour::RespondWith500 => {
                 stream.write_all(b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")?;
                 continue;
             }
-            Does::Waits(time) => thread::sleep(time),
-            Does::Answers | Does::Holds => {}
+            ReplicaBehaviour::RespondAfter(time) => thread::sleep(time),
+            ReplicaBehaviour::RespondAtOnce | ReplicaBehaviour::PauseMidStream => {}
         }
         let event = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
         let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
         let first = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"Grüß Gott\"},\"finish_reason\":null}]}\n\n";
         stream.write_all((head.to_string() + &event(first)).as_bytes())?;
         let unfinished = shared.behaviour.lock().expect("no thread panics while it holds the lock");
-        drop(shared.changed.wait_while(unfinished, |d| *d == Does::Holds));
+        drop(shared.changed.wait_while(unfinished, |d| *d == ReplicaBehaviour::PauseMidStream));
         let last = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":4,\"completion_tokens\":2}}\n\ndata: [DONE]\n\n";
         stream.write_all((event(last) + "0\r\n\r\n").as_bytes())?;
     }
@@ -179,15 +179,15 @@
 }
 
 /// A mock node list service.
-pub struct List {
+pub struct MockEndpointList {
     /// The address of the service.
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
     shared: Arc<ListState>,
 }
 
-impl List {
+impl MockEndpointList {
     /// Starts a service with these rows, each one a JSON object.
-    pub fn start(ip: &str, rows: &[String]) -> List {
+    pub fn start(ip: &str, rows: &[String]) -> MockEndpointList {
         let shared = Arc::new(ListState {
             version_and_text: Mutex::default(),
             changed: Condvar::new(),
@@ -196,14 +196,16 @@
         });
         let (for_connections, for_listener) = (shared.clone(), shared.clone());
         let serve = move |stream| drop(serve_list(stream, &for_connections));
-        let list =
-            List { at: listen(ip, serve, move || for_listener.stopped.load(Ordering::SeqCst)), shared };
-        list.set(rows);
+        let list = MockEndpointList {
+            addr: listen(ip, serve, move || for_listener.stopped.load(Ordering::SeqCst)),
+            shared,
+        };
+        list.publish(rows);
         list
     }
 
     /// Replaces the rows of the list and sends the new list on all watches.
-    pub fn set(&self, rows: &[String]) {
+    pub fn publish(&self, rows: &[String]) {
         let mut list = self.shared.version_and_text.lock().expect("no thread panics while it holds the lock");
         let version = list.0 + 1;
         *list =
@@ -212,7 +214,7 @@
     }
 
     /// Sets whether the service stays silent, whatever happens to its list.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_silent(&self, silent: bool) {
         // The lock keeps a watch from missing the notification between its check and its wait.
         let _guard = self.shared.version_and_text.lock().expect("no thread panics while it holds the lock");
         self.shared.silent.store(silent, Ordering::SeqCst);
@@ -220,7 +222,7 @@
     }
 }
 
-impl Drop for List {
+impl Drop for MockEndpointList {
     fn drop(&mut self) {
         {
             let _guard =
@@ -228,7 +230,7 @@
             self.shared.stopped.store(true, Ordering::SeqCst);
             self.shared.changed.notify_all();
         }
-        let _ = TcpStream::connect(self.at);
+        let _ = TcpStream::connect(self.addr);
     }
 }
 
--- a/test-support/src/relay.rs
+++ b/test-support/src/relay.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
     /// The link forwards everything.
-    Whole,
+    Open,
     /// The link accepts connections and forwards nothing; what was sent arrives once it forwards again.
     Stalled,
     /// The link forwards bytes from the client to the server only.
@@ -28,20 +28,20 @@
 /// A relay that stops when this is dropped.
 pub struct Relay {
     /// The address of the relay.
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
     link: Arc<AtomicU8>,
     stopped: Arc<AtomicBool>,
 }
 
 fn decode_link(code: &AtomicU8) -> Link {
-    [Link::Whole, Link::Stalled, Link::OneWay, Link::Cut][usize::from(code.load(Ordering::SeqCst)) % 4]
+    [Link::Open, Link::Stalled, Link::OneWay, Link::Cut][usize::from(code.load(Ordering::SeqCst)) % 4]
 }
 
 impl Relay {
     /// Starts a relay to `to` on an address that the system picks on this IP.
     pub fn start(ip: &str, to: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind((ip, 0))?;
-        let relay = Relay { at: listener.local_addr()?, link: Arc::default(), stopped: Arc::default() };
+        let relay = Relay { addr: listener.local_addr()?, link: Arc::default(), stopped: Arc::default() };
         let (link, stopped) = (relay.link.clone(), relay.stopped.clone());
         thread::spawn(move || {
             for from in listener.incoming().map_while(Result::ok) {
@@ -56,7 +56,7 @@
     }
 
     /// Sets the state of the link, also for open connections.
-    pub fn set(&self, link: Link) {
+    pub fn set_link(&self, link: Link) {
         self.link.store(link as u8, Ordering::SeqCst);
     }
 }
@@ -64,7 +64,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::SeqCst);
-        let _ = TcpStream::connect(self.at); // Wakes the accepting thread, which then ends.
+        let _ = TcpStream::connect(self.addr); // Wakes the accepting thread, which then ends.
     }
 }
 
@@ -75,8 +75,8 @@
     let Ok(server) = TcpStream::connect(to) else { return };
     let (Ok(back), Ok(out)) = (server.try_clone(), from.try_clone()) else { return };
     let (link_back, stopped_back) = (link.clone(), stopped.clone());
-    let back_forwarder = thread::spawn(move || forward(back, out, link_back, stopped_back, &[Link::Whole]));
-    forward(from, server, link, stopped, &[Link::Whole, Link::OneWay]);
+    let back_forwarder = thread::spawn(move || forward(back, out, link_back, stopped_back, &[Link::Open]));
+    forward(from, server, link, stopped, &[Link::Open, Link::OneWay]);
     let _ = back_forwarder.join();
 }
 
--- a/test-support/src/resource_usage.rs
+++ b/test-support/src/resource_usage.rs
@@ -18,7 +18,7 @@
 use tokio::time::{interval, sleep, timeout, Instant};
 
 use crate::http_connection::{Head, HttpConnection};
-use crate::mock_services::Reserved;
+use crate::mock_services::ReservedAddress;
 use crate::router_process::RouterProcess;
 
 /// A fleet around one router, and its load.
@@ -130,14 +130,14 @@
         rows.push(row(number, start_replica(ip, &counts).await?));
     }
     let list = start_list(ip, rows, fleet.change_every, &counts).await?;
-    let (front, peers) = (Reserved::on(ip)?, start_peers(ip, fleet.routers - 1).await?);
+    let (front, peers) = (ReservedAddress::on(ip)?, start_peers(ip, fleet.routers - 1).await?);
     let own_peer_address = UdpSocket::bind((ip, 0)).await?.local_addr()?;
     let config = dir.path().join("config.json");
-    std::fs::write(&config, configuration(front.at, list, own_peer_address, &peers).to_string())?;
+    std::fs::write(&config, configuration(front.addr, list, own_peer_address, &peers).to_string())?;
     let log = dir.path().join("log");
-    let mut router = Process(RouterProcess::start(program, &config, &log, front.at, |_| {})?);
+    let mut router = Process(RouterProcess::start(program, &config, &log, front.addr, |_| {})?);
     router.0.wait_until_ready(READY_TIMEOUT).await?;
-    let clients = spawn_local(send_traffic(front.at, fleet, counts.clone()));
+    let clients = spawn_local(send_traffic(front.addr, fleet, counts.clone()));
     let (started, mut descriptors) = (Instant::now(), 0);
     while started.elapsed() < fleet.span {
         sleep(SAMPLE_INTERVAL).await;
--- a/test-support/src/shutdown_runs/mod.rs
+++ b/test-support/src/shutdown_runs/mod.rs
@@ -27,7 +27,7 @@
 use tokio::time::Instant;
 
 use crate::harness_delay::record_max_delay;
-use crate::mock_services::{List, Reserved};
+use crate::mock_services::{MockEndpointList, ReservedAddress};
 use pauses::{Pause, Pauses};
 use process::Router;
 
@@ -132,12 +132,12 @@
 
 async fn run_to_report(program: &Path, ip: &str, scenario: &Scenario) -> std::io::Result<Report> {
     let dir = tempfile::tempdir()?;
-    let reserved = Reserved::on(ip)?;
+    let reserved = ReservedAddress::on(ip)?;
     let run = Rc::new(Run {
         scenario: scenario.clone(),
         started: Instant::now(),
         started_monotonic: monotonic(),
-        front: reserved.at,
+        front: reserved.addr,
         clients_stopped: Cell::new(false),
         ready: Cell::new(Duration::ZERO),
         sigterm_at: Cell::new(None),
@@ -155,8 +155,8 @@
     }
     let list_rows = run.list_rows(&addresses);
     // A configuration reload may switch the router to the second list service.
-    let lists = [List::start(ip, &list_rows), List::start(ip, &list_rows)];
-    let list_addresses = [lists[0].at, lists[1].at];
+    let lists = [MockEndpointList::start(ip, &list_rows), MockEndpointList::start(ip, &list_rows)];
+    let list_addresses = [lists[0].addr, lists[1].addr];
     let max_delay = Rc::new(Cell::new(Duration::ZERO));
     let delay_recorder = tokio::task::spawn_local(record_max_delay(max_delay.clone()));
     let mut router = Router::start(program, dir.path(), &run, list_addresses)?;
@@ -219,14 +219,14 @@
 }
 
 /// Drains and fails replicas as the scenario says; keeps the list services running until it is aborted.
-async fn apply_changes(run: Rc<Run>, addresses: Vec<SocketAddr>, lists: Rc<[List; 2]>) {
+async fn apply_changes(run: Rc<Run>, addresses: Vec<SocketAddr>, lists: Rc<[MockEndpointList; 2]>) {
     let first_request_at = run.now();
     for Change { at, replica, kind } in run.scenario.changes.clone() {
         tokio::time::sleep((first_request_at + at).saturating_sub(run.now())).await;
         match kind {
             ChangeKind::Drains => {
                 run.draining_since.borrow_mut().entry(replica).or_insert(run.now());
-                lists.iter().for_each(|list| list.set(&run.list_rows(&addresses)));
+                lists.iter().for_each(|list| list.publish(&run.list_rows(&addresses)));
             }
             ChangeKind::Fails(length) => {
                 run.down.borrow_mut()[replica] = true;
@@ -243,10 +243,10 @@
 }
 
 /// Silences the list services as the scenario says.
-async fn silence_lists(run: Rc<Run>, lists: Rc<[List; 2]>) {
+async fn silence_lists(run: Rc<Run>, lists: Rc<[MockEndpointList; 2]>) {
     let Some((at, length)) = run.scenario.list_outage else { return };
     tokio::time::sleep(at).await;
-    lists.iter().for_each(|list| list.silence(true));
+    lists.iter().for_each(|list| list.set_silent(true));
     tokio::time::sleep(length).await;
-    lists.iter().for_each(|list| list.silence(false));
+    lists.iter().for_each(|list| list.set_silent(false));
 }
