--- a/router/tests/closing.rs
+++ b/router/tests/closing.rs
@@ -40,12 +40,13 @@
 ) {
     let (mut served, mut closed) = (0, 0);
     for (delay, front) in (0..60).flat_map(|delay| [(delay, 0), (delay, 1)]) {
-        let node = MockReplica::new(Chat).await;
-        let router =
-            TestRouter::new(Chat, &[&node], |limits| limits.final_read_duration = Duration::from_millis(2))
-                .await;
-        let statuses = scenario(delay, &node, &router, fronts(&router)[front]).await;
-        let requests = node.take_counts().1;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |limits| {
+            limits.final_read_duration = Duration::from_millis(2)
+        })
+        .await;
+        let statuses = scenario(delay, &replica, &router, fronts(&router)[front]).await;
+        let requests = replica.take_counts().1;
         assert_eq!(statuses, vec![200; requests], "front {front}, delay {delay}: {requests} forwarded");
         assert!(
             requests <= 1 && (requests == 1 || delay > 0),
@@ -61,11 +62,11 @@
 /// Guards against forwarding requests that are read after the write side is shut down, and dropping ones read before.
 #[test]
 fn a_request_sent_during_the_close_is_answered_or_not_forwarded() {
-    run_test(run_around_the_close(async |delay, node, router, (addr, request)| {
+    run_test(run_around_the_close(async |delay, replica, router, (addr, request)| {
         let mut client = Client::connect(addr).await;
         client.send(&request()).await;
         assert_eq!(client.read_answer().await.0, 200);
-        node.take_counts();
+        replica.take_counts();
         close_and_wait(router, delay).await;
         // Every second run pipelines two more requests, which must not be forwarded after the last answer.
         let pipelined = delay as usize % 2 * 2;
@@ -104,8 +105,8 @@
 fn a_closed_idle_connection_accepts_further_input_without_a_reset() {
     run_test(async {
         for (shutdown, front) in [(true, 0), (true, 1), (false, 0), (false, 1)] {
-            let node = MockReplica::new(Chat).await;
-            let router = TestRouter::new(Chat, &[&node], |limits| {
+            let replica = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&replica], |limits| {
                 limits.final_read_duration = Duration::from_millis(1);
                 if !shutdown {
                     limits.client_idle_timeout = Duration::from_millis(5);
@@ -130,7 +131,7 @@
                 let error = client.stream.take_error().unwrap();
                 assert!(error.is_none(), "shutdown {shutdown}: {error:?}");
             }
-            assert_eq!(node.take_counts().1, 1, "a request read after the shutdown was forwarded");
+            assert_eq!(replica.take_counts().1, 1, "a request read after the shutdown was forwarded");
             drop(client);
             wait_until(|| router.components.clients.open() == 0).await;
         }
@@ -147,16 +148,16 @@
                 .await;
         let mut client = Client::connect(router.addr).await;
         client.send(&platform_request("", "{}")).await;
-        let mut first_node = accept_request(&listener).await;
+        let mut first_replica = accept_request(&listener).await;
         // The client disconnects, and half a line arrives before the router has noticed.
         drop(client);
-        first_node.send(&STREAM_HEAD[..20]).await;
+        first_replica.send(&STREAM_HEAD[..20]).await;
         wait_until(|| router.request_counts().client_disconnects == 1 && router.open_requests() == 0).await;
         let mut second_client = Client::connect(router.addr).await;
         second_client.send(&platform_request("", "{}")).await;
-        let mut second_node = accept_request(&listener).await;
-        second_node.send(&streamed_answer("second")).await;
+        let mut second_replica = accept_request(&listener).await;
+        second_replica.send(&streamed_answer("second")).await;
         assert!(second_client.read_answer().await.2.contains("second"));
-        assert!(first_node.read_message().await.is_none(), "the first connection is closed");
+        assert!(first_replica.read_message().await.is_none(), "the first connection is closed");
     });
 }
--- a/router/tests/cold_budget.rs
+++ b/router/tests/cold_budget.rs
@@ -1,4 +1,4 @@
-//! Checks how many requests all routers of a large fleet together send to nodes that have just started.
+//! Checks how many requests all routers of a large fleet together send to replicas that have just started.
 #![allow(missing_docs)]
 
 mod common;
@@ -12,14 +12,14 @@
 
 const MS: Nanos = 1_000_000;
 const START: Nanos = 1_700_000_000 * SECOND;
-const NODES: u32 = 20;
-/// Number of nodes that restart.
+const REPLICAS: u32 = 20;
+/// Number of replicas that restart.
 const RESTARTED_NODES: u32 = 5;
 /// Window of the overload rule in seconds.
 const OVERLOAD_WINDOW_S: f64 = 2.0;
-/// Multiple of its capacity that a node can bear.
+/// Multiple of its capacity that a replica can bear.
 const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// Requests per second, half of the capacity of all nodes.
+/// Requests per second, half of the capacity of all replicas.
 const REQUESTS_PER_S: f64 = 100.0;
 const WARM_UP_S: f64 = 10.0;
 const INITIAL_CAPACITY_SHARE: f64 = 0.2;
@@ -51,11 +51,11 @@
     AttemptEnd(usize, RequestId, u32),
 }
 
-/// The router cores, and the pending events of the attempts at their nodes.
+/// The router cores, and the pending events of the attempts at their replicas.
 struct Fleet {
     cores: Vec<Core>,
     pending_events: BinaryHeap<Reverse<(Nanos, Event)>>,
-    /// Time and node of each attempt.
+    /// Time and replica of each attempt.
     sent: Vec<(Nanos, u32)>,
 }
 
@@ -65,25 +65,26 @@
         Fleet { cores, pending_events: BinaryHeap::new(), sent: Vec::new() }
     }
 
-    /// Returns a core that has just started and knows the nodes.
+    /// Returns a core that has just started and knows the replicas.
     fn core(cores: u32, own_index: u32, now: Nanos, last_start: Nanos) -> Core {
         let mut core = Core::new(settings(cores, own_index), u64::from(own_index), 10 * MS).unwrap();
         let last_start_of = |n| if n < RESTARTED_NODES { last_start } else { 0 };
         core.endpoints_changed(
             now,
             ListUpdate::Cached,
-            (0..NODES).map(|n| row(n, last_start_of(n))).collect(),
+            (0..REPLICAS).map(|n| row(n, last_start_of(n))).collect(),
         );
         core
     }
 
-    /// Carries out the instructions of a core; nodes that have just started are idle and respond fast, the others
+    /// Carries out the instructions of a core; replicas that have just started are idle and respond fast, the others
     /// are busy.
     fn carry_out(&mut self, now: Nanos, c: usize) {
         for instruction in self.cores[c].take_instructions() {
-            if let Instruction::StartAttempt { request: id, attempt, replica: node, .. } = instruction {
-                let n =
-                    (0..NODES).find(|n| name_hash::replica_id(&format!("s-{n}")) == node).expect("listed");
+            if let Instruction::StartAttempt { request: id, attempt, replica, .. } = instruction {
+                let n = (0..REPLICAS)
+                    .find(|n| name_hash::replica_id(&format!("s-{n}")) == replica)
+                    .expect("listed");
                 let first_token_after = if n < RESTARTED_NODES { SECOND / 5 } else { SECOND };
                 self.sent.push((now, n));
                 self.pending_events
@@ -117,8 +118,8 @@
     }
 }
 
-/// Runs random traffic. Returns the largest number of requests that a node got within the window, relative to what
-/// the rule allows, and the number of requests sent to all restarted nodes.
+/// Runs random traffic. Returns the largest number of requests that a replica got within the window, relative to what
+/// the rule allows, and the number of requests sent to all restarted replicas.
 fn simulate(cores: u32, restarts: bool, seed: u64) -> (f64, usize) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut fleet = Fleet::new(cores);
@@ -163,9 +164,9 @@
         for (k, &t) in at.iter().enumerate() {
             let from = t.saturating_sub((OVERLOAD_WINDOW_S * SECOND as f64) as Nanos);
             let within = at[..=k].iter().filter(|a| **a > from).count() as f64;
-            // Requests that the node can serve in the middle of the window.
+            // Requests that the replica can serve in the middle of the window.
             let age = (t - SECOND - last_start.min(t - SECOND)) as f64 / SECOND as f64;
-            let capacity = 2.0 * REQUESTS_PER_S / f64::from(NODES)
+            let capacity = 2.0 * REQUESTS_PER_S / f64::from(REPLICAS)
                 * (INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * age / WARM_UP_S)
                 * OVERLOAD_MULTIPLE
                 * OVERLOAD_WINDOW_S;
@@ -175,7 +176,7 @@
     (worst, sent)
 }
 
-/// Guards against shares of a warming-up node's budget that suit a single core but add up to too much over
+/// Guards against shares of a warming-up replica's budget that suit a single core but add up to too much over
 /// hundreds of cores.
 #[test]
 fn all_cores_together_stay_within_the_budget_of_a_restarted_node() {
--- a/router/tests/common/mod.rs
+++ b/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router that runs in the test process, fake replicas of both dialects, and a plain HTTP client.
+//! A router that runs in the test process, mock replicas of both dialects, and a plain HTTP client.
 #![allow(dead_code, missing_docs)]
 
 use std::cell::{Cell, RefCell};
@@ -75,7 +75,7 @@
     });
 }
 
-/// How a fake replica handles a request.
+/// How a mock replica handles a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaFault {
     None,
@@ -99,7 +99,7 @@
     EndlessText,
 }
 
-/// What a fake replica observed.
+/// What a mock replica observed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaEvent {
     Connected,
@@ -111,12 +111,12 @@
 /// Faults of the next requests, in order. Several replicas may share one script.
 pub type FaultScript = Rc<RefCell<VecDeque<ReplicaFault>>>;
 
-/// A fake replica.
+/// A mock replica.
 pub struct MockReplica {
     pub addr: SocketAddr,
     pub script: FaultScript,
     pub events: tokio::sync::Mutex<mpsc::UnboundedReceiver<ReplicaEvent>>,
-    /// Number of bytes sent by [`Fault::EndlessText`].
+    /// Number of bytes sent by [`ReplicaFault::EndlessText`].
     pub endless_text_bytes: Rc<Cell<usize>>,
     /// Whether a connection is closed as soon as an answer is complete.
     pub close_after_answer: Rc<Cell<bool>>,
@@ -162,41 +162,41 @@
 
     pub async fn with_script(dialect: Dialect, script: &FaultScript) -> MockReplica {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (observed, seen) = mpsc::unbounded_channel();
-        let node = MockReplica {
+        let (event_sender, events) = mpsc::unbounded_channel();
+        let replica = MockReplica {
             addr: listener.local_addr().unwrap(),
             script: script.clone(),
-            events: tokio::sync::Mutex::new(seen),
+            events: tokio::sync::Mutex::new(events),
             endless_text_bytes: Rc::default(),
             close_after_answer: Rc::default(),
         };
-        let (script, endless_text_bytes, hasty) =
-            (node.script.clone(), node.endless_text_bytes.clone(), node.close_after_answer.clone());
+        let (script, endless_text_bytes, close_after_answer) =
+            (replica.script.clone(), replica.endless_text_bytes.clone(), replica.close_after_answer.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 // Sends small writes at once, as replicas do; otherwise each waits 40 ms for an acknowledgement.
                 let _ = stream.set_nodelay(true);
-                let _ = observed.send(ReplicaEvent::Connected);
-                let (script, endless_text_bytes, hasty) =
-                    (script.clone(), endless_text_bytes.clone(), hasty.clone());
-                let observed = observed.clone();
+                let _ = event_sender.send(ReplicaEvent::Connected);
+                let (script, endless_text_bytes, close_after_answer) =
+                    (script.clone(), endless_text_bytes.clone(), close_after_answer.clone());
+                let event_sender = event_sender.clone();
                 spawn_local(async move {
                     let mut client = Client { stream, buf: Vec::new() };
                     while let Some((head, body)) = client.read_message().await {
-                        let _ = observed.send(ReplicaEvent::Request(head, body));
+                        let _ = event_sender.send(ReplicaEvent::Request(head, body));
                         let fault = script.borrow_mut().pop_front().unwrap_or(ReplicaFault::None);
                         let answered = client.serve(dialect, fault, &endless_text_bytes).await;
                         if answered.is_none() {
-                            let _ = observed.send(ReplicaEvent::ClosedByRouter);
+                            let _ = event_sender.send(ReplicaEvent::ClosedByRouter);
                         }
-                        if answered != Some(true) || hasty.get() {
+                        if answered != Some(true) || close_after_answer.get() {
                             return;
                         }
                     }
                 });
             }
         });
-        node
+        replica
     }
 
     pub fn add_faults(&self, faults: &[ReplicaFault]) {
@@ -204,7 +204,7 @@
     }
 
     pub async fn next_event(&self) -> ReplicaEvent {
-        self.events.lock().await.recv().await.expect("the fake replica runs")
+        self.events.lock().await.recv().await.expect("the mock replica runs")
     }
 
     pub async fn next_request(&self) -> (String, Vec<u8>) {
@@ -217,8 +217,8 @@
 
     /// Returns the numbers of connections and requests since the previous call, and discards what was observed.
     pub fn take_counts(&self) -> (usize, usize) {
-        let mut seen = self.events.try_lock().expect("no other task reads what the replica observed");
-        let all: Vec<ReplicaEvent> = std::iter::from_fn(|| seen.try_recv().ok()).collect();
+        let mut events = self.events.try_lock().expect("no other task reads what the replica observed");
+        let all: Vec<ReplicaEvent> = std::iter::from_fn(|| events.try_recv().ok()).collect();
         let requests = all.iter().filter(|s| matches!(s, ReplicaEvent::Request(..))).count();
         (all.iter().filter(|s| **s == ReplicaEvent::Connected).count(), requests)
     }
@@ -430,18 +430,18 @@
 impl TestRouter {
     pub async fn new(
         dialect: Dialect,
-        nodes: &[&MockReplica],
+        replicas: &[&MockReplica],
         change: impl FnOnce(&mut Limits),
     ) -> TestRouter {
         let mut config = config();
         change(&mut config.limits);
-        TestRouter::with_config(config, dialect, nodes, None).await
+        TestRouter::with_config(config, dialect, replicas, None).await
     }
 
     pub async fn with_config(
         config: Config,
         dialect: Dialect,
-        nodes: &[&MockReplica],
+        replicas: &[&MockReplica],
         peers: Option<Peers>,
     ) -> TestRouter {
         let front = installation(&config, &settings("")).messages.expect("the settings have a messages API");
@@ -449,11 +449,11 @@
         components.start();
         let ports = [ReservedPort::new(), ReservedPort::new()];
         let (listener, second) = (ports[0].listen().await, ports[1].listen().await);
-        let (addr, messages) = (ports[0].addr(), ports[1].addr());
+        let (addr, messages_addr) = (ports[0].addr(), ports[1].addr());
         spawn_local(front::serve(components.front_context(), listener, Front::Platform));
         spawn_local(front::serve(components.front_context(), second, Front::Messages(Box::new(front))));
-        let router = TestRouter { components, addr, messages_addr: messages, _ports: ports };
-        let servers = nodes.iter().enumerate();
+        let router = TestRouter { components, addr, messages_addr, _ports: ports };
+        let servers = replicas.iter().enumerate();
         let servers = servers.map(|(i, n)| endpoint_record(&format!("s-{i}"), n.addr, "active")).collect();
         endpoint_list::apply(
             &router.components.endpoint_list,
@@ -523,8 +523,8 @@
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Returns an endpoint list message with one replica, as one chunk.
-pub fn list_message_chunk(version: u64, full: bool, id: &str, node: &MockReplica, state: &str) -> String {
-    let server = format!(r#"{{"id":"{id}","addr":"{}","state":"{state}"}}"#, node.addr);
+pub fn list_message_chunk(version: u64, full: bool, id: &str, replica: &MockReplica, state: &str) -> String {
+    let server = format!(r#"{{"id":"{id}","addr":"{}","state":"{state}"}}"#, replica.addr);
     chunk(&format!("{{\"version\":{version},\"full\":{full},\"servers\":[{server}]}}\n"))
 }
 
--- a/router/tests/dialects.rs
+++ b/router/tests/dialects.rs
@@ -27,7 +27,7 @@
 async fn run_fault_script(dialect: Dialect) -> (String, Vec<String>) {
     // Either replica may be picked first, so both share one script.
     let fault_script = FaultScript::default();
-    let nodes = [
+    let replicas = [
         MockReplica::with_script(dialect, &fault_script).await,
         MockReplica::with_script(dialect, &fault_script).await,
     ];
@@ -52,10 +52,10 @@
         ("silent nodes", &[ReplicaFault::NoAnswer, ReplicaFault::NoAnswer], short_deadline),
     ] {
         // Each case has replica names of its own, so that records of a replica from one case do not affect the next.
-        let rows = nodes
+        let rows = replicas
             .iter()
             .enumerate()
-            .map(|(index, node)| endpoint_record(&format!("{name}-{index}"), node.addr, "active"));
+            .map(|(index, replica)| endpoint_record(&format!("{name}-{index}"), replica.addr, "active"));
         match name {
             "refused" => router.set_endpoint_list([endpoint_record("dead", closed_port.addr(), "active")]),
             _ => router.set_endpoint_list(rows),
@@ -70,7 +70,7 @@
         ));
     }
     // The replica starts another answer before the deadline, so the client is advised to retry.
-    router.set_endpoint_list([endpoint_record("deadline", nodes[0].addr, "active")]);
+    router.set_endpoint_list([endpoint_record("deadline", replicas[0].addr, "active")]);
     fault_script.borrow_mut().extend([ReplicaFault::NoAnswer, ReplicaFault::None]);
     let other = async {
         wait_until(|| fault_script.borrow().len() == 1).await;
@@ -84,14 +84,14 @@
         header_value(&head, "retry-after")
     ));
     // A client requests the rest of an interrupted stream.
-    router.set_endpoint_list([endpoint_record("rest", nodes[0].addr, "active")]);
+    router.set_endpoint_list([endpoint_record("rest", replicas[0].addr, "active")]);
     let body = MESSAGES_BODY.replace("}]}]}", "}]},{\"role\":\"assistant\",\"content\":\"Your\"}]}");
     outcomes.push(format!("rest: {}", ask_messages_api(&router, "x-resume-of: msg_1\r\n", &body).await.0));
     // The client disconnects while it waits for an answer.
-    let rows = nodes
+    let rows = replicas
         .iter()
         .enumerate()
-        .map(|(index, node)| endpoint_record(&format!("left-{index}"), node.addr, "active"));
+        .map(|(index, replica)| endpoint_record(&format!("left-{index}"), replica.addr, "active"));
     router.set_endpoint_list(rows);
     *fault_script.borrow_mut() = [ReplicaFault::NoAnswer; 2].into();
     let mut client = Client::connect(router.messages_addr).await;
@@ -124,16 +124,16 @@
 fn an_answer_without_streaming_is_one_json_object() {
     run_test(async {
         for dialect in [Dialect::Chat, Dialect::Messages] {
-            let node = MockReplica::new(dialect).await;
-            node.add_faults(&[ReplicaFault::UnknownEvent, ReplicaFault::CloseAfterFirstText]);
-            let router = TestRouter::new(dialect, &[&node], |_| {}).await;
+            let replica = MockReplica::new(dialect).await;
+            replica.add_faults(&[ReplicaFault::UnknownEvent, ReplicaFault::CloseAfterFirstText]);
+            let router = TestRouter::new(dialect, &[&replica], |_| {}).await;
             let body = MESSAGES_BODY.replace("\"stream\":true,", "");
             let (status, head, text, _) = ask_messages_api(&router, "", &body).await;
             let mut message: serde_json::Value = serde_json::from_str(&text).unwrap();
             assert_eq!((status, message["id"].as_str()), (200, header_value(&head, "request-id")));
             message["id"] = "msg".into();
             insta::assert_snapshot!("whole", message.to_string());
-            let (_, sent) = node.next_request().await;
+            let (_, sent) = replica.next_request().await;
             assert!(serde_json::from_slice::<serde_json::Value>(&sent).unwrap()["stream"] == true);
             let (status, _, text, _) = ask_messages_api(&router, "", &body).await;
             assert!(status == 500 && text.contains("api_error"), "{text}");
@@ -144,9 +144,9 @@
 #[test]
 fn a_chat_client_is_served_by_nodes_of_the_messages_dialect() {
     run_test(async {
-        let node = MockReplica::new(Dialect::Messages).await;
-        node.add_faults(&[ReplicaFault::UnknownEvent, ReplicaFault::CloseAfterFirstText]);
-        let router = TestRouter::new(Dialect::Messages, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Dialect::Messages).await;
+        replica.add_faults(&[ReplicaFault::UnknownEvent, ReplicaFault::CloseAfterFirstText]);
+        let router = TestRouter::new(Dialect::Messages, &[&replica], |_| {}).await;
         let body = r#"{"model":"m","stream":true,"messages":[{"role":"system","content":"Be kind."},
             {"role":"user","content":"Hi"}]}"#;
         let mut client = Client::connect(router.addr).await;
@@ -154,7 +154,7 @@
         let (status, _, text, complete) = client.read_answer().await;
         assert_eq!((status, complete), (200, true));
         insta::assert_snapshot!(text);
-        let (head, sent) = node.next_request().await;
+        let (head, sent) = replica.next_request().await;
         assert!(head.starts_with("POST /v1/messages HTTP/1.1\r\n"), "{head}");
         insta::assert_snapshot!(String::from_utf8(sent).unwrap());
         client.send(&platform_request("", body)).await;
--- a/router/tests/ending.rs
+++ b/router/tests/ending.rs
@@ -24,8 +24,8 @@
 fn a_request_read_after_the_final_answers_is_rejected_and_not_forwarded() {
     run_test(async {
         for (front, status) in [(0, 503), (1, 529)] {
-            let node = MockReplica::new(Chat).await;
-            let router = TestRouter::new(Chat, &[&node], |limits| {
+            let replica = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&replica], |limits| {
                 (limits.shutdown_grace, limits.forwarding_end_after_stop) = (5 * MS, 60 * MS)
             })
             .await;
@@ -39,7 +39,7 @@
             router.components.lifecycle.wait_for(Stage::Rejecting).await;
             client.send(rest).await;
             assert_eq!(client.read_answer().await.0, status, "front {front}");
-            assert_eq!(node.take_counts(), (0, 0), "front {front}: no request reaches the replica");
+            assert_eq!(replica.take_counts(), (0, 0), "front {front}: no request reaches the replica");
             drop(client);
             drain_task.await.unwrap();
         }
@@ -50,8 +50,8 @@
 #[test]
 fn clients_that_keep_connecting_do_not_keep_the_listener_open() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |limits| {
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |limits| {
             (limits.max_clients, limits.max_rejected_clients) = (20, 4);
             (limits.shutdown_grace, limits.close_linger) = (50 * MS, 20 * MS);
         })
@@ -108,12 +108,12 @@
             router.components.lifecycle.wait_for(Stage::Grace).await;
             tokio::time::sleep(MS).await;
             client.send(&platform_request("", "{}")).await;
-            let mut node = accept_request(&listener).await;
-            node.send(&(STREAM_HEAD.to_string() + &chunk(CHAT[0]))).await;
+            let mut replica = accept_request(&listener).await;
+            replica.send(&(STREAM_HEAD.to_string() + &chunk(CHAT[0]))).await;
             router.components.lifecycle.wait_for(Stage::Rejecting).await;
             tokio::time::sleep(5 * MS).await;
             let rest: String = CHAT[1..].iter().map(|event| chunk(event)).collect();
-            let _ = node.stream.write_all((rest + "0\r\n\r\n").as_bytes()).await;
+            let _ = replica.stream.write_all((rest + "0\r\n\r\n").as_bytes()).await;
             let mut received = Vec::new();
             client.stream.read_to_end(&mut received).await.unwrap();
             assert_eq!(received.ends_with(b"0\r\n\r\n"), !resume, "clients resume streams: {resume}");
@@ -128,8 +128,8 @@
 fn a_late_request_that_may_have_run_fails_without_retry_after() {
     run_test(async {
         for (front, deadline_field) in [(0, "Req-Deadline-Ms: 40\r\n"), (1, "x-deadline-ms: 40\r\n")] {
-            let node = MockReplica::new(Chat).await;
-            node.add_faults(&[ReplicaFault::NoAnswer]);
+            let replica = MockReplica::new(Chat).await;
+            replica.add_faults(&[ReplicaFault::NoAnswer]);
             let mut config = config();
             config
                 .deployment
@@ -137,7 +137,7 @@
                 .classes
                 .iter_mut()
                 .for_each(|class| class.effect = Effect::NotIdempotent);
-            let router = TestRouter::with_config(config, Chat, &[&node], None).await;
+            let router = TestRouter::with_config(config, Chat, &[&replica], None).await;
             let mut client = Client::connect(fronts(&router)[front].0).await;
             let request = if front == 0 {
                 platform_request(deadline_field, "{}")
@@ -157,13 +157,13 @@
 fn a_stream_cut_before_its_first_forwarded_event_gives_an_error() {
     run_test(async {
         for (front, expected) in [(0, 500), (1, 200)] {
-            let node = MockReplica::new(Chat).await;
-            node.add_faults(&[ReplicaFault::NoAnswer]);
-            let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+            let replica = MockReplica::new(Chat).await;
+            replica.add_faults(&[ReplicaFault::NoAnswer]);
+            let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
             let (addr, request) = fronts(&router)[front];
             let mut client = Client::connect(addr).await;
             client.send(&request()).await;
-            node.next_request().await;
+            replica.next_request().await;
             // The attempt has reported its first event to the core, but not yet to the client's front.
             router.components.with_core(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
             router.components.with_core(|core, now| core.answer_for_shutdown(now, Some(0)));
--- a/router/tests/fleet/council_restarts.rs
+++ b/router/tests/fleet/council_restarts.rs
@@ -49,8 +49,8 @@
 /// third one, halted, and the release goes on once an operator resumes it.
 #[test]
 fn a_release_survives_a_majority_that_loses_its_state() {
-    let node = MockReplica::start("127.56.9.1");
-    let list = MockEndpointList::start("127.56.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.56.9.1");
+    let list = MockEndpointList::start("127.56.9.1", &[endpoint_entry("n0", &replica, 1)]);
     let fleet = supervised_fleet("forget", 56, &list);
     let (release_command, digest) = prepare_release(&fleet, "configuration", with_other_seed, TWO_WAVES);
     assert_eq!(fleet.run_command(2, &release_command)["code"], 0);
@@ -80,8 +80,8 @@
 /// the fleet starts halted from the newest state and continues. With all three damaged it starts without any state.
 #[test]
 fn a_council_that_restarts_together_continues_from_the_newest_stored_state() {
-    let node = MockReplica::start("127.58.9.1");
-    let list = MockEndpointList::start("127.58.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.58.9.1");
+    let list = MockEndpointList::start("127.58.9.1", &[endpoint_entry("n0", &replica, 1)]);
     let fleet = supervised_fleet("stored", 58, &list);
     let stored = |r: usize| fleet.routers[r].dir.join("stored");
     fleet.wait_until("r1 has stored its state", || stored(1).exists());
--- a/router/tests/fleet/failed_releases.rs
+++ b/router/tests/fleet/failed_releases.rs
@@ -13,8 +13,8 @@
 /// A router that cannot start on the release returns to its former configuration by itself, and the release is rolled back.
 #[test]
 fn a_release_that_does_not_start_is_rolled_back_after_the_first_router() {
-    let node = MockReplica::start("127.53.9.1");
-    let list = MockEndpointList::start("127.53.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.53.9.1");
+    let list = MockEndpointList::start("127.53.9.1", &[endpoint_entry("n0", &replica, 1)]);
     let fleet = supervised_fleet("crash", 53, &list);
     let old = installed_digest(&fleet, 0);
     // The configuration is valid, but the program exits at once: its address for peers is in use.
@@ -105,8 +105,8 @@
 /// installed, the router returns to service unchanged.
 #[test]
 fn a_release_that_is_missing_or_damaged_on_disk_is_not_installed() {
-    let node = MockReplica::start("127.55.9.1");
-    let list = MockEndpointList::start("127.55.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.55.9.1");
+    let list = MockEndpointList::start("127.55.9.1", &[endpoint_entry("n0", &replica, 1)]);
     let fleet = supervised_fleet("disk", 55, &list);
     let old = installed_digest(&fleet, 0);
     let (release_command, digest) = prepare_release(&fleet, "configuration", with_other_seed, TWO_WAVES);
--- a/router/tests/fleet/releases.rs
+++ b/router/tests/fleet/releases.rs
@@ -12,8 +12,8 @@
 /// release is killed during the first wave.
 #[test]
 fn a_release_completes_in_waves_when_the_member_that_directs_it_is_killed() {
-    let node = MockReplica::start("127.51.9.1");
-    let list = MockEndpointList::start("127.51.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.51.9.1");
+    let list = MockEndpointList::start("127.51.9.1", &[endpoint_entry("n0", &replica, 1)]);
     let fleet = supervised_fleet("waves", 51, &list);
     let old = installed_digest(&fleet, 0);
     let (release_command, digest) = prepare_release(&fleet, "configuration", with_other_seed, TWO_WAVES);
@@ -43,8 +43,8 @@
 /// no router of the third wave restarts.
 #[test]
 fn a_release_is_rolled_back_in_the_middle_of_a_wave() {
-    let node = MockReplica::start("127.52.9.1");
-    let list = MockEndpointList::start("127.52.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.52.9.1");
+    let list = MockEndpointList::start("127.52.9.1", &[endpoint_entry("n0", &replica, 1)]);
     let fleet = supervised_fleet("back", 52, &list);
     let old = installed_digest(&fleet, 0);
     let (release_command, digest) = prepare_release(
@@ -74,8 +74,8 @@
 /// signed with the old key alone are rejected afterwards.
 #[test]
 fn keys_are_replaced_during_a_release() {
-    let node = MockReplica::start("127.57.9.1");
-    let list = MockEndpointList::start("127.57.9.1", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.57.9.1");
+    let list = MockEndpointList::start("127.57.9.1", &[endpoint_entry("n0", &replica, 1)]);
     let fleet = supervised_fleet("keys", 57, &list);
     // The first wave is watched for 60 s, so the release is running until an operator rolls it back.
     let plan = " wave r3\n wave rest\n watch 60s\n ready 20s\n enough 0";
--- a/router/tests/fleet_full.rs
+++ b/router/tests/fleet_full.rs
@@ -50,9 +50,12 @@
 /// Runs a release with faults that the seed picks in a fleet of `n` routers.
 fn run_release(n: usize, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let nodes: Vec<MockReplica> = (0..4).map(|_| MockReplica::start("127.60.9.3")).collect();
-    let entries: Vec<String> =
-        nodes.iter().enumerate().map(|(i, node)| endpoint_entry(&format!("n{i}"), node, 1)).collect();
+    let replicas: Vec<MockReplica> = (0..4).map(|_| MockReplica::start("127.60.9.3")).collect();
+    let entries: Vec<String> = replicas
+        .iter()
+        .enumerate()
+        .map(|(i, replica)| endpoint_entry(&format!("n{i}"), replica, 1))
+        .collect();
     let list = MockEndpointList::start("127.60.9.3", &entries);
     let (max_out, max_out_in_zone) = ((n / 10).max(2), (n / 15).max(1));
     let started_at = Instant::now();
@@ -189,8 +192,8 @@
 #[ignore = "full size: minutes, hundreds of processes"]
 fn measures_request_latency_with_and_without_a_fleet_section() {
     let n = env_number("FLEET", 300);
-    let node = MockReplica::start("127.60.9.3");
-    let list = MockEndpointList::start("127.60.9.3", &[endpoint_entry("n0", &node, 1)]);
+    let replica = MockReplica::start("127.60.9.3");
+    let list = MockEndpointList::start("127.60.9.3", &[endpoint_entry("n0", &replica, 1)]);
     let config = config(&list).replace("\"sockets\": 1024", "\"sockets\": 4096");
     let fleet = FleetProcesses::resumed_with_config(
         "cost",
--- a/router/tests/fleet_processes/mod.rs
+++ b/router/tests/fleet_processes/mod.rs
@@ -38,8 +38,8 @@
 }
 
 /// Returns an active entry of the endpoint list as JSON.
-pub fn endpoint_entry(id: &str, node: &MockReplica, started_ms: u64) -> String {
-    let at = node.addr;
+pub fn endpoint_entry(id: &str, replica: &MockReplica, started_ms: u64) -> String {
+    let at = replica.addr;
     format!(
         r#"{{"id":"{id}","addr":"{at}","zone":"rz-garching","kind":"gpu-neu","state":"active","started_ms":{started_ms}}}"#
     )
@@ -164,8 +164,8 @@
         config: &str,
     ) -> FleetProcesses {
         // Routers without replicas do not become ready.
-        let node = MockReplica::start(&format!("127.{net}.9.2"));
-        let list = MockEndpointList::start(&format!("127.{net}.9.2"), &[endpoint_entry("n0", &node, 1)]);
+        let replica = MockReplica::start(&format!("127.{net}.9.2"));
+        let list = MockEndpointList::start(&format!("127.{net}.9.2"), &[endpoint_entry("n0", &replica, 1)]);
         let config = if config == CONFIG { &self::config(&list) } else { config };
         let base = std::env::temp_dir().join(format!("tallypin-fleet-{test}-{}", std::process::id()));
         let mut reserved = Vec::new();
@@ -184,7 +184,7 @@
             routers,
             relays,
             supervised: AtomicBool::new(false),
-            default_endpoints: (list, node),
+            default_endpoints: (list, replica),
             _reserved: reserved,
         };
         (0..fleet.routers.len()).for_each(|r| fleet.start(r));
--- a/router/tests/floods.rs
+++ b/router/tests/floods.rs
@@ -83,15 +83,15 @@
         let (router, listener) = router_with_manual_replica(|_| {}).await;
         let mut quiet_client = Client::connect(router.addr).await;
         quiet_client.send(&platform_request("", "{}")).await;
-        let mut node = accept_request(&listener).await;
-        node.stream.set_nodelay(true).unwrap();
-        node.send(&(STREAM_HEAD.to_string() + &chunk(CHAT[0]))).await;
+        let mut replica = accept_request(&listener).await;
+        replica.stream.set_nodelay(true).unwrap();
+        replica.send(&(STREAM_HEAD.to_string() + &chunk(CHAT[0]))).await;
         for _ in 0..4 {
             let mut client = Client::connect(router.addr).await;
             client.send(&platform_request("", "{}")).await;
-            let mut flooding_node = accept_request(&listener).await;
-            flooding_node.send(STREAM_HEAD).await;
-            floods.write_repeatedly(into_blocking(flooding_node), chunk(&CHAT[1].repeat(20)).repeat(20));
+            let mut flooding_replica = accept_request(&listener).await;
+            flooding_replica.send(STREAM_HEAD).await;
+            floods.write_repeatedly(into_blocking(flooding_replica), chunk(&CHAT[1].repeat(20)).repeat(20));
             floods.discard_input(into_blocking(client));
             let flooding_client = Client::connect(router.addr).await;
             floods.write_repeatedly(
@@ -105,7 +105,7 @@
         for n in 0..120 {
             let event = format!("data: {{\"choices\":[{{\"delta\":{{\"content\":\"{n:04}\"}}}}]}}\n\n");
             let (bytes_before, sent_at) = (floods.read_bytes.load(Ordering::SeqCst), Instant::now());
-            node.send(&chunk(&event)).await;
+            replica.send(&chunk(&event)).await;
             while !quiet_client.buf.windows(event.len()).any(|window| window == event.as_bytes()) {
                 assert!(
                     quiet_client.stream.read_buf(&mut quiet_client.buf).await.unwrap() > 0,
--- a/router/tests/gone.rs
+++ b/router/tests/gone.rs
@@ -21,9 +21,9 @@
     run_test(async {
         let (mut cancelled, mut written) = (0, 0);
         for (wait_turns, front) in (0..40).flat_map(|wait_turns| [(wait_turns, 0), (wait_turns, 1)]) {
-            let node = MockReplica::new(Chat).await;
-            node.add_faults(&[ReplicaFault::NoAnswer; 8]);
-            let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+            let replica = MockReplica::new(Chat).await;
+            replica.add_faults(&[ReplicaFault::NoAnswer; 8]);
+            let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
             let mut clients = Vec::new();
             for _ in 0..8 {
                 let (addr, request) = fronts(&router)[front];
@@ -44,7 +44,7 @@
             let in_flight = disconnect_task.await.unwrap();
             wait_until(|| router.request_counts().client_disconnects == 8).await;
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
-            let (_, requests) = node.take_counts();
+            let (_, requests) = replica.take_counts();
             assert_eq!(
                 requests, in_flight as usize,
                 "front {front}, {wait_turns} turns later: forwarded after the client had disconnected"
@@ -127,16 +127,16 @@
 #[test]
 fn a_disconnect_behind_much_unread_input_is_noticed() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::NoAnswer]);
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::NoAnswer]);
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let mut client = Client::connect(router.addr).await;
         client.send(&platform_request("", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         client.send(&"POST /v1/chat/completions HTTP/1.1\r\n".repeat(2_000)).await;
         drop(client);
         wait_until(|| router.request_counts().client_disconnects == 1).await;
-        assert_eq!(node.next_event().await, ReplicaEvent::ClosedByRouter);
+        assert_eq!(replica.next_event().await, ReplicaEvent::ClosedByRouter);
     });
 }
 
--- a/router/tests/list_input.rs
+++ b/router/tests/list_input.rs
@@ -23,10 +23,10 @@
 #[test]
 fn a_list_with_thousands_of_entries_is_applied_without_blocking() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let router = TestRouter::new(Chat, &[], |_| {}).await;
         let records: Vec<EndpointRecord> = (0..LARGE_LIST_ENTRIES)
-            .map(|n| endpoint_record(&format!("s-{n}"), node.addr, "active"))
+            .map(|n| endpoint_record(&format!("s-{n}"), replica.addr, "active"))
             .collect();
         let started_at = Instant::now();
         endpoint_list::apply(
@@ -39,7 +39,7 @@
             &list_message(ListUpdate::Full, records),
             ListUpdate::Full,
         );
-        let changed = vec![endpoint_record("s-7", node.addr, "left")];
+        let changed = vec![endpoint_record("s-7", replica.addr, "left")];
         endpoint_list::apply(
             &router.components.endpoint_list,
             &list_message(ListUpdate::Delta, changed),
@@ -61,9 +61,10 @@
     run_test(async {
         for update in [ListUpdate::Delta, ListUpdate::Full] {
             for (states, ready) in [(["left", "active"], true), (["active", "left"], false)] {
-                let node = MockReplica::new(Chat).await;
-                let router = TestRouter::new(Chat, &[&node], |_| {}).await;
-                let records = states.iter().map(|state| endpoint_record("s-0", node.addr, state)).collect();
+                let replica = MockReplica::new(Chat).await;
+                let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
+                let records =
+                    states.iter().map(|state| endpoint_record("s-0", replica.addr, state)).collect();
                 endpoint_list::apply(
                     &router.components.endpoint_list,
                     &list_message(update, records),
@@ -90,8 +91,8 @@
 }
 
 /// Returns a list message with the active entry of a replica and `count` leaving entries whose ids start with `name`.
-fn long_list(version: u64, count: usize, name: &str, node: &MockReplica) -> String {
-    let addr = node.addr;
+fn long_list(version: u64, count: usize, name: &str, replica: &MockReplica) -> String {
+    let addr = replica.addr;
     let leaving_entry = |n: usize| {
         format!(r#"{{"id":"{name}-{n}","addr":"{addr}","zone":"z-{n}","kind":"k-{n}","state":"leaving"}}"#)
     };
@@ -105,17 +106,17 @@
 #[test]
 fn a_list_above_the_size_limit_is_rejected_and_a_long_entry_is_accepted() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
         config.endpoint_list_agent = list.local_addr().unwrap();
         let router = TestRouter::with_config(config, Chat, &[], None).await;
         let (mut call, _) = accept_list_call(&list).await;
-        call.send(&(WATCH_HEAD.to_string() + &long_list(41, 1, &"n".repeat(60_000), &node))).await;
+        call.send(&(WATCH_HEAD.to_string() + &long_list(41, 1, &"n".repeat(60_000), &replica))).await;
         wait_until(|| router.components.replicas.ready_count() == 1).await;
-        call.send(&long_list(42, 5_000, "u", &node)).await;
+        call.send(&long_list(42, 5_000, "u", &replica)).await;
         wait_until(|| router.components.with_core(|core, _| core.listed_replicas().count()) == 5_001).await;
-        let too_long = long_list(43, 100_000, "t", &node);
+        let too_long = long_list(43, 100_000, "t", &replica);
         // The router closes the connection before it has read the whole list, so the write may fail.
         let _ = tokio::io::AsyncWriteExt::write_all(&mut call.stream, too_long.as_bytes()).await;
         let (_second_call, head) = accept_list_call(&list).await;
--- a/router/tests/list_watch.rs
+++ b/router/tests/list_watch.rs
@@ -31,13 +31,13 @@
 #[test]
 fn a_watch_with_an_incomplete_message_is_abandoned_despite_blank_lines() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let list = listener().await;
         let mut config = config();
         config.endpoint_list_agent = list.local_addr().unwrap();
         config.limits.list_message_stall_timeout = 100 * MS;
         let router = TestRouter::with_config(config, Chat, &[], None).await;
-        let complete = list_message_chunk(41, true, "s-1", &node, "active");
+        let complete = list_message_chunk(41, true, "s-1", &replica, "active");
         let (mut call, _) = accept_list_call(&list).await;
         // A message in pieces is accepted if each piece arrives within `list_message_gap`.
         let message = complete.split("\r\n").nth(1).unwrap();
@@ -48,7 +48,7 @@
         }
         wait_until(|| router.components.replicas.ready_count() == 1).await;
         // Sends half of the next message, then only blank lines.
-        let change = list_message_chunk(42, false, "s-1", &node, "leaving");
+        let change = list_message_chunk(42, false, "s-1", &replica, "leaving");
         let change = change.split("\r\n").nth(1).unwrap();
         call.send(&chunk(&change[..change.len() / 2])).await;
         let blank_lines = async {
@@ -63,7 +63,7 @@
         };
         assert!(head.contains("since=41"), "{head}");
         second_call
-            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &node, "leaving")))
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &replica, "leaving")))
             .await;
         wait_until(|| router.components.replicas.ready_count() == 0).await;
         let counts = router.components.endpoint_list.state.counts();
@@ -93,7 +93,7 @@
 #[test]
 fn the_former_address_is_called_again_while_the_new_one_does_not_answer() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let (former, new) = (listener().await, listener().await);
         let mut config = config();
         config.endpoint_list_agent = former.local_addr().unwrap();
@@ -103,7 +103,7 @@
         let router = TestRouter::with_config(config, Chat, &[], None).await;
         let (mut first_call, _) = accept_list_call(&former).await;
         first_call
-            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &node, "active")))
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &replica, "active")))
             .await;
         wait_until(|| router.components.replicas.ready_count() == 1).await;
         reload::apply(&router.components.endpoint_list.state, &startup, &new_config);
@@ -112,7 +112,7 @@
         let (mut second_call, head) = accept_list_call(&former).await;
         assert!(head.contains("since=41"), "{head}");
         second_call
-            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &node, "leaving")))
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &replica, "leaving")))
             .await;
         wait_until(|| router.components.replicas.ready_count() == 0).await;
     });
@@ -123,7 +123,7 @@
 #[test]
 fn a_router_without_the_list_excludes_replicas_reported_by_a_peer() {
     run_test(async {
-        let nodes = [MockReplica::new(Chat).await, MockReplica::new(Chat).await];
+        let replicas = [MockReplica::new(Chat).await, MockReplica::new(Chat).await];
         let lists = [listener().await, listener().await];
         let peer_addrs: Vec<_> = ["127.2.14.1", "127.2.14.2"].map(free_udp_address).to_vec();
         let mut routers = Vec::new();
@@ -139,11 +139,13 @@
             let addresses =
                 PeerAddresses { listen: peer_addrs[index], routers: peer_addrs.clone(), broadcast: None };
             let peers = Peers::new(addresses, PeerId(index as u32), digest).await.unwrap();
-            routers.push(TestRouter::with_config(config, Chat, &[&nodes[0], &nodes[1]], Some(peers)).await);
+            routers.push(
+                TestRouter::with_config(config, Chat, &[&replicas[0], &replicas[1]], Some(peers)).await,
+            );
         }
         let (mut first_call, _) = accept_list_call(&lists[0]).await;
         first_call
-            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &nodes[1], "active")))
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &replicas[1], "active")))
             .await;
         // The second router gets no answer. The list of the first lacks s-0, which is in the configuration, so s-0 is gone.
         wait_until(|| usable_replicas(&routers[0]) == 1).await;
@@ -153,12 +155,12 @@
             2,
             "the second router keeps its own list"
         );
-        first_call.send(&list_message_chunk(42, false, "s-1", &nodes[1], "leaving")).await;
+        first_call.send(&list_message_chunk(42, false, "s-1", &replicas[1], "leaving")).await;
         wait_until(|| usable_replicas(&routers[1]) == 0).await;
         // Once the second router has a list of its own, that list alone decides.
         let (mut second_call, _) = accept_list_call(&lists[1]).await;
         second_call
-            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(40, true, "s-1", &nodes[1], "active")))
+            .send(&(WATCH_HEAD.to_string() + &list_message_chunk(40, true, "s-1", &replicas[1], "active")))
             .await;
         wait_until(|| usable_replicas(&routers[1]) == 1).await;
         let listed =
--- a/router/tests/program.rs
+++ b/router/tests/program.rs
@@ -311,7 +311,7 @@
 #[test]
 fn idle_clients_leave_descriptors_for_the_endpoint_list_and_replicas() {
     let ip = "127.2.3.1";
-    let node = MockReplica::start(ip);
+    let replica = MockReplica::start(ip);
     // The service accepts connections but does not answer at first.
     let list_service = TcpListener::bind((ip, 0)).unwrap();
     let front = ReservedAddress::on(ip).unwrap();
@@ -360,7 +360,7 @@
         s.spawn(|| {
             let message = format!(
                 r#"{{"version":1,"full":true,"servers":[{{"id":"n0","addr":"{}","state":"active"}}]}}"#,
-                node.addr
+                replica.addr
             );
             let mut open_watches = Vec::new();
             list_service.set_nonblocking(true).unwrap();
--- a/router/tests/races.rs
+++ b/router/tests/races.rs
@@ -27,13 +27,13 @@
             let (addr, request) = fronts(&router)[front];
             let mut client = Client::connect(addr).await;
             client.send(&request()).await;
-            let mut node = accept_request(&listener).await;
-            node.send(&streamed_answer("first")).await;
+            let mut replica = accept_request(&listener).await;
+            replica.send(&streamed_answer("first")).await;
             assert_eq!(client.read_answer().await.0, 200);
             wait_until(|| router.components.replicas.connection_counts() == (1, 1)).await;
             // Polls the idle connection, so that the router depends on a readiness event from here on.
             router.components.replicas.close_expired();
-            let (mut client, node) = (into_blocking(client), into_blocking(node));
+            let (mut client, replica) = (into_blocking(client), into_blocking(replica));
             client.write_all(request().as_bytes()).unwrap();
             wait_for_arrival(&[&client], Arrival::Data);
             // This task runs between the choice of the replica and the first poll of the attempt.
@@ -42,8 +42,8 @@
                 while components.with_core(|core, _| core.open_requests()) == 0 {
                     yield_times(1).await;
                 }
-                node.shutdown(std::net::Shutdown::Write).unwrap();
-                wait_for_arrival(&[&node], Arrival::End);
+                replica.shutdown(std::net::Shutdown::Write).unwrap();
+                wait_for_arrival(&[&replica], Arrival::End);
             });
             closing.await.unwrap();
             let mut second = accept_request(&listener).await;
@@ -111,8 +111,8 @@
 fn a_request_that_arrives_as_its_idle_connection_closes_to_make_room_is_answered() {
     run_test(async {
         for front in [0, 1] {
-            let node = MockReplica::new(Chat).await;
-            let router = TestRouter::new(Chat, &[&node], |l| l.max_clients = 1).await;
+            let replica = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&replica], |l| l.max_clients = 1).await;
             let (addr, request) = fronts(&router)[front];
             let mut idle = Client::connect(addr).await;
             idle.send(&request()).await;
@@ -134,10 +134,11 @@
 fn an_idle_connection_that_closes_to_make_room_is_not_reset() {
     run_test(async {
         for front in [0, 1] {
-            let node = MockReplica::new(Chat).await;
-            let router =
-                TestRouter::new(Chat, &[&node], |l| (l.max_clients, l.final_read_duration) = (1, 200 * MS))
-                    .await;
+            let replica = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&replica], |l| {
+                (l.max_clients, l.final_read_duration) = (1, 200 * MS)
+            })
+            .await;
             let (addr, request) = fronts(&router)[front];
             let mut idle = Client::connect(addr).await;
             idle.send(&request()).await;
@@ -159,7 +160,7 @@
             next.send(&request()).await;
             assert_eq!(next.read_answer().await.0, 200, "front {front}");
             assert_eq!(
-                node.take_counts().1,
+                replica.take_counts().1,
                 2,
                 "front {front}: a request read after the shutdown is forwarded"
             );
@@ -172,18 +173,18 @@
 #[test]
 fn the_deadline_of_a_pipelined_request_runs_from_its_first_byte() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::SlowFirstEvent]);
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::SlowFirstEvent]);
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let mut client = Client::connect(router.addr).await;
         let pipelined = platform_request("Req-Deadline-Ms: 900\r\n", "{}")
             + &platform_request("Req-Deadline-Ms: 900\r\n", "{}");
         client.send(&pipelined).await;
-        let (first, _) = node.next_request().await;
+        let (first, _) = replica.next_request().await;
         let started_at = std::time::Instant::now();
         let deadline_ms = |head: &str| header_value(head, "req-deadline-ms").unwrap().parse::<u64>().unwrap();
         assert_eq!(client.read_answer().await.0, 200);
-        let (second, _) = node.next_request().await;
+        let (second, _) = replica.next_request().await;
         assert!(started_at.elapsed() >= 40 * MS, "the first answer takes 40 ms");
         assert!(deadline_ms(&second) + 40 <= deadline_ms(&first), "{first}{second}");
     });
@@ -198,7 +199,7 @@
 }
 
 /// Returns a router that watches one address of the endpoint list and has called another one after a reload, with both watches.
-async fn router_with_two_watches(node: &MockReplica) -> (TestRouter, TcpStream, TcpStream) {
+async fn router_with_two_watches(replica: &MockReplica) -> (TestRouter, TcpStream, TcpStream) {
     let bind = || TcpListener::bind("127.0.0.1:0");
     let (former, new) = (bind().await.unwrap(), bind().await.unwrap());
     let mut config = Config::parse(CONFIG).unwrap();
@@ -208,7 +209,7 @@
     let running = StartupConfiguration::from_config(&config);
     let router = TestRouter::with_config(config, Chat, &[], None).await;
     let mut old_watch = accept_watch(&former).await;
-    old_watch.write_all(list_message_chunk(41, true, "s-1", node, "active").as_bytes()).unwrap();
+    old_watch.write_all(list_message_chunk(41, true, "s-1", replica, "active").as_bytes()).unwrap();
     wait_until(|| router.components.replicas.ready_count() == 1).await;
     reload::apply(&router.components.endpoint_list.state, &running, &moved);
     let new_watch = accept_watch(&new).await;
@@ -219,11 +220,11 @@
 #[test]
 fn a_change_from_the_former_list_address_does_not_undo_the_new_list() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let (router, mut old_watch, mut new_watch) = router_with_two_watches(&node).await;
+        let replica = MockReplica::new(Chat).await;
+        let (router, mut old_watch, mut new_watch) = router_with_two_watches(&replica).await;
         yield_times(200).await;
-        new_watch.write_all(list_message_chunk(7, true, "s-1", &node, "leaving").as_bytes()).unwrap();
-        old_watch.write_all(list_message_chunk(42, false, "s-1", &node, "active").as_bytes()).unwrap();
+        new_watch.write_all(list_message_chunk(7, true, "s-1", &replica, "leaving").as_bytes()).unwrap();
+        old_watch.write_all(list_message_chunk(42, false, "s-1", &replica, "active").as_bytes()).unwrap();
         wait_for_arrival(&[&new_watch, &old_watch], Arrival::Data);
         let state = || router.components.with_core(|core, _| core.listed_replicas().map(|r| r.state).next());
         wait_until(|| state() != Some(tallypin::api::EndpointState::Ready)).await;
@@ -236,7 +237,7 @@
             );
         }
         // The router watches the new address from now on.
-        new_watch.write_all(list_message_chunk(8, false, "s-1", &node, "active").as_bytes()).unwrap();
+        new_watch.write_all(list_message_chunk(8, false, "s-1", &replica, "active").as_bytes()).unwrap();
         wait_until(|| state() == Some(tallypin::api::EndpointState::Ready)).await;
     });
 }
@@ -245,7 +246,7 @@
 #[test]
 fn an_older_version_of_the_list_is_ignored_unless_it_is_complete() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = Config::parse(CONFIG).unwrap();
         config.endpoint_list_agent = list.local_addr().unwrap();
@@ -258,16 +259,16 @@
                 core.listed_replicas().filter(|r| r.replica == id).map(|r| r.state).next()
             })
         };
-        send(list_message_chunk(41, true, "s-1", &node, "active"));
-        send(list_message_chunk(43, false, "s-1", &node, "leaving"));
-        send(list_message_chunk(42, false, "s-1", &node, "active"));
-        send(list_message_chunk(44, false, "s-2", &node, "active"));
+        send(list_message_chunk(41, true, "s-1", &replica, "active"));
+        send(list_message_chunk(43, false, "s-1", &replica, "leaving"));
+        send(list_message_chunk(42, false, "s-1", &replica, "active"));
+        send(list_message_chunk(44, false, "s-2", &replica, "active"));
         wait_until(|| state_of("s-2").is_some()).await;
         assert_eq!(state_of("s-1"), Some(tallypin::api::EndpointState::Draining));
         // A restarted service numbers its versions from the beginning.
-        send(list_message_chunk(1, true, "s-3", &node, "active"));
+        send(list_message_chunk(1, true, "s-3", &replica, "active"));
         wait_until(|| state_of("s-3").is_some()).await;
-        send(list_message_chunk(2, false, "s-4", &node, "active"));
+        send(list_message_chunk(2, false, "s-4", &replica, "active"));
         wait_until(|| state_of("s-4").is_some()).await;
     });
 }
--- a/router/tests/recorded_wire.rs
+++ b/router/tests/recorded_wire.rs
@@ -59,17 +59,17 @@
     faults: &[ReplicaFault],
     change: impl FnOnce(&mut Limits),
 ) -> (TestRouter, MockReplica) {
-    let node = MockReplica::new(dialect).await;
-    node.add_faults(faults);
-    let router = TestRouter::new(dialect, &[&node], change).await;
-    (router, node)
+    let replica = MockReplica::new(dialect).await;
+    replica.add_faults(faults);
+    let router = TestRouter::new(dialect, &[&replica], change).await;
+    (router, replica)
 }
 
 /// Starts a router whose settings forbid a retry of a request that may have run.
-async fn router_with_side_effects(node: &MockReplica) -> TestRouter {
+async fn router_with_side_effects(replica: &MockReplica) -> TestRouter {
     let mut config = config();
     config.deployment.decision_settings.classes.iter_mut().for_each(|c| c.effect = Effect::NotIdempotent);
-    TestRouter::with_config(config, Chat, &[node], None).await
+    TestRouter::with_config(config, Chat, &[replica], None).await
 }
 
 const CHAT_BODY: &str = r#"{"model":"m","stream":true,"temperature":0.5,"stop":["x"],"messages":[
@@ -99,13 +99,13 @@
                 ("with an unknown event", ReplicaFault::UnknownEvent),
                 ("broken", ReplicaFault::CloseAfterFirstText),
             ] {
-                let (router, _node) = router(dialect, &[fault], |_| {}).await;
+                let (router, _replica) = router(dialect, &[fault], |_| {}).await;
                 recording.case(
                     &format!("{nodes}, {title}"),
                     exchange(router.addr, &platform_with_id("a", "", CHAT_BODY)).await,
                 );
             }
-            let (router, _node) = router(dialect, &[], |_| {}).await;
+            let (router, _replica) = router(dialect, &[], |_| {}).await;
             let last = platform_with_id("a", "Connection: close\r\n", CHAT_BODY);
             recording.case(&format!("{nodes}, asked to close"), exchange(router.addr, &last).await);
         }
@@ -126,12 +126,12 @@
                 for (form, body) in
                     [("stream", MESSAGES_BODY.to_string()), ("whole", message_without_streaming())]
                 {
-                    let (router, _node) = router(dialect, &[fault], |_| {}).await;
+                    let (router, _replica) = router(dialect, &[fault], |_| {}).await;
                     let raw = exchange(router.messages_addr, &messages_request("", &body)).await;
                     recording.case(&format!("{nodes}, {form}, {title}"), raw);
                 }
             }
-            let (router, _node) = router(dialect, &[], |_| {}).await;
+            let (router, _replica) = router(dialect, &[], |_| {}).await;
             let last = messages_request("Connection: close\r\n", MESSAGES_BODY);
             recording.case(&format!("{nodes}, asked to close"), exchange(router.messages_addr, &last).await);
             let mut client = Client::connect(router.messages_addr).await;
@@ -140,7 +140,7 @@
                 recording.case(&format!("{nodes}, {title} answer"), raw_answer(&mut client).await);
             }
         }
-        let (router, _node) = router(Chat, &[], |l| l.max_collected_answer_size = 4).await;
+        let (router, _replica) = router(Chat, &[], |l| l.max_collected_answer_size = 4).await;
         let raw = exchange(router.messages_addr, &messages_request("", &message_without_streaming())).await;
         recording.case("too long to be given whole", raw);
         recording.check();
@@ -155,7 +155,7 @@
         _ => messages_request(fields, MESSAGES_BODY),
     };
     let deadline = ["Req-Deadline-Ms: 40\r\n", "x-deadline-ms: 40\r\n"][front];
-    let (no_replicas, _node) = (TestRouter::new(Chat, &[], |_| {}).await, ());
+    let (no_replicas, _replica) = (TestRouter::new(Chat, &[], |_| {}).await, ());
     recording.case("no capacity", exchange(addr_of(&no_replicas), &request("")).await);
     let faults = [
         ("error", ReplicaFault::Error),
@@ -163,22 +163,22 @@
         ("declined", ReplicaFault::Decline),
     ];
     for (title, fault) in faults {
-        let (router, _node) = router(Chat, &[fault; 8], |_| {}).await;
+        let (router, _replica) = router(Chat, &[fault; 8], |_| {}).await;
         recording.masked(title, Mask::RetryAfterDigits, exchange(addr_of(&router), &request(deadline)).await);
     }
-    let (idempotent, _node) = router(Chat, &[ReplicaFault::NoAnswer; 8], |_| {}).await;
+    let (idempotent, _replica) = router(Chat, &[ReplicaFault::NoAnswer; 8], |_| {}).await;
     let raw = exchange(addr_of(&idempotent), &request(deadline)).await;
     recording.masked("late, may be repeated", Mask::RetryAfterDigits, raw);
-    let node = MockReplica::new(Chat).await;
-    node.add_faults(&[ReplicaFault::NoAnswer; 8]);
-    let not_idempotent = router_with_side_effects(&node).await;
+    let replica = MockReplica::new(Chat).await;
+    replica.add_faults(&[ReplicaFault::NoAnswer; 8]);
+    let not_idempotent = router_with_side_effects(&replica).await;
     recording
         .case("late, must not be repeated", exchange(addr_of(&not_idempotent), &request(deadline)).await);
-    let node = MockReplica::new(Chat).await;
-    node.add_faults(&[ReplicaFault::CloseBeforeAnswer; 8]);
-    let not_idempotent = router_with_side_effects(&node).await;
+    let replica = MockReplica::new(Chat).await;
+    replica.add_faults(&[ReplicaFault::CloseBeforeAnswer; 8]);
+    let not_idempotent = router_with_side_effects(&replica).await;
     recording.case("failed, must not be repeated", exchange(addr_of(&not_idempotent), &request("")).await);
-    let (shared, _node) = router(Chat, &[], |_| {}).await;
+    let (shared, _replica) = router(Chat, &[], |_| {}).await;
     let over_quota = request("").replace("haendlerbund", "grenzstellen");
     let used_up = loop {
         let raw = exchange(addr_of(&shared), &over_quota).await;
@@ -187,11 +187,11 @@
         }
     };
     recording.masked("share used up", Mask::RetryAfterDigits, used_up);
-    let (full, _node) = router(Chat, &[], |l| l.max_open_requests = 0).await;
+    let (full, _replica) = router(Chat, &[], |l| l.max_open_requests = 0).await;
     recording.case("too many open requests", exchange(addr_of(&full), &request("")).await);
-    let (small, _node) = router(Chat, &[], |l| l.body_budget = 1).await;
+    let (small, _replica) = router(Chat, &[], |l| l.body_budget = 1).await;
     recording.case("no room for the body", exchange(addr_of(&small), &request("")).await);
-    let (crowded, _node) = router(Chat, &[ReplicaFault::NoAnswer; 2], |l| l.max_clients = 1).await;
+    let (crowded, _replica) = router(Chat, &[ReplicaFault::NoAnswer; 2], |l| l.max_clients = 1).await;
     let mut first = Client::connect(addr_of(&crowded)).await;
     first
         .send(&match front {
@@ -210,19 +210,19 @@
     run_test(async {
         let mut recording = Recording::new("platform-answers");
         record_common_answers(&mut recording, 0).await;
-        let (router, node) = router(Chat, &[ReplicaFault::NoAnswer], |_| {}).await;
+        let (router, replica) = router(Chat, &[ReplicaFault::NoAnswer], |_| {}).await;
         let mut first = Client::connect(router.addr).await;
         first.send(&platform_with_id("twice", "", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         recording
             .case("the name of another", exchange(router.addr, &platform_with_id("twice", "", "{}")).await);
         drop(first);
         // The stream to the platform front is interrupted before its first byte was relayed.
         wait_until(|| router.open_requests() == 0).await;
-        let (cut, node) = self::router(Chat, &[ReplicaFault::NoAnswer], |_| {}).await;
+        let (cut, replica) = self::router(Chat, &[ReplicaFault::NoAnswer], |_| {}).await;
         let mut client = Client::connect(cut.addr).await;
         client.send(&platform_with_id("cut", "", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         cut.components.with_core(|core, now| assert!(core.first_event(now, RequestId(1), 0)));
         cut.components.with_core(|core, now| core.answer_for_shutdown(now, Some(0)));
         recording.case("cut before it was passed on", raw_answer(&mut client).await);
@@ -241,7 +241,7 @@
 
 /// Records the answers of a front to input that both fronts reject, and to the ways of sending a body.
 async fn record_bad_input(recording: &mut Recording, front: usize, good: &str) {
-    let (router, _node) =
+    let (router, _replica) =
         router(Chat, &[], |l| (l.max_body_size, l.max_head_size, l.max_fields) = (1024, 2048, 16)).await;
     let addr = if front == 0 { router.addr } else { router.messages_addr };
     let (head, _) = good.split_once("\r\n\r\n").unwrap();
@@ -274,11 +274,11 @@
     ] {
         recording.case(title, exchange(addr, &text).await);
     }
-    let (slow, _node) = self::router(Chat, &[], |l| l.request_read_timeout = 30 * MS).await;
+    let (slow, _replica) = self::router(Chat, &[], |l| l.request_read_timeout = 30 * MS).await;
     let addr = if front == 0 { slow.addr } else { slow.messages_addr };
     recording.case("half a request", exchange(addr, &good[..good.len() - 1]).await);
     let (body, length) = (good.split_once("\r\n\r\n").unwrap().1, good.len() - head.len() - 4);
-    let (router, _node) = self::router(Chat, &[], |_| {}).await;
+    let (router, _replica) = self::router(Chat, &[], |_| {}).await;
     let addr = if front == 0 { router.addr } else { router.messages_addr };
     let mut client = Client::connect(addr).await;
     client.send(&format!("{head}\r\nExpect: 100-continue\r\n\r\n")).await;
@@ -296,7 +296,7 @@
         let mut recording = Recording::new("platform-bad-input");
         let good = platform_with_id("a", "", "{}");
         record_bad_input(&mut recording, 0, &good).await;
-        let (router, _node) = router(Chat, &[], |_| {}).await;
+        let (router, _replica) = router(Chat, &[], |_| {}).await;
         for (title, from, to) in [
             ("no name", "Req-Id: a\r\n", ""),
             ("an empty name", "Req-Id: a\r\n", "Req-Id: \r\n"),
@@ -316,7 +316,7 @@
         }
         let long = good.replace("Req-Id: a", &format!("Req-Id: {}", "a".repeat(129)));
         recording.case("a long name", exchange(router.addr, &long).await);
-        let (messages, _node) = self::router(Messages, &[], |_| {}).await;
+        let (messages, _replica) = self::router(Messages, &[], |_| {}).await;
         recording.case("no body for a messages node", exchange(messages.addr, &good).await);
         recording.check();
     });
@@ -327,7 +327,7 @@
     run_test(async {
         let mut recording = Recording::new("messages-bad-input");
         record_bad_input(&mut recording, 1, &messages_request("", MESSAGES_BODY)).await;
-        let (router, _node) = router(Chat, &[], |_| {}).await;
+        let (router, _replica) = router(Chat, &[], |_| {}).await;
         let picture = MESSAGES_BODY.replace("\"type\":\"text\"", "\"type\":\"image\"");
         for (title, text) in [
             ("no JSON", messages_request("", "{")),
@@ -356,8 +356,8 @@
     run_test(async {
         let mut recording = Recording::new("health");
         for (stage, nodes) in [(Stage::Serving, 1), (Stage::Serving, 0), (Stage::Grace, 1)] {
-            let node = MockReplica::new(Chat).await;
-            let router = TestRouter::new(Chat, &[&node][..nodes], |_| {}).await;
+            let replica = MockReplica::new(Chat).await;
+            let router = TestRouter::new(Chat, &[&replica][..nodes], |_| {}).await;
             router.components.lifecycle.enter(stage);
             for (front, addr) in [("platform", router.addr), ("messages", router.messages_addr)] {
                 for path in ["/up", "/healthz", "/up?query"] {
@@ -393,7 +393,7 @@
             [("grace", Stage::Grace), ("parting", Stage::AnnouncingClose), ("refusing", Stage::Rejecting)]
         {
             for front in [0, 1] {
-                let (router, _node) = router(Chat, &[], |l| l.final_read_duration = 300 * MS).await;
+                let (router, _replica) = router(Chat, &[], |l| l.final_read_duration = 300 * MS).await;
                 let (addr, request) = match front {
                     0 => (router.addr, platform_with_id("a", "", "{}")),
                     _ => (router.messages_addr, messages_request("", MESSAGES_BODY)),
@@ -425,7 +425,7 @@
     run_test(async {
         let mut recording = Recording::new("node-requests");
         for (dialect, nodes) in [(Chat, "chat nodes"), (Messages, "messages nodes")] {
-            let (router, node) = router(dialect, &[], |_| {}).await;
+            let (router, replica) = router(dialect, &[], |_| {}).await;
             let resumed =
                 MESSAGES_BODY.replace("}]}]}", "}]},{\"role\":\"assistant\",\"content\":\"Your\"}]}");
             for (title, addr, request) in [
@@ -457,7 +457,7 @@
             ] {
                 let raw = exchange(addr, &request).await;
                 assert!(raw.starts_with(b"HTTP/1.1 200"), "{title}: {}", String::from_utf8_lossy(&raw));
-                let (head, body) = node.next_request().await;
+                let (head, body) = replica.next_request().await;
                 let sent = [head.as_bytes(), &body].concat();
                 recording.masked(&format!("{nodes}, {title}"), Mask::DeadlineOfFourDigits, sent);
             }
@@ -467,14 +467,14 @@
             if !names {
                 config.deployment.report_field_names.clear();
             }
-            let node = MockReplica::new(Chat).await;
-            let router = TestRouter::with_config(config, Chat, &[&node], None).await;
+            let replica = MockReplica::new(Chat).await;
+            let router = TestRouter::with_config(config, Chat, &[&replica], None).await;
             tokio::task::spawn_local(replica::probe(
                 router.components.replica_context.clone(),
                 router.components.dispatcher.clone(),
                 tallypin::name_hash::replica_id("s-0"),
             ));
-            recording.case(&format!("probe {title}"), node.next_request().await.0);
+            recording.case(&format!("probe {title}"), replica.next_request().await.0);
         }
         recording.check();
     });
@@ -487,7 +487,7 @@
         for (title, mode) in
             [("asked", config().deployment.decision_settings.list_mode), ("pushed", EndpointListMode::Pushed)]
         {
-            let node = MockReplica::new(Chat).await;
+            let replica = MockReplica::new(Chat).await;
             let ports = [(); 2].map(|()| ReservedPort::new());
             let (old, new) = (ports[0].listen().await, ports[1].listen().await);
             let mut config = config();
@@ -498,7 +498,7 @@
             let router = TestRouter::with_config(config, Chat, &[], None).await;
             let (mut call, head) = accept_list_call(&old).await;
             recording.case(&format!("{title}, the first call"), head);
-            call.send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &node, "active")))
+            call.send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &replica, "active")))
                 .await;
             wait_until(|| router.components.replicas.ready_count() == 1).await;
             drop(call);
@@ -541,8 +541,8 @@
             }
         }
         // A report of a running router: the time span that it covers depends on the clock.
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::with_config(config, Chat, &[&node], Some(peers)).await;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::with_config(config, Chat, &[&replica], Some(peers)).await;
         let mut client = Client::connect(router.addr).await;
         assert_eq!(client.send_platform_request("").await.0, 200);
         let (length, _) = other.recv_from(&mut buf).await.unwrap();
--- a/router/tests/rough.rs
+++ b/router/tests/rough.rs
@@ -1,4 +1,4 @@
-//! Clients and model nodes on real sockets that violate the protocol, or stay connected and send nothing.
+//! Clients and replicas on real sockets that violate the protocol, or stay connected and send nothing.
 #![allow(missing_docs)]
 
 mod common;
@@ -13,20 +13,20 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Guards against two requests with one id: model nodes would take them for copies of one request.
+/// Guards against two requests with one id: replicas would take them for copies of one request.
 #[test]
 fn a_request_id_in_use_is_rejected_and_its_first_request_is_served() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::SlowFirstEvent]);
-        let router = TestRouter::new(Chat, &[&node], |l| l.max_remembered_requests = 1).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::SlowFirstEvent]);
+        let router = TestRouter::new(Chat, &[&replica], |l| l.max_remembered_requests = 1).await;
         let (mut owner, mut other) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
         let request = platform_request("", "{}");
         owner.send(&request).await;
-        node.next_request().await;
+        replica.next_request().await;
         other.send(&request).await;
         assert_eq!(other.read_answer().await.0, 409);
-        assert_eq!((owner.read_answer().await.0, node.take_counts().1), (200, 0));
+        assert_eq!((owner.read_answer().await.0, replica.take_counts().1), (200, 0));
         // A late copy is still rejected; after further requests, the id is forgotten.
         other.send(&request).await;
         assert_eq!(other.read_answer().await.0, 409);
@@ -41,8 +41,8 @@
 #[test]
 fn idle_connections_are_closed_before_those_with_a_partial_request() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |l| {
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |l| {
             (l.max_clients, l.client_eviction_idle_time) = (3, Duration::ZERO)
         })
         .await;
@@ -94,8 +94,8 @@
 #[test]
 fn a_body_counts_against_the_budget_as_it_arrives() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |l| l.body_budget = 1000).await;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |l| l.body_budget = 1000).await;
         let mut announced = Vec::new();
         for fields in ["Transfer-Encoding: chunked\r\n", "Content-Length: 900\r\n"].repeat(4) {
             let mut client = Client::connect(router.addr).await;
@@ -119,11 +119,11 @@
         let router =
             TestRouter::new(Chat, &[], |l| (l.max_immediate_retries, l.immediate_retry_pause) = (2, 50 * MS))
                 .await;
-        let mut hasty = Client::connect(router.addr).await;
+        let mut retrying_client = Client::connect(router.addr).await;
         let started = Instant::now();
-        hasty.send(&(0..6).map(|_| platform_request("", "{}")).collect::<String>()).await;
+        retrying_client.send(&(0..6).map(|_| platform_request("", "{}")).collect::<String>()).await;
         for _ in 0..6 {
-            assert_eq!(hasty.read_answer().await.0, 503);
+            assert_eq!(retrying_client.read_answer().await.0, 503);
         }
         assert!(started.elapsed() >= 150 * MS, "{:?}", started.elapsed());
         let (mut calm, started) = (Client::connect(router.addr).await, Instant::now());
@@ -197,16 +197,16 @@
             let mut client = Client::connect(router.addr).await;
             client.send(&platform_request("Req-Deadline-Ms: 700\r\n", "{}")).await;
             let (stream, _) = listener.accept().await.unwrap();
-            let mut node = Client { stream, buf: Vec::new() };
-            node.read_message().await.unwrap();
+            let mut replica = Client { stream, buf: Vec::new() };
+            replica.read_message().await.unwrap();
             let reused = spawn_local(async move {
-                let _ = node.stream.write_all(text.as_bytes()).await;
-                node.read_message().await.is_some()
+                let _ = replica.stream.write_all(text.as_bytes()).await;
+                replica.read_message().await.is_some()
             });
             let (status, _, body, whole) = client.read_answer().await;
             assert_eq!((status, body, whole), expected, "{case}");
             assert!(started.elapsed() < 600 * MS, "{case}: {:?}", started.elapsed());
-            // Intact connections are retained and closed when their node is removed; none carries a second
+            // Intact connections are retained and closed when their replica is removed; none carries a second
             // request.
             router.set_endpoint_list([]);
             assert!(!reused.await.unwrap(), "{case}");
@@ -220,12 +220,12 @@
 #[test]
 fn a_broken_stream_ends_without_a_reset_although_requests_are_unread() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::SilentAfterFirstText]);
-        let router = TestRouter::new(Chat, &[&node], |l| l.stream_silence_timeout = 200 * MS).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::SilentAfterFirstText]);
+        let router = TestRouter::new(Chat, &[&replica], |l| l.stream_silence_timeout = 200 * MS).await;
         let mut client = Client::connect(router.addr).await;
         client.send(&platform_request("", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         client.send(&platform_request("", "{}").repeat(300)).await;
         let mut all = String::new();
         client.stream.read_to_string(&mut all).await.expect("no reset");
@@ -279,21 +279,21 @@
     });
 }
 
-/// Guards against a new node at the address of a removed one that gets requests on connections opened to the
+/// Guards against a new replica at the address of a removed one that gets requests on connections opened to the
 /// removed one.
 #[test]
 fn a_new_node_at_an_old_address_gets_no_old_connection() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let mut config = config();
-        // Disables the warm-up, so that a node accepts requests as soon as it has started.
+        // Disables the warm-up, so that a replica accepts requests as soon as it has started.
         config.deployment.decision_settings.warm_up_time = 0;
-        let router = TestRouter::with_config(config, Chat, &[&node], None).await;
+        let router = TestRouter::with_config(config, Chat, &[&replica], None).await;
         let mut client = Client::connect(router.addr).await;
         assert_eq!(client.send_platform_request("").await.0, 200);
-        let mut restarted = endpoint_record("s-1", node.addr, "active");
+        let mut restarted = endpoint_record("s-1", replica.addr, "active");
         for (id, rows) in [
-            ("s-1", [endpoint_record("s-1", node.addr, "active")]),
+            ("s-1", [endpoint_record("s-1", replica.addr, "active")]),
             ("s-1, restarted", {
                 restarted.started_ms = 5;
                 [restarted]
@@ -301,14 +301,18 @@
         ] {
             router.set_endpoint_list(rows);
             assert_eq!(router.components.replicas.connection_counts(), (0, 0), "{id}");
-            node.take_counts();
-            assert_eq!((client.send_platform_request("").await.0, node.take_counts()), (200, (1, 1)), "{id}");
+            replica.take_counts();
+            assert_eq!(
+                (client.send_platform_request("").await.0, replica.take_counts()),
+                (200, (1, 1)),
+                "{id}"
+            );
         }
-        // A connection that was in use when its node was removed is not retained.
-        node.add_faults(&[ReplicaFault::SlowFirstEvent]);
+        // A connection that was in use when its replica was removed is not retained.
+        replica.add_faults(&[ReplicaFault::SlowFirstEvent]);
         client.send(&platform_request("", "{}")).await;
-        node.next_request().await;
-        router.set_endpoint_list([endpoint_record("s-2", node.addr, "active")]);
+        replica.next_request().await;
+        router.set_endpoint_list([endpoint_record("s-2", replica.addr, "active")]);
         assert_eq!(
             (client.read_answer().await.0, router.components.replicas.connection_counts().1),
             (200, 0)
@@ -316,18 +320,18 @@
     });
 }
 
-/// Guards against a node that is cut off from the network: its idle connections give no sign of that, so after one
+/// Guards against a replica that is cut off from the network: its idle connections give no sign of that, so after one
 /// request without a response the next request has to open a new connection, which detects the failure.
 #[test]
 fn idle_connections_of_an_unresponsive_node_are_closed() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[
             ReplicaFault::SlowFirstEvent,
             ReplicaFault::SlowFirstEvent,
             ReplicaFault::NoAnswer,
         ]);
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let (mut a, mut b) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
         a.send(&platform_request("", "{}")).await;
         b.send(&platform_request("", "{}")).await;
@@ -342,14 +346,14 @@
 #[test]
 fn a_request_hidden_in_a_body_is_not_served() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let hidden = platform_request("", "{}");
         let mut client = Client::connect(router.addr).await;
         client.send(&platform_request("Transfer-Encoding: chunked\r\n", &format!("0\r\n\r\n{hidden}"))).await;
         let mut all = String::new();
         client.stream.read_to_string(&mut all).await.unwrap();
         assert!(all.starts_with("HTTP/1.1 400 ") && all.matches("HTTP/1.1").count() == 1, "{all}");
-        assert_eq!((node.take_counts(), router.request_counts().accepted), ((0, 0), 0));
+        assert_eq!((replica.take_counts(), router.request_counts().accepted), ((0, 0), 0));
     });
 }
--- a/router/tests/rules.rs
+++ b/router/tests/rules.rs
@@ -25,13 +25,13 @@
 #[test]
 fn forwards_the_prompt_and_the_events_unchanged() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |l| l.replica_reuse_delay = Duration::ZERO).await;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |l| l.replica_reuse_delay = Duration::ZERO).await;
         let mut client = Client::connect(router.addr).await;
         client.send(&platform_request("Req-Deadline-Ms: 3000\r\n", "{\"stream\": true}")).await;
         let (status, _, body, complete) = client.read_answer().await;
         assert_eq!((status, body, complete), (200, CHAT.concat(), true));
-        let (head, body) = node.next_request().await;
+        let (head, body) = replica.next_request().await;
         assert!(head.starts_with("POST /v1/chat/completions HTTP/1.1\r\n"), "{head}");
         assert_eq!(body, b"{\"stream\": true}");
         assert!(header_value(&head, "req-id").unwrap().starts_with("9b1f-"), "{head}");
@@ -39,7 +39,7 @@
         assert!((2000..=3000).contains(&remaining_ms), "{remaining_ms}");
         // The next request uses the same connections.
         assert_eq!(client.send_platform_request("").await.0, 200);
-        assert_eq!(node.take_counts(), (0, 1));
+        assert_eq!(replica.take_counts(), (0, 1));
         assert_eq!(router.request_counts().completed, 2);
     });
 }
@@ -71,9 +71,9 @@
 #[test]
 fn answers_by_the_deadline_if_the_replica_does_not_answer() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::NoAnswer; 4]);
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::NoAnswer; 4]);
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let (mut client, started_at) = (Client::connect(router.addr).await, Instant::now());
         let (status, ..) = client.send_platform_request("Req-Deadline-Ms: 120\r\n").await;
         assert!(
@@ -81,10 +81,10 @@
             "{status} after {:?}",
             started_at.elapsed()
         );
-        assert_eq!(node.next_event().await, ReplicaEvent::Connected);
-        assert!(matches!(node.next_event().await, ReplicaEvent::Request(..)));
+        assert_eq!(replica.next_event().await, ReplicaEvent::Connected);
+        assert!(matches!(replica.next_event().await, ReplicaEvent::Request(..)));
         assert_eq!(
-            node.next_event().await,
+            replica.next_event().await,
             ReplicaEvent::ClosedByRouter,
             "the connection of the attempt is closed"
         );
@@ -95,9 +95,9 @@
 #[test]
 fn a_broken_or_silent_stream_ends_without_the_last_chunk() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::CloseAfterFirstText, ReplicaFault::SilentAfterFirstText]);
-        let router = TestRouter::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::CloseAfterFirstText, ReplicaFault::SilentAfterFirstText]);
+        let router = TestRouter::new(Chat, &[&replica], |l| l.stream_silence_timeout = 50 * MS).await;
         for count in 1..=2 {
             let (status, _, body, complete) =
                 Client::connect(router.addr).await.send_platform_request("").await;
@@ -108,7 +108,7 @@
                 "a stream that has begun gets no further attempt"
             );
         }
-        assert_eq!(node.take_counts().1, 2);
+        assert_eq!(replica.take_counts().1, 2);
         let (status, ..) =
             Client::connect(router.addr).await.send_platform_request("Req-Retry: again\r\n").await;
         assert_eq!((status, router.request_counts().resumed), (200, 1));
@@ -141,12 +141,12 @@
 #[test]
 fn each_attempt_carries_the_time_left_until_the_deadline() {
     run_test(async {
-        let nodes = [
+        let replicas = [
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
             TcpListener::bind("127.0.0.1:0").await.unwrap(),
         ];
         let router = TestRouter::new(Chat, &[], |_| {}).await;
-        let rows = nodes.iter().enumerate();
+        let rows = replicas.iter().enumerate();
         router.set_endpoint_list(
             rows.map(|(n, l)| endpoint_record(&format!("s-{n}"), l.local_addr().unwrap(), "active")),
         );
@@ -155,15 +155,15 @@
         let mut remaining_ms = Vec::new();
         for _ in 0..2 {
             let stream = tokio::select! {
-                accepted = nodes[0].accept() => accepted.unwrap().0,
-                accepted = nodes[1].accept() => accepted.unwrap().0,
+                accepted = replicas[0].accept() => accepted.unwrap().0,
+                accepted = replicas[1].accept() => accepted.unwrap().0,
             };
-            let mut node = Client { stream, buf: Vec::new() };
-            let (head, _) = node.read_message().await.unwrap();
+            let mut replica = Client { stream, buf: Vec::new() };
+            let (head, _) = replica.read_message().await.unwrap();
             let deadline_ms: u64 = header_value(&head, "req-deadline-ms").unwrap().parse().unwrap();
             remaining_ms.push(deadline_ms);
             tokio::time::sleep(100 * MS).await;
-            node.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n").await;
+            replica.send("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n").await;
         }
         assert!(remaining_ms[0] <= 3000 && remaining_ms[1] + 100 <= remaining_ms[0], "{remaining_ms:?}");
     });
@@ -173,19 +173,19 @@
 #[test]
 fn each_attempt_carries_the_client_s_idempotency_key() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         for (front, (addr, request)) in fronts(&router).into_iter().enumerate() {
             let with =
                 |fields: &str| request().replacen("Content-Length", &format!("{fields}Content-Length"), 1);
             let mut client = Client::connect(addr).await;
             client.send(&with("idempotency-key: k-1\r\n")).await;
             assert_eq!(client.read_answer().await.0, 200, "front {front}");
-            let (head, _) = node.next_request().await;
+            let (head, _) = replica.next_request().await;
             assert_eq!(header_value(&head, "idempotency-key"), Some("k-1"), "front {front}: {head}");
             client.send(&request()).await;
             assert_eq!(client.read_answer().await.0, 200);
-            let (head, _) = node.next_request().await;
+            let (head, _) = replica.next_request().await;
             assert_eq!(
                 header_value(&head, "idempotency-key"),
                 None,
@@ -199,8 +199,8 @@
         second.add_faults(&[ReplicaFault::Decline]);
         let router = TestRouter::new(Chat, &[&first, &second], |_| {}).await;
         Client::connect(router.addr).await.send_platform_request("Idempotency-Key: k-3\r\n").await;
-        for node in [&first, &second] {
-            let (head, _) = node.next_request().await;
+        for replica in [&first, &second] {
+            let (head, _) = replica.next_request().await;
             assert_eq!(header_value(&head, "idempotency-key"), Some("k-3"), "{head}");
         }
     });
@@ -209,23 +209,23 @@
 #[test]
 fn reuses_no_connection_that_was_closed_or_idle_for_too_long() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.close_after_answer.set(true);
-        let router = TestRouter::new(Chat, &[&node], |l| l.replica_idle_timeout = 80 * MS).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.close_after_answer.set(true);
+        let router = TestRouter::new(Chat, &[&replica], |l| l.replica_idle_timeout = 80 * MS).await;
         let mut client = Client::connect(router.addr).await;
         for _ in 0..3 {
             assert_eq!(client.send_platform_request("").await.0, 200);
             // A round trip to the replica, so that its close arrives before the next request.
-            drop(Client::connect(node.addr).await);
+            drop(Client::connect(replica.addr).await);
             tokio::task::yield_now().await;
         }
         assert_eq!(router.request_counts().outcomes[0], 3, "no request was written to a closed connection");
-        node.close_after_answer.set(false);
+        replica.close_after_answer.set(false);
         assert_eq!(client.send_platform_request("").await.0, 200);
-        node.take_counts();
+        replica.take_counts();
         tokio::time::sleep(100 * MS).await; // exceeds the idle timeout
         assert_eq!(client.send_platform_request("").await.0, 200);
-        assert_eq!(node.take_counts(), (1, 1), "the request uses a new connection");
+        assert_eq!(replica.take_counts(), (1, 1), "the request uses a new connection");
     });
 }
 
@@ -296,15 +296,15 @@
 #[test]
 fn a_client_disconnect_aborts_the_attempt_and_frees_the_request() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::NoAnswer, ReplicaFault::EndlessText]);
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::NoAnswer, ReplicaFault::EndlessText]);
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         for disconnects in 1..=2 {
             let mut client = Client::connect(router.addr).await;
             client.send(&platform_request("", "{}")).await;
-            node.next_request().await;
+            replica.next_request().await;
             drop(client);
-            while node.next_event().await != ReplicaEvent::ClosedByRouter {}
+            while replica.next_event().await != ReplicaEvent::ClosedByRouter {}
             assert_eq!(
                 (router.request_counts().client_disconnects, router.open_requests()),
                 (disconnects, 0)
@@ -316,38 +316,39 @@
 #[test]
 fn a_slow_client_stops_the_replica_with_bounded_buffering() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::EndlessText]);
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::EndlessText]);
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let mut client = Client::connect(router.addr).await;
         client.send(&platform_request("", "{}")).await;
         // The replica sends until all buffers between it and the client are full.
         let (mut last_sent_bytes, mut unchanged_samples) = (0, 0);
         while unchanged_samples < 20 {
             tokio::time::sleep(5 * MS).await;
-            unchanged_samples = if node.endless_text_bytes.get() == last_sent_bytes && last_sent_bytes > 0 {
+            unchanged_samples = if replica.endless_text_bytes.get() == last_sent_bytes && last_sent_bytes > 0
+            {
                 unchanged_samples + 1
             } else {
                 0
             };
-            last_sent_bytes = node.endless_text_bytes.get();
+            last_sent_bytes = replica.endless_text_bytes.get();
         }
         assert!(last_sent_bytes < 24 << 20, "the buffers hold less than 24 MiB: {last_sent_bytes} bytes");
         let mut part = vec![0; 1 << 20];
         client.stream.read_exact(&mut part).await.unwrap();
-        wait_until(|| node.endless_text_bytes.get() > last_sent_bytes).await;
+        wait_until(|| replica.endless_text_bytes.get() > last_sent_bytes).await;
     });
 }
 
 #[test]
 fn a_client_that_reads_nothing_until_the_write_timeout_is_disconnected() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::EndlessText]);
-        let router = TestRouter::new(Chat, &[&node], |l| l.client_write_timeout = 60 * MS).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::EndlessText]);
+        let router = TestRouter::new(Chat, &[&replica], |l| l.client_write_timeout = 60 * MS).await;
         let mut client = Client::connect(router.addr).await;
         client.send(&platform_request("", "{}")).await;
-        while node.next_event().await != ReplicaEvent::ClosedByRouter {}
+        while replica.next_event().await != ReplicaEvent::ClosedByRouter {}
         assert_eq!((router.request_counts().client_disconnects, router.open_requests()), (1, 0));
     });
 }
@@ -355,31 +356,31 @@
 #[test]
 fn a_chunked_body_is_read_after_100_continue_and_forwarded_complete() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let mut client = Client::connect(router.addr).await;
         let fields = "Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n";
         client.send(&platform_request(fields, "").replace("Content-Length: 0\r\n", "")).await;
         assert_eq!(client.read_answer().await.0, 100);
         client.send("2\r\n{\"\r\n4\r\na\":1\r\n1\r\n}\r\n0\r\n\r\n").await;
         assert_eq!(client.read_answer().await.0, 200);
-        assert_eq!(node.next_request().await.1, b"{\"a\":1}");
+        assert_eq!(replica.next_request().await.1, b"{\"a\":1}");
     });
 }
 
 #[test]
 fn an_attempt_skipped_at_the_connection_limit_does_not_count_against_the_replica() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::NoAnswer]);
-        let router = TestRouter::new(Chat, &[&node], |l| l.max_replica_connections = 1).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::NoAnswer]);
+        let router = TestRouter::new(Chat, &[&replica], |l| l.max_replica_connections = 1).await;
         let mut first = Client::connect(router.addr).await;
         first.send(&platform_request("", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         assert_eq!(Client::connect(router.addr).await.send_platform_request("").await.0, 503);
         assert_eq!(router.request_counts().outcomes[7], 1, "the attempt was skipped");
         drop(first);
-        while node.next_event().await != ReplicaEvent::ClosedByRouter {}
+        while replica.next_event().await != ReplicaEvent::ClosedByRouter {}
         assert_eq!(
             Client::connect(router.addr).await.send_platform_request("").await.0,
             200,
@@ -402,11 +403,11 @@
             ))
         };
         let first = probe();
-        let mut node = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
+        let mut replica = Client { stream: listener.accept().await.unwrap().0, buf: Vec::new() };
         for next in [Some(probe), None] {
-            let (head, _) = node.read_message().await.unwrap();
+            let (head, _) = replica.read_message().await.unwrap();
             assert!(head.starts_with("GET /metrics/load HTTP/1.1\r\n"), "{head}");
-            node.send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nTEXT q=2").await;
+            replica.send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nTEXT q=2").await;
             if let Some(next) = next {
                 wait_until(|| first.is_finished()).await;
                 next();
@@ -418,8 +419,8 @@
 #[test]
 fn bad_input_is_rejected_and_not_forwarded() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |l: &mut Limits| {
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |l: &mut Limits| {
             (l.max_head_size, l.max_fields, l.max_body_size, l.request_read_timeout) =
                 (1024, 16, 4096, 100 * MS);
         })
@@ -463,7 +464,7 @@
             client.send(&text).await;
             assert_eq!(client.read_answer().await.0, status, "{case}");
         }
-        assert_eq!((node.take_counts(), router.request_counts().accepted), ((0, 0), 0));
+        assert_eq!((replica.take_counts(), router.request_counts().accepted), ((0, 0), 0));
         assert_eq!(
             Client::connect(router.addr).await.send_platform_request("").await.0,
             200,
@@ -475,9 +476,9 @@
 #[test]
 fn rejects_over_budget_and_closes_an_idle_connection_for_a_new_one() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::NoAnswer; 3]);
-        let router = TestRouter::new(Chat, &[&node], |l| (l.max_clients, l.body_budget) = (2, 100)).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::NoAnswer; 3]);
+        let router = TestRouter::new(Chat, &[&replica], |l| (l.max_clients, l.body_budget) = (2, 100)).await;
         let mut idle = Client::connect(router.addr).await;
         assert_eq!(idle.send_platform_request(&format!("Req-Deadline-Ms: {}\r\n", 30)).await.0, 503);
         let mut oversized = Client::connect(router.addr).await;
@@ -514,13 +515,13 @@
         assert_eq!(idle.read_answer().await.0, 503, "the health check fails during shutdown");
         let mut late_client = Client::connect(router.addr).await;
         late_client.send(&platform_request("", "{}")).await;
-        let mut node = accept_request(&listener).await;
-        node.send(&streamed_answer("first")).await;
+        let mut replica = accept_request(&listener).await;
+        replica.send(&streamed_answer("first")).await;
         assert_eq!(late_client.read_answer().await.0, 200, "a request during the grace is served");
         late_client.send(&platform_request("", "{}")).await;
-        node.read_message().await.expect("a request");
+        replica.read_message().await.expect("a request");
         wait_until(|| router.components.lifecycle.stage() == Stage::Closing).await;
-        node.send(&streamed_answer("second")).await;
+        replica.send(&streamed_answer("second")).await;
         assert_eq!(
             (late_client.read_answer().await.0, late_client.read_answer().await.0),
             (200, 0),
@@ -537,7 +538,7 @@
 fn a_router_whose_peers_are_silent_uses_the_longer_shutdown_grace() {
     for peer_active in [false, true] {
         run_test(async move {
-            let node = MockReplica::new(Chat).await;
+            let replica = MockReplica::new(Chat).await;
             let other = UdpSocket::bind("127.0.0.1:0").await.unwrap();
             let own_addr = UdpSocket::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
             let each = vec![own_addr, other.local_addr().unwrap()];
@@ -552,7 +553,7 @@
             let limits = &mut config.limits;
             (limits.shutdown_grace, limits.lone_router_shutdown_grace, limits.peer_silence_timeout) =
                 (20 * MS, 200 * MS, 100 * MS);
-            let router = TestRouter::with_config(config, Chat, &[&node], Some(peers)).await;
+            let router = TestRouter::with_config(config, Chat, &[&replica], Some(peers)).await;
             let mut client = Client::connect(router.addr).await;
             assert_eq!(client.send_platform_request("").await.0, 200);
             tokio::time::sleep(120 * MS).await;
@@ -578,20 +579,20 @@
 #[test]
 fn requests_accepted_late_in_the_grace_end_before_the_kill() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::EndlessText, ReplicaFault::NoAnswer, ReplicaFault::EndlessText]);
-        let router = TestRouter::new(Chat, &[&node], |l| {
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::EndlessText, ReplicaFault::NoAnswer, ReplicaFault::EndlessText]);
+        let router = TestRouter::new(Chat, &[&replica], |l| {
             (l.shutdown_grace, l.late_arrival_after_stop, l.forwarding_end_after_stop) =
                 (600 * MS, 2 * MS, 900 * MS);
         })
         .await;
         let mut early = Client::connect(router.addr).await;
         early.send(&platform_request("", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         // Waits until all buffers are full: as long as text is sent, an unoptimised build has no time for the other requests.
         let mut sent_bytes = 0;
-        while sent_bytes == 0 || node.endless_text_bytes.get() > sent_bytes {
-            sent_bytes = node.endless_text_bytes.get();
+        while sent_bytes == 0 || replica.endless_text_bytes.get() > sent_bytes {
+            sent_bytes = replica.endless_text_bytes.get();
             tokio::time::sleep(40 * MS).await;
         }
         let (components, stop_signal_at) = (router.components.clone(), Instant::now());
@@ -601,7 +602,7 @@
             (Client::connect(router.addr).await, Client::connect(router.addr).await);
         for late_client in [&mut waiting, &mut streaming] {
             late_client.send(&platform_request("", "{}")).await;
-            node.next_request().await;
+            replica.next_request().await;
         }
         let mut read = Vec::new();
         streaming.stream.read_to_end(&mut read).await.unwrap();
@@ -621,7 +622,7 @@
 #[test]
 fn a_lost_watch_is_restarted_and_the_list_stays_in_use() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let list = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
         (config.limits.watch_silence_timeout, config.endpoint_list_agent) =
@@ -629,7 +630,7 @@
         let router = TestRouter::with_config(config, Chat, &[], None).await;
         let (mut call, head) = accept_list_call(&list).await;
         assert!(head.starts_with("GET /discovery/hosts?follow=1 HTTP/1.1\r\n"), "{head}");
-        call.send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &node, "active"))).await;
+        call.send(&(WATCH_HEAD.to_string() + &list_message_chunk(41, true, "s-1", &replica, "active"))).await;
         wait_until(|| router.components.replicas.ready_count() == 1).await;
         // After a silent, a malformed and a rejected watch, the router keeps the list and calls again.
         for answer in ["", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]\n", "HTTP/1.1 503 No\r\n\r\n"] {
@@ -648,7 +649,7 @@
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_calls_repeat_until_the_agent_answers() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
+        let replica = MockReplica::new(Chat).await;
         let agent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut config = config();
         config.deployment.decision_settings.list_mode = EndpointListMode::Pushed;
@@ -661,7 +662,7 @@
         let text = format!(
             "{{\n  \"version\": 41,\n  \"full\": true,\n  \"servers\": [\n    {{\"id\": \"s-1\",\n     \"addr\": \"{}\",\n     \
              \"state\": \"active\"}}\n  ]\n}}\n\n",
-            node.addr
+            replica.addr
         );
         let (first, second) = text.split_at(70);
         call.send(&format!("{WATCH_HEAD}{:x}\r\n{first}\r\n", first.len())).await;
@@ -680,7 +681,8 @@
             unanswered.push(call);
         }
         let (mut back, _) = accept_list_call(&agent).await;
-        back.send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &node, "leaving"))).await;
+        back.send(&(WATCH_HEAD.to_string() + &list_message_chunk(42, false, "s-1", &replica, "leaving")))
+            .await;
         wait_until(|| router.components.replicas.ready_count() == 0).await;
         assert_eq!(Client::connect(router.addr).await.send_platform_request("").await.0, 503);
     });
--- a/router/tests/views.rs
+++ b/router/tests/views.rs
@@ -1,5 +1,5 @@
 //! Checks the attempt events that the decision module receives against what happened on the sockets: each first
-//! token, end, decline and reset arrives exactly once, at its time, and counts for the process of the node that
+//! token, end, decline and reset arrives exactly once, at its time, and counts for the process of the replica that
 //! the attempt was sent to.
 #![allow(missing_docs)]
 
@@ -14,7 +14,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Returns the decision module's snapshot of the first node, and the number of attempts in flight on its
+/// Returns the decision module's snapshot of the first replica, and the number of attempts in flight on its
 /// connections.
 fn snapshot_and_in_flight(router: &TestRouter) -> (ReplicaSnapshot, u32) {
     let id = name_hash::replica_id("s-0");
@@ -26,8 +26,8 @@
 #[test]
 fn the_decision_module_receives_each_attempt_end_once() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        let router = TestRouter::new(Chat, &[&node], |l| l.stream_silence_timeout = 50 * MS).await;
+        let replica = MockReplica::new(Chat).await;
+        let router = TestRouter::new(Chat, &[&replica], |l| l.stream_silence_timeout = 50 * MS).await;
         // Outcomes in order: completed, error, busy, timed out, refused, reset, cancelled, skipped.
         let faults = [
             (ReplicaFault::None, 200, [1, 0, 0, 0, 0, 0, 0, 0]),
@@ -41,7 +41,7 @@
         ];
         let mut streams = 0;
         for (fault, status, outcomes) in faults {
-            node.add_faults(&[fault]);
+            replica.add_faults(&[fault]);
             let std_dev_before = snapshot_and_in_flight(&router).0.decode_rate.log_std_dev;
             assert_eq!(
                 Client::connect(router.addr).await.send_platform_request("").await.0,
@@ -81,14 +81,14 @@
 #[test]
 fn the_decision_module_and_the_connections_agree_on_attempts_in_flight() {
     run_test(async {
-        let node = MockReplica::new(Chat).await;
-        node.add_faults(&[ReplicaFault::NoAnswer, ReplicaFault::SilentAfterFirstText]);
-        let router = TestRouter::new(Chat, &[&node], |_| {}).await;
+        let replica = MockReplica::new(Chat).await;
+        replica.add_faults(&[ReplicaFault::NoAnswer, ReplicaFault::SilentAfterFirstText]);
+        let router = TestRouter::new(Chat, &[&replica], |_| {}).await;
         let (mut mute, mut silent) = (Client::connect(router.addr).await, Client::connect(router.addr).await);
         mute.send(&platform_request("", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         silent.send(&platform_request("", "{}")).await;
-        node.next_request().await;
+        replica.next_request().await;
         wait_until(|| router.request_counts().streams_started == 1).await;
         let (snapshot, in_flight) = snapshot_and_in_flight(&router);
         assert_eq!(
@@ -109,12 +109,12 @@
     });
 }
 
-/// Breaks three streams of a node, with `restarted` after the list showed that the node has restarted. Returns
-/// whether the node is then ejected.
+/// Breaks three streams of a replica, with `restarted` after the list showed that the replica has restarted. Returns
+/// whether the replica is then ejected.
 async fn is_ejected_after_broken_streams(restarted: bool) -> bool {
-    let node = MockReplica::new(Chat).await;
-    node.add_faults(&[ReplicaFault::SilentAfterFirstText; 3]);
-    let router = TestRouter::new(Chat, &[&node], |l| l.stream_silence_timeout = 300 * MS).await;
+    let replica = MockReplica::new(Chat).await;
+    replica.add_faults(&[ReplicaFault::SilentAfterFirstText; 3]);
+    let router = TestRouter::new(Chat, &[&replica], |l| l.stream_silence_timeout = 300 * MS).await;
     let mut clients = Vec::new();
     for _ in 0..3 {
         let mut client = Client::connect(router.addr).await;
@@ -122,7 +122,7 @@
         clients.push(client);
     }
     wait_until(|| router.request_counts().streams_started == 3).await;
-    let mut listed = endpoint_record("s-0", node.addr, "active");
+    let mut listed = endpoint_record("s-0", replica.addr, "active");
     if restarted {
         listed.started_ms = router.components.with_core(|_, now| now) / 1_000_000;
     }
@@ -141,7 +141,7 @@
     run_test(async {
         assert!(
             is_ejected_after_broken_streams(false).await,
-            "three broken streams of the current process eject the node"
+            "three broken streams of the current process eject the replica"
         );
         assert!(!is_ejected_after_broken_streams(true).await);
     });
--- a/test-support/src/discovery_runs/discovery.rs
+++ b/test-support/src/discovery_runs/discovery.rs
@@ -36,7 +36,7 @@
     Answered(u64),
 }
 
-/// A call of a router for the node list.
+/// A call of a router for the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
     /// Index of the calling router.
@@ -65,14 +65,14 @@
     moved: bool,
 }
 
-/// A row of the node list.
+/// A row of the endpoint list.
 struct Row {
     json: Value,
     /// Version of the list in which this row last changed.
     changed_in: u64,
 }
 
-/// The node list, including replicas that were removed from it.
+/// The endpoint list, including replicas that were removed from it.
 struct List {
     version: u64,
     rows: Vec<Row>,
@@ -154,7 +154,7 @@
         Ok(at)
     }
 
-    /// Applies a change to the node list.
+    /// Applies a change to the endpoint list.
     pub fn change(&self, change: &Change) {
         self.list.send_modify(|list| list.change(change));
     }
--- a/test-support/src/discovery_runs/mod.rs
+++ b/test-support/src/discovery_runs/mod.rs
@@ -38,7 +38,7 @@
 /// Largest delay of the harness's own thread up to which the result is judged.
 const MAX_HARNESS_DELAY: Duration = Duration::from_millis(100);
 
-/// A request that reached a replica too late after a change of the node list.
+/// A request that reached a replica too late after a change of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct LateRequest {
     /// Index of the router that sent it.
--- a/test-support/src/discovery_runs/routers.rs
+++ b/test-support/src/discovery_runs/routers.rs
@@ -23,7 +23,7 @@
 const KILL_AFTER: Duration = CLIENT_DEADLINE.saturating_add(Duration::from_millis(700));
 /// Interval between checks whether processes have exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Logs every line about the node list.
+/// Logs every line about the endpoint list.
 const SETTINGS: &str = "log {\n level info\n target node_list debug\n queue 65536\n}\n";
 
 /// A router: its process, and the files and addresses to start it with.
@@ -46,7 +46,7 @@
     program: PathBuf,
     all: RefCell<Vec<Router>>,
     peers: Vec<SocketAddr>,
-    /// Rows of the node list in the configuration.
+    /// Rows of the endpoint list in the configuration.
     rows: Vec<Value>,
 }
 
--- a/test-support/src/discovery_runs/scenario.rs
+++ b/test-support/src/discovery_runs/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario of a run: changes of the node list, router restarts, and how well discovery can be reached.
+//! The scenario of a run: changes of the endpoint list, router restarts, and how well discovery can be reached.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// Time within which clients expect the first event.
 pub(super) const CLIENT_DEADLINE: Duration = Duration::from_secs(2);
 
-/// The kind of a node list change.
+/// The kind of a endpoint list change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeKind {
     /// The replica drains: it accepts no new requests.
@@ -21,7 +21,7 @@
     Removed,
 }
 
-/// A change of the node list after which no router may send to the replica; times count from the start.
+/// A change of the endpoint list after which no router may send to the replica; times count from the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
     /// When it happens.
@@ -128,7 +128,7 @@
     pub discovery_move: Option<DiscoveryMove>,
     /// Faults of discovery.
     pub faults: Vec<Fault>,
-    /// Changes of the node list, in order of time.
+    /// Changes of the endpoint list, in order of time.
     pub changes: Vec<Change>,
     /// Faults of the routers' system calls.
     pub socket_faults: Option<SocketFaults>,
--- a/test-support/src/mock_services.rs
+++ b/test-support/src/mock_services.rs
@@ -1,4 +1,4 @@
-//! Mock node list services and model nodes for routers that run as separate processes. They run on blocking
+//! Mock endpoint list services and replicas for routers that run as separate processes. They run on blocking
 //! threads that end when their handles are dropped.
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -33,31 +33,31 @@
     }
 }
 
-/// How a model node handles requests.
+/// How a replica handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaBehaviour {
-    /// The node responds at once.
+    /// The replica responds at once.
     RespondAtOnce,
-    /// The node responds after this time.
+    /// The replica responds after this time.
     RespondAfter(Duration),
-    /// The node responds with status 500.
+    /// The replica responds with status 500.
     RespondWith500,
-    /// The node starts its response and finishes it once it has another behaviour.
+    /// The replica starts its response and finishes it once it has another behaviour.
     PauseMidStream,
 }
 
-struct NodeState {
+struct ReplicaState {
     behaviour: Mutex<ReplicaBehaviour>,
     changed: Condvar,
     served: AtomicUsize,
     stopped: AtomicBool,
 }
 
-/// A mock model node.
+/// A mock replica.
 pub struct MockReplica {
-    /// The address of the node.
+    /// The address of the replica.
     pub addr: SocketAddr,
-    shared: Arc<NodeState>,
+    shared: Arc<ReplicaState>,
 }
 
 fn listen(
@@ -66,7 +66,7 @@
     stopped: impl Fn() -> bool + Send + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind((ip, 0)).expect("the system has a free port");
-    let at = listener.local_addr().expect("the listener is bound");
+    let addr = listener.local_addr().expect("the listener is bound");
     let serve = Arc::new(serve);
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -77,7 +77,7 @@
             thread::spawn(move || serve(stream));
         }
     });
-    at
+    addr
 }
 
 /// Reads a request and returns its head; the body is discarded.
@@ -101,20 +101,20 @@
 }
 
 impl MockReplica {
-    /// Starts a node that responds at once.
+    /// Starts a replica that responds at once.
     pub fn start(ip: &str) -> MockReplica {
-        let shared = Arc::new(NodeState {
+        let shared = Arc::new(ReplicaState {
             behaviour: Mutex::new(ReplicaBehaviour::RespondAtOnce),
             changed: Condvar::new(),
             served: AtomicUsize::new(0),
             stopped: AtomicBool::new(false),
         });
         let (for_connections, for_listener) = (shared.clone(), shared.clone());
-        let serve = move |stream| drop(serve_node(stream, &for_connections));
+        let serve = move |stream| drop(serve_replica(stream, &for_connections));
         MockReplica { addr: listen(ip, serve, move || for_listener.stopped.load(Ordering::SeqCst)), shared }
     }
 
-    /// Sets the behaviour of the node.
+    /// Sets the behaviour of the replica.
     pub fn set_behaviour(&self, behaviour: ReplicaBehaviour) {
         *self.shared.behaviour.lock().expect("no thread panics while it holds the lock") = behaviour;
         self.shared.changed.notify_all();
@@ -134,7 +134,7 @@
     }
 }
 
-fn serve_node(mut stream: TcpStream, shared: &NodeState) -> std::io::Result<()> {
+fn serve_replica(mut stream: TcpStream, shared: &ReplicaState) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
     while read_request(&mut reader).is_some() {
@@ -178,7 +178,7 @@
     }
 }
 
-/// A mock node list service.
+/// A mock endpoint list service.
 pub struct MockEndpointList {
     /// The address of the service.
     pub addr: SocketAddr,
--- a/test-support/src/resource_usage.rs
+++ b/test-support/src/resource_usage.rs
@@ -1,7 +1,7 @@
 //! Measures what one router uses depending on the size of the fleet around it: the router process runs in front of
 //! mock replicas and beside mock peers, under a load that does not depend on the fleet.
 //!
-//! Replicas, peers and the node list run on one thread. All replicas respond alike and always accept requests: the
+//! Replicas, peers and the endpoint list run on one thread. All replicas respond alike and always accept requests: the
 //! cost of handling faults is not measured.
 
 use std::cell::{Cell, RefCell};
@@ -24,7 +24,7 @@
 /// A fleet around one router, and its load.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
-    /// Number of replicas in the node list.
+    /// Number of replicas in the endpoint list.
     pub replicas: usize,
     /// Number of routers, including the measured one.
     pub routers: usize,
@@ -32,7 +32,7 @@
     pub requests_per_s: f64,
     /// Length of the measurement.
     pub span: Duration,
-    /// Interval between two changes of a row of the node list.
+    /// Interval between two changes of a row of the endpoint list.
     pub change_every: Duration,
 }
 
@@ -256,7 +256,7 @@
     Ok(addresses)
 }
 
-/// Starts a node list service that sends the whole list once on each watch and then one changed row per change:
+/// Starts a endpoint list service that sends the whole list once on each watch and then one changed row per change:
 /// rows drain and become active again in turn.
 async fn start_list(
     ip: &str,
--- a/test-support/src/shutdown_runs/mod.rs
+++ b/test-support/src/shutdown_runs/mod.rs
@@ -85,7 +85,7 @@
     down: RefCell<Vec<bool>>,
     /// Announces the number of each replica that goes down.
     failures: watch::Sender<usize>,
-    /// When the node list first showed each draining replica as draining.
+    /// When the endpoint list first showed each draining replica as draining.
     draining_since: RefCell<BTreeMap<usize, Duration>>,
 }
 
@@ -94,7 +94,7 @@
         self.started.elapsed()
     }
 
-    /// Returns the current rows of the node list.
+    /// Returns the current rows of the endpoint list.
     fn list_rows(&self, addresses: &[SocketAddr]) -> Vec<String> {
         let draining_since = self.draining_since.borrow();
         let row = |(number, at): (usize, &SocketAddr)| {
--- a/test-support/src/shutdown_runs/rules.rs
+++ b/test-support/src/shutdown_runs/rules.rs
@@ -10,7 +10,7 @@
 use super::replica::{ReplicaAttempt, ReplicaOutcome};
 use super::scenario::{Effect, Group, Scenario};
 
-/// Time after a drain appears in the node list during which attempts may still go to the replica. Includes the
+/// Time after a drain appears in the endpoint list during which attempts may still go to the replica. Includes the
 /// time to notify the router.
 const DRAIN_GRACE: Duration = Duration::from_millis(600);
 /// Latest notification of a list change where the router's connection to the list service may break.
@@ -48,7 +48,7 @@
     SentAfterDisconnect,
     /// A replica was given a longer deadline than the client had left.
     DeadlineTooLong,
-    /// An attempt went to a replica long after the node list showed it as draining.
+    /// An attempt went to a replica long after the endpoint list showed it as draining.
     SentToDraining,
     /// The process panicked or exited with an error status.
     Crash,
@@ -229,7 +229,7 @@
         rules
     }
 
-    /// Whether an attempt went to a replica long after the node list showed it as draining.
+    /// Whether an attempt went to a replica long after the endpoint list showed it as draining.
     fn sent_to_draining(&self, attempt: &ReplicaAttempt) -> bool {
         let notification_delay = match (&self.scenario.socket_faults, self.scenario.list_outage) {
             (None, None) => Duration::ZERO,
@@ -311,7 +311,7 @@
         let pause = |pause: &Pause| format!(" paused from {} to {}", at(pause.from), at(pause.to));
         lines.extend(self.pauses.iter().map(pause));
         lines.extend(self.log_lines_about(request.id));
-        // The router's knowledge of the node list may explain where it sent attempts.
+        // The router's knowledge of the endpoint list may explain where it sent attempts.
         let draining = self
             .draining_since
             .iter()
--- a/test-support/src/shutdown_runs/scenario.rs
+++ b/test-support/src/shutdown_runs/scenario.rs
@@ -95,7 +95,7 @@
 /// The kind of an event at a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// The node list shows the replica as draining.
+    /// The endpoint list shows the replica as draining.
     Drains,
     /// The replica closes all its connections, and every new one for this long.
     Fails(Duration),
@@ -131,7 +131,7 @@
     pub replicas: Vec<ReplicaScenario>,
     /// Events at replicas, in order of time.
     pub changes: Vec<Change>,
-    /// Whether the configuration changes with each SIGHUP: the order of its classes, and the address of the node
+    /// Whether the configuration changes with each SIGHUP: the order of its classes, and the address of the replica
     /// list.
     pub reloads: bool,
     /// Number of clients that send requests.
@@ -142,7 +142,7 @@
     pub load_time: Duration,
     /// Length of the period without new requests in the middle of `load_time`.
     pub idle_period: Duration,
-    /// Outage of the node list: its start after the first request, and its length.
+    /// Outage of the endpoint list: its start after the first request, and its length.
     pub list_outage: Option<(Duration, Duration)>,
     /// Signals after SIGTERM.
     pub signals: Vec<Signal>,
@@ -246,7 +246,7 @@
         longest.min(MAX_COUNTED_DEADLINE) + KILL_MARGIN
     }
 
-    /// Returns a replica's row of the node list.
+    /// Returns a replica's row of the endpoint list.
     pub fn row(&self, number: usize, at: SocketAddr, draining: bool) -> String {
         let replica = &self.replicas[number];
         let state = if draining { "leaving" } else { "active" };
@@ -299,7 +299,7 @@
     }
 }
 
-/// Returns the outage of the node list that one scenario in four has.
+/// Returns the outage of the endpoint list that one scenario in four has.
 fn random_list_outage(seed: u64) -> Option<(Duration, Duration)> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x1u64.rotate_left(41));
     (rng.u8(..4) == 0).then(|| (ms(rng.u64(..1500)), ms(rng.u64(300..6000))))
