--- a/router/src/checks/control.rs
+++ b/router/src/checks/control.rs
@@ -65,12 +65,12 @@
             let digits = share.strip_suffix('%').unwrap_or("");
             let is_number = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
             let percent = digits.parse().ok().filter(|n| is_number && (1..=100).contains(n));
-            percent.map(Command::Weight).ok_or("weight takes a share from 1% to 100%".into())
+            percent.map(Command::Weight).ok_or("weight: expected a share from 1% to 100%".into())
         }
         ["fleet", ref words @ ..] => Ok(Command::Fleet(words.join(" "))),
         [] => Err("the order is empty".into()),
         _ => {
-            Err("no such order; there are show, drain, drain end, ready, maint, weight N% and fleet ORDER"
+            Err("unknown order; expected show, drain, drain end, ready, maint, weight N% or fleet ORDER"
                 .into())
         }
     }
@@ -151,7 +151,7 @@
             Ok(Command::Fleet(words)) => match fleet {
                 Some(fleet) => fleet(words).await,
                 None => {
-                    json!({"done": false, "why": "this router is of no fleet: the settings have no section `fleet`"})
+                    json!({"done": false, "why": "this router belongs to no fleet: its settings have no section `fleet`"})
                 }
             },
             Ok(command) => execute(command, context, health_monitor),
--- a/router/src/config.rs
+++ b/router/src/config.rs
@@ -130,13 +130,13 @@
         if file.limits.sockets < 64 {
             return Err(FieldError::new(
                 "limits.sockets",
-                "expected at least 64, fewer leave none for requests",
+                "expected at least 64, or no sockets are left for requests",
             ));
         }
         if file.limits.memory_mb < 16 {
             return Err(FieldError::new(
                 "limits.memory_mb",
-                "expected at least 16, less leaves none for requests",
+                "expected at least 16, or no memory is left for requests",
             ));
         }
         let limits = Limits::new(file.limits.memory_mb, file.limits.sockets, &deployment);
--- a/router/src/dialect/request.rs
+++ b/router/src/dialect/request.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RequestBodyError {
     /// The body is not UTF-8.
-    #[error("body: not UTF-8")]
+    #[error("body: expected UTF-8 text")]
     NotUtf8(#[from] std::str::Utf8Error),
     /// The body is not JSON, or a field is missing or malformed.
     #[error(transparent)]
@@ -16,19 +16,19 @@
     #[error(transparent)]
     NotAnObject(#[from] serde_json::Error),
     /// The conversation has no messages.
-    #[error("messages: none")]
+    #[error("messages: expected at least one message")]
     NoMessages,
     /// `max_tokens`, which the messages API requires, is missing or 0.
-    #[error("max_tokens: must be given, and above 0")]
+    #[error("max_tokens: expected a number above 0")]
     NoMaxTokens,
     /// A message has a role that the messages API does not have.
-    #[error("messages.{index}.role: neither user nor assistant")]
+    #[error("messages.{index}.role: expected user or assistant")]
     UnknownRole {
         /// Index of the message, from 0.
         index: usize,
     },
     /// A content block is not text.
-    #[error("{field}.{index}: {kind}: only text is served")]
+    #[error("{field}.{index}: content of type {kind} is not supported, expected text")]
     UnsupportedContent {
         /// The field with the content.
         field: String,
--- a/router/src/front/messages.rs
+++ b/router/src/front/messages.rs
@@ -29,7 +29,7 @@
 const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
 /// The error message of status 504.
-const TIMEOUT_MESSAGE: &str = "nothing came in time";
+const TIMEOUT_MESSAGE: &str = "no answer within the request's deadline";
 
 /// The head of a streamed response.
 const STREAM_HEAD: &[u8] =
@@ -106,13 +106,23 @@
             Some(value) => self.tenants.get(value).copied(),
             None => self.default_tenant,
         };
-        let unknown = || InvalidRequest::Invalid(format!("{}: not a known partner", self.tenant_header));
+        let unknown = || {
+            InvalidRequest::Invalid(format!(
+                "{}: the header is missing or names an unknown partner",
+                self.tenant_header
+            ))
+        };
         let tenant = tenant.ok_or_else(unknown)?;
         let deadline = match request.head.text_value(&self.deadline_header)? {
             None => context.deployment.classes[class.0 as usize].deadline,
             Some(ms) => {
                 let ms = ms.parse().ok().filter(|ms| (1..=MAX_DEADLINE_MS).contains(ms));
-                let invalid = || InvalidRequest::Invalid(format!("{}: not a wait", self.deadline_header));
+                let invalid = || {
+                    InvalidRequest::Invalid(format!(
+                        "{}: expected a number of milliseconds from 1 to {MAX_DEADLINE_MS}",
+                        self.deadline_header
+                    ))
+                };
                 ms.ok_or_else(invalid)? * 1_000_000
             }
         };
@@ -206,7 +216,7 @@
                             connection,
                             500,
                             "",
-                            "the answer is too long to be given whole",
+                            "the answer exceeds the size limit for answers without streaming",
                         )
                         .await;
                     }
@@ -228,15 +238,24 @@
                 // `message_stop` and the last chunk are left out: the client sees an incomplete answer and can resume it.
                 ResponseEvent::End(FinalAnswer::Interrupted) if conversation.stream => {
                     if !(same_dialect && failed) {
-                        let error =
-                            error_object("api_error", "the stream broke; x-resume-of asks for the rest");
+                        let error = error_object(
+                            "api_error",
+                            "the stream was interrupted; resume it with the header x-resume-of",
+                        );
                         let event = format!("event: error\ndata: {error}\n\n");
                         write_chunk(context, connection, head(), event.into()).await?;
                     }
                     return Ok(AfterAnswer::Close);
                 }
                 ResponseEvent::End(FinalAnswer::Interrupted) => {
-                    return write_error(context, connection, 500, "", "the answer broke off").await;
+                    return write_error(
+                        context,
+                        connection,
+                        500,
+                        "",
+                        "the answer was interrupted before it was complete",
+                    )
+                    .await;
                 }
                 // A rejection after the deadline is answered as a timeout, not as an overload.
                 ResponseEvent::End(FinalAnswer::Rejected {
@@ -254,8 +273,10 @@
                 }
                 ResponseEvent::End(FinalAnswer::Rejected { retry_after: advice, reason: reject_reason }) => {
                     let (status, message) = match reject_reason {
-                        RejectReason::QuotaExceeded => (429, "over the partner's share"),
-                        RejectReason::NoCapacity => (529, "no model node would begin in time"),
+                        RejectReason::QuotaExceeded => (429, "the partner's request quota is exceeded"),
+                        RejectReason::NoCapacity => {
+                            (529, "no model node can start the request within its deadline")
+                        }
                     };
                     return write_error(context, connection, status, &retry_fields(context, advice), message)
                         .await;
--- a/router/tests/checks.rs
+++ b/router/tests/checks.rs
@@ -726,7 +726,7 @@
         assert_eq!(router.agent_check().await, "stopped maint #in maintenance");
         assert_eq!(send("ready").await["state"], "up");
         for (order, reason) in
-            [("dance", "no such order"), ("weight 0%", "1% to 100%"), ("", "the order is empty")]
+            [("dance", "unknown order"), ("weight 0%", "1% to 100%"), ("", "the order is empty")]
         {
             let answer = send(order).await;
             assert!(answer["done"] == false && answer["why"].as_str().unwrap().contains(reason), "{answer}");
--- a/src/deployment/validation.rs
+++ b/src/deployment/validation.rs
@@ -74,7 +74,7 @@
         require(settings.router_count != 0, "ReplicasOfMe", "1 or more")?;
         require(settings.own_index.0 < settings.router_count, "Me", "a number below ReplicasOfMe")?;
         let zones = self.zones.len().max(1);
-        require((settings.zone.0 as usize) < zones, "MyZone", "an index into Zones, from 0")
+        require((settings.zone.0 as usize) < zones, "MyZone", "an index into Zones, counted from 0")
     }
 }
 
@@ -91,14 +91,14 @@
     let path = |field: &str| format!("Tenants[{index}].{field}");
     require(!name.is_empty(), &path("Name"), "a name")?;
     let quota = is_finite_non_negative(tenant.quota_per_s) && tenant.quota_per_s > 0.0;
-    require(quota, &path("QuotaPerS"), "requests per second, above 0")
+    require(quota, &path("QuotaPerS"), "a number of requests per second above 0")
 }
 
 /// Returns an error for the first name of a list that occurs in it before.
 fn validate_unique<'a>(list: &str, names: impl Iterator<Item = &'a str>) -> Result<(), InvalidSetting> {
     let mut seen = BTreeSet::new();
     for (i, name) in names.enumerate() {
-        require(seen.insert(name), &format!("{list}[{i}].Name"), "a name that is unique in the list")?;
+        require(seen.insert(name), &format!("{list}[{i}].Name"), "a name that occurs once in the list")?;
     }
     Ok(())
 }
