--- a/consensus/src/fleet_state/router_drains.rs
+++ b/consensus/src/fleet_state/router_drains.rs
@@ -151,13 +151,13 @@
             }
         }
         if let Some(drain) = self.drains.remove(&router) {
-            self.roll_back_router(router, &drain);
+            self.drain_again_for_roll_back(router, &drain);
         }
         Ok(())
     }
 
     /// Requests another drain of a router that returns during a roll-back, as it may run the released file.
-    fn roll_back_router(&mut self, router: RouterIndex, ended: &DrainEntry) {
+    fn drain_again_for_roll_back(&mut self, router: RouterIndex, ended: &DrainEntry) {
         let Some(release) = &self.release else { return };
         let rolls_back =
             matches!(release.phase, ReleasePhase::RollingBack(_)) && release.order == ended.order;
--- a/consensus/src/register/proposer.rs
+++ b/consensus/src/register/proposer.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Creates a round in which restarted members join in their new incarnations.
-    pub fn joining(ballot: Ballot, members: usize, joining: Vec<CouncilMember>) -> Proposer<D> {
+    /// Creates a round in which the restarted members `joining` join in their new incarnations.
+    pub fn with_joining_members(ballot: Ballot, members: usize, joining: Vec<CouncilMember>) -> Proposer<D> {
         Proposer { joining, ..Proposer::new(ballot, members) }
     }
 
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns the newest proposal that any member has reported, whether or not its incarnation counts: every reported
-    /// proposal was accepted by an acceptor.
+    /// Returns the newest proposal that any member has reported, even a member whose incarnation does not count towards a
+    /// majority (see `has_majority`): every reported proposal was accepted by an acceptor.
     fn newest_proposal(&self) -> Option<&Proposal<D>> {
         let accepted = self.reports.iter().flatten().filter_map(|report| report.accepted.as_ref());
         match defect!(self, BuildsOnOldest) {
--- a/consensus/src/register/tests.rs
+++ b/consensus/src/register/tests.rs
@@ -84,9 +84,9 @@
     let step = run_round(&mut members, Proposer::new(ballot(3, 1), 3), &[0, 2]);
     assert_eq!(step, RoundStep::Wait, "one of the two is uninitialized");
     let joining = vec![CouncilMember { member: 0, incarnation: 100 }];
-    let alone = Proposer::joining(ballot(4, 0), 3, joining.clone());
+    let alone = Proposer::with_joining_members(ballot(4, 0), 3, joining.clone());
     assert_eq!(run_round(&mut members, alone, &[0, 1]), RoundStep::Wait, "the joining member does not count");
-    let joined = run_round(&mut members, Proposer::joining(ballot(5, 0), 3, joining), &[1, 2]);
+    let joined = run_round(&mut members, Proposer::with_joining_members(ballot(5, 0), 3, joining), &[1, 2]);
     let RoundStep::Chosen(value) = joined else { panic!("{joined:?}") };
     assert_eq!((value.incarnations[0], value.state), (100, 2), "the chosen state is kept");
     members[0].join(Proposal { ballot: ballot(5, 0), value });
--- a/consensus/src/release_monitor/tests.rs
+++ b/consensus/src/release_monitor/tests.rs
@@ -30,7 +30,8 @@
     state.apply(&command, &limits(), &view()).unwrap_or_else(|why| panic!("{command:?}: {why}"))
 }
 
-fn rejection(state: &FleetState, command: &Command, view: &CouncilView) -> Rejection {
+/// Applies a command and returns why it was rejected; panics if it was accepted.
+fn expect_rejection(state: &FleetState, command: &Command, view: &CouncilView) -> Rejection {
     state.apply(command, &limits(), view).unwrap_err()
 }
 
@@ -107,7 +108,7 @@
         Some(Command::CompleteWave(0))
     );
     let state = apply(&state, Command::CompleteWave(0));
-    assert_eq!(rejection(&state, &Command::CompleteWave(0), &view()), Rejection::NothingToChange);
+    assert_eq!(expect_rejection(&state, &Command::CompleteWave(0), &view()), Rejection::NothingToChange);
     let state = (1..=3).fold(state, |state, router| restart(&state, router, 7, "old"));
     assert_eq!(
         next_command(&mut monitor, 11 * SECOND, &state, &reports(0, 100)),
@@ -201,7 +202,7 @@
 fn one_release_is_in_progress_at_a_time() {
     let again = release("v3", "x", vec![vec![3]], false);
     assert_eq!(
-        rejection(&started_release(false), &again, &view()),
+        expect_rejection(&started_release(false), &again, &view()),
         Rejection::ReleaseInProgress("v2".into())
     );
 }
@@ -219,7 +220,7 @@
     let out = drain(&started_release(false), 0, 7, "old");
     let not_seen = CouncilView { out_of_service: [0].into(), ..view() };
     assert_eq!(
-        rejection(&out, &Command::ReportServing(router_incarnation(0, 8)), &not_seen),
+        expect_rejection(&out, &Command::ReportServing(router_incarnation(0, 8)), &not_seen),
         Rejection::NotSeenServing
     );
 }
--- a/consensus/tests/fleet/rounds.rs
+++ b/consensus/tests/fleet/rounds.rs
@@ -23,7 +23,7 @@
         router.highest_ballot = ballot;
         let needs_to_join = router.acceptor.as_ref().is_some_and(|acceptor| !acceptor.joined());
         let joining = needs_to_join.then_some(CouncilMember { member: r as u8, incarnation });
-        let proposer = Proposer::joining(ballot, COUNCIL, joining.into_iter().collect());
+        let proposer = Proposer::with_joining_members(ballot, COUNCIL, joining.into_iter().collect());
         let view = CouncilView { majority: COUNCIL / 2 + 1, ..CouncilView::default() };
         router.round = Some(Round { proposer, command, began_at: now, view });
         self.send_round(r);
--- a/consensus/tests/model.rs
+++ b/consensus/tests/model.rs
@@ -227,7 +227,7 @@
         let number = 1 + u64::from(proposer.rounds);
         let ballot = Ballot { number, proposer: p as u16, incarnation };
         let joining = (p < MEMBERS).then_some(CouncilMember { member: p as u8, incarnation });
-        let round = Proposer::joining(ballot, MEMBERS, joining.into_iter().collect());
+        let round = Proposer::with_joining_members(ballot, MEMBERS, joining.into_iter().collect());
         proposer.round = Some(round.with_defect(self.defect));
         state.send(p);
     }
--- a/consensus/tests/net/earlier_promise.rs
+++ b/consensus/tests/net/earlier_promise.rs
@@ -39,7 +39,7 @@
     let promise = members[0].handle(request.clone());
     members[0] = Acceptor::new(100).with_defect(defect);
     let joining = vec![CouncilMember { member: 0, incarnation: 100 }];
-    let mut rejoin = Proposer::joining(ballot(3, 0, 100), 3, joining).with_defect(defect);
+    let mut rejoin = Proposer::with_joining_members(ballot(3, 0, 100), 3, joining).with_defect(defect);
     let RoundStep::Chosen(value) = finish(&mut rejoin, &mut members, &[1, 2], 1) else {
         panic!("the member does not join")
     };
--- a/consensus/tests/net/network.rs
+++ b/consensus/tests/net/network.rs
@@ -149,7 +149,7 @@
         proposer.highest_ballot = ballot;
         proposer.joining_member = (p < members && !self.members[p].joined()).then_some(p);
         let joining = proposer.joining_member.map(|m| CouncilMember { member: m as u8, incarnation });
-        let round = Proposer::joining(ballot, members, joining.into_iter().collect());
+        let round = Proposer::with_joining_members(ballot, members, joining.into_iter().collect());
         proposer.round = Some(round.with_defect(self.defect));
         self.send_round(p);
     }
@@ -205,7 +205,7 @@
         report: MemberReport<History>,
     ) -> Result<(), String> {
         let proposer = &mut self.proposers[to];
-        // A reply to an earlier read may be outdated.
+        // A reply to an earlier read may be outdated, so it is ignored.
         let Some(read) = proposer.read.as_mut().filter(|read| read.number == number) else {
             return Ok(());
         };
--- a/consensus/tests/recorded/register.rs
+++ b/consensus/tests/recorded/register.rs
@@ -57,7 +57,7 @@
             let joining: Vec<CouncilMember> = parse(joining);
             round = match joining.is_empty() {
                 true => Proposer::new(ballot(5, 9, 1), 3),
-                false => Proposer::joining(ballot(5, 9, 1), 3, joining),
+                false => Proposer::with_joining_members(ballot(5, 9, 1), 3, joining),
             };
             prepare = round.request();
             writeln!(transcript, "{line}\n  asks {}", round_trip(&round.request()))
--- a/health/tests/decisions.rs
+++ b/health/tests/decisions.rs
@@ -160,7 +160,8 @@
     for cause in 0..6 {
         assert!(!any_down(cause, AssessmentLimits::default()), "cause {cause}");
     }
-    // The required age of a peer's report prevents it: without that limit, a router does report `down`.
+    // A peer's report counts as evidence only if it arrives at least `peer_serving_after` after this router's own last
+    // answer. This minimum is what keeps a router from reporting `down` for a common cause: with a minimum of zero, one does.
     let without_age_limit = AssessmentLimits {
         peer_serving_after: Duration::ZERO,
         max_unanswered: 2,
--- a/membership/src/failure_detector.rs
+++ b/membership/src/failure_detector.rs
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Returns all routers that count as out of service.
+    /// Returns all routers that count as out of service at `now`: those that are silent or whose latest heartbeat says that
+    /// they are starting, draining or ending. A router not heard from yet counts only once its silence exceeds the limit.
     pub fn out_of_service(&mut self, now: Nanos) -> Vec<RouterIndex> {
         self.advance_clock(now);
         let all = 0..self.last_heartbeats.len() as RouterIndex;
--- a/membership/src/status.rs
+++ b/membership/src/status.rs
@@ -22,7 +22,9 @@
 pub enum PeerStatus {
     /// The router has sent no heartbeat yet, but not for long enough to count as silent.
     Unknown,
-    /// The router advertised this status recently, or announced its end.
+    /// The router advertised the contained status in its latest heartbeat, and has not been silent since for longer than the
+    /// silence limit while this member listened. A router that announced its end stays `Alive(Ending)` until its next
+    /// heartbeat, however long it is silent: it is out of service as planned, so its silence means no failure.
     #[serde(rename = "here")]
     Alive(AdvertisedStatus),
     /// The router has sent no heartbeat for longer than the silence limit.
--- a/router/src/checks/grpc.rs
+++ b/router/src/checks/grpc.rs
@@ -43,14 +43,14 @@
     loop {
         // Without an open call the connection is idle and may be closed to make room. A watch counts as an open call.
         if open_calls.count.get() == 0 && idle.is_none() {
-            idle = Some(client.idle());
+            idle = Some(client.mark_idle());
         }
         let idle_timeout = health_monitor.check_setting(|c| c.idle_timeout).unwrap_or(time_limit);
         let accepted = tokio::select! {
             biased;
             accepted = connection.accept() => accepted,
             () = open_calls.call_ended.notified() => continue,
-            () = close_requested(&mut idle) => break,
+            () = wait_for_close_request(&mut idle) => break,
             () = tokio::time::sleep(idle_timeout), if idle.is_some() => break,
         };
         let Some(Ok((request, respond))) = accepted else { return };
@@ -68,7 +68,8 @@
     let _ = timeout(time_limit, std::future::poll_fn(|cx| connection.poll_closed(cx))).await;
 }
 
-async fn close_requested(idle: &mut Option<crate::clients::IdleGuard>) {
+/// Waits until an idle connection is requested to close; forever if the connection is not idle.
+async fn wait_for_close_request(idle: &mut Option<crate::clients::IdleGuard>) {
     match idle {
         Some(idle) => idle.close_requested().await,
         None => std::future::pending().await,
--- a/router/src/checks/listen.rs
+++ b/router/src/checks/listen.rs
@@ -41,7 +41,7 @@
 
     /// Marks the connection as idle until the returned guard is dropped.
     pub fn mark_idle(&mut self) -> IdleGuard {
-        self.idle.take().unwrap_or_else(|| self.client.idle())
+        self.idle.take().unwrap_or_else(|| self.client.mark_idle())
     }
 }
 
--- a/router/src/clients.rs
+++ b/router/src/clients.rs
@@ -118,7 +118,7 @@
 
 impl Client {
     /// Marks the connection as idle between two requests until the returned guard is dropped.
-    pub fn idle(&self) -> IdleGuard {
+    pub fn mark_idle(&self) -> IdleGuard {
         self.clients.add_idle(true)
     }
 }
--- a/router/src/endpoint_list/mod.rs
+++ b/router/src/endpoint_list/mod.rs
@@ -105,7 +105,7 @@
                 log_lost(&context, address, &lost, "watch at the new endpoint list source lost, reconnecting");
             }
             // A new request means that the previous one has not been answered in time.
-            () = context.state.poll_requested() => {
+            () = context.state.wait_for_poll_request() => {
                 tracing::debug!(target: "node_list", moving = next.is_some(), "endpoint list requested by the decision module");
                 // The current source is called even while a new source is being contacted: until the new one answers, the
                 // list can come only from the current one.
--- a/router/src/endpoint_list/watch_clock/tests.rs
+++ b/router/src/endpoint_list/watch_clock/tests.rs
@@ -41,8 +41,10 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
-    /// After an outage longer than the silence timeout, a watch is established before the router has to know of any drain. A
-    /// watch that falls silent is replaced before its missed changes count as notified 6 s later.
+    /// A router counts as notified of a change, such as a drain, 6 s after it, whether it has received it or not. A watch has
+    /// to be established before then. After an outage of the agent longer than the silence timeout (3 s), one is established
+    /// within 451 ms. A watch that falls silent is replaced within 3,202 ms, so before the router counts as notified of the
+    /// changes that the silent watch missed.
     #[test]
     fn an_agent_is_not_unwatched_for_long(from in 1u64..8_000, duration in 4_001u64..15_000, silences in 0u64..30_000) {
     let outage = [(from * MS, (from + duration) * MS)];
--- a/router/src/endpoint_list_state.rs
+++ b/router/src/endpoint_list_state.rs
@@ -66,7 +66,7 @@
     }
 
     /// Waits for a request to poll the list. Cancel-safe: a request is kept until it is received.
-    pub async fn poll_requested(&self) {
+    pub async fn wait_for_poll_request(&self) {
         self.poll_requested.notified().await;
     }
 
--- a/router/src/fleet/proposer.rs
+++ b/router/src/fleet/proposer.rs
@@ -119,7 +119,8 @@
         });
         let joining: Vec<_> = joining.collect();
         loop {
-            let round = Proposer::joining(self.next_ballot(), self.council.size(), joining.clone());
+            let round =
+                Proposer::with_joining_members(self.next_ballot(), self.council.size(), joining.clone());
             if let Some(results) = timeout_at(deadline, self.run_round(round, commands)).await.ok()? {
                 return Some(results);
             }
--- a/router/src/fleet/settings/limits.rs
+++ b/router/src/fleet/settings/limits.rs
@@ -10,7 +10,8 @@
 pub enum WholeGroup {
     /// The whole group may be out of service: routers outside the group still serve.
     MayLeave,
-    /// The whole group must not be out of service: no router would serve.
+    /// The limit must not allow all routers of the group to be out of service at once: the group is the whole fleet, so no
+    /// router would serve.
     MustNotLeave,
 }
 
@@ -20,7 +21,8 @@
     /// The limit is neither a number nor a share.
     #[error("the limit must be a number, or a share such as 10%")]
     NotANumber,
-    /// The share is below 1% or above the maximum.
+    /// The share of routers or replicas that may be out of service is below 1% or above the maximum, which the variant
+    /// contains in percent: 100 for routers, 99 for replicas.
     #[error("a share must be from 1% to {0}%")]
     ShareOutOfRange(usize),
     /// The share rounds down to no router. It would block every release unintentionally.
--- a/router/src/fleet/status_report.rs
+++ b/router/src/fleet/status_report.rs
@@ -26,7 +26,8 @@
     pub local: Rc<LocalRouter>,
     /// Source of the reachable members, and of whether this router is a member.
     pub council: Rc<Council>,
-    /// Source of the running digests that routers report, and of the routers out of service.
+    /// Source of the number of routers that report each digest, that of the file a router runs, and of the list of routers
+    /// that are out of service.
     pub peers: Rc<PeerTable>,
     /// Source of the digest that this router runs.
     pub artifacts: Rc<Artifacts>,
--- a/router/src/front/connection.rs
+++ b/router/src/front/connection.rs
@@ -35,7 +35,7 @@
     ReadFailed(io::ErrorKind),
     /// Writing a response failed.
     WriteFailed(io::ErrorKind),
-    /// The connection does not stay open after this response.
+    /// The router closes the connection because it does not stay open after the response that was sent last.
     Answered(AfterAnswer),
 }
 
@@ -120,7 +120,7 @@
         ) {
             return CloseCause::Answered(after_answer);
         }
-        *idle = Some(client.idle());
+        *idle = Some(client.mark_idle());
     }
 }
 
--- a/router/src/front/mod.rs
+++ b/router/src/front/mod.rs
@@ -199,8 +199,8 @@
     format!("{health}{close}")
 }
 
-/// Returns the head of a streamed response if `head_pending` is set, and clears it; empty otherwise. `fields` and the common
-/// fields are inserted before the blank line at the end of `head`.
+/// Returns the head of a streamed response if `head_pending` is set, and clears it, so the head is returned only the first
+/// time; empty otherwise. `fields` and the common fields are inserted before the blank line at the end of `head`.
 pub fn take_stream_head(
     context: &FrontContext,
     head_pending: &mut bool,
--- a/router/src/http/head.rs
+++ b/router/src/http/head.rs
@@ -62,7 +62,7 @@
     pub fn parse_request(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<MessageHead>, HttpError> {
         let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
         let mut parsed = httparse::Request::new(&mut slots);
-        let status = parsed.parse(buffer).map_err(from_parser)?;
+        let status = parsed.parse(buffer).map_err(from_parser_error)?;
         let Some(length) = complete_head_length(status, buffer, limits)? else { return Ok(None) };
         let span = |part: Option<&str>| Span::within(buffer, part.unwrap_or_default().as_bytes());
         let (method, target) = (span(parsed.method), span(parsed.path));
@@ -79,7 +79,7 @@
     pub fn parse_response(buffer: &mut BytesMut, limits: &Limits) -> Result<Option<MessageHead>, HttpError> {
         let mut slots = vec![httparse::EMPTY_HEADER; limits.max_fields];
         let mut parsed = httparse::Response::new(&mut slots);
-        let status = parsed.parse(buffer).map_err(from_parser)?;
+        let status = parsed.parse(buffer).map_err(from_parser_error)?;
         let Some(length) = complete_head_length(status, buffer, limits)? else { return Ok(None) };
         let start_line = StartLine::Status(parsed.code.unwrap_or_default());
         let (fields, is_http_11) = (field_spans(buffer, parsed.headers), parsed.version == Some(1));
@@ -157,7 +157,8 @@
     }
 }
 
-fn from_parser(error: httparse::Error) -> HttpError {
+/// Converts an error of the head's parser.
+fn from_parser_error(error: httparse::Error) -> HttpError {
     match error {
         httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
         _ => HttpError::Malformed,
--- a/router/src/replica/relay.rs
+++ b/router/src/replica/relay.rs
@@ -34,7 +34,8 @@
     /// The parsed form of the events in `buffered`.
     buffered_events: Vec<StreamEvent>,
     result: AttemptResult,
-    /// Whether the response counts as complete once its body ends.
+    /// Whether the response counts as complete once its body ends: from the start for a chat stream, and for a messages stream
+    /// once the event that marks its completion has arrived.
     complete: bool,
     last_event_at: Instant,
 }
--- a/router/tests/discovery_trials.rs
+++ b/router/tests/discovery_trials.rs
@@ -157,6 +157,8 @@
     });
 }
 
+/// Runs the incident of 2026-12-03 with the seeds that the person who runs the test requests. No draining replica may
+/// receive a late request: one from a router that has counted as notified of the drain for more than the permitted 0.5 s.
 #[test]
 #[ignore = "runs for minutes, depending on the requested seeds"]
 fn requested_crowded_restarts_leave_no_router_without_notice() {
--- a/router/tests/floods.rs
+++ b/router/tests/floods.rs
@@ -76,7 +76,8 @@
 /// The delay is measured in flood bytes that pass between sending and receipt of an event, as the test machine may stall.
 #[test]
 fn an_event_is_not_delayed_by_floods_of_answers_and_requests() {
-    /// Flood bytes that a router passes on in about 20 ms of one processor.
+    /// Maximum bytes of the flooding connections that may pass between the sending of an event (one piece of the quiet
+    /// stream) and its receipt by the client. A router passes on about as many in 20 ms of one processor's time.
     const MAX_BYTES_PER_EVENT: usize = 1 << 20;
     run_test(async {
         let floods = Floods::new();
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -105,11 +105,11 @@
         if let Err(panic) = result {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            self.write_broken_message(router, text);
+            self.report_broken_instance(router, text);
         }
     }
 
-    fn write_broken_message(&mut self, router: u32, text: &str) {
+    fn report_broken_instance(&mut self, router: u32, text: &str) {
         self.reply.push_str(&format!("BROKEN Who=gateway-{router} NoteText={}\n", text.replace('\n', " ")));
     }
 }
@@ -155,7 +155,7 @@
         line.push_str(next);
         let number = lines.number;
         let result = match line.split(' ').next() {
-            Some("BATCH") => wire::parse_batch(&Fields::new(&line)).map(|now| instances.now = now),
+            Some("BATCH") => wire::parse_batch_time(&Fields::new(&line)).map(|now| instances.now = now),
             Some("FLUSH") => {
                 instances.reply.push_str("END\n");
                 output.write_all(instances.reply.as_bytes())?;
@@ -168,7 +168,7 @@
         if let Err(error) = result {
             let text = format!("line {number}: {error}");
             match error.router {
-                Some(router) => instances.write_broken_message(router, &text),
+                Some(router) => instances.report_broken_instance(router, &text),
                 None => {
                     eprintln!("tallypin-simhost: {text}");
                     return Ok(ExitCode::from(2));
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -149,7 +149,7 @@
 }
 
 /// Parses the time of a batch, in ns.
-pub fn parse_batch(fields: &Fields) -> Result<Nanos, MalformedLine> {
+pub fn parse_batch_time(fields: &Fields) -> Result<Nanos, MalformedLine> {
     fields.number("WallNs")
 }
 
--- a/simulator/src/world.rs
+++ b/simulator/src/world.rs
@@ -257,7 +257,7 @@
         }
         let rows: Vec<EndpointEntry> = world.nodes.iter().map(|n| n.entry.clone()).collect();
         for router in 0..plan.routers {
-            world.notify(router, Event::EndpointList { kind: ListUpdate::Full, entries: rows.clone() });
+            world.pass_event(router, Event::EndpointList { kind: ListUpdate::Full, entries: rows.clone() });
         }
         let start = world.now;
         world.queue.push(start, SimEvent::Arrival);
@@ -330,7 +330,7 @@
                     self.queue.push(at, SimEvent::Arrival);
                 }
             }
-            SimEvent::Timer { router, token } => self.notify(router, Event::Timer(token)),
+            SimEvent::Timer { router, token } => self.pass_event(router, Event::Timer(token)),
             SimEvent::AttemptArrival { request, attempt } => self.arrive_at_node(request, attempt),
             SimEvent::StepEnd { node, step_number } => self.finish_step(node, step_number),
             SimEvent::FirstToken { request, attempt } => self.first_token(request, attempt),
@@ -348,7 +348,7 @@
                 if !r.ended && !r.attempts.iter().any(|t| t.first_token.is_some()) {
                     self.count(request, |f| &mut f.failed);
                     let router = self.requests[request as usize].router;
-                    self.notify(router, Event::ClientLeft(RequestId(u64::from(request))));
+                    self.pass_event(router, Event::ClientLeft(RequestId(u64::from(request))));
                 }
             }
             SimEvent::ClientRetry { request } => self.retry(request),
@@ -359,7 +359,7 @@
                     node.no_requests_after = node.no_requests_after.or(Some(self.now + DRAIN_REACTION_TIME));
                 }
                 for router in 0..self.routers.len() as u32 {
-                    self.notify(
+                    self.pass_event(
                         router,
                         Event::EndpointList { kind: ListUpdate::Delta, entries: vec![entry.clone()] },
                     );
@@ -367,9 +367,9 @@
             }
             SimEvent::PeerMessage { message } => {
                 let (to, from, bytes) = std::mem::take(&mut self.peer_messages[message as usize]);
-                self.notify(to, Event::PeerMessage { from, bytes });
+                self.pass_event(to, Event::PeerMessage { from, bytes });
             }
-            SimEvent::DeployStep { step } => self.deploy(step),
+            SimEvent::DeployStep { step } => self.replace_next_node(step),
             SimEvent::NodeRemoval { node } => self.remove_node(node),
             SimEvent::SlowPeriod { begins } => self.set_slow_period(begins),
         }
@@ -449,7 +449,7 @@
         self.requests.push(client);
         self.open_requests += 1;
         self.queue.push(deadline, SimEvent::Deadline { request: id });
-        self.notify(router, Event::Request(request));
+        self.pass_event(router, Event::Request(request));
     }
 
     /// Submits a rejected request again, under a new id.
@@ -474,7 +474,7 @@
         });
     }
 
-    fn notify(&mut self, router: u32, event: Event) {
+    fn pass_event(&mut self, router: u32, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         actions.clear();
         self.routers[router as usize].handle(self.now, event, &mut actions);
@@ -676,7 +676,7 @@
         // The other attempts are cancelled, as the router's core does.
         let others: Vec<u32> =
             (0..r.attempts.len() as u32).filter(|&a| a != attempt && !r.attempts[a as usize].ended).collect();
-        self.notify(router, event);
+        self.pass_event(router, event);
         for a in others {
             self.cancel_at_node(request, a);
             self.end_attempt(request, a, Outcome::Cancelled);
@@ -725,7 +725,7 @@
             cached_tokens: (outcome == Outcome::Completed).then_some(cached_tokens),
             load: vec![],
         };
-        self.notify(router, Event::AttemptEnded(ended));
+        self.pass_event(router, Event::AttemptEnded(ended));
     }
 
     /// Changes a node's state in the endpoint list; routers receive the change after the list's delay.
@@ -738,7 +738,7 @@
     }
 
     /// Replaces one more node of the deploy: starts its successor and drains it.
-    fn deploy(&mut self, step: u32) {
+    fn replace_next_node(&mut self, step: u32) {
         let Some((from, to, share)) = self.plan.deploy else { return };
         let count = (f64::from(self.plan.nodes) * share) as u32;
         if step >= count {
--- a/src/decisions/affinity.rs
+++ b/src/decisions/affinity.rs
@@ -96,7 +96,9 @@
         first_choice.1
     }
 
-    /// Returns the replica that last answered a session and what it read then, if it still has it cached.
+    /// Returns the slot of the replica that last answered a session, and the record of that answer with the
+    /// number of prompt tokens that the replica has read; `None` if that replica takes no work or no longer
+    /// has the session's prompt cached.
     fn cached_session_replica(&self, now: Nanos, session: u64) -> Option<(usize, SessionReplica)> {
         let found = self.affinity.sessions.last_replica(now, session)?;
         let slot = self.replicas.slot_of(found.replica)?;
--- a/src/decisions/endpoint_list.rs
+++ b/src/decisions/endpoint_list.rs
@@ -80,7 +80,7 @@
         if is_received {
             self.list_polling.record_list_received();
         }
-        self.statistics.init_ready_replicas(self.replicas.ready().len());
+        self.statistics.init_ready_replica_count(self.replicas.ready().len());
     }
 
     /// Schedules the next poll after a failed poll or the end of a watch; the two are not distinguished. The
--- a/src/decisions/ranking.rs
+++ b/src/decisions/ranking.rs
@@ -182,7 +182,7 @@
         let is_discounted = self.is_warming_up(now, replica)
             && queue_wait + prefill / self.capacity_share(now, replica) < objective;
         let ranked_prefill = if is_discounted { prefill * context.warming_discount } else { prefill };
-        let rank = first_token_wait::ranked_wait(smoothed, objective, replica.in_flight)
+        let rank = first_token_wait::ranking_wait(smoothed, objective, replica.in_flight)
             + ranked_prefill
             + self.cross_zone_wait(replica, objective)
             + first_token_wait::queueing_wait(self.predicted_queueing(now, replica, smoothed), objective)
--- a/src/decisions/slow_start.rs
+++ b/src/decisions/slow_start.rs
@@ -9,8 +9,10 @@
 
 /// Maximum saved credit of a warming replica, in requests.
 const MAX_CREDIT: f64 = 2.0;
-/// Minimum share of credits that is assumed to be used. It limits the extra credit that makes up for lost
-/// credits.
+/// Minimum share, 0 to 1, of a warming replica's credits that this router is assumed to use; it pays one
+/// credit per request that it sends to the replica. Credits not used within the overload window are lost. To
+/// make up for them, the credit earned per second is divided by the used share, so this minimum limits the
+/// extra credit: a router earns at most 1 / 0.3 times as much.
 const MIN_CREDIT_USE_SHARE: f64 = 0.3;
 
 impl Balancer {
--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -203,7 +203,7 @@
             latency_objective: profile.goal_time_ns,
             latency_objective_per_1000_tokens: (micros_per_1000_tokens.max(0.0) * NANOS_PER_MICRO) as Nanos,
             token_interval_objective: family.token_aim_ns.get(index).copied().unwrap_or(0),
-            effect: profile.effect(),
+            effect: profile.parse_effect(),
             priority_weight: profile.worth,
             late_value_share: profile.late_share,
         }
@@ -211,7 +211,8 @@
 }
 
 impl Profile {
-    fn effect(&self) -> Effect {
+    /// Parses the document's word for what a repeat of a request does.
+    fn parse_effect(&self) -> Effect {
         match self.effect.as_str() {
             "pure" => Effect::Idempotent,
             "token" => {
--- a/src/first_token_wait.rs
+++ b/src/first_token_wait.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns the predicted wait by which replicas are ranked: the expected wait times one plus the requests in flight.
-pub fn ranked_wait(smoothed: f64, objective: f64, in_flight: u32) -> f64 {
+pub fn ranking_wait(smoothed: f64, objective: f64, in_flight: u32) -> f64 {
     expected_wait(smoothed, objective) * (1.0 + f64::from(in_flight))
 }
 
--- a/src/state/replica_statistics.rs
+++ b/src/state/replica_statistics.rs
@@ -229,8 +229,9 @@
         self.ready_replicas = ready as f64 + (self.ready_replicas - ready as f64) * old_weight;
     }
 
-    /// Sets the smoothed number of ready replicas to that of the first list that has any.
-    pub(crate) fn init_ready_replicas(&mut self, ready: usize) {
+    /// Sets the smoothed number of ready replicas to the number in the first list that has any; does nothing
+    /// after that.
+    pub(crate) fn init_ready_replica_count(&mut self, ready: usize) {
         if self.ready_replicas == 0.0 {
             self.ready_replicas = ready as f64;
         }
--- a/src/state/replica_table.rs
+++ b/src/state/replica_table.rs
@@ -47,7 +47,8 @@
         self.replicas.len()
     }
 
-    /// Returns the slot of a replica that has been listed.
+    /// Returns the slot of a replica that the endpoint list has contained, even if the replica is gone since;
+    /// `None` if it was never listed or if its slot was reused for another replica after it had gone.
     pub(crate) fn slot_of(&self, replica: ReplicaId) -> Option<usize> {
         self.slots.get(&replica).copied()
     }
--- a/test-support/src/discovery_runs/scenario.rs
+++ b/test-support/src/discovery_runs/scenario.rs
@@ -160,8 +160,9 @@
         }
     }
 
-    /// The shortest scenario with the cause of that incident: a fleet starts while discovery is at capacity, and a
-    /// replica drains meanwhile. All routers can be notified well within the limit.
+    /// The shortest scenario with the cause of the incident of 2026-12-03 (see `crowded_restart`): a fleet starts
+    /// while discovery is at capacity, and a replica drains meanwhile. All routers can be notified of the drain well
+    /// within the notification limit, 6 s after it.
     pub fn refused_at_start(seed: u64) -> Scenario {
         Scenario {
             seed,
--- a/test-support/src/shutdown_runs/process.rs
+++ b/test-support/src/shutdown_runs/process.rs
@@ -82,7 +82,7 @@
         let shutdown_started = Instant::now();
         let mut stopped_at = None;
         for (after, signal_name) in signals {
-            if let Some(status) = self.wait_until(shutdown_started + after).await? {
+            if let Some(status) = self.wait_for_exit_until(shutdown_started + after).await? {
                 return Ok(Exit::Exited(status));
             }
             if signal_name == "-HUP" && scenario.reloads {
@@ -96,7 +96,7 @@
                 _ => {}
             }
         }
-        if let Some(status) = self.wait_until(shutdown_started + kill_after).await? {
+        if let Some(status) = self.wait_for_exit_until(shutdown_started + kill_after).await? {
             return Ok(Exit::Exited(status));
         }
         run.killed_at.set(Some(run.now()));
@@ -113,7 +113,7 @@
     }
 
     /// Waits until `deadline` or the exit of the process, whichever is first.
-    async fn wait_until(&mut self, deadline: Instant) -> io::Result<Option<ExitStatus>> {
+    async fn wait_for_exit_until(&mut self, deadline: Instant) -> io::Result<Option<ExitStatus>> {
         while Instant::now() < deadline {
             if let Some(status) = self.process.exit_status()? {
                 return Ok(Some(status));
--- a/tests/replica_estimates.rs
+++ b/tests/replica_estimates.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use tallypin::decode_rate::DecodeRate;
-use tallypin::first_token_wait::{expected_wait, queueing_wait, ranked_wait};
+use tallypin::first_token_wait::{expected_wait, queueing_wait, ranking_wait};
 use tallypin::warm_up::capacity_share;
 
 const OBJECTIVE: f64 = 1.2e9;
@@ -11,7 +11,7 @@
 proptest! {
     #[test]
     fn one_more_open_stream_always_ranks_a_replica_worse(wait in 0.0f64..1e11, open_streams in 0u32..1000) {
-        prop_assert!(ranked_wait(wait, OBJECTIVE, open_streams + 1) > ranked_wait(wait, OBJECTIVE, open_streams));
+        prop_assert!(ranking_wait(wait, OBJECTIVE, open_streams + 1) > ranking_wait(wait, OBJECTIVE, open_streams));
     }
 
     /// If all replicas slow down by the same factor, their order stays.
@@ -20,8 +20,8 @@
         wait_a in 1e6f64..1e9, wait_b in 1e6f64..1e9, open_a in 0u32..50, open_b in 0u32..50, factor in 1.0f64..50.0
     ) {
         let (before, after) = (
-            ranked_wait(wait_a, OBJECTIVE, open_a) / ranked_wait(wait_b, OBJECTIVE, open_b),
-            ranked_wait(wait_a * factor, OBJECTIVE, open_a) / ranked_wait(wait_b * factor, OBJECTIVE, open_b)
+            ranking_wait(wait_a, OBJECTIVE, open_a) / ranking_wait(wait_b, OBJECTIVE, open_b),
+            ranking_wait(wait_a * factor, OBJECTIVE, open_a) / ranking_wait(wait_b * factor, OBJECTIVE, open_b)
         );
         prop_assert!((before / after - 1.0).abs() < 1e-9);
     }
@@ -31,7 +31,7 @@
     fn a_ranked_wait_scales_with_all_times(
         wait in 1e6f64..1e9, objective in 1e8f64..1e10, open_streams in 0u32..50, factor in 1.0f64..50.0
     ) {
-        let scale = ranked_wait(wait * factor, objective * factor, open_streams) / ranked_wait(wait, objective, open_streams);
+        let scale = ranking_wait(wait * factor, objective * factor, open_streams) / ranking_wait(wait, objective, open_streams);
         let queueing_error = queueing_wait(wait * factor, objective * factor) - factor * queueing_wait(wait, objective);
         prop_assert!(
             (scale / factor - 1.0).abs() < 1e-9 && queueing_error.abs() < 1e-6 * objective,
@@ -50,7 +50,7 @@
     fn a_ranked_wait_is_always_finite_and_positive(
         wait in proptest::num::f64::POSITIVE, open_streams in any::<u32>(), objective in 1e6f64..1e12
     ) {
-        let rank = ranked_wait(wait, objective, open_streams);
+        let rank = ranking_wait(wait, objective, open_streams);
         prop_assert!(rank.is_finite() && rank > 0.0);
     }
 
