--- a/tools/compare.sh
+++ b/tools/compare.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# The decision module beside textbook policies on the same drawn days. Where the operators' kit is there:
+# Compares the balancer with textbook policies on the same randomly generated days. Needs the operators' kit:
 #   tools/compare.sh KIT SITE FIRST LAST [KIND ...]
-# KIT is the folder that holds bin/lbsim, SITE a site file, FIRST and LAST bound the seeds. Prints the mean G of each
-# policy, how many days it broke a rule on, the module's means by kind, then each day: the module, random choice, the
-# best policy that kept the rules. POLICIES names other policies than the usual ones.
-# Ends with 1 if the module broke a rule or fell below random choice on a day. Runs in a copy: the journal stays as it is.
+# KIT is the folder with bin/lbsim, SITE a site file, FIRST and LAST the range of seeds. Prints the mean G of each policy
+# with the number of days on which it broke a rule, the balancer's mean G by kind of day, and for each day the G of the
+# balancer, of random choice and of the best policy that kept the rules. POLICIES replaces the default policies.
+# Exit status 1: the balancer broke a rule or fell below random choice on a day. Runs in a copy to keep the journal as it is.
 set -euo pipefail
 if [ $# -lt 4 ]; then
     sed -n '2,7p' "$0" >&2
@@ -14,9 +14,9 @@
 shift 4
 kinds=("$@")
 [ ${#kinds[@]} -gt 0 ] || kinds=(trouble overload big only:deploy only:slow only:hot_key only:discovery_stale)
-usual=(random round-robin least-request two-choices least-request+retry1 stock lowest-report hash hash+bound
+default_policies=(random round-robin least-request two-choices least-request+retry1 stock lowest-report hash hash+bound
     sticky-table least-tokens shared-prefix+bound)
-read -ra policies <<<"${POLICIES:-${usual[*]}}"
+read -ra policies <<<"${POLICIES:-${default_policies[*]}}"
 root=$(cd "$(dirname "$0")/.." && pwd)
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
@@ -33,7 +33,7 @@
         "$kit/bin/lbsim" draw "$site" --seed "$seed" --kind "$kind" >"$work/days/${kind/:/_}-$seed.json"
     done
 done
-one() { # KIT HOST DAY POLICY
+run_policy() { # KIT HOST DAY POLICY: prints the day, the policy, its G, and 1 if it kept the rules
     if [ "$4" = module ]; then
         out=$("$1/bin/lbsim" run "$3" --why "a drawn day" -- "$2" 2>&1) || true
     else
@@ -43,12 +43,12 @@
     kept=$(grep -c 'rules kept, no fault' <<<"$out" || true)
     echo "$(basename "$3" .json) $4 ${g:-0} $kept"
 }
-export -f one
+export -f run_policy
 for day in "$work"/days/*.json; do
     for policy in module "${policies[@]}"; do
         printf '%s\0%s\0' "$day" "$policy"
     done
-done | xargs -0 -n 2 -P "$(nproc)" bash -c 'one "$@"' _ "$kit" "$host" | sort |
+done | xargs -0 -n 2 -P "$(nproc)" bash -c 'run_policy "$@"' _ "$kit" "$host" | sort |
     awk '{ g[$1, $2] = $3; kept[$1, $2] = $4; sum[$2] += $3; n[$2]++; days[$1] = 1; if (!$4) broke[$2]++ }
          END { for (p in sum) printf "%-22s %.3f  rules broken on %d of %d days\n", p, sum[p] / n[p], broke[p], n[p] | "sort -k2 -nr"
                close("sort -k2 -nr")
